--- a/crates/gateway/src/exchange/preparation.rs
+++ b/crates/gateway/src/exchange/preparation.rs
@@ -11,7 +11,7 @@
 
 use super::Exchange;
 use crate::engine_rules::residency_now;
-use crate::records_client::keep_ms;
+use crate::records_client::ttl_ms;
 use crate::refusal::{COME_BACK, COME_BACK_RECONFIGURED};
 
 /// How long a turn waits for the replicas before it is refused.
@@ -172,8 +172,11 @@
             return Ok(None);
         };
         let began = Instant::now();
-        let most = self.call.metadata.most_tokens;
-        let entry = LedgerEntry { most, spent: None };
+        let reserved_tokens = self.call.metadata.most_tokens;
+        let entry = LedgerEntry {
+            reserved_tokens,
+            spent: None,
+        };
         self.is_charged.set(true);
         let charging = self.gateway.records.charge(
             &account.program,
@@ -194,7 +197,7 @@
             // An identifier that was used before: its account must not be opened anew.
             return Err(Refusal::last(RefusalReason::UsedIdentifier));
         }
-        if ledger.admits(&account.turn, most, budget) {
+        if ledger.admits(&account.turn, reserved_tokens, budget) {
             let has_earlier = ledger.entries.keys().any(|turn| *turn != account.turn);
             return Ok(Some(Reserved { has_earlier }));
         }
@@ -203,8 +206,8 @@
             request = account.turn.request(),
             program = self.call.metadata.program.as_deref().unwrap_or_default(),
             budget = budget,
-            most = most,
-            charged_to_others = ledger.charged_besides(&account.turn),
+            most = reserved_tokens,
+            charged_to_others = ledger.charged_by_others(&account.turn),
             turns_in_ledger = ledger.entries.len(),
             epoch = self.gateway.node.view.epoch().0;
             "budget does not hold the turn"
@@ -235,7 +238,7 @@
         let taken = began.elapsed().as_secs_f64();
         self.gateway.metrics.chain_read_seconds.observe(taken);
         match outcome {
-            Ok(ChainOutcome::Whole(chain)) => {
+            Ok(ChainOutcome::Complete(chain)) => {
                 let prompt = join_prompt(chain.iter(), &self.call.body);
                 chain.into_iter().for_each(|record| self.cache(record));
                 Ok(prompt)
@@ -280,10 +283,10 @@
             program: account.program,
             turn: account.turn,
             entry: LedgerEntry {
-                most: self.call.metadata.most_tokens,
+                reserved_tokens: self.call.metadata.most_tokens,
                 spent: Some(self.passed.events * self.event_tokens()),
             },
-            keep_ms: keep_ms(account.retention),
+            ttl_ms: ttl_ms(account.retention),
         });
     }
 
--- a/crates/gateway/src/rate_limits.rs
+++ b/crates/gateway/src/rate_limits.rs
@@ -196,7 +196,7 @@
         let request = ReplicaRequest::Admit(Admission {
             group,
             tenant: wanted.tenant.name.clone(),
-            is_beginning: wanted.progress == Progress::Beginning,
+            may_start_program: wanted.progress == Progress::Beginning,
             per_ks: wanted.limit.per_ks,
             burst: wanted.limit.burst,
             version: wanted.version,
--- a/crates/gateway/src/records_client.rs
+++ b/crates/gateway/src/records_client.rs
@@ -147,7 +147,7 @@
 }
 
 /// How long a record is kept that the operators want for this time, in milliseconds.
-pub fn keep_ms(retention: Duration) -> u64 {
+pub fn ttl_ms(retention: Duration) -> u64 {
     u64::try_from((retention + KEEP_MARGIN).as_millis()).unwrap_or(u64::MAX)
 }
 
@@ -295,7 +295,7 @@
             program: program.clone(),
             turn: turn.clone(),
             entry,
-            keep_ms: keep_ms(retention),
+            ttl_ms: ttl_ms(retention),
         };
         let operation = Operation {
             name: "reserve",
@@ -342,7 +342,7 @@
             group,
             epoch,
             record: record.clone(),
-            keep_ms: keep_ms(retention),
+            ttl_ms: ttl_ms(retention),
         };
         let operation = Operation {
             name: "append",
--- a/crates/gateway/src/records_client/reading.rs
+++ b/crates/gateway/src/records_client/reading.rs
@@ -98,8 +98,8 @@
     ) -> Option<ChainOutcome> {
         loop {
             let epoch = read.set().epoch;
-            for replica in self.in_order(read.candidates(), &read.wanted().0) {
-                let turn = read.wanted().clone();
+            for replica in self.in_order(read.candidates(), &read.next_turn().0) {
+                let turn = read.next_turn().clone();
                 let request = ReplicaRequest::ReadChain { group, epoch, turn };
                 let asking = self
                     .paths
--- a/crates/gateway/src/records_client/writing.rs
+++ b/crates/gateway/src/records_client/writing.rs
@@ -115,14 +115,14 @@
             }
             let progress = match reply {
                 Ok(reply) => write.on_reply(from, reply),
-                Err(_) => WriteProgress::TryLater,
+                Err(_) => WriteProgress::RetryLater,
             };
             let teach = match progress {
                 WriteProgress::Durable(ledger) => return WriteEnd::Durable(ledger),
                 WriteProgress::Restart(groups) => return WriteEnd::Restart(groups),
                 WriteProgress::Waiting => continue,
-                WriteProgress::Teach => Some(ReplicaGroups::clone(&*self.groups().await)),
-                WriteProgress::TryLater => {
+                WriteProgress::SendReplicaSets => Some(ReplicaGroups::clone(&*self.groups().await)),
+                WriteProgress::RetryLater => {
                     // Another one is asked in its place meanwhile.
                     asked.extend(spare.next().map(ask));
                     None
@@ -151,7 +151,11 @@
         members.sort_by_key(|member| {
             let is_suspected = self.paths.is_suspected(member.id);
             let is_closed = !self.paths.is_open(member.id);
-            (is_suspected, is_closed, !set.is_shared(member.id))
+            (
+                is_suspected,
+                is_closed,
+                !set.counts_in_every_majority(member.id),
+            )
         });
         members
     }
--- a/crates/node/examples/replica_load.rs
+++ b/crates/node/examples/replica_load.rs
@@ -70,10 +70,10 @@
         program: program(turn),
         turn: TurnId(format!("{turn:016x}")),
         entry: LedgerEntry {
-            most: MOST_TOKENS,
+            reserved_tokens: MOST_TOKENS,
             spent: None,
         },
-        keep_ms: KEEP_MS,
+        ttl_ms: KEEP_MS,
     }
 }
 
@@ -85,10 +85,10 @@
             program: program(turn),
             turn: TurnId(format!("{turn:016x}")),
             entry: LedgerEntry {
-                most: MOST_TOKENS,
+                reserved_tokens: MOST_TOKENS,
                 spent: Some(MOST_TOKENS / 2),
             },
-            keep_ms: KEEP_MS,
+            ttl_ms: KEEP_MS,
         }],
     }
 }
@@ -103,7 +103,7 @@
             input: vec![b'x'; RECORD_BYTES],
             output: Vec::new(),
         },
-        keep_ms: KEEP_MS,
+        ttl_ms: KEEP_MS,
     }
 }
 
--- a/crates/records/src/chain_read.rs
+++ b/crates/records/src/chain_read.rs
@@ -13,7 +13,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ChainOutcome {
     /// The whole chain, oldest first.
-    Whole(Vec<TurnRecord>),
+    Complete(Vec<TurnRecord>),
     /// A majority has no record of this turn.
     NoSuchTurn(TurnId),
 }
@@ -22,7 +22,7 @@
 #[derive(Debug, Clone)]
 pub struct ChainRead {
     set: ReplicaSet,
-    wanted: TurnId,
+    next_turn: TurnId,
     denied: BTreeSet<ReplicaId>,
     newest_first: Vec<TurnRecord>,
 }
@@ -32,7 +32,7 @@
     pub fn new(set: ReplicaSet, turn: TurnId) -> Self {
         Self {
             set,
-            wanted: turn,
+            next_turn: turn,
             denied: BTreeSet::new(),
             newest_first: Vec::new(),
         }
@@ -44,8 +44,8 @@
     }
 
     /// The turn to ask for next.
-    pub fn wanted(&self) -> &TurnId {
-        &self.wanted
+    pub fn next_turn(&self) -> &TurnId {
+        &self.next_turn
     }
 
     /// The voters that have not yet said that they lack the wanted turn.
@@ -69,11 +69,11 @@
         let Some(missing) = missing else {
             let mut chain = std::mem::take(&mut self.newest_first);
             chain.reverse();
-            return Some(ChainOutcome::Whole(chain));
+            return Some(ChainOutcome::Complete(chain));
         };
-        self.wanted = missing;
+        self.next_turn = missing;
         self.denied.insert(from);
         let certain = self.set.has_voter_majority(&self.denied);
-        certain.then(|| ChainOutcome::NoSuchTurn(self.wanted.clone()))
+        certain.then(|| ChainOutcome::NoSuchTurn(self.next_turn.clone()))
     }
 }
--- a/crates/records/src/change_log.rs
+++ b/crates/records/src/change_log.rs
@@ -14,7 +14,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct ListPosition {
     /// The life: changes are numbered anew whenever the replica has read its disk back.
-    pub life: u64,
+    pub log_id: u64,
     /// Number of the last change that is known.
     pub change: u64,
 }
@@ -25,16 +25,16 @@
 /// The keys of all records in the order of their last changes.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct ChangeLog {
-    life: u64,
+    log_id: u64,
     newest: u64,
     keys: BTreeMap<u64, RecordKey>,
 }
 
 impl ChangeLog {
     /// No changes of this life yet.
-    pub fn of_life(life: u64) -> Self {
+    pub fn of_life(log_id: u64) -> Self {
         Self {
-            life,
+            log_id,
             ..Self::default()
         }
     }
@@ -61,14 +61,14 @@
         after: Option<ListPosition>,
         most: usize,
     ) -> (impl Iterator<Item = &RecordKey>, ListPosition) {
-        let known = after.filter(|position| position.life == self.life);
+        let known = after.filter(|position| position.log_id == self.log_id);
         let known = known.map_or(0, |position| position.change);
         let bounds = (Bound::Excluded(known), Bound::Unbounded);
         let last = self.keys.range(bounds).take(most).last();
         let change = last.map_or(known, |(number, _)| *number);
         let keys = self.keys.range(bounds).take(most).map(|(_, key)| key);
-        let life = self.life;
-        (keys, ListPosition { life, change })
+        let log_id = self.log_id;
+        (keys, ListPosition { log_id, change })
     }
 
     /// Whether nothing has changed since this position.
--- a/crates/records/src/groups.rs
+++ b/crates/records/src/groups.rs
@@ -76,7 +76,7 @@
 impl From<RegisteredForm> for ReplicaGroups {
     fn from(form: RegisteredForm) -> Self {
         match form {
-            RegisteredForm::One(set) => Self::of_one(set),
+            RegisteredForm::One(set) => Self::single(set),
             RegisteredForm::Many { sets } => Self::new(sets),
         }
     }
@@ -89,7 +89,7 @@
     }
 
     /// One group for all programs.
-    pub fn of_one(set: ReplicaSet) -> Self {
+    pub fn single(set: ReplicaSet) -> Self {
         Self::new(vec![set])
     }
 
--- a/crates/records/src/ledger.rs
+++ b/crates/records/src/ledger.rs
@@ -14,7 +14,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct LedgerEntry {
     /// The most that the turn may generate.
-    pub most: u64,
+    pub reserved_tokens: u64,
     /// What it generated, once that is known.
     pub spent: Option<u64>,
 }
@@ -22,7 +22,7 @@
 impl LedgerEntry {
     /// Tokens that count against the budget.
     pub fn charge(&self) -> u64 {
-        self.spent.unwrap_or(self.most)
+        self.spent.unwrap_or(self.reserved_tokens)
     }
 
     /// Joins two copies of one entry.
@@ -32,7 +32,7 @@
             (one, two) => one.or(two),
         };
         Self {
-            most: self.most.max(other.most),
+            reserved_tokens: self.reserved_tokens.max(other.reserved_tokens),
             spent,
         }
     }
@@ -73,13 +73,13 @@
     }
 
     /// Tokens that all turns but this one have taken or may still take.
-    pub fn charged_besides(&self, turn: &TurnId) -> u64 {
+    pub fn charged_by_others(&self, turn: &TurnId) -> u64 {
         let others = self.entries.iter().filter(|(other, _)| *other != turn);
         others.map(|(_, entry)| entry.charge()).sum()
     }
 
     /// Whether the budget holds this turn at its most, beside all others.
-    pub fn admits(&self, turn: &TurnId, most: u64, budget: u64) -> bool {
-        self.charged_besides(turn).saturating_add(most) <= budget
+    pub fn admits(&self, turn: &TurnId, reserved_tokens: u64, budget: u64) -> bool {
+        self.charged_by_others(turn).saturating_add(reserved_tokens) <= budget
     }
 }
--- a/crates/records/src/lib.rs
+++ b/crates/records/src/lib.rs
@@ -32,7 +32,7 @@
 pub use identifiers::{Epoch, ProgramId, RecordKey, ReplicaId, TurnId};
 pub use ledger::{LedgerEntry, ProgramLedger};
 pub use message::{Admission, Listing, ReplicaReply, ReplicaRequest, Settlement};
-pub use plan::{CopiesSeen, SetStep, StorageNode, deal_groups, first_groups, plan_change};
+pub use plan::{CopiesSeen, SetStep, StorageNode, deal_groups, initial_groups, plan_change};
 pub use quorum_write::{QuorumWrite, WriteProgress};
 pub use replica::{Change, DISK_VERSION, Handled, ReplicaState, StoredRecord, Wait};
 pub use replica_set::{Replica, ReplicaSet};
--- a/crates/records/src/message.rs
+++ b/crates/records/src/message.rs
@@ -18,7 +18,7 @@
     /// Its entry, with what was spent.
     pub entry: LedgerEntry,
     /// How long the ledger is kept after this change, in milliseconds.
-    pub keep_ms: u64,
+    pub ttl_ms: u64,
 }
 
 /// A request of a tenant that is to run.
@@ -29,7 +29,7 @@
     /// Name of the tenant.
     pub tenant: String,
     /// Whether the request may be the first one of its program.
-    pub is_beginning: bool,
+    pub may_start_program: bool,
     /// Requests that it may make in a thousand seconds.
     pub per_ks: u64,
     /// Requests beyond that at once.
@@ -54,7 +54,7 @@
         /// Its entry.
         entry: LedgerEntry,
         /// How long the ledger is kept after its last change, in milliseconds.
-        keep_ms: u64,
+        ttl_ms: u64,
     },
     /// Joins what turns generated into their ledgers. Nobody waits for it, so that the replica may make
     /// it durable together with what comes next.
@@ -75,7 +75,7 @@
         /// The record.
         record: TurnRecord,
         /// How long it is kept, in milliseconds.
-        keep_ms: u64,
+        ttl_ms: u64,
     },
     /// Reads a turn and all before it, as far as the replica has them.
     ReadChain {
--- a/crates/records/src/plan.rs
+++ b/crates/records/src/plan.rs
@@ -14,7 +14,7 @@
     /// Whether it answered lately.
     pub alive: bool,
     /// Whether it may be about to start, or is opening its disk. A voter like that counts for nothing and keeps its place.
-    pub awaited: bool,
+    pub starting: bool,
     /// Whether it is to be emptied.
     pub retiring: bool,
     /// Groups that it belongs to.
@@ -122,7 +122,7 @@
 
 /// The first sets of all groups: as many groups as the storage nodes that live make up, each with its own ones; `None` where
 /// none lives.
-pub fn first_groups(nodes: &[StorageNode], size: usize) -> Option<ReplicaGroups> {
+pub fn initial_groups(nodes: &[StorageNode], size: usize) -> Option<ReplicaGroups> {
     let alive = nodes.iter().filter(|node| node.alive).count();
     match alive {
         0 => None,
@@ -167,7 +167,7 @@
 }
 
 fn is_awaited(replica: &Replica, nodes: &[StorageNode]) -> bool {
-    find(replica, nodes).is_some_and(|node| node.awaited)
+    find(replica, nodes).is_some_and(|node| node.starting)
 }
 
 /// Voters stay while they live or are awaited. Those that are gone or retire make room for others; where there is no
--- a/crates/records/src/quorum_write.rs
+++ b/crates/records/src/quorum_write.rs
@@ -16,9 +16,9 @@
     /// The write is durable at a majority; the union of the ledgers that came back.
     Durable(ProgramLedger),
     /// The replica has to be told the set, then asked again.
-    Teach,
+    SendReplicaSets,
     /// The replica cannot take it now; it may be asked again later.
-    TryLater,
+    RetryLater,
     /// There is a newer set; the write starts anew under it.
     Restart(ReplicaGroups),
 }
@@ -59,8 +59,8 @@
             ReplicaReply::Stale { groups } if self.is_newer(&groups) => {
                 WriteProgress::Restart(groups)
             }
-            ReplicaReply::Behind => WriteProgress::Teach,
-            _ => WriteProgress::TryLater,
+            ReplicaReply::Behind => WriteProgress::SendReplicaSets,
+            _ => WriteProgress::RetryLater,
         }
     }
 
--- a/crates/records/src/replica.rs
+++ b/crates/records/src/replica.rs
@@ -103,7 +103,7 @@
 
 impl<T> Kept<T> {
     /// Milliseconds that it is still kept.
-    fn keep_ms(&self, now_ms: u64) -> u64 {
+    fn ttl_ms(&self, now_ms: u64) -> u64 {
         self.until_ms.saturating_sub(now_ms)
     }
 }
@@ -112,7 +112,7 @@
 #[derive(Debug, Clone)]
 pub struct ReplicaState {
     id: ReplicaId,
-    life: u64,
+    log_id: u64,
     groups: Option<ReplicaGroups>,
     /// The epoch of each group whose copy is finished.
     copied: BTreeMap<GroupId, Epoch>,
@@ -134,7 +134,7 @@
     pub fn new(id: ReplicaId, max_turn_bytes: usize) -> Self {
         Self {
             id,
-            life: 0,
+            log_id: 0,
             groups: None,
             copied: BTreeMap::new(),
             turns: BTreeMap::new(),
@@ -190,18 +190,18 @@
                 program,
                 turn,
                 entry,
-                keep_ms,
+                ttl_ms,
                 ..
-            } => self.charge(group, program, &turn, entry, now_ms + keep_ms),
+            } => self.charge(group, program, &turn, entry, now_ms + ttl_ms),
             ReplicaRequest::Settle {
                 group, settlements, ..
             } => self.settle(group, settlements, now_ms),
             ReplicaRequest::Append {
                 group,
                 record,
-                keep_ms,
+                ttl_ms,
                 ..
-            } => self.append(group, record, now_ms + keep_ms),
+            } => self.append(group, record, now_ms + ttl_ms),
             ReplicaRequest::ReadChain { turn, .. } => Handled::at_once(self.read_chain(turn)),
             ReplicaRequest::Adopt { groups } => self.adopt(groups),
             ReplicaRequest::List { .. } | ReplicaRequest::Fetch { .. } if self.is_restoring => {
@@ -316,9 +316,9 @@
                 program,
                 turn,
                 entry,
-                keep_ms,
+                ttl_ms,
             } = settlement;
-            let until_ms = now_ms + keep_ms;
+            let until_ms = now_ms + ttl_ms;
             changes.extend(self.join_entry(group, &program, &turn, entry, until_ms));
         }
         Handled {
@@ -365,7 +365,7 @@
             return None;
         }
         let key = || RecordKey::Ledger(program.clone());
-        let log = change_log(&mut self.changes, self.life, kept.group);
+        let log = change_log(&mut self.changes, self.log_id, kept.group);
         log.note(&mut kept.changed, key);
         let stored = StoredRecord::Ledger(program.clone(), kept.value.clone(), kept.until_ms);
         Some(Change::Put(stored))
@@ -388,7 +388,7 @@
         let turn = record.turn.clone();
         let mut changed = self.turns.get(&turn).and_then(|kept| kept.changed);
         let key = || RecordKey::Turn(turn.clone());
-        change_log(&mut self.changes, self.life, group).note(&mut changed, key);
+        change_log(&mut self.changes, self.log_id, group).note(&mut changed, key);
         let kept = Kept {
             value: record,
             until_ms,
@@ -422,11 +422,11 @@
 
 fn change_log(
     logs: &mut BTreeMap<GroupId, ChangeLog>,
-    life: u64,
+    log_id: u64,
     group: GroupId,
 ) -> &mut ChangeLog {
     logs.entry(group)
-        .or_insert_with(|| ChangeLog::of_life(life))
+        .or_insert_with(|| ChangeLog::of_life(log_id))
 }
 
 fn kept_ledger(
--- a/crates/records/src/replica/copying.rs
+++ b/crates/records/src/replica/copying.rs
@@ -28,10 +28,10 @@
         &mut self,
         group: GroupId,
         record: TurnRecord,
-        keep_ms: u64,
+        ttl_ms: u64,
         now_ms: u64,
     ) -> Option<Vec<Change>> {
-        let handled = self.append(group, record, now_ms + keep_ms);
+        let handled = self.append(group, record, now_ms + ttl_ms);
         (handled.reply == ReplicaReply::Done).then_some(handled.changes)
     }
 
@@ -41,10 +41,10 @@
         group: GroupId,
         program: ProgramId,
         ledger: &ProgramLedger,
-        keep_ms: u64,
+        ttl_ms: u64,
         now_ms: u64,
     ) -> Vec<Change> {
-        let change = self.join_ledger(group, &program, ledger, now_ms + keep_ms);
+        let change = self.join_ledger(group, &program, ledger, now_ms + ttl_ms);
         change.into_iter().collect()
     }
 
@@ -73,7 +73,7 @@
         after: Option<ListPosition>,
         now_ms: u64,
     ) -> Listing {
-        let log = change_log(&mut self.changes, self.life, group);
+        let log = change_log(&mut self.changes, self.log_id, group);
         let (keys, next) = log.page(after, LISTING_PAGE);
         let mut turns = Vec::new();
         let mut ledgers = Vec::new();
@@ -81,12 +81,12 @@
             match key {
                 RecordKey::Turn(turn) => {
                     let kept = self.turns.get(turn);
-                    turns.extend(kept.map(|kept| (turn.clone(), kept.keep_ms(now_ms))));
+                    turns.extend(kept.map(|kept| (turn.clone(), kept.ttl_ms(now_ms))));
                 }
                 RecordKey::Ledger(program) => {
                     let kept = self.ledgers.get(program);
-                    let entry = kept
-                        .map(|kept| (program.clone(), kept.value.clone(), kept.keep_ms(now_ms)));
+                    let entry =
+                        kept.map(|kept| (program.clone(), kept.value.clone(), kept.ttl_ms(now_ms)));
                     ledgers.extend(entry);
                 }
             }
--- a/crates/records/src/replica/restoring.rs
+++ b/crates/records/src/replica/restoring.rs
@@ -8,8 +8,8 @@
 impl ReplicaState {
     /// Numbers changes for this life of the memory, drawn anew whenever the disk is opened: positions that others had in an earlier
     /// one mean nothing.
-    pub fn begin_life(&mut self, life: u64) {
-        self.life = life;
+    pub fn begin_life(&mut self, log_id: u64) {
+        self.log_id = log_id;
     }
 
     /// Records of the disk are restored while requests are taken already: those that a request needs first
@@ -99,7 +99,7 @@
                 let group = self.group_of(&program);
                 self.join_ledger(group, &program, &ledger, until_ms);
             }
-            StoredRecord::Set(set) => self.groups = Some(ReplicaGroups::of_one(set)),
+            StoredRecord::Set(set) => self.groups = Some(ReplicaGroups::single(set)),
             StoredRecord::Groups(groups) => self.groups = Some(groups),
         }
     }
--- a/crates/records/src/replica_set.rs
+++ b/crates/records/src/replica_set.rs
@@ -90,7 +90,7 @@
     }
 
     /// Whether a replica counts on every side that a write needs: the voters and, while the set changes, the incoming ones.
-    pub fn is_shared(&self, id: ReplicaId) -> bool {
+    pub fn counts_in_every_majority(&self, id: ReplicaId) -> bool {
         let is_voter = self.voters.iter().any(|voter| voter.id == id);
         is_voter && (self.incoming.is_none() || self.is_incoming(id))
     }
@@ -102,7 +102,10 @@
         let Some(incoming) = &self.incoming else {
             return voters;
         };
-        let shared = self.voters.iter().filter(|voter| self.is_shared(voter.id));
+        let shared = self
+            .voters
+            .iter()
+            .filter(|voter| self.counts_in_every_majority(voter.id));
         let incoming = majority(incoming.len());
         voters + incoming - shared.count().min(voters).min(incoming)
     }
--- a/crates/records/tests/groups.rs
+++ b/crates/records/tests/groups.rs
@@ -9,7 +9,7 @@
 use ridgeworks_records::{
     CopiesSeen, Epoch, GroupId, LedgerEntry, ProgramId, ProgramLedger, Replica, ReplicaGroups,
     ReplicaId, ReplicaReply, ReplicaRequest, ReplicaSet, ReplicaState, SetStep, StorageNode,
-    StoredRecord, TurnId, TurnRecord, first_groups, plan_change,
+    StoredRecord, TurnId, TurnRecord, initial_groups, plan_change,
 };
 
 const NOW: u64 = 1_000_000;
@@ -28,7 +28,7 @@
     let node = |id| StorageNode {
         replica: replica(id, zones),
         alive: true,
-        awaited: false,
+        starting: false,
         retiring: false,
         groups: 0,
         joining: false,
@@ -51,15 +51,15 @@
 #[test]
 fn there_are_as_many_groups_as_machines_make_up() {
     for (machines, size, groups) in [(3, 3, 1), (6, 3, 1), (7, 3, 2), (36, 5, 7), (4, 5, 1)] {
-        let dealt = first_groups(&nodes(machines, 7), size).expect("machines that live");
+        let dealt = initial_groups(&nodes(machines, 7), size).expect("machines that live");
         assert_eq!(dealt.iter().count(), groups, "{machines} machines");
     }
-    assert_eq!(first_groups(&[], 5), None);
+    assert_eq!(initial_groups(&[], 5), None);
 }
 
 #[test]
 fn no_machine_belongs_to_two_groups_and_zones_are_spread() {
-    let dealt = first_groups(&nodes(36, 7), 5).expect("machines that live");
+    let dealt = initial_groups(&nodes(36, 7), 5).expect("machines that live");
     let mut seen = BTreeSet::new();
     for (_, set) in dealt.iter() {
         let zones: BTreeSet<&String> = set.voters.iter().map(|voter| &voter.zone).collect();
@@ -75,7 +75,7 @@
     let mut uneven = nodes(7, 1);
     uneven[5].replica.zone = "zone-b".to_owned();
     uneven[6].replica.zone = "zone-c".to_owned();
-    let dealt = first_groups(&uneven, 3).expect("machines that live");
+    let dealt = initial_groups(&uneven, 3).expect("machines that live");
     assert_eq!(dealt.iter().count(), 2);
     for (_, set) in dealt.iter() {
         let zones: BTreeSet<&String> = set.voters.iter().map(|voter| &voter.zone).collect();
@@ -116,7 +116,7 @@
 
 #[test]
 fn programs_are_spread_evenly_and_keep_their_group() {
-    let dealt = first_groups(&nodes(36, 7), 5).expect("machines that live");
+    let dealt = initial_groups(&nodes(36, 7), 5).expect("machines that live");
     let mut counts: BTreeMap<GroupId, u64> = BTreeMap::new();
     for number in 0..7_000 {
         let program = program(number);
@@ -134,7 +134,7 @@
 /// One set is written as it was before there were groups, so that nodes of the version before read it.
 #[test]
 fn one_set_is_registered_alone_and_several_together() {
-    let one = ReplicaGroups::of_one(set(&[1, 2, 3]));
+    let one = ReplicaGroups::single(set(&[1, 2, 3]));
     let written = serde_json::to_value(&one).expect("a value");
     assert_eq!(written["epoch"], 1);
     assert_eq!(
@@ -155,7 +155,7 @@
         group,
         epoch: Epoch(epoch),
         record: record(turn),
-        keep_ms: 60_000,
+        ttl_ms: 60_000,
     }
 }
 
@@ -221,7 +221,7 @@
 fn a_disk_of_the_version_before_is_read() {
     let mut ledger = ProgramLedger::default();
     let entry = LedgerEntry {
-        most: 50,
+        reserved_tokens: 50,
         spent: Some(7),
     };
     ledger.join(&TurnId("t-1".to_owned()), entry);
--- a/crates/records/tests/restoring.rs
+++ b/crates/records/tests/restoring.rs
@@ -20,7 +20,7 @@
 fn ledger(turn: &str, spent: u64) -> StoredRecord {
     let mut ledger = ProgramLedger::default();
     let entry = LedgerEntry {
-        most: 50,
+        reserved_tokens: 50,
         spent: Some(spent),
     };
     ledger.join(&TurnId(turn.to_owned()), entry);
@@ -53,10 +53,10 @@
         program: ProgramId("p".to_owned()),
         turn: TurnId(turn.to_owned()),
         entry: LedgerEntry {
-            most: 50,
+            reserved_tokens: 50,
             spent: None,
         },
-        keep_ms: 60_000,
+        ttl_ms: 60_000,
     }
 }
 
@@ -167,7 +167,7 @@
         group: GroupId(0),
         epoch: Epoch(3),
         record: record.clone(),
-        keep_ms: 60_000,
+        ttl_ms: 60_000,
     };
     assert_eq!(state.handle(append, NOW).reply, ReplicaReply::Done);
     state.restore(StoredRecord::Turn(record.clone(), KEPT));
--- a/crates/records/tests/simulator/gateway.rs
+++ b/crates/records/tests/simulator/gateway.rs
@@ -84,10 +84,10 @@
                 program: program_id(*program),
                 turn: turn.clone(),
                 entry: LedgerEntry {
-                    most: MOST,
+                    reserved_tokens: MOST,
                     spent: None,
                 },
-                keep_ms: KEEP_MS,
+                ttl_ms: KEEP_MS,
             },
             (
                 Purpose::Settle {
@@ -103,22 +103,22 @@
                     program: program_id(*program),
                     turn: turn.clone(),
                     entry: LedgerEntry {
-                        most: MOST,
+                        reserved_tokens: MOST,
                         spent: Some(*spent),
                     },
-                    keep_ms: KEEP_MS,
+                    ttl_ms: KEEP_MS,
                 }],
             },
             (Purpose::Append { record, .. }, _) => ReplicaRequest::Append {
                 group,
                 epoch,
                 record: record.clone(),
-                keep_ms: KEEP_MS,
+                ttl_ms: KEEP_MS,
             },
             (_, Machine::Read(read)) => ReplicaRequest::ReadChain {
                 group,
                 epoch,
-                turn: read.wanted().clone(),
+                turn: read.next_turn().clone(),
             },
             (_, Machine::Write(_)) => unreachable!("reads have the machine of a read"),
         }
--- a/crates/records/tests/simulator/world/changes.rs
+++ b/crates/records/tests/simulator/world/changes.rs
@@ -120,7 +120,7 @@
         SeenNode {
             replica: storage.replica(),
             alive: storage.running && !self.cut.contains(&storage.index),
-            awaited: false,
+            starting: false,
             retiring: false,
             groups: 0,
             joining: false,
@@ -274,10 +274,10 @@
         let mut changes = Vec::new();
         match reply {
             ReplicaReply::Listed(listing) => {
-                for (program, ledger, keep_ms) in listing.ledgers {
+                for (program, ledger, ttl_ms) in listing.ledgers {
                     let copied = storage
                         .state
-                        .copy_ledger(group, program, &ledger, keep_ms, 0);
+                        .copy_ledger(group, program, &ledger, ttl_ms, 0);
                     changes.extend(copied);
                 }
                 let turns = listing.turns.into_iter().map(|(turn, _)| turn);
--- a/crates/records/tests/simulator/world/gateways.rs
+++ b/crates/records/tests/simulator/world/gateways.rs
@@ -69,7 +69,7 @@
                     let begin = usize::try_from(number).unwrap_or(0) % members.len();
                     members.rotate_left(begin);
                     if self.random.random_bool(0.7) {
-                        members.sort_by_key(|member| !set.is_shared(member.id));
+                        members.sort_by_key(|member| !set.counts_in_every_majority(member.id));
                     }
                     members = set.split_for_write(members).0;
                 }
@@ -130,11 +130,11 @@
                 self.restart(operation, groups);
                 false
             }
-            WriteProgress::Teach => {
+            WriteProgress::SendReplicaSets => {
                 self.teach(operation, from);
                 false
             }
-            WriteProgress::Waiting | WriteProgress::TryLater => false,
+            WriteProgress::Waiting | WriteProgress::RetryLater => false,
         }
     }
 
@@ -239,8 +239,8 @@
         match reply {
             ReplicaReply::Chain { records, missing } => {
                 let starts_here = match (records.first(), &missing) {
-                    (Some(record), _) => record.turn == *read.wanted(),
-                    (None, Some(missing)) => missing == read.wanted(),
+                    (Some(record), _) => record.turn == *read.next_turn(),
+                    (None, Some(missing)) => missing == read.next_turn(),
                     (None, None) => false,
                 };
                 if !starts_here {
@@ -273,12 +273,12 @@
     pub(super) fn check_read(&mut self, purpose: &Purpose, outcome: ChainOutcome) {
         self.outcome.chains_read += 1;
         match (purpose, outcome) {
-            (Purpose::Read { turn, .. }, ChainOutcome::Whole(chain)) => {
+            (Purpose::Read { turn, .. }, ChainOutcome::Complete(chain)) => {
                 let is_right = chain == self.expected_chain(turn);
                 self.outcome.lost_turns += u64::from(!is_right);
             }
             (Purpose::Read { .. }, ChainOutcome::NoSuchTurn(_)) => self.outcome.lost_turns += 1,
-            (Purpose::ReadInvented { .. }, ChainOutcome::Whole(_)) => {
+            (Purpose::ReadInvented { .. }, ChainOutcome::Complete(_)) => {
                 self.outcome.invented_turns += 1
             }
             _ => {}
--- a/crates/replica/src/actor.rs
+++ b/crates/replica/src/actor.rs
@@ -232,14 +232,14 @@
         for record in copied {
             let state = &mut disk.state;
             match record {
-                Copied::Turn(turn, keep_ms) => {
-                    let copied = state.copy_turn(group, turn, keep_ms, now);
+                Copied::Turn(turn, ttl_ms) => {
+                    let copied = state.copy_turn(group, turn, ttl_ms, now);
                     // Without it the copy is not made: the replica would vote without a turn that was acknowledged.
                     has_room &= copied.is_some();
                     changes.extend(copied.into_iter().flatten());
                 }
-                Copied::Ledger(program, ledger, keep_ms) => {
-                    changes.extend(state.copy_ledger(group, program, &ledger, keep_ms, now));
+                Copied::Ledger(program, ledger, ttl_ms) => {
+                    changes.extend(state.copy_ledger(group, program, &ledger, ttl_ms, now));
                 }
             }
         }
--- a/crates/replica/src/coordinator.rs
+++ b/crates/replica/src/coordinator.rs
@@ -13,7 +13,7 @@
 };
 use ridgeworks_records::{
     CopiesSeen, Epoch, GroupId, ProgramId, Replica, ReplicaGroups, ReplicaId, ReplicaSet, SetStep,
-    StorageNode, first_groups, plan_change,
+    StorageNode, initial_groups, plan_change,
 };
 use ridgeworks_resident::clock::whole_ms;
 use ridgeworks_resident::node::{REPLICA_SET_NAME, RegisteredGroups};
@@ -180,7 +180,7 @@
         if now.saturating_sub(self.founding.1) < patience {
             return;
         }
-        let Some(groups) = first_groups(&nodes, size) else {
+        let Some(groups) = initial_groups(&nodes, size) else {
             return;
         };
         let Some(RegisteredGroups::Missing) = self.replica.node.read_groups().await else {
--- a/crates/replica/src/copying.rs
+++ b/crates/replica/src/copying.rs
@@ -299,7 +299,7 @@
             source.copy_turns(listing.turns).await?;
             let ledgers = listing.ledgers.into_iter();
             let ledgers =
-                ledgers.map(|(program, ledger, keep_ms)| Copied::Ledger(program, ledger, keep_ms));
+                ledgers.map(|(program, ledger, ttl_ms)| Copied::Ledger(program, ledger, ttl_ms));
             if !replica.copy(job.group, ledgers.collect()).await {
                 return Err(CopyError::Disk);
             }
@@ -375,8 +375,8 @@
             };
             let got: BTreeSet<TurnId> = fetched.iter().map(|record| record.turn.clone()).collect();
             let records = fetched.into_iter().map(|record| {
-                let keep_ms = keep.get(&record.turn).copied().unwrap_or_default();
-                Copied::Turn(record, keep_ms)
+                let ttl_ms = keep.get(&record.turn).copied().unwrap_or_default();
+                Copied::Turn(record, ttl_ms)
             });
             if !self.replica.copy(self.job.group, records.collect()).await {
                 return Err(CopyError::Disk);
--- a/crates/replica/src/limiting.rs
+++ b/crates/replica/src/limiting.rs
@@ -99,7 +99,7 @@
             per_ks: admission.per_ks,
             burst: admission.burst,
         };
-        let progress = if admission.is_beginning {
+        let progress = if admission.may_start_program {
             Progress::Beginning
         } else {
             Progress::UnderWay
--- a/crates/replica/src/liveness.rs
+++ b/crates/replica/src/liveness.rs
@@ -80,7 +80,7 @@
                     zone: node.settings.zone.clone(),
                 },
                 alive: true,
-                awaited: false,
+                starting: false,
                 retiring: self.retirements.is_retiring(&node.settings.name),
                 groups: belongs(status.id),
                 joining: false,
@@ -94,7 +94,7 @@
             let silence = gone_after(groups, own, status.id);
             nodes.push(StorageNode {
                 alive: member.is_alive(now, silence),
-                awaited: false,
+                starting: false,
                 retiring: self.retirements.is_retiring(&member.info.name),
                 groups: belongs(status.id),
                 joining: false,
@@ -123,7 +123,7 @@
             nodes.push(StorageNode {
                 replica: voter.clone(),
                 alive: false,
-                awaited: true,
+                starting: true,
                 retiring: self.retirements.is_retiring(&voter.node),
                 groups: 1,
                 joining: false,
--- a/crates/replica/tests/actor.rs
+++ b/crates/replica/tests/actor.rs
@@ -19,10 +19,10 @@
             program: ProgramId(program.to_owned()),
             turn: TurnId(turn.to_owned()),
             entry: LedgerEntry {
-                most: 100,
+                reserved_tokens: 100,
                 spent: Some(spent),
             },
-            keep_ms: 60_000,
+            ttl_ms: 60_000,
         }],
     }
 }
@@ -46,7 +46,7 @@
     }
     let handled = opened.state.handle(probe, 0);
     match handled.reply {
-        ReplicaReply::Charged { ledger } => ledger.charged_besides(&TurnId("probe".to_owned())),
+        ReplicaReply::Charged { ledger } => ledger.charged_by_others(&TurnId("probe".to_owned())),
         other => panic!("{id}: {other:?}"),
     }
 }
--- a/crates/replica/tests/restoring.rs
+++ b/crates/replica/tests/restoring.rs
@@ -17,7 +17,7 @@
             input: b"input".to_vec(),
             output: b"output".to_vec(),
         },
-        keep_ms: 60_000,
+        ttl_ms: 60_000,
     }
 }
 
--- a/crates/replica/tests/support/mod.rs
+++ b/crates/replica/tests/support/mod.rs
@@ -112,17 +112,17 @@
     }
 }
 
-pub fn charge(program: &str, turn: &str, keep_ms: u64) -> ReplicaRequest {
+pub fn charge(program: &str, turn: &str, ttl_ms: u64) -> ReplicaRequest {
     ReplicaRequest::Charge {
         group: GroupId(0),
         epoch: Epoch(1),
         program: ProgramId(program.to_owned()),
         turn: TurnId(turn.to_owned()),
         entry: LedgerEntry {
-            most: 100,
+            reserved_tokens: 100,
             spent: None,
         },
-        keep_ms,
+        ttl_ms,
     }
 }
 
@@ -135,7 +135,7 @@
         zone: "zone-a".to_owned(),
     };
     ReplicaRequest::Adopt {
-        groups: ReplicaGroups::of_one(ReplicaSet {
+        groups: ReplicaGroups::single(ReplicaSet {
             epoch: Epoch(1),
             voters: vec![replica],
             incoming: None,
--- a/crates/replica/tests/support/stored.rs
+++ b/crates/replica/tests/support/stored.rs
@@ -42,7 +42,7 @@
 /// The replica sets as the platform's store has them: of one group, and of many.
 pub fn registered() -> Vec<(&'static str, ReplicaGroups)> {
     vec![
-        ("replica-set-one", ReplicaGroups::of_one(set())),
+        ("replica-set-one", ReplicaGroups::single(set())),
         ("replica-sets-many", ReplicaGroups::new(vec![set(), set()])),
     ]
 }
--- a/crates/resident/tests/busy_nodes.rs
+++ b/crates/resident/tests/busy_nodes.rs
@@ -105,7 +105,7 @@
         group: GroupId(0),
         epoch: Epoch(1),
         record,
-        keep_ms: 1,
+        ttl_ms: 1,
     };
     let to = ReplicaId(1);
     PeerRequest::Replica { to, request }
--- a/crates/resident/tests/support/samples.rs
+++ b/crates/resident/tests/support/samples.rs
@@ -46,7 +46,10 @@
 }
 
 fn entry(spent: Option<u64>) -> LedgerEntry {
-    LedgerEntry { most: 512, spent }
+    LedgerEntry {
+        reserved_tokens: 512,
+        spent,
+    }
 }
 
 pub fn ledger() -> ProgramLedger {
@@ -87,7 +90,7 @@
             program: program(),
             turn: turn("t2"),
             entry: entry(None),
-            keep_ms: KEEP_MS,
+            ttl_ms: KEEP_MS,
         },
         ReplicaRequest::Settle {
             group: GROUP,
@@ -96,14 +99,14 @@
                 program: program(),
                 turn: turn("t2"),
                 entry: entry(Some(33)),
-                keep_ms: KEEP_MS,
+                ttl_ms: KEEP_MS,
             }],
         },
         ReplicaRequest::Append {
             group: GROUP,
             epoch: EPOCH,
             record: record(),
-            keep_ms: KEEP_MS,
+            ttl_ms: KEEP_MS,
         },
         ReplicaRequest::ReadChain {
             group: GROUP,
@@ -114,12 +117,15 @@
         ReplicaRequest::List {
             group: GROUP,
             epoch: EPOCH,
-            after: Some(ListPosition { life: 5, change: 6 }),
+            after: Some(ListPosition {
+                log_id: 5,
+                change: 6,
+            }),
         },
         ReplicaRequest::Admit(Admission {
             group: GROUP,
             tenant: "tenant".to_owned(),
-            is_beginning: true,
+            may_start_program: true,
             per_ks: 1_500,
             burst: 7,
             version: 42,
@@ -155,7 +161,10 @@
         ReplicaReply::Listed(Listing {
             turns: vec![(turn("t1"), 10)],
             ledgers: vec![(program(), ledger(), 20)],
-            next: ListPosition { life: 5, change: 9 },
+            next: ListPosition {
+                log_id: 5,
+                change: 9,
+            },
             is_end: true,
         }),
         ReplicaReply::Fetched {
--- a/crates/resident/tests/targets.rs
+++ b/crates/resident/tests/targets.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use ridgeworks_records::{
-    Epoch, Replica, ReplicaGroups, ReplicaId, ReplicaSet, StorageNode, first_groups,
+    Epoch, Replica, ReplicaGroups, ReplicaId, ReplicaSet, StorageNode, initial_groups,
 };
 use ridgeworks_resident::peer::{Member, MemberInfo, targets};
 
@@ -45,7 +45,7 @@
         address: member.info.address.to_string(),
         zone: member.info.zone.clone(),
     };
-    ReplicaGroups::of_one(ReplicaSet {
+    ReplicaGroups::single(ReplicaSet {
         epoch: Epoch(1),
         voters: last.map(replica).collect(),
         incoming: None,
@@ -118,13 +118,13 @@
             zone: member.info.zone.clone(),
         },
         alive: true,
-        awaited: false,
+        starting: false,
         retiring: false,
         groups: 0,
         joining: false,
     };
     let nodes: Vec<StorageNode> = replicas.map(node).collect();
-    first_groups(&nodes, 5).expect("replicas that live")
+    initial_groups(&nodes, 5).expect("replicas that live")
 }
 
 /// Replicas of other groups hear each other so often: half of the silence after which one may take nobody's place, so that one heartbeat may
