--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -11,7 +11,7 @@
 use ridgeworks_platform::{EngineHead, EngineOrder, engine_headers, read_engine_head};
 use ridgeworks_quota::Grant;
 use ridgeworks_resident::http_client::{ConnectError, Connection};
-use ridgeworks_routing::{Bar, Engine, Outcome};
+use ridgeworks_routing::{Engine, Exclusion, Outcome};
 use tokio::time::Instant;
 
 use crate::at_engine::AtEngine;
@@ -23,7 +23,7 @@
 #[derive(Debug)]
 pub enum AttemptFailure {
     /// Since it was chosen, the engine may get nothing any more; it never saw the request.
-    Barred(Bar),
+    Barred(Exclusion),
     /// No connection; the engine never saw the request.
     NotSent(ConnectError),
     /// The engine closed the new connection before the request went out.
@@ -53,7 +53,7 @@
     pub fn outcome(&self) -> Option<Outcome> {
         match self {
             Self::Barred(_) | Self::Rejected(_) => None,
-            Self::NotSent(_) | Self::Unsent => Some(Outcome::Unreached),
+            Self::NotSent(_) | Self::Unsent => Some(Outcome::Unreachable),
             Self::Lost | Self::Garbled | Self::BrokenOff | Self::Silent => Some(Outcome::Failed),
         }
     }
@@ -61,7 +61,7 @@
     /// Name for logs and metrics.
     pub fn name(&self) -> &'static str {
         match self {
-            Self::Barred(bar) => bar.name(),
+            Self::Barred(exclusion) => exclusion.name(),
             Self::NotSent(error) => error.name(),
             Self::Unsent => "unsent",
             Self::Rejected(_) => "rejected",
@@ -146,9 +146,9 @@
             return Err(barred);
         }
         let request = build_request(engine, &sending);
-        if let Err(bar) = gateway.warm_ups.admit(engine, sending.draw, sending.grant) {
+        if let Err(exclusion) = gateway.warm_ups.admit(engine, sending.draw, sending.grant) {
             gateway.pool.give_back(engine.key(), connection, None);
-            return Err(AttemptFailure::Barred(bar));
+            return Err(AttemptFailure::Barred(exclusion));
         }
         match connection.try_send_request(request).await {
             Ok(response) => {
@@ -183,8 +183,8 @@
 
 /// Whether the engine may still get what was meant for it when it was chosen.
 fn check(gateway: &Gateway, call: &Call, engine: &Engine) -> Result<(), AttemptFailure> {
-    let bar = EngineRules::now(gateway, call).bar(engine);
-    bar.map_or(Ok(()), |bar| Err(AttemptFailure::Barred(bar)))
+    let exclusion = EngineRules::now(gateway, call).exclusion(engine);
+    exclusion.map_or(Ok(()), |exclusion| Err(AttemptFailure::Barred(exclusion)))
 }
 
 async fn new_connection(gateway: &Gateway, engine: &Engine) -> Result<Connection, AttemptFailure> {
--- a/crates/gateway/src/engine_rules.rs
+++ b/crates/gateway/src/engine_rules.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 
 use ridgeworks_routing::{
-    Bar, Engine, EngineRule, Residency, ResidencyRule, ZoneDrains, first_bar,
+    EligibilityRule, Engine, Exclusion, Residency, ResidencyRule, ZoneDrains, first_exclusion,
 };
 
 use crate::call::Call;
@@ -33,24 +33,25 @@
     /// Calls with the rules, and with another one behind them.
     pub fn apply<R>(
         &self,
-        last: Option<&dyn EngineRule>,
-        apply: impl FnOnce(&[&dyn EngineRule]) -> R,
+        last: Option<&dyn EligibilityRule>,
+        apply: impl FnOnce(&[&dyn EligibilityRule]) -> R,
     ) -> R {
         let residency = ResidencyRule {
             residency: &self.residency,
             regions: &self.gateway.node.regions,
         };
-        let resident: Option<&dyn EngineRule> = Some(&residency);
+        let resident: Option<&dyn EligibilityRule> = Some(&residency);
         let resident = resident.filter(|_| !self.residency.is_anywhere());
         let drained = self.drains.as_deref();
-        let drained = drained.map(|drains| drains as &dyn EngineRule);
-        let rules: Vec<&dyn EngineRule> = resident.into_iter().chain(drained).chain(last).collect();
+        let drained = drained.map(|drains| drains as &dyn EligibilityRule);
+        let rules: Vec<&dyn EligibilityRule> =
+            resident.into_iter().chain(drained).chain(last).collect();
         apply(&rules)
     }
 
     /// Why an engine does not get the request; `None` if it may.
-    pub fn bar(&self, engine: &Engine) -> Option<Bar> {
-        self.apply(None, |rules| first_bar(rules, engine))
+    pub fn exclusion(&self, engine: &Engine) -> Option<Exclusion> {
+        self.apply(None, |rules| first_exclusion(rules, engine))
     }
 }
 
--- a/crates/gateway/src/entry.rs
+++ b/crates/gateway/src/entry.rs
@@ -99,7 +99,7 @@
     if announced > max_bytes {
         return Err(Refusal::last(RefusalReason::BodyTooLarge));
     }
-    let overloaded = Refusal::come_back(RefusalReason::Overloaded, COME_BACK);
+    let overloaded = Refusal::retry_later(RefusalReason::Overloaded, COME_BACK);
     if gateway.open_requests() > MAX_OPEN_REQUESTS {
         return Err(overloaded);
     }
@@ -131,7 +131,7 @@
     }
     let host = host(parts).ok_or(bad_request)?;
     let routes = gateway.node.view.routes();
-    let routes = routes.ok_or(Refusal::come_back(
+    let routes = routes.ok_or(Refusal::retry_later(
         RefusalReason::NoConfiguration,
         COME_BACK,
     ))?;
@@ -140,7 +140,7 @@
     let tenant = find_tenant(gateway, &routes, route, &metadata)?;
     let residency = residency_of(route, tenant.as_deref());
     refuse_where_nowhere(gateway, &residency)?;
-    let no_engine = Refusal::come_back(RefusalReason::NoEngine, COME_BACK);
+    let no_engine = Refusal::retry_later(RefusalReason::NoEngine, COME_BACK);
     let service = gateway.next_service(route).ok_or(no_engine)?;
     let wait = metadata.deadline.unwrap_or(route.timeout());
     let path = parts.uri.path_and_query();
@@ -181,8 +181,8 @@
     let tenant = routes.tenant(route, metadata.key);
     let tenant = tenant.map_err(|_| unless_stale(gateway, RefusalReason::UnknownKey))?;
     if tenant.is_some() && !gateway.keys.are_proven() {
-        let after = gateway.keys.come_back();
-        return Err(Refusal::come_back(RefusalReason::KeysUnproven, after));
+        let after = gateway.keys.retry_later();
+        return Err(Refusal::retry_later(RefusalReason::KeyStateStale, after));
     }
     Ok(tenant.cloned())
 }
@@ -197,11 +197,11 @@
 
 /// Refuses what may be served in no region of the deployment. It has not run, and a newer configuration may allow it.
 fn refuse_where_nowhere(gateway: &Gateway, residency: &Residency) -> Result<(), Refusal> {
-    if gateway.node.regions.has_allowed(residency) {
+    if gateway.node.regions.allows_any(residency) {
         return Ok(());
     }
     let reason = RefusalReason::NoAllowedRegion;
-    Err(Refusal::come_back(reason, COME_BACK_RECONFIGURED))
+    Err(Refusal::retry_later(reason, COME_BACK_RECONFIGURED))
 }
 
 /// A gateway that nobody has confirmed the configuration to within its bound cannot be certain: the route or the key may have been
@@ -212,6 +212,6 @@
     if age.is_some_and(|age| age < bound) {
         Refusal::last(reason)
     } else {
-        Refusal::come_back(RefusalReason::ConfigurationStale, COME_BACK)
+        Refusal::retry_later(RefusalReason::ConfigurationStale, COME_BACK)
     }
 }
--- a/crates/gateway/src/exchange.rs
+++ b/crates/gateway/src/exchange.rs
@@ -75,7 +75,7 @@
     let ending = exchange.carry_out(caller).await;
     let is_own_account = !matches!(
         ending,
-        Ending::Refused(refusal) if refusal.reason == RefusalReason::UsedIdentifier
+        Ending::Refused(refusal) if refusal.reason == RefusalReason::DuplicateRequestId
     );
     if is_own_account {
         exchange.settle();
@@ -108,9 +108,9 @@
                 if let Some(refusal) = self.refusal_of_warm_ups() {
                     return self.give_up(client, refusal).await;
                 }
-                let bar = self.lasting_bar();
-                if bar.is_some() || !self.may_wait_for_room() {
-                    let refusal = self.failure(bar);
+                let exclusion = self.lasting_bar();
+                if exclusion.is_some() || !self.may_wait_for_room() {
+                    let refusal = self.failure(exclusion);
                     return self.give_up(client, refusal).await;
                 }
                 tokio::select! {
--- a/crates/gateway/src/exchange/engine_choice.rs
+++ b/crates/gateway/src/exchange/engine_choice.rs
@@ -5,8 +5,8 @@
 use ridgeworks_quota::Grant;
 use ridgeworks_resident::clock::whole_ms;
 use ridgeworks_routing::{
-    Bar, Demand, Engine, EngineKey, EngineRule, Forecast, Outcome, Refusal, RefusalReason,
-    RequestKind, service_bar,
+    EligibilityRule, Engine, EngineKey, Exclusion, Forecast, Outcome, PlacementRequest, Refusal,
+    RefusalReason, RequestKind, service_exclusion,
 };
 use tokio::time::Instant;
 
@@ -93,16 +93,19 @@
     }
 
     /// What keeps the request from all engines of its service, if waiting does not help against it.
-    pub(super) fn lasting_bar(&self) -> Option<Bar> {
-        self.bar().filter(|bar| *bar == Bar::Residency)
+    pub(super) fn lasting_bar(&self) -> Option<Exclusion> {
+        self.exclusion()
+            .filter(|exclusion| *exclusion == Exclusion::Residency)
     }
 
     /// What keeps the request from all engines of its service, whatever room they have.
-    fn bar(&self) -> Option<Bar> {
+    fn exclusion(&self) -> Option<Exclusion> {
         let rules = EngineRules::now(&self.gateway, &self.call);
         let view = &self.gateway.node.view;
         view.with_engines(|table| {
-            rules.apply(None, |rules| service_bar(table, &self.call.service, rules))
+            rules.apply(None, |rules| {
+                service_exclusion(table, &self.call.service, rules)
+            })
         })
     }
 
@@ -137,10 +140,10 @@
         let may_ask = self.tried.passed_over < MAX_PASSED_OVER;
         let warm_ups = &self.gateway.warm_ups;
         let warm_up = warm_ups.rule(&self.call.service, self.draw, may_ask);
-        let warm_up = warm_up.as_ref().map(|rule| rule as &dyn EngineRule);
+        let warm_up = warm_up.as_ref().map(|rule| rule as &dyn EligibilityRule);
         let metadata = &self.call.metadata;
         EngineRules::now(&self.gateway, &self.call).apply(warm_up, |rules| {
-            self.gateway.choose_engine(&Demand {
+            self.gateway.choose_engine(&PlacementRequest {
                 service: &self.call.service,
                 key: metadata.placement_key(),
                 parts: &metadata.prompt_parts,
@@ -184,12 +187,12 @@
         let warm_ups = &self.gateway.warm_ups;
         let rule = warm_ups.rule(service, self.draw, false)?;
         let view = &self.gateway.node.view;
-        let bar = EngineRules::now(&self.gateway, &self.call).apply(Some(&rule), |rules| {
-            view.with_engines(|table| service_bar(table, service, rules))
+        let exclusion = EngineRules::now(&self.gateway, &self.call).apply(Some(&rule), |rules| {
+            view.with_engines(|table| service_exclusion(table, service, rules))
         });
-        let after = warm_ups.come_back(service)?;
-        let refusal = Refusal::come_back(RefusalReason::EnginesWarmUp, after);
-        (bar == Some(Bar::WarmUp)).then_some(refusal)
+        let after = warm_ups.retry_later(service)?;
+        let refusal = Refusal::retry_later(RefusalReason::EnginesWarmUp, after);
+        (exclusion == Some(Exclusion::WarmUp)).then_some(refusal)
     }
 
     /// An engine besides the one that failed the client's last try, if there is any.
@@ -250,7 +253,7 @@
             return None;
         }
         if EngineRules::now(&self.gateway, &self.call)
-            .bar(&engine)
+            .exclusion(&engine)
             .is_some()
         {
             return None;
@@ -303,7 +306,7 @@
         match failure {
             AttemptFailure::NotSent(_) | AttemptFailure::Unsent => {
                 tried.unreachable += 1;
-                self.gateway.warm_ups.on_found_away(engine);
+                self.gateway.warm_ups.on_unreachable(engine);
                 // It ran the request and takes no connection any more: it has ended.
                 if was_excluded && tried.ran_on.contains(instance) {
                     tried.ended.push(instance.clone());
@@ -352,11 +355,11 @@
     /// The refusal of a request whose service has no engine for it outside drained zones.
     pub(super) fn refusal_of_drains(&self) -> Option<Refusal> {
         let drains = &self.gateway.drains;
-        if !drains.has_any() || self.bar() != Some(Bar::ZoneDrain) {
+        if !drains.has_any() || self.exclusion() != Some(Exclusion::ZoneDrain) {
             return None;
         }
-        let after = drains.come_back(&self.call.service);
-        Some(Refusal::come_back(RefusalReason::ZonesDrained, after))
+        let after = drains.retry_later(&self.call.service);
+        Some(Refusal::retry_later(RefusalReason::ZonesDrained, after))
     }
 
     /// Why no further engine may be asked with the request's key. A request may have waited since its key was looked up, for replicas,
@@ -374,13 +377,16 @@
             return Some(Refusal::last(RefusalReason::EngineFailed));
         }
         Some(if is_held {
-            Refusal::come_back(RefusalReason::KeysUnproven, self.gateway.keys.come_back())
+            Refusal::retry_later(
+                RefusalReason::KeyStateStale,
+                self.gateway.keys.retry_later(),
+            )
         } else {
             Refusal::last(RefusalReason::UnknownKey)
         })
     }
 
-    pub(super) fn failure(&self, bar: Option<Bar>) -> Refusal {
+    pub(super) fn failure(&self, exclusion: Option<Exclusion>) -> Refusal {
         if !self.tried.ran_on.is_empty() {
             return Refusal::last(RefusalReason::EngineFailed);
         }
@@ -389,12 +395,12 @@
         }
         let time = self.call.limit - self.call.received;
         let after = time.mul_f64(COME_BACK_SHARE).max(COME_BACK);
-        if bar == Some(Bar::Residency) {
-            return Refusal::come_back(RefusalReason::NoAllowedRegion, after);
+        if exclusion == Some(Exclusion::Residency) {
+            return Refusal::retry_later(RefusalReason::NoAllowedRegion, after);
         }
         if self.tried.rejections > 0 || self.tried.has_waited {
-            return Refusal::come_back(RefusalReason::EnginesFull, after);
+            return Refusal::retry_later(RefusalReason::EnginesFull, after);
         }
-        Refusal::come_back(RefusalReason::NoEngine, after)
+        Refusal::retry_later(RefusalReason::NoEngine, after)
     }
 }
--- a/crates/gateway/src/exchange/preparation.rs
+++ b/crates/gateway/src/exchange/preparation.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use bytes::{Bytes, BytesMut};
-use ridgeworks_quota::Progress;
+use ridgeworks_quota::ProgramProgress;
 use ridgeworks_records::{ChainOutcome, LedgerEntry, ProgramId, Settlement, TurnId, TurnRecord};
 use ridgeworks_routing::{EngineKey, Refusal, RefusalReason};
 use tokio::time::Instant;
@@ -77,7 +77,7 @@
             return None;
         }
         let reason = RefusalReason::LedgerUnavailable;
-        Some(Refusal::come_back(reason, records.come_back(group)))
+        Some(Refusal::retry_later(reason, records.retry_later(group)))
     }
 
     /// A turn that must not be kept where its program's records are is not served: an answer without its record would leave the next
@@ -92,17 +92,17 @@
         if records.may_keep(program.as_ref(), &residency) {
             return None;
         }
-        let reason = RefusalReason::KeptOutside;
-        Some(Refusal::come_back(reason, COME_BACK_RECONFIGURED))
+        let reason = RefusalReason::ReplicasOutsideResidency;
+        Some(Refusal::retry_later(reason, COME_BACK_RECONFIGURED))
     }
 
     /// Asks for a grant before it is known whether the program is under way: that of a turn that goes on from no other one may be new.
     async fn take_grant(&self) -> Result<(), Refusal> {
         let may_begin = self.account().is_some() && self.call.metadata.previous_turn.is_none();
         let progress = if may_begin {
-            Progress::Beginning
+            ProgramProgress::Beginning
         } else {
-            Progress::UnderWay
+            ProgramProgress::UnderWay
         };
         self.take_grant_as(progress).await
     }
@@ -112,12 +112,12 @@
         if refusal.reason != RefusalReason::RateExceeded || !self.is_under_way {
             return Err(refusal);
         }
-        self.take_grant_as(Progress::UnderWay).await?;
+        self.take_grant_as(ProgramProgress::UnderWay).await?;
         self.is_granted = true;
         Ok(())
     }
 
-    async fn take_grant_as(&self, progress: Progress) -> Result<(), Refusal> {
+    async fn take_grant_as(&self, progress: ProgramProgress) -> Result<(), Refusal> {
         let Some(tenant) = &self.call.tenant else {
             return Ok(());
         };
@@ -132,7 +132,7 @@
     pub(super) fn give_back_grant(&self) {
         let tenant = self.call.tenant.as_ref().filter(|_| self.is_granted);
         if let Some(tenant) = tenant.filter(|_| self.tried.ran_on.is_empty()) {
-            self.gateway.limits.give_back(tenant);
+            self.gateway.limits.return_grant(tenant);
         }
     }
 
@@ -172,7 +172,7 @@
             return Ok(None);
         };
         let began = Instant::now();
-        let reserved_tokens = self.call.metadata.most_tokens;
+        let reserved_tokens = self.call.metadata.max_new_tokens;
         let entry = LedgerEntry {
             reserved_tokens,
             spent: None,
@@ -189,13 +189,13 @@
             let records = &self.gateway.records;
             let group = records.group_of(Some(&account.program));
             let after = records.come_back_after(group, failure);
-            Refusal::come_back(RefusalReason::LedgerUnavailable, after)
+            Refusal::retry_later(RefusalReason::LedgerUnavailable, after)
         })?;
         let taken = began.elapsed().as_secs_f64();
         self.gateway.metrics.reserve_seconds.observe(taken);
         if ledger.is_settled(&account.turn) {
             // An identifier that was used before: its account must not be opened anew.
-            return Err(Refusal::last(RefusalReason::UsedIdentifier));
+            return Err(Refusal::last(RefusalReason::DuplicateRequestId));
         }
         if ledger.admits(&account.turn, reserved_tokens, budget) {
             let has_earlier = ledger.entries.keys().any(|turn| *turn != account.turn);
@@ -254,7 +254,7 @@
                     missing = missing.request();
                     "a turn of a kept chain is missing"
                 );
-                Err(Refusal::come_back(
+                Err(Refusal::retry_later(
                     RefusalReason::TurnsUnavailable,
                     COME_BACK,
                 ))
@@ -262,7 +262,7 @@
             Err(failure) => {
                 let group = records.group_of(program.as_ref());
                 let after = records.come_back_after(group, failure);
-                Err(Refusal::come_back(RefusalReason::TurnsUnavailable, after))
+                Err(Refusal::retry_later(RefusalReason::TurnsUnavailable, after))
             }
         }
     }
@@ -283,7 +283,7 @@
             program: account.program,
             turn: account.turn,
             entry: LedgerEntry {
-                reserved_tokens: self.call.metadata.most_tokens,
+                reserved_tokens: self.call.metadata.max_new_tokens,
                 spent: Some(self.passed.events * self.event_tokens()),
             },
             ttl_ms: ttl_ms(account.retention),
@@ -295,7 +295,9 @@
         let service = routes.and_then(|routes| routes.service(&self.call.service).cloned());
         let model = service.and_then(|service| service.model.clone());
         // Without a model's word for it, a turn is charged at its most.
-        model.map_or(self.call.metadata.most_tokens, |model| model.event_tokens)
+        model.map_or(self.call.metadata.max_new_tokens, |model| {
+            model.event_tokens
+        })
     }
 }
 
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -10,8 +10,8 @@
     GossipSources, LoadReport, PeerReply, PeerRequest, PeerService, ReplicaStatus,
 };
 use ridgeworks_routing::{
-    Demand, Engine, EngineKey, GatewayReport, Outcome, Placement, PromptPart, PromptRead,
-    ReadDirectory, RegionWays, ResidencyFaults, Route, RouteTable, WeightedSplit,
+    Engine, EngineKey, GatewayReport, Outcome, Placement, PlacementRequest, PrefillDirectory,
+    PrefillRecord, PromptPart, RegionLatencies, ResidencyFaults, Route, RouteTable, WeightedSplit,
 };
 use tokio::sync::oneshot;
 
@@ -44,7 +44,7 @@
     /// Load and contents of the engines.
     pub placement: RefCell<Placement>,
     /// Where prompts were read whose directory node this gateway is.
-    pub directory: RefCell<ReadDirectory>,
+    pub directory: RefCell<PrefillDirectory>,
     /// Splits of routes among services.
     pub split: RefCell<WeightedSplit>,
     /// Connections to engines.
@@ -104,10 +104,10 @@
         let keys = KeyProof::new(Rc::clone(&node.view), bound);
         let warm_ups = WarmUpCare::new(Rc::clone(&node), metrics.warm_up.clone());
         let drains = ZoneDrainWatch::new(Rc::clone(&node));
-        let ways = RegionWays::new(&node.regions, &node.settings.zone);
+        let ways = RegionLatencies::new(&node.regions, &node.settings.zone);
         Rc::new(Self {
             node,
-            placement: RefCell::new(Placement::with_ways(ways)),
+            placement: RefCell::new(Placement::with_region_latencies(ways)),
             directory: RefCell::default(),
             split: RefCell::new(WeightedSplit::new(rand::random())),
             pool: EnginePool::default(),
@@ -184,7 +184,7 @@
 
     /// The engine that should get a request, and what the request is expected to lose there, in
     /// milliseconds.
-    pub fn choose_engine(&self, demand: &Demand<'_>) -> Option<(Engine, f64)> {
+    pub fn choose_engine(&self, demand: &PlacementRequest<'_>) -> Option<(Engine, f64)> {
         let now = self.now();
         let mut placement = self.placement.borrow_mut();
         self.node.view.with_engines(|table| {
@@ -195,7 +195,7 @@
 
     /// Tells the directory node of a prompt that an engine is about to read it.
     pub fn tell_read(self: &Rc<Self>, engine: &Engine, parts: &[PromptPart]) {
-        let read = PromptRead {
+        let read = PrefillRecord {
             engine: engine.key().0,
             parts: parts.to_vec(),
         };
@@ -207,12 +207,12 @@
 
     /// Tells the directory node of a prompt that an engine has failed it.
     pub fn tell_failed(self: &Rc<Self>, engine: &Engine, parts: &[PromptPart]) {
-        if let Some(failed) = PromptRead::failed(engine.key().0, parts) {
+        if let Some(failed) = PrefillRecord::failed(engine.key().0, parts) {
             self.tell(failed);
         }
     }
 
-    fn tell(self: &Rc<Self>, read: PromptRead) {
+    fn tell(self: &Rc<Self>, read: PrefillRecord) {
         if read.key().is_none() {
             return;
         }
@@ -247,7 +247,7 @@
         if read.is_failure() {
             return Some(EngineKey(read.engine));
         }
-        self.placement.borrow_mut().on_read(&read);
+        self.placement.borrow_mut().on_prefill(&read);
         None
     }
 
@@ -259,7 +259,7 @@
     }
 
     /// Lets go of what is no longer needed, until the process ends.
-    pub async fn tidy(self: Rc<Self>) {
+    pub async fn clean_up(self: Rc<Self>) {
         let mut ticks = tokio::time::interval(TIDY_INTERVAL);
         loop {
             ticks.tick().await;
@@ -274,7 +274,7 @@
         self.node.view.with_engines(|table| {
             placement.retain(table, now);
             self.pool.prune(table);
-            for news in placement.failing_news(table, now) {
+            for news in placement.failure_state_changes(table, now) {
                 log::info!(
                     target: "belief",
                     engine = news.instance,
@@ -297,7 +297,7 @@
             );
         }
         self.drains.tell_empty(&placement);
-        for (region, round_ms) in placement.way_news() {
+        for (region, round_ms) in placement.latency_changes() {
             log::info!(
                 target: "belief",
                 region = region.as_str(),
@@ -306,8 +306,8 @@
             );
         }
         self.turns.borrow_mut().expire(now);
-        self.limits.tidy();
-        self.warm_ups.tidy();
+        self.limits.clean_up();
+        self.warm_ups.clean_up();
         if let Some(routes) = self.node.view.routes() {
             let mut split = self.split.borrow_mut();
             split.retain_routes(|name| routes.has_route(name));
@@ -404,15 +404,15 @@
         placement.on_summaries(load.services);
     }
 
-    fn on_read(&self, read: PromptRead) {
+    fn on_prefill(&self, read: PrefillRecord) {
         let now = self.now();
         if !read.is_failure() {
-            self.placement.borrow_mut().on_read(&read);
+            self.placement.borrow_mut().on_prefill(&read);
         }
         self.directory.borrow_mut().insert(read, now);
     }
 
-    fn find_read(&self, part: u64) -> Option<PromptRead> {
+    fn find_read(&self, part: u64) -> Option<PrefillRecord> {
         let directory = self.directory.borrow();
         directory.find(part, self.now()).cloned()
     }
--- a/crates/gateway/src/key_proof.rs
+++ b/crates/gateway/src/key_proof.rs
@@ -62,7 +62,7 @@
     }
 
     /// When a client may come back that was refused for want of a proof.
-    pub fn come_back(&self) -> Duration {
+    pub fn retry_later(&self) -> Duration {
         self.doubted_for().clamp(LEAST_COME_BACK, MOST_COME_BACK)
     }
 
--- a/crates/gateway/src/rate_limits.rs
+++ b/crates/gateway/src/rate_limits.rs
@@ -7,7 +7,9 @@
 
 use futures_util::StreamExt;
 use futures_util::stream::FuturesUnordered;
-use ridgeworks_quota::{Candidate, Gate, GateState, LimiterKey, Progress};
+use ridgeworks_quota::{
+    LimiterCandidate, LimiterKey, LimiterSelection, LimiterSelector, ProgramProgress,
+};
 use ridgeworks_records::{Admission, GroupId, Replica, ReplicaReply, ReplicaRequest};
 use ridgeworks_resident::clock::whole_ms;
 use ridgeworks_resident::node::Node;
@@ -33,14 +35,14 @@
 pub struct RateLimits {
     node: Rc<Node>,
     paths: Rc<ReplicaPaths>,
-    gate: RefCell<Gate>,
+    gate: RefCell<LimiterSelector>,
 }
 
 /// The request of a tenant for which a grant is wanted.
 struct Wanted<'a> {
     request: &'a str,
     tenant: &'a Tenant,
-    progress: Progress,
+    progress: ProgramProgress,
     limit: RateLimit,
     /// Version of the configuration that sets the limit.
     version: u64,
@@ -70,7 +72,7 @@
         &self,
         request: &str,
         tenant: &Tenant,
-        progress: Progress,
+        progress: ProgramProgress,
         version: u64,
         until: Instant,
     ) -> Result<(), Refusal> {
@@ -88,15 +90,15 @@
         let limiters = self.limiters(group);
         let state = self.next(tenant, progress, &limiters);
         let order = match state {
-            GateState::Granted => return Ok(()),
-            GateState::Closed(after) => {
+            LimiterSelection::Granted => return Ok(()),
+            LimiterSelection::Closed(after) => {
                 let denials = Denials {
                     retry: Some(after),
                     ..Denials::default()
                 };
                 return Err(self.refuse(&wanted, &denials));
             }
-            GateState::Ask(order) => order,
+            LimiterSelection::Ask(order) => order,
         };
         let order = order.into_iter().filter_map(|key| {
             let mut limiters = limiters.iter();
@@ -120,17 +122,17 @@
     }
 
     /// A grant was not used: no engine has run the request, and none will.
-    pub fn give_back(&self, tenant: &Tenant) {
+    pub fn return_grant(&self, tenant: &Tenant) {
         if tenant.limit.is_some() {
             let now = self.node.clock.now();
-            self.gate.borrow_mut().give_back(&tenant.name, now);
+            self.gate.borrow_mut().return_grant(&tenant.name, now);
         }
     }
 
     /// Lets go of what lies in the past.
-    pub fn tidy(&self) {
+    pub fn clean_up(&self) {
         let now = self.node.clock.now();
-        self.gate.borrow_mut().tidy(now);
+        self.gate.borrow_mut().clean_up(now);
     }
 
     fn group_of(&self, tenant: &Tenant) -> GroupId {
@@ -145,12 +147,17 @@
         set.map(|set| set.voters).unwrap_or_default()
     }
 
-    fn next(&self, tenant: &Tenant, progress: Progress, limiters: &[Replica]) -> GateState {
-        let candidates = limiters.iter().map(|limiter| Candidate {
+    fn next(
+        &self,
+        tenant: &Tenant,
+        progress: ProgramProgress,
+        limiters: &[Replica],
+    ) -> LimiterSelection {
+        let candidates = limiters.iter().map(|limiter| LimiterCandidate {
             key: LimiterKey(limiter.id.0),
-            is_late: self.paths.is_suspected(limiter.id) || !self.paths.is_open(limiter.id),
+            is_unresponsive: self.paths.is_suspected(limiter.id) || !self.paths.is_open(limiter.id),
         });
-        let candidates: Vec<Candidate> = candidates.collect();
+        let candidates: Vec<LimiterCandidate> = candidates.collect();
         let now = self.node.clock.now();
         let mut gate = self.gate.borrow_mut();
         gate.next(&tenant.name, progress, &candidates, now, &mut rand::rng())
@@ -196,7 +203,7 @@
         let request = ReplicaRequest::Admit(Admission {
             group,
             tenant: wanted.tenant.name.clone(),
-            may_start_program: wanted.progress == Progress::Beginning,
+            may_start_program: wanted.progress == ProgramProgress::Beginning,
             per_ks: wanted.limit.per_ks,
             burst: wanted.limit.burst,
             version: wanted.version,
@@ -252,6 +259,6 @@
             retry_ms = whole_ms(after);
             "no grant for a request of a tenant"
         );
-        Refusal::come_back(reason, after)
+        Refusal::retry_later(reason, after)
     }
 }
--- a/crates/gateway/src/records_client.rs
+++ b/crates/gateway/src/records_client.rs
@@ -55,7 +55,7 @@
     /// Replicas answered that they cannot tell yet: they are reading their disks.
     Restoring,
     /// The turn must not be kept where the program's records are.
-    KeptOutside,
+    ReplicasOutsideResidency,
 }
 
 impl fmt::Display for RecordsUnavailable {
@@ -63,7 +63,7 @@
         formatter.write_str(match self {
             Self::NoMajority => "not enough replicas answered in time",
             Self::Restoring => "replicas are reading their disks",
-            Self::KeptOutside => "replicas stand where the turn must not be kept",
+            Self::ReplicasOutsideResidency => "replicas stand where the turn must not be kept",
         })
     }
 }
@@ -181,7 +181,7 @@
     /// When a client may come back whose request needs a majority of a group while none answers. Another gateway may
     /// well reach one. Where others say that they do not either, it is lost for all, and a loss is taken to
     /// last for as long again as it has lasted.
-    pub fn come_back(&self, group: GroupId) -> Duration {
+    pub fn retry_later(&self, group: GroupId) -> Duration {
         let is_general = self.paths.is_unreached_by_others(GENERAL_LOSS);
         let wait = if is_general {
             let lost_for = self.health.lost_for(group);
@@ -195,8 +195,8 @@
     /// When a client may come back whose request could not be carried out for this reason.
     pub fn come_back_after(&self, group: GroupId, failure: RecordsUnavailable) -> Duration {
         match failure {
-            RecordsUnavailable::NoMajority | RecordsUnavailable::KeptOutside => {
-                self.come_back(group)
+            RecordsUnavailable::NoMajority | RecordsUnavailable::ReplicasOutsideResidency => {
+                self.retry_later(group)
             }
             RecordsUnavailable::Restoring => spread(RESTORING_COME_BACK),
         }
@@ -336,7 +336,7 @@
     ) -> Result<(), RecordsUnavailable> {
         let group = self.known_group(program, limit).await?;
         if !self.may_keep(program, residency) {
-            return Err(RecordsUnavailable::KeptOutside);
+            return Err(RecordsUnavailable::ReplicasOutsideResidency);
         }
         let make = |epoch: Epoch| ReplicaRequest::Append {
             group,
--- a/crates/gateway/src/refusal.rs
+++ b/crates/gateway/src/refusal.rs
@@ -18,7 +18,7 @@
     let mut response = Response::new(Bytes::new());
     *response.status_mut() = refusal_status(refusal.reason);
     *response.headers_mut() = refusal_headers(refusal);
-    if refusal.reason.is_of_gateway() {
+    if refusal.reason.is_gateway_local() {
         // The client's next request comes on a new connection, which the platform gives to another gateway.
         let close = HeaderValue::from_static("close");
         response.headers_mut().insert(CONNECTION, close);
--- a/crates/gateway/src/role.rs
+++ b/crates/gateway/src/role.rs
@@ -62,7 +62,7 @@
     let updated = Rc::clone(&gateway);
     serve_metrics(&node, registry, move || updated.update_gauges()).await?;
     listener::listen(Rc::clone(&gateway), callers, phase).await?;
-    tokio::task::spawn_local(Rc::clone(&gateway).tidy());
+    tokio::task::spawn_local(Rc::clone(&gateway).clean_up());
     tokio::task::spawn_local(Rc::clone(&gateway.records).run_settlements());
     tokio::task::spawn_local(Rc::clone(&gateway.records).run_searches());
     run_until_stopped(&node, &settings_path, &mut orders).await;
--- a/crates/gateway/src/warm_ups.rs
+++ b/crates/gateway/src/warm_ups.rs
@@ -5,14 +5,16 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use ridgeworks_quota::{Candidate, Grant, GrantState, GrantStock, GrantWait, LimiterKey};
+use ridgeworks_quota::{Grant, GrantDelay, GrantPool, GrantState, LimiterCandidate, LimiterKey};
 use ridgeworks_records::{GroupId, Replica};
 use ridgeworks_resident::clock::{Moment, whole_ms};
 use ridgeworks_resident::node::Node;
 use ridgeworks_resident::peer::{
     GrantReply, GrantRequest, LaterReply, LaterRequest, LinkError, PeerReply, PeerRequest,
 };
-use ridgeworks_routing::{Bar, Engine, EngineKey, EngineRule, EngineTable, WarmUpLimit, WarmUps};
+use ridgeworks_routing::{
+    EligibilityRule, Engine, EngineKey, EngineTable, Exclusion, WarmUpLimit, WarmUps,
+};
 use tokio::sync::watch;
 
 use crate::metrics::WarmUpMetrics;
@@ -34,7 +36,7 @@
     changes: RefCell<watch::Receiver<()>>,
     has_list: Cell<bool>,
     engines: RefCell<WarmUps>,
-    stock: RefCell<GrantStock>,
+    stock: RefCell<GrantPool>,
     /// Until when limiters that did not answer are asked last.
     late: RefCell<HashMap<LimiterKey, Duration>>,
     /// When drains of zones ended, as far as that is taken in.
@@ -52,15 +54,15 @@
     may_ask: bool,
 }
 
-impl EngineRule for WarmUpRule<'_> {
-    fn bar(&self, engine: &Engine) -> Option<Bar> {
+impl EligibilityRule for WarmUpRule<'_> {
+    fn exclusion(&self, engine: &Engine) -> Option<Exclusion> {
         let key = engine.key();
         if !self.care.is_counted(key, self.draw, self.now) {
             return None;
         }
         let stock = self.care.stock.borrow();
         let may_be_had = self.may_ask && stock.closed_for(key, self.now).is_none();
-        (!may_be_had && !stock.has(key, self.now)).then_some(Bar::WarmUp)
+        (!may_be_had && !stock.has(key, self.now)).then_some(Exclusion::WarmUp)
     }
 }
 
@@ -88,21 +90,23 @@
         self.refresh();
         let now = self.now();
         let engines = self.engines.borrow();
-        engines.is_concerned(service, now).then_some(WarmUpRule {
-            care: self,
-            now,
-            draw,
-            may_ask,
-        })
+        engines
+            .has_limited_engines(service, now)
+            .then_some(WarmUpRule {
+                care: self,
+                now,
+                draw,
+                may_ask,
+            })
     }
 
-    /// Gets a grant for a request to an engine if it needs one; [`Bar`] where none is to be had.
+    /// Gets a grant for a request to an engine if it needs one; [`Exclusion`] where none is to be had.
     pub async fn secure(
         &self,
         request: &str,
         engine: &Engine,
         draw: f64,
-    ) -> Result<Option<Grant>, Bar> {
+    ) -> Result<Option<Grant>, Exclusion> {
         let key = engine.key();
         if !self.is_wanted || !self.is_counted(key, draw, self.now()) {
             return Ok(None);
@@ -115,7 +119,7 @@
         }
         self.close(engine);
         self.tell_passed_over(request, engine);
-        Err(Bar::WarmUp)
+        Err(Exclusion::WarmUp)
     }
 
     /// Puts a grant by that a request needs in a moment, or another one.
@@ -126,14 +130,14 @@
     }
 
     /// Judges right before a request is written: an engine may have begun to warm up since, and a grant may have lapsed.
-    pub fn admit(&self, engine: &Engine, draw: f64, grant: Option<Grant>) -> Result<(), Bar> {
+    pub fn admit(&self, engine: &Engine, draw: f64, grant: Option<Grant>) -> Result<(), Exclusion> {
         let now = self.now();
         if !self.is_wanted || !self.is_counted(engine.key(), draw, now) {
             return Ok(());
         }
         let grant = grant.filter(|grant| now < grant.until);
         let other = || self.stock.borrow_mut().take(engine.key(), now);
-        grant.or_else(other).ok_or(Bar::WarmUp)?;
+        grant.or_else(other).ok_or(Exclusion::WarmUp)?;
         self.metrics.on_granted_send(&engine.service);
         Ok(())
     }
@@ -155,26 +159,26 @@
     }
 
     /// No connection to an engine came about.
-    pub fn on_found_away(&self, engine: &Engine) {
+    pub fn on_unreachable(&self, engine: &Engine) {
         if !self.is_wanted {
             return;
         }
         if let Some(limit) = self.limit(&engine.service) {
             let now = self.now();
             let mut engines = self.engines.borrow_mut();
-            engines.on_found_away(engine, limit, now);
+            engines.on_unreachable(engine, limit, now);
         }
     }
 
     /// Takes in what has changed, and lets go of what lies in the past.
-    pub fn tidy(&self) {
+    pub fn clean_up(&self) {
         if !self.is_wanted {
             return;
         }
         self.refresh();
         let now = self.now();
         self.tell_news(now);
-        self.stock.borrow_mut().tidy(now);
+        self.stock.borrow_mut().clean_up(now);
         self.late.borrow_mut().retain(|_, until| now < *until);
         self.metrics
             .set_warming(&self.engines.borrow().warming(now));
@@ -234,7 +238,7 @@
             }
             let since = self.node.clock.since(returned);
             let own = table.engines().filter(|engine| engine.zone == zone);
-            engines.on_zone_returned(own, limits, self.now().saturating_sub(since));
+            engines.on_drain_ended(own, limits, self.now().saturating_sub(since));
         }
     }
 
@@ -270,10 +274,13 @@
         let late = self.late.borrow();
         let candidates = limiters.iter().map(|limiter| {
             let key = LimiterKey(limiter.id.0);
-            let is_late = late.get(&key).is_some_and(|until| now < *until);
-            Candidate { key, is_late }
+            let is_unresponsive = late.get(&key).is_some_and(|until| now < *until);
+            LimiterCandidate {
+                key,
+                is_unresponsive,
+            }
         });
-        let candidates: Vec<Candidate> = candidates.collect();
+        let candidates: Vec<LimiterCandidate> = candidates.collect();
         let mut stock = self.stock.borrow_mut();
         let instance = &engine.instance;
         stock.next(engine.key(), instance, &candidates, now, &mut rand::rng())
@@ -287,7 +294,7 @@
         let group = self.group_of(engine);
         let limiters = self.limiters(group);
         let order = match self.next(engine, &limiters) {
-            GrantState::AtHand => return true,
+            GrantState::Available => return true,
             GrantState::Closed(_) => return false,
             GrantState::Ask(order) => order,
         };
@@ -356,11 +363,11 @@
         let mut stock = self.stock.borrow_mut();
         match reply {
             GrantReply::Granted => {
-                stock.put(engine.key(), Grant::asked_at(asked));
+                stock.put(engine.key(), Grant::requested_at(asked));
                 return true;
             }
             GrantReply::Exhausted { next_ms, retry_ms } => {
-                let wait = GrantWait {
+                let wait = GrantDelay {
                     next: Duration::from_millis(next_ms),
                     retry: Duration::from_millis(retry_ms),
                 };
@@ -389,22 +396,27 @@
             request = request,
             engine = engine.instance.as_str(),
             service = engine.service.as_str(),
-            reason = Bar::WarmUp.name(),
+            reason = Exclusion::WarmUp.name(),
             closed_ms = closed.map_or(0, whole_ms);
             "engine passed over"
         );
     }
 
     /// When the first engine of a service has something again.
-    pub fn come_back(&self, service: &str) -> Option<Duration> {
+    pub fn retry_later(&self, service: &str) -> Option<Duration> {
         let now = self.now();
-        let pace = self.limit(service)?.pace();
+        let min_interval = self.limit(service)?.min_interval();
         let stock = self.stock.borrow();
         let first = self.node.view.with_engines(|table| {
             let closed = table.ready(service);
             let closed = closed.filter_map(|engine| stock.closed_for(engine.key(), now));
             closed.min()
         });
-        Some(first.unwrap_or(pace).max(pace).max(COME_BACK))
+        Some(
+            first
+                .unwrap_or(min_interval)
+                .max(min_interval)
+                .max(COME_BACK),
+        )
     }
 }
--- a/crates/gateway/src/zone_drains.rs
+++ b/crates/gateway/src/zone_drains.rs
@@ -7,7 +7,7 @@
 
 use ridgeworks_resident::clock::whole_ms;
 use ridgeworks_resident::node::Node;
-use ridgeworks_routing::{Engine, EngineKey, EngineRule, Placement, first_bar};
+use ridgeworks_routing::{EligibilityRule, Engine, EngineKey, Placement, first_exclusion};
 
 use crate::metrics::{GatewayMetrics, ZoneServiceLabel};
 
@@ -61,12 +61,14 @@
         let view = &self.node.view;
         view.with_engines(|table| {
             let ready = table.ready(service);
-            ready.filter(|engine| drains.bar(engine).is_some()).count()
+            ready
+                .filter(|engine| drains.exclusion(engine).is_some())
+                .count()
         })
     }
 
     /// When a client may come back whose service has no engine for it outside drained zones.
-    pub fn come_back(&self, service: &str) -> Duration {
+    pub fn retry_later(&self, service: &str) -> Duration {
         let view = &self.node.view;
         let least = view.with_engines(|table| {
             let ready = table.ready(service);
@@ -120,12 +122,12 @@
         metrics.drained_requests.clear();
         let Some(drains) = drains else { return };
         self.node.view.with_engines(|table| {
-            let rules: [&dyn EngineRule; 1] = [&*drains];
+            let rules: [&dyn EligibilityRule; 1] = [&*drains];
             let barred = table.engines();
-            let barred = barred.filter(|engine| first_bar(&rules, engine).is_some());
+            let barred = barred.filter(|engine| first_exclusion(&rules, engine).is_some());
             for engine in barred {
                 let label = ZoneServiceLabel::of(engine);
-                let open = i64::from(placement.own_at(engine.key()));
+                let open = i64::from(placement.own_open_requests(engine.key()));
                 metrics.drained_engines.get_or_create(&label).inc();
                 metrics.drained_requests.get_or_create(&label).inc_by(open);
             }
@@ -137,7 +139,8 @@
         self.node.view.with_engines(|table| {
             let engines = table.engines().filter(|engine| engine.zone == zone);
             let keys = engines.map(Engine::key);
-            keys.map(|key: EngineKey| placement.own_at(key)).sum()
+            keys.map(|key: EngineKey| placement.own_open_requests(key))
+                .sum()
         })
     }
 }
--- a/crates/laboratory/src/policies/landed.rs
+++ b/crates/laboratory/src/policies/landed.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use ridgeworks_routing::{
-    Demand, Engine as Listed, EngineEntry, EngineKey, EngineState, EngineTable, Forecast, Outcome,
-    Placement, PromptRead, ReadDirectory, ServiceCosts, Turn,
+    Engine as Listed, EngineEntry, EngineKey, EngineState, EngineTable, Forecast, Outcome,
+    Placement, PlacementRequest, PrefillDirectory, PrefillRecord, ServiceCosts, Turn,
 };
 
 use super::{Choosing, Policy};
@@ -30,7 +30,7 @@
 /// One [`Placement`] a gateway. Directory nodes answer at once, which the reservation of tokens hides.
 pub struct Landed {
     placements: Vec<Placement>,
-    directory: ReadDirectory,
+    directory: PrefillDirectory,
     table: EngineTable,
     engines: Vec<Listed>,
     under_way: HashMap<u64, UnderWay>,
@@ -60,7 +60,7 @@
         }
         Self {
             placements: vec![Placement::default(); deployment.gateways],
-            directory: ReadDirectory::default(),
+            directory: PrefillDirectory::default(),
             table,
             engines,
             under_way: HashMap::new(),
@@ -85,7 +85,7 @@
         let last = choosing.prompt.last();
         let read = last.and_then(|part| self.directory.find(part.hash, now));
         if let Some(read) = read {
-            self.placements[choosing.gateway].on_read(read);
+            self.placements[choosing.gateway].on_prefill(read);
         }
     }
 
@@ -126,7 +126,7 @@
         self.learn_reads(choosing, now);
         let key = choosing.program.to_string();
         let placement = &mut self.placements[choosing.gateway];
-        let demand = Demand {
+        let demand = PlacementRequest {
             service: SERVICE,
             key: &key,
             parts: choosing.prompt,
@@ -143,7 +143,7 @@
         let chosen = chosen.unwrap_or(0);
         let engine = &self.engines[chosen];
         let forecast = placement.on_sent(&key, engine, choosing.prompt);
-        let read = PromptRead {
+        let read = PrefillRecord {
             engine: EngineKey::of(&engine.instance).0,
             parts: choosing.prompt.to_vec(),
         };
--- a/crates/quota/src/bucket.rs
+++ b/crates/quota/src/bucket.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use crate::limiter::{Progress, Verdict};
+use crate::limiter::{LimiterDecision, ProgramProgress};
 use crate::share::Share;
 
 /// Part of a bucket that requests of programs that are under way find when others find it empty. Where a tenant asks for more than its
@@ -58,23 +58,23 @@
         self.level >= self.share.capacity
     }
 
-    fn take(&mut self, progress: Progress, longest: Duration) -> Verdict {
+    fn take(&mut self, progress: ProgramProgress, longest: Duration) -> LimiterDecision {
         let needed = match progress {
-            Progress::Beginning => 1.0 + self.share.capacity * BEGUN_SHARE,
-            Progress::UnderWay => 1.0,
+            ProgramProgress::Beginning => 1.0 + self.share.capacity * BEGUN_SHARE,
+            ProgramProgress::UnderWay => 1.0,
         };
         // A bucket that is full serves whoever comes, however small it is.
         let needed = needed.min(self.share.capacity).max(1.0);
         if self.level >= needed {
             self.level -= 1.0;
-            return Verdict::Granted;
+            return LimiterDecision::Granted;
         }
         let pace = seconds(1.0 / self.share.per_s, longest);
         let next = seconds((needed - self.level) / self.share.per_s, longest);
         let first = self.at + next;
         let latest = self.at + longest;
         self.promised = (self.promised + pace).max(first).min(latest);
-        Verdict::Exhausted {
+        LimiterDecision::Exhausted {
             next,
             retry: self.promised - self.at,
         }
@@ -100,13 +100,13 @@
         &mut self,
         name: &str,
         fresh: Bucket,
-        progress: Progress,
+        progress: ProgramProgress,
         longest: Duration,
-    ) -> Verdict {
+    ) -> LimiterDecision {
         let Some(bucket) = self.buckets.get_mut(name) else {
             if fresh.version < self.forgotten {
                 // A lower limit may be among those that were let go.
-                return Verdict::Exhausted {
+                return LimiterDecision::Exhausted {
                     next: UNSURE_RETRY,
                     retry: UNSURE_RETRY,
                 };
@@ -121,7 +121,7 @@
 
     /// Lets go of full buckets beyond those that are kept so that no gateway brings an earlier limit than the newest one that was heard of.
     /// Those with limits of the oldest versions go first.
-    pub(crate) fn tidy(&mut self, now: Duration) {
+    pub(crate) fn clean_up(&mut self, now: Duration) {
         let buckets = self.buckets.values_mut();
         buckets.for_each(|bucket| bucket.fill(now));
         let full = self.buckets.values().filter(|bucket| bucket.is_full());
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -1,7 +1,7 @@
 //! Rate limits of tenants that hold over all gateways together, and of engines that warm up, without I/O.
 //!
 //! A tenant's limit is split evenly among a few *limiters*, the voters of the replica group that the tenant belongs to by its name. Each gives out
-//! its [`Share`] by itself from a token bucket ([`Limiter`]), and a gateway asks any of them before a request reaches an engine ([`Gate`]). The shares
+//! its [`Share`] by itself from a token bucket ([`Limiter`]), and a gateway asks any of them before a request reaches an engine ([`LimiterSelector`]). The shares
 //! add up to the limit, so that nothing has to be agreed on, and no cut, frozen process or loss of messages lets more through
 //! (`docs/design/quotas.md` has the other ways that were weighed, and their figures).
 
@@ -11,9 +11,9 @@
 mod share;
 mod warm_up;
 
-pub use gate::{Candidate, Gate, GateState, LimiterKey};
-pub use limiter::{Limiter, Progress, Verdict};
+pub use gate::{LimiterCandidate, LimiterKey, LimiterSelection, LimiterSelector};
+pub use limiter::{Limiter, LimiterDecision, ProgramProgress};
 pub use share::{QuotaBounds, Share};
 pub use warm_up::{
-    GRANT_LIFETIME, Grant, GrantLimiter, GrantState, GrantStock, GrantWait, WarmUpBounds,
+    GRANT_LIFETIME, Grant, GrantDelay, GrantLimiter, GrantPool, GrantState, WarmUpBounds,
 };
--- a/crates/quota/src/limiter.rs
+++ b/crates/quota/src/limiter.rs
@@ -9,7 +9,7 @@
 
 /// How far the program of a request has come.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum Progress {
+pub enum ProgramProgress {
     /// The request may be its first one.
     Beginning,
     /// It is under way.
@@ -18,7 +18,7 @@
 
 /// What becomes of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Verdict {
+pub enum LimiterDecision {
     /// It may run.
     Granted,
     /// This limiter has nothing left.
@@ -57,11 +57,11 @@
     pub fn admit(
         &mut self,
         tenant: &str,
-        progress: Progress,
+        progress: ProgramProgress,
         limit: RateLimit,
         version: u64,
         now: Duration,
-    ) -> Verdict {
+    ) -> LimiterDecision {
         let fresh = self.new_bucket(limit, version, now);
         self.buckets
             .take(tenant, fresh, progress, self.bounds.window)
@@ -82,11 +82,11 @@
     }
 
     /// Lets go of full buckets beyond those that are kept so that no gateway brings an earlier limit than the newest one that was heard of.
-    pub fn tidy(&mut self, now: Duration) {
+    pub fn clean_up(&mut self, now: Duration) {
         if now.saturating_sub(self.since) < self.bounds.window {
             return;
         }
-        self.buckets.tidy(now);
+        self.buckets.clean_up(now);
     }
 
     /// Tenants of whom something was taken lately.
--- a/crates/quota/src/warm_up.rs
+++ b/crates/quota/src/warm_up.rs
@@ -7,8 +7,8 @@
 use ridgeworks_routing::{EngineKey, WarmUpLimit};
 
 use crate::bucket::{Bucket, Buckets};
-use crate::gate::{Candidate, Gate, GateState, LimiterKey};
-use crate::limiter::{Progress, Verdict};
+use crate::gate::{LimiterCandidate, LimiterKey, LimiterSelection, LimiterSelector};
+use crate::limiter::{LimiterDecision, ProgramProgress};
 use crate::share::Share;
 
 /// How long after it was asked for a grant may be used. What was granted before a window is sent within it for so long; a limiter's
@@ -91,7 +91,7 @@
         limit: WarmUpLimit,
         version: u64,
         now: Duration,
-    ) -> Verdict {
+    ) -> LimiterDecision {
         let known = now.saturating_sub(self.since);
         if known < SPAN {
             return nothing_for(SPAN - known);
@@ -102,12 +102,12 @@
         }
         let fresh = Bucket::new(share, share.capacity, version, now);
         self.buckets
-            .take(engine, fresh, Progress::UnderWay, LONGEST_WAIT)
+            .take(engine, fresh, ProgramProgress::UnderWay, LONGEST_WAIT)
     }
 
     /// Lets go of full buckets beyond those that are kept for the limits that they tell.
-    pub fn tidy(&mut self, now: Duration) {
-        self.buckets.tidy(now);
+    pub fn clean_up(&mut self, now: Duration) {
+        self.buckets.clean_up(now);
     }
 
     /// Engines for which something was given out lately.
@@ -121,8 +121,8 @@
     }
 }
 
-fn nothing_for(time: Duration) -> Verdict {
-    Verdict::Exhausted {
+fn nothing_for(time: Duration) -> LimiterDecision {
+    LimiterDecision::Exhausted {
         next: time,
         retry: time,
     }
@@ -130,7 +130,7 @@
 
 /// What a limiter says that has nothing to give.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub struct GrantWait {
+pub struct GrantDelay {
     /// Until it can grant anything.
     pub next: Duration,
     /// Until it can grant this request, if all that were turned away before come back first.
@@ -146,7 +146,7 @@
 
 impl Grant {
     /// A grant that was asked for at this time.
-    pub fn asked_at(asked: Duration) -> Self {
+    pub fn requested_at(asked: Duration) -> Self {
         Self {
             until: asked + GRANT_LIFETIME,
         }
@@ -157,7 +157,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum GrantState {
     /// A grant is at hand.
-    AtHand,
+    Available,
     /// These limiters are to be asked, in this order.
     Ask(Vec<LimiterKey>),
     /// Nothing is to be had before this time is over.
@@ -166,35 +166,35 @@
 
 /// The grants that a gateway has at hand, and what it knows of the limiters. Times are since the start of the process.
 #[derive(Debug, Default)]
-pub struct GrantStock {
-    gate: Gate,
+pub struct GrantPool {
+    gate: LimiterSelector,
     grants: HashMap<EngineKey, Vec<Grant>>,
     /// Until when nothing is to be had for an engine.
     closed: HashMap<EngineKey, Duration>,
 }
 
-impl GrantStock {
+impl GrantPool {
     /// What is to be done for a request that would go to an engine.
     pub fn next(
         &mut self,
         engine: EngineKey,
         instance: &str,
-        limiters: &[Candidate],
+        limiters: &[LimiterCandidate],
         now: Duration,
         random: &mut impl Rng,
     ) -> GrantState {
         if self.has(engine, now) {
-            return GrantState::AtHand;
+            return GrantState::Available;
         }
         if let Some(left) = self.closed_for(engine, now) {
             return GrantState::Closed(left);
         }
-        let progress = Progress::UnderWay;
+        let progress = ProgramProgress::UnderWay;
         let state = self.gate.next(instance, progress, limiters, now, random);
         match state {
-            GateState::Granted => GrantState::AtHand,
-            GateState::Closed(left) => GrantState::Closed(left),
-            GateState::Ask(mut order) => {
+            LimiterSelection::Granted => GrantState::Available,
+            LimiterSelection::Closed(left) => GrantState::Closed(left),
+            LimiterSelection::Ask(mut order) => {
                 order.truncate(MAX_ASKED);
                 GrantState::Ask(order)
             }
@@ -208,11 +208,11 @@
         engine: EngineKey,
         instance: &str,
         limiter: LimiterKey,
-        wait: GrantWait,
+        wait: GrantDelay,
         now: Duration,
     ) {
-        let GrantWait { next, retry } = wait;
-        let progress = Progress::UnderWay;
+        let GrantDelay { next, retry } = wait;
+        let progress = ProgramProgress::UnderWay;
         self.gate
             .on_exhausted(instance, progress, limiter, next, retry, now);
         self.close(engine, retry, now);
@@ -252,8 +252,8 @@
     }
 
     /// Lets go of what lies in the past.
-    pub fn tidy(&mut self, now: Duration) {
-        self.gate.tidy(now);
+    pub fn clean_up(&mut self, now: Duration) {
+        self.gate.clean_up(now);
         self.closed.retain(|_, until| now < *until);
         self.grants.retain(|_, grants| {
             grants.retain(|grant| now < grant.until);
--- a/crates/quota/tests/simulation.rs
+++ b/crates/quota/tests/simulation.rs
@@ -6,7 +6,10 @@
 
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use ridgeworks_quota::{Candidate, Gate, GateState, Limiter, LimiterKey, Progress, Verdict};
+use ridgeworks_quota::{
+    Limiter, LimiterCandidate, LimiterDecision, LimiterKey, LimiterSelection, LimiterSelector,
+    ProgramProgress,
+};
 use ridgeworks_routing::RateLimit;
 use support::ways::{OneKeeper, Shares, ToldCounts, share};
 use support::{BOUNDS, MakeWay, Trouble, play};
@@ -109,9 +112,10 @@
 }
 
 fn granted(limiter: &mut Limiter, limit: RateLimit, version: u64, now: Duration) -> usize {
-    let verdicts = (0..10_000).map(|_| limiter.admit("a", Progress::UnderWay, limit, version, now));
+    let verdicts =
+        (0..10_000).map(|_| limiter.admit("a", ProgramProgress::UnderWay, limit, version, now));
     verdicts
-        .take_while(|verdict| *verdict == Verdict::Granted)
+        .take_while(|verdict| *verdict == LimiterDecision::Granted)
         .count()
 }
 
@@ -137,7 +141,7 @@
     let mut limiter = Limiter::new(BOUNDS, 1, Duration::ZERO);
     granted(&mut limiter, limit(5), 2, Duration::from_secs(10));
     let later = Duration::from_secs(60);
-    limiter.tidy(later);
+    limiter.clean_up(later);
     assert!(limiter.is_empty(), "nothing was taken lately");
     // A gateway that has not heard of the lower limit.
     let full = share(limit(5), &BOUNDS, 1).capacity as usize;
@@ -149,24 +153,30 @@
     let mut limiter = Limiter::new(BOUNDS, 1, Duration::ZERO);
     let once = |limiter: &mut Limiter, tenant: u64, version: u64, now: Duration| {
         let tenant = format!("tenant-{tenant}");
-        limiter.admit(&tenant, Progress::UnderWay, limit(5), version, now)
+        limiter.admit(&tenant, ProgramProgress::UnderWay, limit(5), version, now)
     };
     let now = Duration::from_secs(10);
     for tenant in 0..20_000 {
         assert_eq!(
             once(&mut limiter, tenant, 1 + tenant, now),
-            Verdict::Granted
+            LimiterDecision::Granted
         );
     }
     let later = Duration::from_secs(60);
-    limiter.tidy(later);
+    limiter.clean_up(later);
     assert!(limiter.is_empty());
     assert!(limiter.kept() <= 5_000, "{}", limiter.kept());
     // Of the first tenant nothing is known, and its limit may have been lowered.
-    assert_ne!(once(&mut limiter, 0, 1, later), Verdict::Granted);
-    assert_eq!(once(&mut limiter, 0, 20_000, later), Verdict::Granted);
+    assert_ne!(once(&mut limiter, 0, 1, later), LimiterDecision::Granted);
+    assert_eq!(
+        once(&mut limiter, 0, 20_000, later),
+        LimiterDecision::Granted
+    );
     // Those that asked last by the newest versions are known.
-    assert_eq!(once(&mut limiter, 19_999, 1, later), Verdict::Granted);
+    assert_eq!(
+        once(&mut limiter, 19_999, 1, later),
+        LimiterDecision::Granted
+    );
 }
 
 #[test]
@@ -176,8 +186,8 @@
     granted(&mut limiter, limit(10), 1, now);
     let mut earlier = Duration::ZERO;
     for _ in 0..20 {
-        let Verdict::Exhausted { next, retry } =
-            limiter.admit("a", Progress::UnderWay, limit(10), 1, now)
+        let LimiterDecision::Exhausted { next, retry } =
+            limiter.admit("a", ProgramProgress::UnderWay, limit(10), 1, now)
         else {
             panic!("nothing is left");
         };
@@ -188,21 +198,22 @@
 }
 
 /// A limiter; the second one is late.
-fn candidate(key: u64) -> Candidate {
-    Candidate {
+fn candidate(key: u64) -> LimiterCandidate {
+    LimiterCandidate {
         key: LimiterKey(key),
-        is_late: key == 1,
+        is_unresponsive: key == 1,
     }
 }
 
 #[test]
 fn a_gate_asks_no_limiter_that_has_nothing_and_late_ones_last() {
-    let keys: Vec<Candidate> = (0..3).map(candidate).collect();
-    let mut gate = Gate::default();
+    let keys: Vec<LimiterCandidate> = (0..3).map(candidate).collect();
+    let mut gate = LimiterSelector::default();
     let mut random = rand::rng();
     let now = Duration::from_secs(1);
     for _ in 0..20 {
-        let GateState::Ask(order) = gate.next("a", Progress::UnderWay, &keys, now, &mut random)
+        let LimiterSelection::Ask(order) =
+            gate.next("a", ProgramProgress::UnderWay, &keys, now, &mut random)
         else {
             panic!("all are open");
         };
@@ -210,38 +221,38 @@
     }
     for key in &keys {
         let closed = Duration::from_millis(100 * (key.key.0 + 1));
-        gate.on_exhausted("a", Progress::UnderWay, key.key, closed, closed, now);
+        gate.on_exhausted("a", ProgramProgress::UnderWay, key.key, closed, closed, now);
     }
-    let closed = gate.next("a", Progress::UnderWay, &keys, now, &mut random);
-    assert_eq!(closed, GateState::Closed(Duration::from_millis(100)));
+    let closed = gate.next("a", ProgramProgress::UnderWay, &keys, now, &mut random);
+    assert_eq!(closed, LimiterSelection::Closed(Duration::from_millis(100)));
     let later = now + Duration::from_millis(150);
     assert_eq!(
-        gate.next("a", Progress::UnderWay, &keys, later, &mut random),
-        GateState::Ask(vec![keys[0].key])
+        gate.next("a", ProgramProgress::UnderWay, &keys, later, &mut random),
+        LimiterSelection::Ask(vec![keys[0].key])
     );
     // Another tenant is not concerned.
     assert!(matches!(
-        gate.next("b", Progress::UnderWay, &keys, now, &mut random),
-        GateState::Ask(_)
+        gate.next("b", ProgramProgress::UnderWay, &keys, now, &mut random),
+        LimiterSelection::Ask(_)
     ));
 }
 
 #[test]
 fn a_grant_that_was_not_used_serves_the_next_request_for_a_moment() {
     let keys = [candidate(0)];
-    let mut gate = Gate::default();
+    let mut gate = LimiterSelector::default();
     let mut random = rand::rng();
     let now = Duration::from_secs(1);
-    gate.give_back("a", now);
-    gate.give_back("a", now);
+    gate.return_grant("a", now);
+    gate.return_grant("a", now);
     assert_eq!(
-        gate.next("a", Progress::UnderWay, &keys, now, &mut random),
-        GateState::Granted
+        gate.next("a", ProgramProgress::UnderWay, &keys, now, &mut random),
+        LimiterSelection::Granted
     );
     let later = now + Duration::from_secs(1);
     assert!(matches!(
-        gate.next("a", Progress::UnderWay, &keys, later, &mut random),
-        GateState::Ask(_)
+        gate.next("a", ProgramProgress::UnderWay, &keys, later, &mut random),
+        LimiterSelection::Ask(_)
     ));
 }
 
@@ -272,18 +283,18 @@
         due.retain(|next| *next != first);
         let (now, number, request) = first;
         let progress = if request == 0 && programs.is_told {
-            Progress::Beginning
+            ProgramProgress::Beginning
         } else {
-            Progress::UnderWay
+            ProgramProgress::UnderWay
         };
         match limiter.admit("a", progress, limit, 1, now) {
-            Verdict::Granted if request + 1 == programs.requests => whole += 1,
-            Verdict::Granted => {
+            LimiterDecision::Granted if request + 1 == programs.requests => whole += 1,
+            LimiterDecision::Granted => {
                 let step = Duration::from_millis(random.random_range(50..600));
                 due.push((now + step, number, request + 1));
             }
             // Its client gives the program up.
-            Verdict::Exhausted { .. } => {}
+            LimiterDecision::Exhausted { .. } => {}
         }
     }
     whole as f64 / (begun as f64 / programs.load)
@@ -314,6 +325,12 @@
         ..BOUNDS
     };
     let mut limiter = Limiter::new(bounds, 1, Duration::ZERO);
-    let verdict = limiter.admit("a", Progress::Beginning, small, 1, Duration::from_secs(60));
-    assert_eq!(verdict, Verdict::Granted);
+    let verdict = limiter.admit(
+        "a",
+        ProgramProgress::Beginning,
+        small,
+        1,
+        Duration::from_secs(60),
+    );
+    assert_eq!(verdict, LimiterDecision::Granted);
 }
--- a/crates/quota/tests/support/mod.rs
+++ b/crates/quota/tests/support/mod.rs
@@ -58,7 +58,7 @@
 pub trait Way {
     fn admit(&mut self, gateway: usize, tenant: usize, moment: &mut Moment<'_>) -> Answer;
     /// A grant reached no engine.
-    fn give_back(&mut self, gateway: usize, tenant: usize, now: Duration);
+    fn return_grant(&mut self, gateway: usize, tenant: usize, now: Duration);
     /// A limiter has lost its memory.
     fn restart(&mut self, limiter: usize, now: Duration);
 }
@@ -125,7 +125,7 @@
             Answer::Refused => *refused += 1,
             Answer::Unknown => *unknown += 1,
             Answer::Granted if random.random_bool(trouble.unused) => {
-                way.give_back(gateway, tenant, now);
+                way.return_grant(gateway, tenant, now);
             }
             Answer::Granted => {
                 let on_way = Duration::from_millis(random.random_range(0..20));
--- a/crates/quota/tests/support/warm_ups.rs
+++ b/crates/quota/tests/support/warm_ups.rs
@@ -6,7 +6,7 @@
 
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use ridgeworks_quota::{GrantWait, LimiterKey, Verdict, WarmUpBounds};
+use ridgeworks_quota::{GrantDelay, LimiterDecision, LimiterKey, WarmUpBounds};
 use ridgeworks_routing::WarmUpLimit;
 
 use super::{BEGIN, END, Faults, Moment};
@@ -34,14 +34,14 @@
 pub trait WarmWay {
     fn decide(&mut self, gateway: usize, world: &World, moment: &mut Moment<'_>) -> Decision;
     /// A limiter is asked.
-    fn grant(&mut self, _limiter: usize, _now: Duration) -> Verdict {
+    fn grant(&mut self, _limiter: usize, _now: Duration) -> LimiterDecision {
         unreachable!("this way asks nobody")
     }
     fn on_exhausted(
         &mut self,
         _gateway: usize,
         _from: LimiterKey,
-        _wait: GrantWait,
+        _wait: GrantDelay,
         _now: Duration,
     ) {
     }
@@ -85,7 +85,7 @@
             limiters,
             limit: WarmUpLimit {
                 per_ks: (per_s * 1_000.0) as u64,
-                lasts_ms: 14_000,
+                duration_ms: 14_000,
             },
             deaths: vec![None; gateways],
             freezes: vec![None; gateways],
@@ -202,7 +202,7 @@
     Restart(usize),
     Wanted(usize),
     Question(Ask),
-    Answered(Ask, Option<GrantWait>),
+    Answered(Ask, Option<GrantDelay>),
     Unanswered(Ask),
     Sends(usize, Duration),
 }
@@ -374,8 +374,8 @@
             return;
         }
         let denial = match self.way.grant(limiter, now) {
-            Verdict::Granted => None,
-            Verdict::Exhausted { next, retry } => Some(GrantWait { next, retry }),
+            LimiterDecision::Granted => None,
+            LimiterDecision::Exhausted { next, retry } => Some(GrantDelay { next, retry }),
         };
         match self.world.on_way(&mut self.random) {
             Some(on_way) => self.push(now + on_way, Step::Answered(ask, denial)),
@@ -383,7 +383,7 @@
         }
     }
 
-    fn answered(&mut self, mut ask: Ask, denial: Option<GrantWait>, now: Duration) {
+    fn answered(&mut self, mut ask: Ask, denial: Option<GrantDelay>, now: Duration) {
         let Some(key) = ask.order.pop() else {
             return;
         };
--- a/crates/quota/tests/support/warm_ways.rs
+++ b/crates/quota/tests/support/warm_ways.rs
@@ -5,7 +5,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use ridgeworks_quota::{
-    GRANT_LIFETIME, GrantLimiter, GrantState, GrantStock, GrantWait, LimiterKey, Verdict,
+    GRANT_LIFETIME, GrantDelay, GrantLimiter, GrantPool, GrantState, LimiterDecision, LimiterKey,
 };
 use ridgeworks_routing::{EngineKey, WarmUpLimit};
 
@@ -34,7 +34,7 @@
 /// Limiters give grants out: what is built.
 pub struct Grants {
     without: Without,
-    stocks: Vec<GrantStock>,
+    stocks: Vec<GrantPool>,
     /// Those of the set, and the one that takes the first one's place.
     limiters: Vec<GrantLimiter>,
     late: Vec<Vec<Duration>>,
@@ -67,7 +67,7 @@
         let fresh = || GrantLimiter::new(WARM_UP_BOUNDS, split, Duration::ZERO);
         Self {
             without,
-            stocks: (0..world.gateways).map(|_| GrantStock::default()).collect(),
+            stocks: (0..world.gateways).map(|_| GrantPool::default()).collect(),
             limiters: (0..=world.limiters).map(|_| fresh()).collect(),
             late: vec![vec![Duration::ZERO; world.limiters]; world.gateways],
             limit: world.limit,
@@ -82,17 +82,17 @@
         let candidates = candidates(&self.late[gateway], now);
         let stock = &mut self.stocks[gateway];
         match stock.next(KEY, ENGINE, &candidates, now, moment.random) {
-            GrantState::AtHand => Decision::Send,
+            GrantState::Available => Decision::Send,
             GrantState::Closed(_) => Decision::PassOver,
             GrantState::Ask(order) => Decision::Ask(order),
         }
     }
 
-    fn grant(&mut self, limiter: usize, now: Duration) -> Verdict {
+    fn grant(&mut self, limiter: usize, now: Duration) -> LimiterDecision {
         self.limiters[limiter].grant(ENGINE, self.limit, VERSION, now)
     }
 
-    fn on_exhausted(&mut self, gateway: usize, from: LimiterKey, wait: GrantWait, now: Duration) {
+    fn on_exhausted(&mut self, gateway: usize, from: LimiterKey, wait: GrantDelay, now: Duration) {
         self.stocks[gateway].on_exhausted(KEY, ENGINE, from, wait, now);
     }
 
--- a/crates/quota/tests/support/ways.rs
+++ b/crates/quota/tests/support/ways.rs
@@ -4,7 +4,8 @@
 
 use rand::RngExt;
 use ridgeworks_quota::{
-    Candidate, Gate, GateState, Limiter, LimiterKey, Progress, QuotaBounds, Share, Verdict,
+    Limiter, LimiterCandidate, LimiterDecision, LimiterKey, LimiterSelection, LimiterSelector,
+    ProgramProgress, QuotaBounds, Share,
 };
 use ridgeworks_routing::RateLimit;
 
@@ -21,17 +22,17 @@
 }
 
 /// The limiters as a gateway sees them: until when it asks each last.
-pub fn candidates(late: &[Duration], now: Duration) -> Vec<Candidate> {
-    let candidates = late.iter().zip(0..).map(|(until, key)| Candidate {
+pub fn candidates(late: &[Duration], now: Duration) -> Vec<LimiterCandidate> {
+    let candidates = late.iter().zip(0..).map(|(until, key)| LimiterCandidate {
         key: LimiterKey(key),
-        is_late: now < *until,
+        is_unresponsive: now < *until,
     });
     candidates.collect()
 }
 
 /// Each limiter gives out its share, and gateways ask any of them: what is built.
 pub struct Shares {
-    gates: Vec<Gate>,
+    gates: Vec<LimiterSelector>,
     limiters: Vec<Limiter>,
     /// Which limiters did not answer each gateway, and until when.
     late: Vec<Vec<Duration>>,
@@ -53,7 +54,7 @@
     fn new(gateways: usize, limiters: usize, limits: &[RateLimit], starts_low: bool) -> Self {
         let fresh = || Limiter::new(BOUNDS, limiters, Duration::ZERO);
         Self {
-            gates: (0..gateways).map(|_| Gate::default()).collect(),
+            gates: (0..gateways).map(|_| LimiterSelector::default()).collect(),
             limiters: (0..limiters).map(|_| fresh()).collect(),
             late: vec![vec![Duration::ZERO; limiters]; gateways],
             limits: limits.to_vec(),
@@ -68,16 +69,16 @@
         let now = moment.now;
         let candidates = candidates(&self.late[gateway], now);
         let progress = if moment.random.random_bool(BEGINNINGS) {
-            Progress::Beginning
+            ProgramProgress::Beginning
         } else {
-            Progress::UnderWay
+            ProgramProgress::UnderWay
         };
         let gate = &mut self.gates[gateway];
         let state = gate.next(&name, progress, &candidates, now, moment.random);
         let order = match state {
-            GateState::Granted => return Answer::Granted,
-            GateState::Closed(_) => return Answer::Refused,
-            GateState::Ask(order) => order,
+            LimiterSelection::Granted => return Answer::Granted,
+            LimiterSelection::Closed(_) => return Answer::Refused,
+            LimiterSelection::Ask(order) => order,
         };
         let mut answer = Answer::Unknown;
         for key in order {
@@ -88,8 +89,8 @@
             }
             let limit = self.limits[tenant];
             match self.limiters[limiter].admit(&name, progress, limit, VERSION, now) {
-                Verdict::Granted => return Answer::Granted,
-                Verdict::Exhausted { next, retry } => {
+                LimiterDecision::Granted => return Answer::Granted,
+                LimiterDecision::Exhausted { next, retry } => {
                     self.gates[gateway].on_exhausted(&name, progress, key, next, retry, now);
                     answer = Answer::Refused;
                 }
@@ -98,8 +99,8 @@
         answer
     }
 
-    fn give_back(&mut self, gateway: usize, tenant: usize, now: Duration) {
-        self.gates[gateway].give_back(&name(tenant), now);
+    fn return_grant(&mut self, gateway: usize, tenant: usize, now: Duration) {
+        self.gates[gateway].return_grant(&name(tenant), now);
     }
 
     fn restart(&mut self, limiter: usize, now: Duration) {
@@ -139,17 +140,17 @@
         let limit = self.limits[tenant];
         match self.keepers[keeper].admit(
             &name(tenant),
-            Progress::UnderWay,
+            ProgramProgress::UnderWay,
             limit,
             VERSION,
             moment.now,
         ) {
-            Verdict::Granted => Answer::Granted,
-            Verdict::Exhausted { .. } => Answer::Refused,
+            LimiterDecision::Granted => Answer::Granted,
+            LimiterDecision::Exhausted { .. } => Answer::Refused,
         }
     }
 
-    fn give_back(&mut self, _gateway: usize, _tenant: usize, _now: Duration) {}
+    fn return_grant(&mut self, _gateway: usize, _tenant: usize, _now: Duration) {}
 
     fn restart(&mut self, limiter: usize, now: Duration) {
         self.keepers[limiter] = Limiter::new(BOUNDS, 1, now);
@@ -194,7 +195,7 @@
         Answer::Granted
     }
 
-    fn give_back(&mut self, _gateway: usize, _tenant: usize, _now: Duration) {}
+    fn return_grant(&mut self, _gateway: usize, _tenant: usize, _now: Duration) {}
 
     fn restart(&mut self, _limiter: usize, _now: Duration) {}
 }
--- a/crates/quota/tests/warm_up.rs
+++ b/crates/quota/tests/warm_up.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use ridgeworks_quota::{GRANT_LIFETIME, Grant, GrantLimiter, GrantStock, Verdict};
+use ridgeworks_quota::{GRANT_LIFETIME, Grant, GrantLimiter, GrantPool, LimiterDecision};
 use ridgeworks_routing::{EngineKey, WarmUpLimit};
 use support::warm_ups::{MakeWarmWay, WARM_UP_BOUNDS, WarmSeen, play_warm_up};
 use support::warm_ways::{Feeders, Grants, OwnShares};
@@ -97,7 +97,7 @@
 
 const LIMIT: WarmUpLimit = WarmUpLimit {
     per_ks: 19_000,
-    lasts_ms: 3_000,
+    duration_ms: 3_000,
 };
 
 #[test]
@@ -105,15 +105,15 @@
     let start = Duration::from_secs(7);
     let mut limiter = GrantLimiter::new(WARM_UP_BOUNDS, 5, start);
     let early = limiter.grant("a", LIMIT, 1, start + Duration::from_millis(1_100));
-    let Verdict::Exhausted { next, .. } = early else {
+    let LimiterDecision::Exhausted { next, .. } = early else {
         panic!("it does not know what was given out");
     };
     let open = start + Duration::from_millis(1_100) + next;
     assert!(open >= start + Duration::from_secs(1) + GRANT_LIFETIME);
-    assert_eq!(limiter.grant("a", LIMIT, 1, open), Verdict::Granted);
+    assert_eq!(limiter.grant("a", LIMIT, 1, open), LimiterDecision::Granted);
     // The next one a fifth of the rate later; another engine is not concerned.
-    assert_ne!(limiter.grant("a", LIMIT, 1, open), Verdict::Granted);
-    assert_eq!(limiter.grant("b", LIMIT, 1, open), Verdict::Granted);
+    assert_ne!(limiter.grant("a", LIMIT, 1, open), LimiterDecision::Granted);
+    assert_eq!(limiter.grant("b", LIMIT, 1, open), LimiterDecision::Granted);
 }
 
 #[test]
@@ -125,25 +125,25 @@
     let mut limiter = GrantLimiter::new(bounds, 5, Duration::ZERO);
     let limit = WarmUpLimit {
         per_ks: 2_000,
-        lasts_ms: 3_000,
+        duration_ms: 3_000,
     };
     for second in 5..20 {
         let verdict = limiter.grant("a", limit, 1, Duration::from_secs(second));
-        assert_ne!(verdict, Verdict::Granted);
+        assert_ne!(verdict, LimiterDecision::Granted);
     }
 }
 
 #[test]
 fn a_grant_is_used_once_and_not_after_it_has_lapsed() {
     let engine = EngineKey(1);
-    let mut stock = GrantStock::default();
+    let mut stock = GrantPool::default();
     let asked = Duration::from_secs(1);
-    stock.put(engine, Grant::asked_at(asked));
+    stock.put(engine, Grant::requested_at(asked));
     let late = asked + GRANT_LIFETIME;
     assert!(stock.has(engine, asked));
     assert!(!stock.has(engine, late));
     assert_eq!(stock.take(engine, late), None);
-    stock.put(engine, Grant::asked_at(asked));
+    stock.put(engine, Grant::requested_at(asked));
     assert!(stock.take(engine, asked).is_some());
     assert_eq!(stock.take(engine, asked), None);
 }
@@ -158,7 +158,7 @@
         let now = Duration::from_millis(ms);
         for limiter in &mut limiters {
             let verdict = limiter.grant("a", LIMIT, 1, now);
-            given.extend((verdict == Verdict::Granted).then_some(now));
+            given.extend((verdict == LimiterDecision::Granted).then_some(now));
         }
     }
     let span = Duration::from_secs(1) + GRANT_LIFETIME;
--- a/crates/replica/src/handle.rs
+++ b/crates/replica/src/handle.rs
@@ -11,7 +11,7 @@
     PeerService, Preparing, ReplicaStatus,
 };
 use ridgeworks_resident::view::Source;
-use ridgeworks_routing::PromptRead;
+use ridgeworks_routing::PrefillRecord;
 use stakker::{ActorOwn, call};
 use tokio::sync::{mpsc, oneshot};
 
@@ -107,7 +107,7 @@
         let mut ticks = tokio::time::interval(TIDY_INTERVAL);
         loop {
             ticks.tick().await;
-            self.limiting.tidy(self.node.clock.now());
+            self.limiting.clean_up(self.node.clock.now());
         }
     }
 
@@ -201,9 +201,9 @@
 
     fn on_load(&self, _from: &str, _load: LoadReport) {}
 
-    fn on_read(&self, _read: PromptRead) {}
+    fn on_prefill(&self, _read: PrefillRecord) {}
 
-    fn find_read(&self, _part: u64) -> Option<PromptRead> {
+    fn find_read(&self, _part: u64) -> Option<PrefillRecord> {
         None
     }
 }
--- a/crates/replica/src/limiting.rs
+++ b/crates/replica/src/limiting.rs
@@ -7,7 +7,9 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use ridgeworks_quota::{GrantLimiter, Limiter, Progress, QuotaBounds, Verdict, WarmUpBounds};
+use ridgeworks_quota::{
+    GrantLimiter, Limiter, LimiterDecision, ProgramProgress, QuotaBounds, WarmUpBounds,
+};
 use ridgeworks_records::{Admission, GroupId, ReplicaGroups, ReplicaReply};
 use ridgeworks_resident::clock::whole_ms;
 use ridgeworks_resident::peer::{GrantReply, GrantRequest};
@@ -76,12 +78,12 @@
         };
         let limit = WarmUpLimit {
             per_ks: request.per_ks,
-            lasts_ms: 0,
+            duration_ms: 0,
         };
         let verdict = limiter.grant(&request.engine, limit, request.version, now);
         Some(match verdict {
-            Verdict::Granted => GrantReply::Granted,
-            Verdict::Exhausted { next, retry } => GrantReply::Exhausted {
+            LimiterDecision::Granted => GrantReply::Granted,
+            LimiterDecision::Exhausted { next, retry } => GrantReply::Exhausted {
                 next_ms: whole_ms(next),
                 retry_ms: whole_ms(retry),
             },
@@ -100,13 +102,13 @@
             burst: admission.burst,
         };
         let progress = if admission.may_start_program {
-            Progress::Beginning
+            ProgramProgress::Beginning
         } else {
-            Progress::UnderWay
+            ProgramProgress::UnderWay
         };
         match limiter.admit(&admission.tenant, progress, limit, admission.version, now) {
-            Verdict::Granted => ReplicaReply::Granted,
-            Verdict::Exhausted { next, retry } => ReplicaReply::Exhausted {
+            LimiterDecision::Granted => ReplicaReply::Granted,
+            LimiterDecision::Exhausted { next, retry } => ReplicaReply::Exhausted {
                 next_ms: whole_ms(next),
                 retry_ms: whole_ms(retry),
             },
@@ -114,12 +116,12 @@
     }
 
     /// Lets go of buckets that are full again.
-    pub fn tidy(&self, now: Duration) {
+    pub fn clean_up(&self, now: Duration) {
         let mut groups = self.groups.borrow_mut();
         for group in groups.values_mut() {
-            group.tenants.tidy(now);
+            group.tenants.clean_up(now);
             if let Some(engines) = &mut group.engines {
-                engines.tidy(now);
+                engines.clean_up(now);
             }
         }
     }
--- a/crates/resident/src/peer/encoding.rs
+++ b/crates/resident/src/peer/encoding.rs
@@ -9,7 +9,7 @@
 use std::fmt;
 
 use bytes::Bytes;
-use ridgeworks_routing::{ConfigurationExtras, EngineStart};
+use ridgeworks_routing::{ConfigurationExtras, EngineWarmUp};
 use rkyv::api::high::{HighDeserializer, HighSerializer, HighValidator};
 use rkyv::bytecheck::CheckBytes;
 use rkyv::rancor::Error;
@@ -29,7 +29,7 @@
     /// Beside a configuration.
     Configuration(ConfigurationExtras),
     /// Beside changes of engines.
-    EngineStarts(Vec<EngineStart>),
+    EngineStarts(Vec<EngineWarmUp>),
     /// Beside confirmations, a question for the view, or its answer.
     ZoneDrains(DrainNews),
 }
@@ -45,7 +45,7 @@
     fn encode(&self) -> Result<(u16, Vec<u8>), MessageError> {
         Ok(match self {
             Self::Configuration(extras) => (section_kinds::CONFIGURATION, to_bytes(extras)?),
-            Self::EngineStarts(starts) => (section_kinds::ENGINE_STARTS, to_bytes(starts)?),
+            Self::EngineStarts(warm_ups) => (section_kinds::ENGINE_STARTS, to_bytes(warm_ups)?),
             Self::ZoneDrains(news) => (section_kinds::ZONE_DRAINS, to_bytes(news)?),
         })
     }
@@ -260,12 +260,12 @@
         let configuration = self.configuration.as_ref().filter(|_| self.has_extras);
         let extras = configuration.map(|configuration| configuration.extras());
         let engines = self.engines.as_ref().filter(|_| self.has_starts);
-        let starts = engines.map(|engines| engines.starts());
+        let warm_ups = engines.map(|engines| engines.warm_ups());
         let drains = self.drains.as_deref().cloned().map(DrainNews::Told);
         extras
             .map(Section::Configuration)
             .into_iter()
-            .chain(starts.map(Section::EngineStarts))
+            .chain(warm_ups.map(Section::EngineStarts))
             .chain(drains.map(Section::ZoneDrains))
             .collect()
     }
@@ -279,10 +279,10 @@
                         configuration.set_extras(extras);
                     }
                 }
-                Section::EngineStarts(starts) => {
+                Section::EngineStarts(warm_ups) => {
                     self.has_starts = true;
                     if let Some(engines) = &mut self.engines {
-                        engines.set_starts(starts);
+                        engines.set_warm_ups(warm_ups);
                     }
                 }
                 Section::ZoneDrains(news) => {
--- a/crates/resident/src/peer/gossip.rs
+++ b/crates/resident/src/peer/gossip.rs
@@ -14,7 +14,7 @@
 use rand::RngExt;
 use rand::seq::IndexedRandom;
 use ridgeworks_records::Epoch;
-use ridgeworks_routing::{MAX_SUSPECTS, PromptRead};
+use ridgeworks_routing::{MAX_SUSPECTS, PrefillRecord};
 use tokio::net::UdpSocket;
 use tokio::time::{Instant, MissedTickBehavior};
 
@@ -65,9 +65,9 @@
     /// What another node tells of the engines.
     fn on_load(&self, from: &str, load: LoadReport);
     /// An engine reads a prompt that this node keeps track of.
-    fn on_read(&self, read: PromptRead);
+    fn on_prefill(&self, read: PrefillRecord);
     /// The last read with this last part that was told to this node.
-    fn find_read(&self, part: u64) -> Option<PromptRead>;
+    fn find_read(&self, part: u64) -> Option<PrefillRecord>;
 }
 
 /// Sends and receives heartbeats.
@@ -342,7 +342,7 @@
             Ok(Datagram::Heartbeat(heartbeat)) => {
                 self.on_heartbeat(*heartbeat, from, sources).await;
             }
-            Ok(Datagram::Read(read)) => sources.on_read(read),
+            Ok(Datagram::Read(read)) => sources.on_prefill(read),
             Ok(Datagram::FindRead { number, part }) => {
                 let read = sources.find_read(part);
                 self.send(from, &Datagram::FoundRead { number, read }).await;
--- a/crates/resident/src/peer/gossip/reads.rs
+++ b/crates/resident/src/peer/gossip/reads.rs
@@ -8,7 +8,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use ridgeworks_routing::PromptRead;
+use ridgeworks_routing::PrefillRecord;
 use tokio::sync::oneshot;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
@@ -20,7 +20,7 @@
 /// A node silent for so long is no directory node; in a large fleet each is heard every few seconds.
 const DIRECTORY_SILENCE: Duration = Duration::from_secs(6);
 
-type Answer = Option<PromptRead>;
+type Answer = Option<PrefillRecord>;
 
 /// Questions that wait for their answers.
 #[derive(Default)]
@@ -73,7 +73,7 @@
 
 impl Gossip {
     /// Tells the directory node of a prompt that an engine reads it; gives it back where that is this node.
-    pub async fn tell_read(&self, read: PromptRead) -> Option<PromptRead> {
+    pub async fn tell_read(&self, read: PrefillRecord) -> Option<PrefillRecord> {
         let key = read.key()?;
         match self.directory_node(key) {
             None => Some(read),
@@ -85,7 +85,7 @@
     }
 
     /// Asks a directory node for the last read with this last part.
-    pub async fn ask_read(&self, node: SocketAddr, part: u64) -> Option<PromptRead> {
+    pub async fn ask_read(&self, node: SocketAddr, part: u64) -> Option<PrefillRecord> {
         let (number, answer) = self.questions.ask();
         self.send(node, &Datagram::FindRead { number, part }).await;
         let answered = tokio::time::timeout(ASK_TIMEOUT, answer).await;
--- a/crates/resident/src/peer/message.rs
+++ b/crates/resident/src/peer/message.rs
@@ -11,7 +11,7 @@
 
 use ridgeworks_records::{Epoch, GroupId, ReplicaGroups, ReplicaId, ReplicaReply, ReplicaRequest};
 use ridgeworks_routing::{
-    EngineChanges, PromptRead, RouteConfiguration, ServiceSummary, ToldOutcomes, ZoneDrains,
+    EngineChanges, PrefillRecord, ReportedOutcomes, RouteConfiguration, ServiceSummary, ZoneDrains,
 };
 use rkyv::with::Skip;
 use rkyv::{Archive, Deserialize, Serialize};
@@ -218,7 +218,7 @@
     /// Its open requests by engine.
     pub open: Vec<(u64, u32)>,
     /// How its requests ended at engines that fail some.
-    pub suspects: Vec<ToldOutcomes>,
+    pub suspects: Vec<ReportedOutcomes>,
     /// What it has learned of the services.
     pub services: Vec<ServiceSummary>,
 }
@@ -251,7 +251,7 @@
     /// A few times a second.
     Heartbeat(Box<Heartbeat>),
     /// An engine reads a prompt; told to the prompt's directory node.
-    Read(PromptRead),
+    Read(PrefillRecord),
     /// Asks that node who has read prompts with this last part.
     FindRead {
         /// Number of the question, unique at whoever asks.
@@ -276,7 +276,7 @@
         /// Number of the question.
         number: u64,
         /// The last read, if there was one.
-        read: Option<PromptRead>,
+        read: Option<PrefillRecord>,
     },
     /// What nodes of the first protocol version do not know; no body ever holds it.
     Later(#[rkyv(with = Skip)] LaterDatagram),
--- a/crates/resident/src/settings.rs
+++ b/crates/resident/src/settings.rs
@@ -285,7 +285,7 @@
     /// Whether what is promised hangs on something that nodes of the first protocol version do not tell of the
     /// configuration and the engines: regions, and what engines bear while they warm up.
     pub fn need_extras(&self) -> bool {
-        self.zone_regions().has_many() || self.bounds.warm_up_factor.is_some()
+        self.zone_regions().has_multiple_regions() || self.bounds.warm_up_factor.is_some()
     }
 
     /// Where other nodes reach this one.
--- a/crates/resident/src/view.rs
+++ b/crates/resident/src/view.rs
@@ -488,7 +488,7 @@
             // Changes of a table that this node never had.
             return;
         }
-        let changed = self.engines.borrow_mut().take_changes(changes);
+        let changed = self.engines.borrow_mut().apply_changes(changes);
         let first = !self.engines_known.replace(true);
         if changed || first {
             self.announce_engines(source);
--- a/crates/resident/src/view/drains.rs
+++ b/crates/resident/src/view/drains.rs
@@ -177,15 +177,15 @@
     fn on_drain_change(&self, change: &DrainChange, source: Source) {
         let drains = &self.drains;
         match change {
-            DrainChange::Ordered { zone, revision } => {
+            DrainChange::Started { zone, revision } => {
                 let age = drains.clock.ago(Duration::ZERO);
                 drains.since.borrow_mut().insert(zone.clone(), age);
                 self.log_drain(zone, *revision, source, "zone drained");
             }
-            DrainChange::Repeated { zone, revision } => {
+            DrainChange::Rewritten { zone, revision } => {
                 self.log_drain(zone, *revision, source, "zone drained, ordered again");
             }
-            DrainChange::TakenBack { zone } => {
+            DrainChange::Ended { zone } => {
                 let since = drains.on_returned(zone);
                 let stood_ms = since.map(|since| whole_ms(drains.clock.since(since)));
                 log::info!(
--- a/crates/resident/tests/golden_messages.rs
+++ b/crates/resident/tests/golden_messages.rs
@@ -173,7 +173,7 @@
         tenants[1].residency = Residency::within([]);
         configuration.services[0].warm_up = Some(WarmUpLimit {
             per_ks: 2_500,
-            lasts_ms: 40_000,
+            duration_ms: 40_000,
         });
     });
     check_frame!(Envelope<PeerReply>, "reply-view-extras", extended);
--- a/crates/resident/tests/mixed_versions.rs
+++ b/crates/resident/tests/mixed_versions.rs
@@ -27,7 +27,7 @@
 use ridgeworks_resident::settings::NodeSettings;
 use ridgeworks_resident::view::{Source, View};
 use ridgeworks_resident::watch_duty::Place;
-use ridgeworks_routing::PromptRead;
+use ridgeworks_routing::PrefillRecord;
 use support::{free_address, run};
 use tokio::net::UdpSocket;
 use tokio::sync::oneshot;
@@ -194,9 +194,9 @@
 
     fn on_load(&self, _from: &str, _load: LoadReport) {}
 
-    fn on_read(&self, _read: PromptRead) {}
+    fn on_prefill(&self, _read: PrefillRecord) {}
 
-    fn find_read(&self, _part: u64) -> Option<PromptRead> {
+    fn find_read(&self, _part: u64) -> Option<PrefillRecord> {
         None
     }
 }
--- a/crates/resident/tests/mutated_messages.rs
+++ b/crates/resident/tests/mutated_messages.rs
@@ -39,7 +39,7 @@
     configuration.routes[0].residency = Residency::within(["north".to_owned()]);
     configuration.services[0].warm_up = Some(WarmUpLimit {
         per_ks: 2_500,
-        lasts_ms: 40_000,
+        duration_ms: 40_000,
     });
     let engines = update.engines.as_mut().expect("engines");
     engines.entries[0].engine.warm_up_ms = 12_000;
--- a/crates/resident/tests/support/quiet.rs
+++ b/crates/resident/tests/support/quiet.rs
@@ -10,7 +10,7 @@
 };
 use ridgeworks_resident::settings::NodeSettings;
 use ridgeworks_resident::view::Source;
-use ridgeworks_routing::{CallerLimits, PromptRead, RouteConfiguration};
+use ridgeworks_routing::{CallerLimits, PrefillRecord, RouteConfiguration};
 use tokio::sync::oneshot;
 
 /// Version of its configuration.
@@ -36,9 +36,9 @@
 
     fn on_load(&self, _from: &str, _load: LoadReport) {}
 
-    fn on_read(&self, _read: PromptRead) {}
+    fn on_prefill(&self, _read: PrefillRecord) {}
 
-    fn find_read(&self, _part: u64) -> Option<PromptRead> {
+    fn find_read(&self, _part: u64) -> Option<PrefillRecord> {
         None
     }
 }
--- a/crates/resident/tests/support/samples.rs
+++ b/crates/resident/tests/support/samples.rs
@@ -15,8 +15,8 @@
 };
 use ridgeworks_routing::{
     CallerLimits, Engine, EngineChanges, EngineEntry, EngineState, KeyDigest, ModelEngine,
-    PromptPart, PromptRead, RateLimit, Removal, RequestKind, Residency, Route, RouteConfiguration,
-    Service, ServiceSummary, Tenant, ToldOutcomes, WeightedService,
+    PrefillRecord, PromptPart, RateLimit, Removal, ReportedOutcomes, RequestKind, Residency, Route,
+    RouteConfiguration, Service, ServiceSummary, Tenant, WeightedService,
 };
 
 const GROUP: GroupId = GroupId(3);
@@ -422,8 +422,8 @@
     }
 }
 
-fn read() -> PromptRead {
-    PromptRead {
+fn read() -> PrefillRecord {
+    PrefillRecord {
         engine: 77,
         parts: vec![PromptPart {
             hash: 88,
@@ -445,7 +445,7 @@
             }),
             load: LoadReport {
                 open: vec![(77, 3)],
-                suspects: vec![ToldOutcomes {
+                suspects: vec![ReportedOutcomes {
                     engine: 77,
                     ended: 120,
                     failed: 15,
--- a/crates/routing/examples/choice_cost.rs
+++ b/crates/routing/examples/choice_cost.rs
@@ -6,8 +6,8 @@
 use std::time::{Duration, Instant};
 
 use ridgeworks_routing::{
-    Demand, Engine, EngineEntry, EngineRule, EngineState, EngineTable, Placement, RegionWays,
-    Residency, ResidencyRule, ZoneRegions,
+    EligibilityRule, Engine, EngineEntry, EngineState, EngineTable, Placement, PlacementRequest,
+    RegionLatencies, Residency, ResidencyRule, ZoneRegions,
 };
 
 const ZONES: usize = 19;
@@ -37,11 +37,16 @@
     ZoneRegions::new(zones.collect())
 }
 
-fn measure(name: &str, table: &EngineTable, placement: &mut Placement, rules: &[&dyn EngineRule]) {
+fn measure(
+    name: &str,
+    table: &EngineTable,
+    placement: &mut Placement,
+    rules: &[&dyn EligibilityRule],
+) {
     let began = Instant::now();
     for number in 0..ROUNDS {
         let key = format!("session-{number}");
-        let demand = Demand {
+        let demand = PlacementRequest {
             service: "models",
             key: &key,
             parts: &[],
@@ -72,8 +77,8 @@
     };
     for _ in 0..3 {
         measure("one region", &table, &mut Placement::default(), &[]);
-        let ways = || RegionWays::new(&regions, "zone-0");
-        let mut several = Placement::with_ways(ways());
+        let ways = || RegionLatencies::new(&regions, "zone-0");
+        let mut several = Placement::with_region_latencies(ways());
         for number in 0..ZONES {
             several.on_connected(&engine(number), Duration::from_millis(40));
         }
--- a/crates/routing/src/eligibility.rs
+++ b/crates/routing/src/eligibility.rs
@@ -9,7 +9,7 @@
 
 /// Why an engine gets no request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Bar {
+pub enum Exclusion {
     /// Its region is none of those in which the request may be served.
     Residency,
     /// Its zone is drained.
@@ -18,7 +18,7 @@
     WarmUp,
 }
 
-impl Bar {
+impl Exclusion {
     /// Name for logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
@@ -29,16 +29,16 @@
     }
 }
 
-impl fmt::Display for Bar {
+impl fmt::Display for Exclusion {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(self.name())
     }
 }
 
 /// A reason for which engines are passed over.
-pub trait EngineRule {
+pub trait EligibilityRule {
     /// Why this engine gets no request now; `None` if it may.
-    fn bar(&self, engine: &Engine) -> Option<Bar>;
+    fn exclusion(&self, engine: &Engine) -> Option<Exclusion>;
 }
 
 /// Keeps a request from engines outside the regions in which it may be served (`docs/design/regions.md`).
@@ -49,22 +49,28 @@
     pub regions: &'a ZoneRegions,
 }
 
-impl EngineRule for ResidencyRule<'_> {
-    fn bar(&self, engine: &Engine) -> Option<Bar> {
+impl EligibilityRule for ResidencyRule<'_> {
+    fn exclusion(&self, engine: &Engine) -> Option<Exclusion> {
         let is_allowed = self.regions.allows(self.residency, &engine.zone);
-        (!is_allowed).then_some(Bar::Residency)
+        (!is_allowed).then_some(Exclusion::Residency)
     }
 }
 
 /// Why an engine gets no request by any of these rules.
-pub fn first_bar(rules: &[&dyn EngineRule], engine: &Engine) -> Option<Bar> {
-    rules.iter().find_map(|rule| rule.bar(engine))
+pub fn first_exclusion(rules: &[&dyn EligibilityRule], engine: &Engine) -> Option<Exclusion> {
+    rules.iter().find_map(|rule| rule.exclusion(engine))
 }
 
 /// What keeps a request from all ready engines of a service; `None` if one may get it, or if there is no engine.
 /// The least passing bar counts: a request that waits for it may be served.
-pub fn service_bar(table: &EngineTable, service: &str, rules: &[&dyn EngineRule]) -> Option<Bar> {
-    let bars = table.ready(service).map(|engine| first_bar(rules, engine));
-    let bars: Option<Vec<Bar>> = bars.collect();
+pub fn service_exclusion(
+    table: &EngineTable,
+    service: &str,
+    rules: &[&dyn EligibilityRule],
+) -> Option<Exclusion> {
+    let bars = table
+        .ready(service)
+        .map(|engine| first_exclusion(rules, engine));
+    let bars: Option<Vec<Exclusion>> = bars.collect();
     bars?.into_iter().max()
 }
--- a/crates/routing/src/engine_health.rs
+++ b/crates/routing/src/engine_health.rs
@@ -21,7 +21,7 @@
     Failed,
     /// It did not reach the engine. It went to another one without much loss, so only the engine's rest
     /// speaks of it.
-    Unreached,
+    Unreachable,
 }
 
 /// Requests that ended at an engine lately; the longer ago one ended, the less it counts.
@@ -80,7 +80,7 @@
                 self.rest(now);
                 self.count(1.0, now);
             }
-            Outcome::Unreached => self.rest(now),
+            Outcome::Unreachable => self.rest(now),
         }
     }
 
--- a/crates/routing/src/engine_load.rs
+++ b/crates/routing/src/engine_load.rs
@@ -10,7 +10,7 @@
 
 use crate::engine_health::{EngineHealth, OutcomeCounts};
 use crate::request::PromptPart;
-use crate::told_outcomes::{MAX_SUSPECTS, ToldOutcomes, ToldSums};
+use crate::told_outcomes::{MAX_SUSPECTS, ReportedOutcomes, ToldSums};
 
 /// How long a report of another gateway counts.
 const REPORT_LIFETIME: Duration = Duration::from_secs(2);
@@ -143,7 +143,7 @@
 
     /// Whether it fails requests, if that is new. Between the two shares nothing is, so that it does not change with
     /// each request.
-    pub fn failing_news(&mut self, now: Duration) -> Option<bool> {
+    pub fn failure_state_changes(&mut self, now: Duration) -> Option<bool> {
         let share = self.failed_share(0.0, now);
         let limit = if self.is_failing {
             SERVING_SHARE
@@ -163,7 +163,7 @@
     /// Its open requests by engine.
     pub open: Vec<(EngineKey, u32)>,
     /// How its requests ended at engines of which somebody has told a failure.
-    pub suspects: Vec<ToldOutcomes>,
+    pub suspects: Vec<ReportedOutcomes>,
 }
 
 /// A report that still counts.
@@ -217,7 +217,7 @@
     }
 
     /// Open requests of this gateway at an engine.
-    pub fn own_at(&self, key: EngineKey) -> u32 {
+    pub fn own_open_requests(&self, key: EngineKey) -> u32 {
         self.engines.get(&key).map_or(0, |load| load.own)
     }
 
@@ -239,11 +239,12 @@
 
     /// How this gateway's requests ended at engines of which it or another one tells a failure, those that failed
     /// most first.
-    fn suspects(&self, now: Duration) -> Vec<ToldOutcomes> {
+    fn suspects(&self, now: Duration) -> Vec<ReportedOutcomes> {
         let known = self.engines.iter();
         let suspected = known.filter(|(_, load)| load.outcomes(now).failed >= LEAST_FAILED);
-        let told = suspected.map(|(key, load)| ToldOutcomes::new(key.0, load.health.outcomes(now)));
-        let mut suspects: Vec<ToldOutcomes> = told.filter(|told| told.ended > 0).collect();
+        let told =
+            suspected.map(|(key, load)| ReportedOutcomes::new(key.0, load.health.outcomes(now)));
+        let mut suspects: Vec<ReportedOutcomes> = told.filter(|told| told.ended > 0).collect();
         suspects.sort_unstable_by_key(|told| (std::cmp::Reverse(told.failed), told.engine));
         suspects.truncate(MAX_SUSPECTS);
         suspects
--- a/crates/routing/src/engine_table.rs
+++ b/crates/routing/src/engine_table.rs
@@ -38,7 +38,7 @@
     pub slots: u32,
     /// Whether it takes new work.
     pub state: EngineState,
-    /// For how long it still warmed up when its entry was written, in milliseconds. Travels in [`EngineStart`].
+    /// For how long it still warmed up when its entry was written, in milliseconds. Travels in [`EngineWarmUp`].
     #[rkyv(with = Skip)]
     pub warm_up_ms: u64,
 }
@@ -61,7 +61,7 @@
 
 /// An engine that warms up, beside its entry: nodes of the first protocol version do not know of it.
 #[derive(Debug, Clone, PartialEq, Eq, Archive, Serialize, Deserialize)]
-pub struct EngineStart {
+pub struct EngineWarmUp {
     /// The engine's instance.
     pub instance: String,
     /// For how long it still warmed up when its entry was written, in milliseconds.
@@ -92,24 +92,24 @@
 
 impl EngineChanges {
     /// The engines among them that warm up.
-    pub fn starts(&self) -> Vec<EngineStart> {
+    pub fn warm_ups(&self) -> Vec<EngineWarmUp> {
         let engines = self.entries.iter().map(|entry| &entry.engine);
         let warming = engines.filter(|engine| engine.warm_up_ms > 0);
-        let starts = warming.map(|engine| EngineStart {
+        let warm_ups = warming.map(|engine| EngineWarmUp {
             instance: engine.instance.clone(),
             warm_up_ms: engine.warm_up_ms,
         });
-        starts.collect()
+        warm_ups.collect()
     }
 
     /// Takes in which of them warm up.
-    pub fn set_starts(&mut self, starts: Vec<EngineStart>) {
-        let starts = starts
+    pub fn set_warm_ups(&mut self, warm_ups: Vec<EngineWarmUp>) {
+        let warm_ups = warm_ups
             .into_iter()
             .map(|start| (start.instance, start.warm_up_ms));
-        let starts: HashMap<String, u64> = starts.collect();
+        let warm_ups: HashMap<String, u64> = warm_ups.collect();
         for entry in &mut self.entries {
-            let start = starts.get(&entry.engine.instance);
+            let start = warm_ups.get(&entry.engine.instance);
             entry.engine.warm_up_ms = start.copied().unwrap_or_default();
         }
     }
@@ -175,7 +175,7 @@
     }
 
     /// Takes in another table's changes; says whether anything changed here.
-    pub fn take_changes(&mut self, changes: EngineChanges) -> bool {
+    pub fn apply_changes(&mut self, changes: EngineChanges) -> bool {
         let EngineChanges {
             is_whole,
             entries,
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -31,17 +31,19 @@
     CallerLimits, ConfigurationExtras, ModelEngine, RequestKind, Route, RouteConfiguration,
     Service, WeightedService,
 };
-pub use eligibility::{Bar, EngineRule, ResidencyRule, first_bar, service_bar};
+pub use eligibility::{
+    EligibilityRule, Exclusion, ResidencyRule, first_exclusion, service_exclusion,
+};
 pub use engine_health::{EngineHealth, Outcome, OutcomeCounts};
 pub use engine_load::{EngineKey, EngineLoads, GatewayReport};
 pub use engine_table::{
-    Engine, EngineChanges, EngineEntry, EngineStart, EngineState, EngineTable, Removal,
+    Engine, EngineChanges, EngineEntry, EngineState, EngineTable, EngineWarmUp, Removal,
 };
 pub use event_stream::{Event, EventSplitter};
-pub use placement::{Choice, Demand, FailingNews, Forecast, Placement};
-pub use read_directory::{PromptRead, ReadDirectory};
+pub use placement::{Choice, FailingNews, Forecast, Placement, PlacementRequest};
+pub use read_directory::{PrefillDirectory, PrefillRecord};
 pub use refusal::{Refusal, RefusalReason};
-pub use region_ways::RegionWays;
+pub use region_ways::RegionLatencies;
 pub use request::{CallMetadata, PromptPart};
 pub use residency::{Residency, ZoneRegions};
 pub use residency_faults::ResidencyFaults;
@@ -49,7 +51,7 @@
 pub use sample_window::SampleWindow;
 pub use service_model::{Reading, ServiceCosts, ServiceKey, ServiceModel, ServiceSummary, Turn};
 pub use tenants::{KeyDigest, RateLimit, Tenant, TenantFault, TenantTable, check_tenants};
-pub use told_outcomes::{MAX_SUSPECTS, ToldOutcomes};
+pub use told_outcomes::{MAX_SUSPECTS, ReportedOutcomes};
 pub use warm_up::{WarmUpLimit, WarmUpNews, WarmUpSource, WarmUps};
 pub use weighted_split::WeightedSplit;
 pub use zone_drains::{DrainChange, ZoneDrains};
--- a/crates/routing/src/placement.rs
+++ b/crates/routing/src/placement.rs
@@ -14,12 +14,12 @@
 
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-use crate::eligibility::{EngineRule, first_bar};
+use crate::eligibility::{EligibilityRule, first_exclusion};
 use crate::engine_health::{EngineHealth, Outcome, OutcomeCounts};
 use crate::engine_load::{EngineKey, EngineLoads, GatewayReport, PRIOR_OUTCOMES, prompt_tokens};
 use crate::engine_table::{Engine, EngineTable};
-use crate::read_directory::PromptRead;
-use crate::region_ways::RegionWays;
+use crate::read_directory::PrefillRecord;
+use crate::region_ways::RegionLatencies;
 use crate::request::PromptPart;
 use crate::service_model::{Reading, ServiceCosts, ServiceKey, ServiceModel, ServiceSummary, Turn};
 
@@ -31,7 +31,7 @@
 /// Sessions whose engine is remembered.
 const MAX_HOMES: usize = 8_192;
 /// Extra cost for an engine of another zone, in milliseconds: the way there, and the price of the bytes. What another region costs
-/// beside is measured ([`RegionWays`]).
+/// beside is measured ([`RegionLatencies`]).
 const OTHER_ZONE_MS: f64 = 20.0;
 /// Extra cost for an engine that failed lately, in milliseconds.
 const RESTING_MS: f64 = 10_000.0;
@@ -50,7 +50,7 @@
 
 /// What a request asks of an engine.
 #[derive(Clone, Copy)]
-pub struct Demand<'a> {
+pub struct PlacementRequest<'a> {
     /// Service whose engines may take it.
     pub service: &'a str,
     /// Key by which gateways agree on an engine where costs are equal.
@@ -62,7 +62,7 @@
     /// Engines that must not get it.
     pub excluded: &'a [String],
     /// What else keeps it from engines.
-    pub rules: &'a [&'a dyn EngineRule],
+    pub rules: &'a [&'a dyn EligibilityRule],
 }
 
 /// Load and contents of the engines, as one gateway knows them. Times are since the start of the process.
@@ -73,7 +73,7 @@
     /// The engine that last got a request, by the hash of the request's key.
     homes: HashMap<u64, EngineKey>,
     /// Ways to other regions, where there are some.
-    ways: Option<RegionWays>,
+    ways: Option<RegionLatencies>,
 }
 
 /// The engine for a request.
@@ -129,7 +129,7 @@
 
 impl Placement {
     /// Nothing is known yet of engines that these ways lead to.
-    pub fn with_ways(ways: Option<RegionWays>) -> Self {
+    pub fn with_region_latencies(ways: Option<RegionLatencies>) -> Self {
         Self {
             ways,
             ..Self::default()
@@ -144,15 +144,18 @@
     }
 
     /// Ways to regions that have changed since they were last told, in milliseconds there and back.
-    pub fn way_news(&mut self) -> Vec<(String, f64)> {
-        self.ways.as_mut().map(RegionWays::news).unwrap_or_default()
+    pub fn latency_changes(&mut self) -> Vec<(String, f64)> {
+        self.ways
+            .as_mut()
+            .map(RegionLatencies::news)
+            .unwrap_or_default()
     }
 
     /// The engine with the least cost; `None` when no engine of the service may get the request.
     pub fn choose<'a>(
         &mut self,
         table: &'a EngineTable,
-        demand: &Demand<'a>,
+        demand: &PlacementRequest<'a>,
         now: Duration,
     ) -> Option<Choice<'a>> {
         self.loads.expire(now);
@@ -192,8 +195,8 @@
     }
 
     /// Open requests of this gateway at an engine.
-    pub fn own_at(&self, engine: EngineKey) -> u32 {
-        self.loads.own_at(engine)
+    pub fn own_open_requests(&self, engine: EngineKey) -> u32 {
+        self.loads.own_open_requests(engine)
     }
 
     /// What work costs at the engines of a service, as far as it is known.
@@ -275,7 +278,7 @@
     }
 
     /// Takes in what an engine has read for another gateway.
-    pub fn on_read(&mut self, read: &PromptRead) {
+    pub fn on_prefill(&mut self, read: &PrefillRecord) {
         let load = self.loads.entry(EngineKey(read.engine));
         for part in &read.parts {
             load.parts.insert(*part);
@@ -299,7 +302,7 @@
     }
 
     /// Engines that have begun or ceased to fail requests since they were last told.
-    pub fn failing_news<'a>(
+    pub fn failure_state_changes<'a>(
         &mut self,
         table: &'a EngineTable,
         now: Duration,
@@ -309,7 +312,7 @@
             let Some(load) = self.loads.get_mut(engine.key()) else {
                 continue;
             };
-            if let Some(is_failing) = load.failing_news(now) {
+            if let Some(is_failing) = load.failure_state_changes(now) {
                 news.push(FailingNews {
                     instance: &engine.instance,
                     is_failing,
@@ -361,11 +364,11 @@
     fn open_now(&self, key: EngineKey, news: News) -> f64 {
         let reported = f64::from(self.loads.reported_at(key));
         let others = news.mean + news.trust * (reported - news.mean);
-        f64::from(self.loads.own_at(key)) + others
+        f64::from(self.loads.own_open_requests(key)) + others
     }
 
     /// Whether an engine holds the part of a prompt that is the session's own.
-    fn holds_last(&self, key: EngineKey, demand: &Demand<'_>) -> bool {
+    fn holds_last(&self, key: EngineKey, demand: &PlacementRequest<'_>) -> bool {
         let last = demand.parts.last().zip(self.loads.get(key));
         last.is_some_and(|(part, load)| load.parts.held(*part) > 0)
     }
@@ -415,7 +418,7 @@
     fn cost(
         &self,
         candidate: &Candidate<'_>,
-        demand: &Demand<'_>,
+        demand: &PlacementRequest<'_>,
         costs: &ServiceCosts,
         open: f64,
         now: Duration,
@@ -472,10 +475,14 @@
     waiting * own as f64 + shared_waiting * shared
 }
 
-fn candidates<'a>(table: &'a EngineTable, demand: &Demand<'a>, session: u64) -> Vec<Candidate<'a>> {
+fn candidates<'a>(
+    table: &'a EngineTable,
+    demand: &PlacementRequest<'a>,
+    session: u64,
+) -> Vec<Candidate<'a>> {
     let ready = table.ready(demand.service);
     let allowed = ready.filter(|engine| !demand.excluded.contains(&engine.instance));
-    let allowed = allowed.filter(|engine| first_bar(demand.rules, engine).is_none());
+    let allowed = allowed.filter(|engine| first_exclusion(demand.rules, engine).is_none());
     let candidates = allowed.map(|engine| {
         let key = engine.key();
         Candidate {
@@ -492,7 +499,7 @@
 fn preferred(
     candidates: &[Candidate<'_>],
     zone: &str,
-    ways: Option<&RegionWays>,
+    ways: Option<&RegionLatencies>,
 ) -> Vec<EngineKey> {
     let mut ranked: Vec<&Candidate<'_>> = candidates.iter().collect();
     ranked.sort_unstable_by_key(|candidate| std::cmp::Reverse(candidate.rank));
--- a/crates/routing/src/read_directory.rs
+++ b/crates/routing/src/read_directory.rs
@@ -28,14 +28,14 @@
 
 /// A prompt that an engine has read, or is about to read.
 #[derive(Debug, Clone, PartialEq, Eq, Archive, Serialize, Deserialize)]
-pub struct PromptRead {
+pub struct PrefillRecord {
     /// Key of the engine.
     pub engine: u64,
     /// Parts of the prompt, in order.
     pub parts: Vec<PromptPart>,
 }
 
-impl PromptRead {
+impl PrefillRecord {
     /// What is told of a prompt that an engine has failed: whoever gets the client's next try asks for it, and leaves the engine out.
     /// `None` for prompts that are not told, and for those that have no part of their own.
     pub fn failed(engine: u64, parts: &[PromptPart]) -> Option<Self> {
@@ -67,16 +67,16 @@
 
 /// The reads that this gateway keeps for all. Times are since the start of the process.
 #[derive(Debug, Clone, Default)]
-pub struct ReadDirectory {
-    reads: HashMap<u64, (Duration, PromptRead)>,
+pub struct PrefillDirectory {
+    reads: HashMap<u64, (Duration, PrefillRecord)>,
     /// Keys with the time at which they were written, oldest first; some have been written again since.
     order: VecDeque<(Duration, u64)>,
 }
 
-impl ReadDirectory {
+impl PrefillDirectory {
     /// Takes in a read in place of an earlier one with the same last part. A failure of an engine that was not the last one to get the
     /// prompt comes late, and is nobody's concern any more.
-    pub fn insert(&mut self, read: PromptRead, now: Duration) {
+    pub fn insert(&mut self, read: PrefillRecord, now: Duration) {
         let Some(key) = read.key() else {
             return;
         };
@@ -90,7 +90,7 @@
     }
 
     /// The last read with this last part.
-    pub fn find(&self, key: u64, now: Duration) -> Option<&PromptRead> {
+    pub fn find(&self, key: u64, now: Duration) -> Option<&PrefillRecord> {
         let (at, read) = self.reads.get(&key)?;
         (now.saturating_sub(*at) < LIFETIME).then_some(read)
     }
--- a/crates/routing/src/refusal.rs
+++ b/crates/routing/src/refusal.rs
@@ -9,7 +9,7 @@
     /// The request lacks something or contradicts itself.
     BadRequest,
     /// An earlier request had the same identifier.
-    UsedIdentifier,
+    DuplicateRequestId,
     /// No route has this host and path.
     NoRoute,
     /// No tenant holds the key that it brings.
@@ -25,7 +25,7 @@
     /// The gateway has not heard of the newest configuration for too long to be certain.
     ConfigurationStale,
     /// The gateway has not heard for so long that keys are still in force that this one may have been taken away.
-    KeysUnproven,
+    KeyStateStale,
     /// The tenant has made as many requests as it may.
     RateExceeded,
     /// Nobody who counts the tenant's requests answered.
@@ -39,7 +39,7 @@
     /// No engine takes requests of the service where this one may be served.
     NoAllowedRegion,
     /// The turns of the route may be kept in fewer regions than there are replicas in.
-    KeptOutside,
+    ReplicasOutsideResidency,
     /// All engines that were asked refused to run it.
     EnginesFull,
     /// All engines of the service warm up and have what they bear.
@@ -63,12 +63,12 @@
     }
 
     /// Whether the cause is this gateway's alone, so that the client is better off with another one.
-    pub fn is_of_gateway(self) -> bool {
+    pub fn is_gateway_local(self) -> bool {
         matches!(
             self,
             Self::NoConfiguration
                 | Self::ConfigurationStale
-                | Self::KeysUnproven
+                | Self::KeyStateStale
                 | Self::RateUnknown
                 | Self::LedgerUnavailable
                 | Self::TurnsUnavailable
@@ -79,7 +79,7 @@
     pub fn name(self) -> &'static str {
         match self {
             Self::BadRequest => "bad_request",
-            Self::UsedIdentifier => "used_identifier",
+            Self::DuplicateRequestId => "used_identifier",
             Self::NoRoute => "no_route",
             Self::UnknownKey => "unknown_key",
             Self::NoSuchTurn => "no_such_turn",
@@ -87,14 +87,14 @@
             Self::BodyTooLarge => "body_too_large",
             Self::NoConfiguration => "no_configuration",
             Self::ConfigurationStale => "configuration_stale",
-            Self::KeysUnproven => "keys_unproven",
+            Self::KeyStateStale => "keys_unproven",
             Self::RateExceeded => "rate_exceeded",
             Self::RateUnknown => "rate_unknown",
             Self::Overloaded => "overloaded",
             Self::NoEngine => "no_engine",
             Self::ZonesDrained => "zones_drained",
             Self::NoAllowedRegion => "no_allowed_region",
-            Self::KeptOutside => "kept_outside",
+            Self::ReplicasOutsideResidency => "kept_outside",
             Self::EnginesFull => "engines_full",
             Self::EnginesWarmUp => "engines_warm_up",
             Self::LedgerUnavailable => "ledger_unavailable",
@@ -131,7 +131,7 @@
     }
 
     /// A refusal after which the client may come back.
-    pub fn come_back(reason: RefusalReason, after: Duration) -> Self {
+    pub fn retry_later(reason: RefusalReason, after: Duration) -> Self {
         Self {
             reason,
             retry_after: Some(after),
--- a/crates/routing/src/region_ways.rs
+++ b/crates/routing/src/region_ways.rs
@@ -26,7 +26,7 @@
 
 /// The ways from one gateway to the engines of each region. Each choice asks for all engines, so that a zone is looked up once.
 #[derive(Debug, Clone)]
-pub struct RegionWays {
+pub struct RegionLatencies {
     /// Names of the regions.
     regions: Vec<String>,
     /// Place of each zone's region among them.
@@ -37,10 +37,10 @@
     ways: Vec<Option<Way>>,
 }
 
-impl RegionWays {
+impl RegionLatencies {
     /// The ways from a zone, none measured yet; `None` where the deployment stands in one region.
     pub fn new(regions: &ZoneRegions, zone: &str) -> Option<Self> {
-        if !regions.has_many() {
+        if !regions.has_multiple_regions() {
             return None;
         }
         let names: BTreeSet<&str> = regions.iter().map(|(_, region)| region).collect();
--- a/crates/routing/src/request.rs
+++ b/crates/routing/src/request.rs
@@ -33,7 +33,7 @@
     /// Tokens of the prompt.
     pub prompt_tokens: u64,
     /// The most tokens that this request may generate.
-    pub most_tokens: u64,
+    pub max_new_tokens: u64,
     /// The turn that this one goes on from.
     pub previous_turn: Option<String>,
     /// Parts of the prompt, in order.
--- a/crates/routing/src/residency.rs
+++ b/crates/routing/src/residency.rs
@@ -104,7 +104,7 @@
     }
 
     /// Whether something may be served in some region of the deployment.
-    pub fn has_allowed(&self, residency: &Residency) -> bool {
+    pub fn allows_any(&self, residency: &Residency) -> bool {
         let mut regions = self.by_zone.values();
         residency.is_anywhere() || regions.any(|region| residency.allows(Some(region)))
     }
@@ -117,7 +117,7 @@
     }
 
     /// Whether the deployment stands in more than one region.
-    pub fn has_many(&self) -> bool {
+    pub fn has_multiple_regions(&self) -> bool {
         let mut regions = self.by_zone.values();
         let first = regions.next();
         regions.any(|region| Some(region) != first)
--- a/crates/routing/src/residency_faults.rs
+++ b/crates/routing/src/residency_faults.rs
@@ -19,13 +19,13 @@
 impl ResidencyFaults {
     /// What is refused of a configuration where these regions are.
     pub fn of(table: &RouteTable, regions: &ZoneRegions) -> Self {
-        let served = |route: &&crate::Route| regions.has_allowed(&route.residency);
+        let served = |route: &&crate::Route| regions.allows_any(&route.residency);
         let unserved = table.routes().filter(|route| !served(route));
         let keeping = table.routes().filter(|route| route.keeps_turns);
         let keeping = keeping.filter(served);
         let keeping = keeping.filter(|route| !regions.allows_all(&route.residency));
         let tenants = table.tenants();
-        let tenants = tenants.filter(|tenant| !regions.has_allowed(&tenant.residency));
+        let tenants = tenants.filter(|tenant| !regions.allows_any(&tenant.residency));
         Self {
             routes: unserved.map(|route| route.name.clone()).collect(),
             tenants: tenants.map(|tenant| tenant.name.clone()).collect(),
--- a/crates/routing/src/told_outcomes.rs
+++ b/crates/routing/src/told_outcomes.rs
@@ -15,7 +15,7 @@
 
 /// How one gateway's requests ended at an engine lately. Counts fade, so they are told in tenths.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Archive, Serialize, Deserialize)]
-pub struct ToldOutcomes {
+pub struct ReportedOutcomes {
     /// Hash of the engine's instance.
     pub engine: u64,
     /// Tenths of requests that ended, however.
@@ -31,7 +31,7 @@
     failed: u64,
 }
 
-impl ToldOutcomes {
+impl ReportedOutcomes {
     /// These counts of an engine.
     pub fn new(engine: u64, counts: OutcomeCounts) -> Self {
         Self {
@@ -44,13 +44,13 @@
 
 impl ToldSums {
     /// A report names the engine.
-    pub fn add(&mut self, told: &ToldOutcomes) {
+    pub fn add(&mut self, told: &ReportedOutcomes) {
         self.ended = self.ended.saturating_add(u64::from(told.ended));
         self.failed = self.failed.saturating_add(u64::from(told.failed));
     }
 
     /// A report counts no longer.
-    pub fn subtract(&mut self, told: &ToldOutcomes) {
+    pub fn subtract(&mut self, told: &ReportedOutcomes) {
         self.ended = self.ended.saturating_sub(u64::from(told.ended));
         self.failed = self.failed.saturating_sub(u64::from(told.failed));
     }
--- a/crates/routing/src/warm_up.rs
+++ b/crates/routing/src/warm_up.rs
@@ -22,17 +22,17 @@
     /// Requests in a thousand seconds.
     pub per_ks: u64,
     /// How long an engine warms up after its start, in milliseconds, where it does not say.
-    pub lasts_ms: u64,
+    pub duration_ms: u64,
 }
 
 impl WarmUpLimit {
     /// How long an engine warms up where it does not say.
     pub fn lasts(&self) -> Duration {
-        Duration::from_millis(self.lasts_ms)
+        Duration::from_millis(self.duration_ms)
     }
 
     /// The time after which one more request may reach an engine that got all that it bears.
-    pub fn pace(&self) -> Duration {
+    pub fn min_interval(&self) -> Duration {
         Duration::from_millis(MS_PER_KS / self.per_ks.max(1))
     }
 }
@@ -246,7 +246,7 @@
     }
 
     /// No connection to an engine came about.
-    pub fn on_found_away(&mut self, engine: &Engine, limit: WarmUpLimit, now: Duration) {
+    pub fn on_unreachable(&mut self, engine: &Engine, limit: WarmUpLimit, now: Duration) {
         let course = self.course(engine, limit);
         course.away_until = now + AWAY_TIME;
         course.source = WarmUpSource::FoundAway;
@@ -260,7 +260,7 @@
     }
 
     /// The drain of a zone ended at this time; its engines may warm up again.
-    pub fn on_zone_returned<'a>(
+    pub fn on_drain_ended<'a>(
         &mut self,
         engines: impl Iterator<Item = &'a Engine>,
         limits: &HashMap<&str, WarmUpLimit>,
@@ -287,7 +287,7 @@
     }
 
     /// Whether requests to any engine of a service are counted now.
-    pub fn is_concerned(&self, service: &str, now: Duration) -> bool {
+    pub fn has_limited_engines(&self, service: &str, now: Duration) -> bool {
         let mut courses = self.courses.values();
         courses.any(|course| course.service == service && course.share(now) < 1.0)
     }
--- a/crates/routing/src/zone_drains.rs
+++ b/crates/routing/src/zone_drains.rs
@@ -4,7 +4,7 @@
 
 use rkyv::{Archive, Deserialize, Serialize};
 
-use crate::eligibility::{Bar, EngineRule};
+use crate::eligibility::{EligibilityRule, Exclusion};
 use crate::engine_table::Engine;
 
 /// All orders as of a revision of the store.
@@ -25,21 +25,21 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum DrainChange {
     /// The zone is drained.
-    Ordered {
+    Started {
         /// The zone.
         zone: String,
         /// Revision of the order.
         revision: u64,
     },
     /// The order stood already and was written again.
-    Repeated {
+    Rewritten {
         /// The zone.
         zone: String,
         /// Its new revision.
         revision: u64,
     },
     /// The order is over.
-    TakenBack {
+    Ended {
         /// The zone.
         zone: String,
     },
@@ -117,20 +117,23 @@
         let ordered = told.orders.iter().filter_map(|(zone, revision)| {
             let (zone, revision) = (zone.clone(), *revision);
             match self.orders.get(&zone) {
-                None => Some(DrainChange::Ordered { zone, revision }),
-                Some(known) if *known != revision => Some(DrainChange::Repeated { zone, revision }),
+                None => Some(DrainChange::Started { zone, revision }),
+                Some(known) if *known != revision => {
+                    Some(DrainChange::Rewritten { zone, revision })
+                }
                 Some(_) => None,
             }
         });
         let over = self.orders.keys();
         let over = over.filter(|zone| !told.orders.contains_key(*zone));
-        let over = over.map(|zone| DrainChange::TakenBack { zone: zone.clone() });
+        let over = over.map(|zone| DrainChange::Ended { zone: zone.clone() });
         ordered.chain(over).collect()
     }
 }
 
-impl EngineRule for ZoneDrains {
-    fn bar(&self, engine: &Engine) -> Option<Bar> {
-        self.is_drained(&engine.zone).then_some(Bar::ZoneDrain)
+impl EligibilityRule for ZoneDrains {
+    fn exclusion(&self, engine: &Engine) -> Option<Exclusion> {
+        self.is_drained(&engine.zone)
+            .then_some(Exclusion::ZoneDrain)
     }
 }
--- a/crates/routing/tests/engine_health.rs
+++ b/crates/routing/tests/engine_health.rs
@@ -33,7 +33,7 @@
     fn shares_are_shares(outcomes: Vec<(u8, u32)>, prior: u8, share: u8, read_at: u32) -> bool {
         let mut health = EngineHealth::default();
         for (kind, at_ms) in outcomes {
-            let kinds = [Outcome::Served, Outcome::Failed, Outcome::Unreached];
+            let kinds = [Outcome::Served, Outcome::Failed, Outcome::Unreachable];
             let outcome = kinds[usize::from(kind) % kinds.len()];
             health.on_outcome(outcome, Duration::from_millis(u64::from(at_ms)));
         }
--- a/crates/routing/tests/engine_runs.rs
+++ b/crates/routing/tests/engine_runs.rs
@@ -4,7 +4,7 @@
 
 use ridgeworks_routing::{
     Engine, EngineEntry, EngineKey, EngineState, EngineTable, GatewayReport, Outcome, Placement,
-    PromptPart, PromptRead,
+    PrefillRecord, PromptPart,
 };
 
 const NOW: Duration = Duration::from_secs(10);
@@ -60,7 +60,7 @@
         suspects: Vec::new(),
     };
     placement.on_report("front-2", report, NOW);
-    placement.on_read(&PromptRead {
+    placement.on_prefill(&PrefillRecord {
         engine: earlier.key().0,
         parts: parts().to_vec(),
     });
@@ -70,7 +70,7 @@
     assert_eq!(placement.open_at(later.key(), NOW), 0);
     assert_eq!(placement.on_sent("new", &later, &parts()).missing, 1_000);
     let listed = table(2, 5);
-    let news = placement.failing_news(&listed, NOW);
+    let news = placement.failure_state_changes(&listed, NOW);
     assert!(news.is_empty(), "{news:?}");
 }
 
--- a/crates/routing/tests/engine_table.rs
+++ b/crates/routing/tests/engine_table.rs
@@ -81,7 +81,7 @@
         other.advance(known);
         let changes = source.changes_since(known);
         assert_eq!(changes.is_whole, known < 10, "since {known}");
-        other.take_changes(changes);
+        other.apply_changes(changes);
         assert_eq!(names(&other), ["i-2", "i-3", "i-4"], "since {known}");
         assert_eq!((other.at(), other.newest()), (40, 40), "since {known}");
     }
@@ -108,6 +108,6 @@
     let mut other = changed_table();
     other.remove("i-3", 50, 50);
     other.advance(50);
-    other.take_changes(late);
+    other.apply_changes(late);
     assert_eq!(names(&other), ["i-2", "i-4"]);
 }
--- a/crates/routing/tests/failing_engines.rs
+++ b/crates/routing/tests/failing_engines.rs
@@ -110,7 +110,7 @@
     let table = table([engine("i-1", "zone-a")]);
     let mut placement = Placement::default();
     let told = |placement: &mut Placement, now| {
-        let news = placement.failing_news(&table, now);
+        let news = placement.failure_state_changes(&table, now);
         news.iter().map(|it| it.is_failing).collect::<Vec<bool>>()
     };
     placement.on_outcome(EngineKey::of("i-1"), Outcome::Served, NOW);
--- a/crates/routing/tests/placement.rs
+++ b/crates/routing/tests/placement.rs
@@ -6,7 +6,7 @@
 
 use quickcheck::quickcheck;
 use ridgeworks_routing::{
-    EngineKey, Forecast, GatewayReport, Outcome, Placement, PromptPart, PromptRead,
+    EngineKey, Forecast, GatewayReport, Outcome, Placement, PrefillRecord, PromptPart,
 };
 use support::{NOW, choose, demand, engine, part, send, table};
 
@@ -229,7 +229,7 @@
     for session in 0..12 {
         let parts = [part(1, 2_500), part(100 + session, 1_000)];
         let mut placement = Placement::default();
-        placement.on_read(&PromptRead {
+        placement.on_prefill(&PrefillRecord {
             engine: EngineKey::of("i-4").0,
             parts: parts.to_vec(),
         });
--- a/crates/routing/tests/read_directory.rs
+++ b/crates/routing/tests/read_directory.rs
@@ -2,15 +2,15 @@
 
 use std::time::Duration;
 
-use ridgeworks_routing::{PromptPart, PromptRead, ReadDirectory};
+use ridgeworks_routing::{PrefillDirectory, PrefillRecord, PromptPart};
 
 fn at(seconds: u64) -> Duration {
     Duration::from_secs(seconds)
 }
 
-fn read(engine: u64, last: u64) -> PromptRead {
+fn read(engine: u64, last: u64) -> PrefillRecord {
     let part = |hash| PromptPart { hash, tokens: 100 };
-    PromptRead {
+    PrefillRecord {
         engine,
         parts: vec![part(1), part(last)],
     }
@@ -18,7 +18,7 @@
 
 #[test]
 fn the_last_read_is_found() {
-    let mut directory = ReadDirectory::default();
+    let mut directory = PrefillDirectory::default();
     directory.insert(read(7, 100), at(1));
     directory.insert(read(8, 100), at(2));
     assert_eq!(directory.find(100, at(2)), Some(&read(8, 100)));
@@ -27,8 +27,8 @@
 
 #[test]
 fn a_failure_takes_the_place_of_its_engine_s_read_until_the_next_one() {
-    let mut directory = ReadDirectory::default();
-    let failed = |engine| PromptRead::failed(engine, &read(engine, 100).parts).expect("a part");
+    let mut directory = PrefillDirectory::default();
+    let failed = |engine| PrefillRecord::failed(engine, &read(engine, 100).parts).expect("a part");
     assert!(failed(7).is_failure() && !read(7, 100).is_failure());
     directory.insert(read(7, 100), at(1));
     directory.insert(failed(7), at(2));
@@ -45,12 +45,12 @@
         hash: 1,
         tokens: 100,
     }];
-    assert_eq!(PromptRead::failed(7, &shared), None);
+    assert_eq!(PrefillRecord::failed(7, &shared), None);
 }
 
 #[test]
 fn an_old_read_is_forgotten_and_a_repeated_one_is_not() {
-    let mut directory = ReadDirectory::default();
+    let mut directory = PrefillDirectory::default();
     directory.insert(read(7, 100), at(0));
     directory.insert(read(7, 200), at(0));
     directory.insert(read(7, 100), at(15));
@@ -62,7 +62,7 @@
 
 #[test]
 fn its_size_is_bounded() {
-    let mut directory = ReadDirectory::default();
+    let mut directory = PrefillDirectory::default();
     for last in 0..20_000 {
         directory.insert(read(7, last), at(1));
     }
@@ -72,10 +72,10 @@
 
 #[test]
 fn prompts_of_very_many_parts_are_not_kept() {
-    let mut directory = ReadDirectory::default();
+    let mut directory = PrefillDirectory::default();
     let parts = (0..100).map(|hash| PromptPart { hash, tokens: 1 });
     directory.insert(
-        PromptRead {
+        PrefillRecord {
             engine: 7,
             parts: parts.collect(),
         },
--- a/crates/routing/tests/region_ways.rs
+++ b/crates/routing/tests/region_ways.rs
@@ -6,7 +6,7 @@
 
 use quickcheck::quickcheck;
 use ridgeworks_routing::{
-    Demand, EngineKey, Placement, RegionWays, Residency, ResidencyRule, ZoneRegions,
+    EngineKey, Placement, PlacementRequest, RegionLatencies, Residency, ResidencyRule, ZoneRegions,
 };
 use support::{NOW, choose, demand, engine, part, send, table};
 
@@ -21,7 +21,8 @@
 
 /// A placement that has connected to both regions, the other one so many milliseconds away.
 fn measured(round_ms: u64) -> Placement {
-    let mut placement = Placement::with_ways(RegionWays::new(&regions(), "zone-a"));
+    let mut placement =
+        Placement::with_region_latencies(RegionLatencies::new(&regions(), "zone-a"));
     for _ in 0..20 {
         placement.on_connected(&engine("i", "zone-a"), Duration::from_millis(2));
         let taken = Duration::from_millis(2 + round_ms);
@@ -30,7 +31,11 @@
     placement
 }
 
-fn chosen(placement: &mut Placement, engines: &[(&str, &str)], demand: &Demand<'_>) -> String {
+fn chosen(
+    placement: &mut Placement,
+    engines: &[(&str, &str)],
+    demand: &PlacementRequest<'_>,
+) -> String {
     let mut list = table([]);
     for (instance, zone) in engines {
         list.apply(ridgeworks_routing::EngineEntry {
@@ -96,7 +101,7 @@
     let mut seen = std::collections::BTreeSet::new();
     for number in 0..40 {
         let key = format!("session-{number}");
-        let demand = Demand {
+        let demand = PlacementRequest {
             rules: &[&rule],
             ..demand(&key, &[], &[])
         };
@@ -107,7 +112,7 @@
 
 #[test]
 fn a_slow_connection_says_little_of_the_way_and_a_quick_one_much() {
-    let mut ways = RegionWays::new(&regions(), "zone-a").expect("several regions");
+    let mut ways = RegionLatencies::new(&regions(), "zone-a").expect("several regions");
     assert!(ways.extra_ms("zone-c") > 0.0, "before anything is measured");
     assert!(ways.extra_ms("zone-b") == 0.0);
     ways.on_connected("zone-c", Duration::from_millis(240));
@@ -125,9 +130,9 @@
 fn same_choice_in_one_region(engines: Vec<(u8, u8)>, key: String, reads: Vec<u8>) -> bool {
     let zones = ["zone-a", "zone-b", "zone-c"];
     let of_one = zones.map(|zone| (zone, "north"));
-    let ways = RegionWays::new(&ZoneRegions::from(of_one), "zone-a");
+    let ways = RegionLatencies::new(&ZoneRegions::from(of_one), "zone-a");
     let is_unpaid = ways.is_none();
-    let mut placements = [Placement::default(), Placement::with_ways(ways)];
+    let mut placements = [Placement::default(), Placement::with_region_latencies(ways)];
     let names: Vec<String> = (0..engines.len())
         .map(|number| format!("i-{number}"))
         .collect();
--- a/crates/routing/tests/residency.rs
+++ b/crates/routing/tests/residency.rs
@@ -4,8 +4,8 @@
 
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use ridgeworks_routing::{
-    Bar, Demand, Engine, EngineTable, KeyDigest, Placement, Residency, ResidencyFaults,
-    ResidencyRule, Route, RouteTable, Tenant, ZoneRegions, service_bar,
+    Engine, EngineTable, Exclusion, KeyDigest, Placement, PlacementRequest, Residency,
+    ResidencyFaults, ResidencyRule, Route, RouteTable, Tenant, ZoneRegions, service_exclusion,
 };
 
 use support::{NOW, configuration, demand, engine, route, table};
@@ -94,17 +94,17 @@
     };
     let table = case.table();
     let mut placement = Placement::default();
-    let demand = Demand {
+    let demand = PlacementRequest {
         rules: &[&rule],
         ..demand("session", &[], &[])
     };
     let chosen = placement.choose(&table, &demand, NOW);
-    let has_allowed = table.engines().any(|engine| case.may_serve(engine));
-    let bar = service_bar(&table, "models", &[&rule]);
+    let allows_any = table.engines().any(|engine| case.may_serve(engine));
+    let exclusion = service_exclusion(&table, "models", &[&rule]);
     let is_empty = case.engines.is_empty();
     match chosen {
-        Some(choice) => case.may_serve(choice.engine) && bar.is_none(),
-        None => !has_allowed && (is_empty || bar == Some(Bar::Residency)),
+        Some(choice) => case.may_serve(choice.engine) && exclusion.is_none(),
+        None => !allows_any && (is_empty || exclusion == Some(Exclusion::Residency)),
     }
 }
 
@@ -121,7 +121,7 @@
     let residency = residency(case.route.as_ref()).and(&residency(case.tenant.as_ref()));
     let serves = |zone: &usize| case.may_serve(&engine("i", ZONES[*zone]));
     let named: Vec<usize> = (0..case.regions.len()).collect();
-    regions.has_allowed(&residency) == named.iter().any(serves)
+    regions.allows_any(&residency) == named.iter().any(serves)
         && regions.allows_all(&residency) == named.iter().all(serves)
 }
 
@@ -154,11 +154,11 @@
         regions: &regions,
     };
     assert_eq!(
-        service_bar(&table, "models", &[&rule]),
-        Some(Bar::Residency)
+        service_exclusion(&table, "models", &[&rule]),
+        Some(Exclusion::Residency)
     );
     let nothing_named = ZoneRegions::default();
-    assert!(!nothing_named.has_allowed(&north));
+    assert!(!nothing_named.allows_any(&north));
     assert!(!nothing_named.allows_all(&north));
     assert!(nothing_named.allows_all(&Residency::anywhere()));
 }
--- a/crates/routing/tests/support/mod.rs
+++ b/crates/routing/tests/support/mod.rs
@@ -4,8 +4,9 @@
 use std::time::Duration;
 
 use ridgeworks_routing::{
-    CallerLimits, Demand, Engine, EngineEntry, EngineState, EngineTable, Forecast, Placement,
-    PromptPart, RequestKind, Residency, Route, RouteConfiguration, WeightedService,
+    CallerLimits, Engine, EngineEntry, EngineState, EngineTable, Forecast, Placement,
+    PlacementRequest, PromptPart, RequestKind, Residency, Route, RouteConfiguration,
+    WeightedService,
 };
 
 pub fn engine(instance: &str, zone: &str) -> Engine {
@@ -79,8 +80,12 @@
 
 pub const NOW: Duration = Duration::from_secs(1);
 
-pub fn demand<'a>(key: &'a str, parts: &'a [PromptPart], excluded: &'a [String]) -> Demand<'a> {
-    Demand {
+pub fn demand<'a>(
+    key: &'a str,
+    parts: &'a [PromptPart],
+    excluded: &'a [String],
+) -> PlacementRequest<'a> {
+    PlacementRequest {
         service: "models",
         key,
         parts,
@@ -94,7 +99,7 @@
 pub fn choose(
     placement: &mut Placement,
     table: &EngineTable,
-    demand: &Demand<'_>,
+    demand: &PlacementRequest<'_>,
     now: Duration,
 ) -> Option<String> {
     let choice = placement.choose(table, demand, now)?;
--- a/crates/routing/tests/warm_up.rs
+++ b/crates/routing/tests/warm_up.rs
@@ -10,7 +10,7 @@
 
 const LIMIT: WarmUpLimit = WarmUpLimit {
     per_ks: 19_000,
-    lasts_ms: 4_000,
+    duration_ms: 4_000,
 };
 
 fn at(ms: u64) -> Duration {
@@ -132,7 +132,7 @@
 fn an_engine_that_was_found_away_or_whose_zone_is_taken_back_is_presumed_to_warm_up() {
     let engine = listed(1);
     let mut known = Known::with(&engine);
-    known.engines.on_found_away(&engine, LIMIT, at(100));
+    known.engines.on_unreachable(&engine, LIMIT, at(100));
     // An entry that was written before says nothing of it.
     known.list(&[entry(&engine, 2, 0)], 200);
     assert!(known.is_warming(&engine, 9_000));
@@ -140,15 +140,13 @@
     assert!(known.is_warming(&engine, 12_999));
     assert!(!known.is_warming(&engine, 13_001));
     // It may be gone for good, or gone for this gateway alone.
-    known.engines.on_found_away(&engine, LIMIT, at(20_000));
+    known.engines.on_unreachable(&engine, LIMIT, at(20_000));
     assert!(known.is_warming(&engine, 34_999));
     assert!(!known.is_warming(&engine, 35_001));
 
     let mut known = Known::with(&engine);
     let own = [engine.clone()];
-    known
-        .engines
-        .on_zone_returned(own.iter(), &limits(), at(100));
+    known.engines.on_drain_ended(own.iter(), &limits(), at(100));
     assert!(known.is_warming(&engine, 4_099));
     let news = known.engines.news(at(200));
     assert_eq!(news[0].source, WarmUpSource::ZoneReturned);
@@ -170,8 +168,8 @@
     assert_eq!(shares.last(), Some(&1.0));
     let steps = shares.windows(2).map(|pair| pair[1] - pair[0]);
     steps.for_each(|step| assert!((0.0..0.06).contains(&step), "{step}"));
-    assert!(known.engines.is_concerned("models", at(2_900)));
-    assert!(!known.engines.is_concerned("models", at(3_001)));
+    assert!(known.engines.has_limited_engines("models", at(2_900)));
+    assert!(!known.engines.has_limited_engines("models", at(3_001)));
     // So it does where its entry ends the warm-up early.
     known.list(&[entry(&engine, 3, 9_000)], 4_000);
     known.list(&[entry(&engine, 4, 0)], 5_000);
@@ -185,7 +183,7 @@
     let entries = [entry(&engine, 1, 5_000)];
     engines.on_list(entries.iter(), &HashMap::new(), at(0));
     assert_eq!(engines.share(engine.key(), at(1)), 1.0);
-    assert!(!engines.is_concerned("models", at(1)));
+    assert!(!engines.has_limited_engines("models", at(1)));
     // Those that are there when it begins to need care have run for long.
     engines.on_list([entry(&engine, 2, 0)].iter(), &limits(), at(10));
     assert_eq!(engines.share(engine.key(), at(11)), 1.0);
--- a/crates/routing/tests/zone_drains.rs
+++ b/crates/routing/tests/zone_drains.rs
@@ -6,8 +6,8 @@
 use std::time::Duration;
 
 use ridgeworks_routing::{
-    Bar, Demand, DrainChange, EngineKey, EngineRule, EngineTable, GatewayReport, Placement,
-    PromptPart, ZoneDrains, service_bar,
+    DrainChange, EligibilityRule, EngineKey, EngineTable, Exclusion, GatewayReport, Placement,
+    PlacementRequest, PromptPart, ZoneDrains, service_exclusion,
 };
 use support::{engine, table};
 
@@ -28,12 +28,12 @@
 
 fn ordered(zone: &str, revision: u64) -> DrainChange {
     let zone = zone.to_owned();
-    DrainChange::Ordered { zone, revision }
+    DrainChange::Started { zone, revision }
 }
 
 fn taken_back(zone: &str) -> DrainChange {
     let zone = zone.to_owned();
-    DrainChange::TakenBack { zone }
+    DrainChange::Ended { zone }
 }
 
 #[test]
@@ -43,7 +43,7 @@
     assert_eq!(table.take(listed(&[], 8)), [], "an older one");
     assert!(table.is_drained("a"));
     let changes = table.take(listed(&[("a", 12), ("b", 11)], 13));
-    let repeated = DrainChange::Repeated {
+    let repeated = DrainChange::Rewritten {
         zone: "a".to_owned(),
         revision: 12,
     };
@@ -87,12 +87,12 @@
     let (first, second) = (engine("i-1", "a"), engine("i-2", "b"));
     let engines = table([first.clone(), second.clone()]);
     let one = listed(&[("a", 1)], 1);
-    assert_eq!(one.bar(&first), Some(Bar::ZoneDrain));
-    assert_eq!(one.bar(&second), None);
-    assert_eq!(service_bar(&engines, "models", &[&one]), None);
+    assert_eq!(one.exclusion(&first), Some(Exclusion::ZoneDrain));
+    assert_eq!(one.exclusion(&second), None);
+    assert_eq!(service_exclusion(&engines, "models", &[&one]), None);
     let both = listed(&[("a", 1), ("b", 2)], 2);
-    let bar = service_bar(&engines, "models", &[&both]);
-    assert_eq!(bar, Some(Bar::ZoneDrain));
+    let exclusion = service_exclusion(&engines, "models", &[&both]);
+    assert_eq!(exclusion, Some(Exclusion::ZoneDrain));
 }
 
 const GATEWAYS: usize = 20;
@@ -102,7 +102,7 @@
 fn next_turns(
     gateways: &mut [Placement],
     engines: &EngineTable,
-    rules: &[&dyn EngineRule],
+    rules: &[&dyn EligibilityRule],
 ) -> BTreeMap<String, usize> {
     let mut turns = BTreeMap::new();
     for (number, placement) in gateways.iter_mut().enumerate() {
@@ -110,7 +110,7 @@
             let key = format!("session-{number}-{session}");
             let hash = (number * SESSIONS + session) as u64 + 1;
             let parts = [PromptPart { hash, tokens: 500 }];
-            let demand = Demand {
+            let demand = PlacementRequest {
                 service: "models",
                 key: &key,
                 parts: &parts,
--- a/crates/stand-ins/src/engine/memory.rs
+++ b/crates/stand-ins/src/engine/memory.rs
@@ -36,7 +36,7 @@
         let mut inner = self.inner.lock().expect("no holder of this lock panics");
         let result = work(&mut inner.cache);
         let now = Instant::now();
-        for change in inner.cache.take_changes() {
+        for change in inner.cache.apply_changes() {
             publish(&mut inner.events, change, now);
             record(history, change);
         }
--- a/crates/stand-ins/src/engine/prefix_cache.rs
+++ b/crates/stand-ins/src/engine/prefix_cache.rs
@@ -217,7 +217,7 @@
     }
 
     /// What happened since this was last asked.
-    pub fn take_changes(&mut self) -> Vec<CacheChange> {
+    pub fn apply_changes(&mut self) -> Vec<CacheChange> {
         std::mem::take(&mut self.changes)
     }
 }
--- a/crates/stand-ins/tests/prefix_cache.rs
+++ b/crates/stand-ins/tests/prefix_cache.rs
@@ -69,7 +69,7 @@
                     cache.retain(RunId(run.into()), until);
                 }
             }
-            for change in cache.take_changes() {
+            for change in cache.apply_changes() {
                 match change {
                     CacheChange::Held(run, _) => {
                         assert!(!held.contains(&run));
