--- a/crates/gateway/src/at_engine.rs
+++ b/crates/gateway/src/at_engine.rs
@@ -37,7 +37,7 @@
             engine,
             &metadata.prompt_parts,
         );
-        gateway.tell_read(engine, &metadata.prompt_parts);
+        gateway.publish_prefill(engine, &metadata.prompt_parts);
         Self {
             gateway: Rc::clone(gateway),
             engine: engine.clone(),
@@ -73,7 +73,7 @@
 
     fn count(&self, purpose: Purpose, bytes: usize) {
         if let Some(traffic) = &self.gateway.node.traffic {
-            traffic.add_in(purpose, &self.engine.zone, bytes);
+            traffic.add_for_zone(purpose, &self.engine.zone, bytes);
         }
     }
 
--- a/crates/gateway/src/entry.rs
+++ b/crates/gateway/src/entry.rs
@@ -208,7 +208,7 @@
 /// added meanwhile, and a client does not come back after being told that there is none.
 fn unless_stale(gateway: &Gateway, reason: RefusalReason) -> Refusal {
     let bound = gateway.node.settings.bounds.configuration();
-    let age = gateway.node.view.unconfirmed_for();
+    let age = gateway.node.view.confirmation_age();
     if age.is_some_and(|age| age < bound) {
         Refusal::last(reason)
     } else {
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -194,7 +194,7 @@
     }
 
     /// Tells the directory node of a prompt that an engine is about to read it.
-    pub fn tell_read(self: &Rc<Self>, engine: &Engine, parts: &[PromptPart]) {
+    pub fn publish_prefill(self: &Rc<Self>, engine: &Engine, parts: &[PromptPart]) {
         let read = PrefillRecord {
             engine: engine.key().0,
             parts: parts.to_vec(),
@@ -218,7 +218,7 @@
         }
         let gateway = Rc::clone(self);
         tokio::task::spawn_local(async move {
-            if let Some(own) = gateway.node.gossip.tell_read(read).await {
+            if let Some(own) = gateway.node.gossip.publish_prefill(read).await {
                 let now = gateway.now();
                 gateway.directory.borrow_mut().insert(own, now);
             }
@@ -240,7 +240,7 @@
     /// Learns where the prompt with this last part was read last; gives back the engine where that one failed it.
     pub async fn learn_read(&self, part: u64) -> Option<EngineKey> {
         let read = match self.node.gossip.directory_node(part) {
-            Some(node) => self.node.gossip.ask_read(node, part).await,
+            Some(node) => self.node.gossip.query_prefill(node, part).await,
             None => self.find_read(part),
         };
         let read = read?;
@@ -318,7 +318,7 @@
 
     /// Milliseconds since the configuration was confirmed, -1 when it never was.
     pub fn version_age_ms(&self) -> i64 {
-        let age = self.node.view.unconfirmed_for();
+        let age = self.node.view.confirmation_age();
         age.map_or(-1, |age| i64::try_from(age.as_millis()).unwrap_or(i64::MAX))
     }
 
@@ -355,7 +355,7 @@
         let whole = |value: u64| i64::try_from(value).unwrap_or(i64::MAX);
         metrics.configuration_version.set(whole(view.version()));
         let age = view
-            .unconfirmed_for()
+            .confirmation_age()
             .map_or(-1, |age| whole(age.as_secs()));
         metrics.configuration_age_seconds.set(age);
         let engines = view.with_engines(|table| table.len() as u64);
@@ -420,7 +420,7 @@
 
 impl PeerService for Gateway {
     fn on_request(&self, request: PeerRequest, reply: oneshot::Sender<PeerReply>) {
-        if let PeerRequest::PassOn(passed) = request {
+        if let PeerRequest::Relay(passed) = request {
             self.metrics.passed_on.inc();
             pass_on(&self.node, &self.records.paths, *passed, reply);
             return;
--- a/crates/gateway/src/key_proof.rs
+++ b/crates/gateway/src/key_proof.rs
@@ -20,7 +20,7 @@
 
 /// Tells whether the newest configuration that is known is new enough to let requests with keys run.
 ///
-/// The proof counts from when it was asked for ([`View::unconfirmed_for`]). So a request that is taken while it holds was sent before
+/// The proof counts from when it was asked for ([`View::confirmation_age`]). So a request that is taken while it holds was sent before
 /// the bound of any removal of its key that this gateway has not heard of, however long the process is frozen after.
 pub struct KeyProof {
     view: Rc<View>,
@@ -46,7 +46,7 @@
         let Some(longest) = self.longest else {
             return true;
         };
-        let age = self.view.unconfirmed_for();
+        let age = self.view.confirmation_age();
         let are_proven = age.is_some_and(|age| age < longest);
         if are_proven {
             self.doubted_since.set(None);
@@ -82,7 +82,7 @@
         }
         let proven = async {
             while !self.are_proven() {
-                self.view.confirmed_anew().await;
+                self.view.wait_for_confirmation().await;
             }
         };
         let patience = PROOF_PATIENCE.saturating_sub(self.doubted_for());
--- a/crates/gateway/src/node_network.rs
+++ b/crates/gateway/src/node_network.rs
@@ -6,7 +6,7 @@
 
 use ridgeworks_records::{Replica, ReplicaReply, ReplicaRequest};
 use ridgeworks_resident::node::Node;
-use ridgeworks_resident::peer::{LinkError, PassedOn, PeerReply, PeerRequest};
+use ridgeworks_resident::peer::{LinkError, PeerReply, PeerRequest, RelayedRequest};
 use ridgeworks_routing::Residency;
 use tokio::sync::oneshot;
 use tokio::time::Instant;
@@ -40,24 +40,24 @@
             return Box::pin(std::future::ready(Err(LinkError::Unreachable)));
         };
         let to = replica.id;
-        let passed = PassedOn {
+        let passed = RelayedRequest {
             address,
             to,
             request,
         };
-        let request = PeerRequest::PassOn(Box::new(passed));
+        let request = PeerRequest::Relay(Box::new(passed));
         self.call(relay, request, RELAY_TIMEOUT)
     }
 
-    fn is_heard_since(&self, replica: &Replica, since: Instant) -> bool {
+    fn has_received_since(&self, replica: &Replica, since: Instant) -> bool {
         let address = replica.address.parse();
-        address.is_ok_and(|address| self.0.links.is_heard_since(address, since))
+        address.is_ok_and(|address| self.0.links.has_received_since(address, since))
     }
 
-    fn slowest_answer(&self, replica: &Replica) -> Duration {
+    fn slowest_reply(&self, replica: &Replica) -> Duration {
         let address = replica.address.parse();
         address.map_or(Duration::ZERO, |address| {
-            self.0.links.slowest_answer(address)
+            self.0.links.slowest_reply(address)
         })
     }
 
@@ -75,7 +75,7 @@
 fn read_reply(reply: Result<PeerReply, LinkError>) -> Result<ReplicaReply, LinkError> {
     match reply? {
         PeerReply::Replica(reply) => Ok(reply),
-        PeerReply::Unreached => Err(LinkError::BeyondRelay),
+        PeerReply::RelayFailed => Err(LinkError::RelayTargetUnreachable),
         _ => Err(LinkError::Broken),
     }
 }
@@ -84,24 +84,24 @@
 pub fn pass_on(
     node: &Rc<Node>,
     paths: &ReplicaPaths,
-    passed: PassedOn,
+    passed: RelayedRequest,
     reply: oneshot::Sender<PeerReply>,
 ) {
-    let PassedOn {
+    let RelayedRequest {
         address,
         to,
         request,
     } = passed;
     if !paths.can_pass_on(to) {
         // Whoever asked may have given up.
-        let _ = reply.send(PeerReply::Unreached);
+        let _ = reply.send(PeerReply::RelayFailed);
         return;
     }
     let request = PeerRequest::Replica { to, request };
     let calling = NodeNetwork(Rc::clone(node)).call(address, request, RELAY_TIMEOUT);
     tokio::task::spawn_local(async move {
         let answer = calling.await;
-        let answer = answer.map_or(PeerReply::Unreached, PeerReply::Replica);
+        let answer = answer.map_or(PeerReply::RelayFailed, PeerReply::Replica);
         let _ = reply.send(answer);
     });
 }
--- a/crates/gateway/src/replica_paths.rs
+++ b/crates/gateway/src/replica_paths.rs
@@ -16,7 +16,7 @@
 use rand::seq::IndexedRandom;
 use ridgeworks_records::{Replica, ReplicaId, ReplicaReply, ReplicaRequest};
 use ridgeworks_resident::clock::whole_ms;
-use ridgeworks_resident::peer::{LinkError, patience};
+use ridgeworks_resident::peer::{LinkError, silence_timeout};
 use ridgeworks_routing::{Residency, ZoneRegions};
 use tokio::time::Instant;
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
@@ -51,9 +51,9 @@
     /// Asks a replica by way of another gateway.
     fn ask_by(&self, relay: SocketAddr, replica: &Replica, request: ReplicaRequest) -> Answering;
     /// Whether anything has come straight from a replica since then.
-    fn is_heard_since(&self, replica: &Replica, since: Instant) -> bool;
+    fn has_received_since(&self, replica: &Replica, since: Instant) -> bool;
     /// How long the slowest answer took that came straight from a replica lately.
-    fn slowest_answer(&self, replica: &Replica) -> Duration;
+    fn slowest_reply(&self, replica: &Replica) -> Duration;
     /// Gateways that were heard lately and stand where this may be sent.
     fn relays(&self, residency: &Residency) -> Vec<SocketAddr>;
 }
@@ -164,7 +164,7 @@
         least: Duration,
         residency: &Residency,
     ) -> Result<ReplicaReply, LinkError> {
-        let timeout = patience(self.network.slowest_answer(replica), least);
+        let timeout = silence_timeout(self.network.slowest_reply(replica), least);
         self.ask_within(replica, request, timeout, residency).await
     }
 
@@ -179,11 +179,11 @@
         loop {
             let waited_since = Instant::now();
             // An error that comes at once is the machine's own: a detour would end there as well.
-            let patience = patience(self.network.slowest_answer(replica), SILENCE);
+            let patience = silence_timeout(self.network.slowest_reply(replica), SILENCE);
             if let Ok(reply) = tokio::time::timeout(patience, &mut straight).await {
                 return reply;
             }
-            if !self.network.is_heard_since(replica, waited_since) {
+            if !self.network.has_received_since(replica, waited_since) {
                 break;
             }
         }
@@ -235,7 +235,7 @@
                     return Ok(reply);
                 }
                 Err(error) => {
-                    if error == LinkError::BeyondRelay {
+                    if error == LinkError::RelayTargetUnreachable {
                         self.unreached_at.set(Some(Instant::now()));
                     }
                     self.drop_relay(relay);
@@ -284,9 +284,9 @@
 
     /// How long the slowest of these replicas may say nothing, at least this long.
     pub fn patience(&self, replicas: &[Replica], least: Duration) -> Duration {
-        let slowest = |replica| self.network.slowest_answer(replica);
+        let slowest = |replica| self.network.slowest_reply(replica);
         let slowest = replicas.iter().map(slowest).max();
-        patience(slowest.unwrap_or_default(), least)
+        silence_timeout(slowest.unwrap_or_default(), least)
     }
 
     /// The order in which replicas are asked. Those that answered lately come first, among them those that are reached straight,
@@ -311,7 +311,7 @@
 
     /// Suspects those of these replicas from which nothing has come since then; says whether there are any.
     pub fn suspect_silent(&self, replicas: &[Replica], since: Instant) -> bool {
-        let is_silent = |replica: &&Replica| !self.network.is_heard_since(replica, since);
+        let is_silent = |replica: &&Replica| !self.network.has_received_since(replica, since);
         let silent: Vec<&Replica> = replicas.iter().filter(is_silent).collect();
         for replica in &silent {
             self.suspect(replica.id);
--- a/crates/gateway/src/role.rs
+++ b/crates/gateway/src/role.rs
@@ -11,13 +11,13 @@
 use ridgeworks_platform::{READY_PATH, unavailable};
 use ridgeworks_resident::build;
 use ridgeworks_resident::clock::Clock;
-use ridgeworks_resident::http_server::{self, ShortAnswer};
+use ridgeworks_resident::http_server::{self, TextResponse};
 use ridgeworks_resident::logging::LogCounters;
-use ridgeworks_resident::metrics::{self, LogCollector, UnreadCollector};
+use ridgeworks_resident::metrics::{self, LogCollector, RejectedMessageCollector};
 use ridgeworks_resident::node::Node;
 use ridgeworks_resident::process::{RoleError, run_until_stopped, serve_metrics};
 use ridgeworks_resident::settings::NodeSettings;
-use ridgeworks_resident::shutdown::Orders;
+use ridgeworks_resident::shutdown::Signals;
 use tokio::sync::watch;
 use tokio::time::Instant;
 
@@ -47,17 +47,17 @@
         .listen
         .readiness
         .ok_or(RoleError::MissingSetting("listen.readiness"))?;
-    let mut orders = Orders::listen()?;
+    let mut orders = Signals::listen()?;
     let mut registry = metrics::registry();
     registry.register_collector(Box::new(LogCollector(log_counters)));
-    registry.register_collector(Box::new(UnreadCollector));
+    registry.register_collector(Box::new(RejectedMessageCollector));
     build::register(&mut registry);
     let gateway_metrics = GatewayMetrics::register(&mut registry);
     let node = Node::bind(settings, Clock::start()).await?;
     let gateway = Gateway::new(Rc::clone(&node), gateway_metrics);
     let (stopping, phase) = watch::channel(StopPhase::Serving);
     node.start(Rc::clone(&gateway), Rc::clone(&gateway)).await?;
-    node.follow_traffic();
+    node.watch_store();
     serve_readiness(&gateway, readiness).await?;
     let updated = Rc::clone(&gateway);
     serve_metrics(&node, registry, move || updated.update_gauges()).await?;
@@ -74,7 +74,7 @@
     let gateway = Rc::clone(gateway);
     let answer = move |path: &str| {
         let is_ready = path == READY_PATH && gateway.is_ready();
-        ShortAnswer::empty(if is_ready {
+        TextResponse::empty(if is_ready {
             StatusCode::OK
         } else {
             unavailable()
--- a/crates/gateway/src/warm_ups.rs
+++ b/crates/gateway/src/warm_ups.rs
@@ -10,7 +10,7 @@
 use ridgeworks_resident::clock::{Moment, whole_ms};
 use ridgeworks_resident::node::Node;
 use ridgeworks_resident::peer::{
-    GrantReply, GrantRequest, LaterReply, LaterRequest, LinkError, PeerReply, PeerRequest,
+    ExtensionReply, ExtensionRequest, GrantReply, GrantRequest, LinkError, PeerReply, PeerRequest,
 };
 use ridgeworks_routing::{
     EligibilityRule, Engine, EngineKey, EngineTable, Exclusion, WarmUpLimit, WarmUps,
@@ -230,7 +230,7 @@
         let zones: BTreeSet<&str> = table.engines().map(|engine| engine.zone.as_str()).collect();
         let mut returns = self.returns.borrow_mut();
         for zone in zones {
-            let Some(returned) = self.node.view.zone_returned(zone) else {
+            let Some(returned) = self.node.view.zone_restored_at(zone) else {
                 continue;
             };
             if returns.insert(zone.to_owned(), returned) == Some(returned) {
@@ -344,7 +344,7 @@
             version: self.node.view.version(),
         };
         self.metrics.on_asked(&engine.service);
-        let request = PeerRequest::Later(LaterRequest::Grant(request));
+        let request = PeerRequest::Extension(ExtensionRequest::Grant(request));
         let links = &self.node.links;
         links.call(address, request, LIMITER_PATIENCE).await
     }
@@ -356,7 +356,7 @@
         reply: Result<PeerReply, LinkError>,
         asked: Duration,
     ) -> bool {
-        let Ok(PeerReply::Later(LaterReply::Grant(reply))) = reply else {
+        let Ok(PeerReply::Extension(ExtensionReply::Grant(reply))) = reply else {
             return false;
         };
         self.late.borrow_mut().remove(&from);
--- a/crates/gateway/src/zone_drains.rs
+++ b/crates/gateway/src/zone_drains.rs
@@ -72,7 +72,7 @@
         let view = &self.node.view;
         let least = view.with_engines(|table| {
             let ready = table.ready(service);
-            let stood = ready.filter_map(|engine| view.drains.stood_for(&engine.zone));
+            let stood = ready.filter_map(|engine| view.drains.drained_for(&engine.zone));
             stood.min()
         });
         least
@@ -99,7 +99,7 @@
             };
             let before = looked.insert(zone.to_owned(), now);
             if is_empty && before != Some(Looked::Empty) {
-                let stood = self.node.view.drains.stood_for(zone);
+                let stood = self.node.view.drains.drained_for(zone);
                 log::info!(
                     target: "belief",
                     zone = zone,
--- a/crates/gateway/tests/replica_paths.rs
+++ b/crates/gateway/tests/replica_paths.rs
@@ -42,7 +42,7 @@
     straight: Cell<Conduct>,
     /// Whether other answers come straight meanwhile.
     is_busy: Cell<bool>,
-    slowest_answer: Cell<Duration>,
+    slowest_reply: Cell<Duration>,
     relays: Vec<Conduct>,
     asked: RefCell<Vec<SocketAddr>>,
 }
@@ -52,7 +52,7 @@
         Rc::new(Self {
             straight: Cell::new(straight),
             is_busy: Cell::new(false),
-            slowest_answer: Cell::default(),
+            slowest_reply: Cell::default(),
             relays: relays.to_vec(),
             asked: RefCell::default(),
         })
@@ -77,12 +77,12 @@
         })
     }
 
-    fn is_heard_since(&self, _replica: &Replica, _since: Instant) -> bool {
+    fn has_received_since(&self, _replica: &Replica, _since: Instant) -> bool {
         self.is_busy.get()
     }
 
-    fn slowest_answer(&self, _replica: &Replica) -> Duration {
-        self.slowest_answer.get()
+    fn slowest_reply(&self, _replica: &Replica) -> Duration {
+        self.slowest_reply.get()
     }
 
     /// All stand in the north but the last one, which stands in the south.
@@ -187,7 +187,7 @@
 async fn a_gateway_that_is_cut_off_as_well_is_replaced() {
     LocalSet::new()
         .run_until(async {
-            let beyond = Conduct::Fails(LinkError::BeyondRelay);
+            let beyond = Conduct::Fails(LinkError::RelayTargetUnreachable);
             let relays = [beyond, Conduct::Answers(ANSWER), beyond];
             let network = FakeNetwork::new(Conduct::Silent, &relays);
             let paths = Rc::new(ReplicaPaths::new(
@@ -264,7 +264,7 @@
             assert_eq!(reply, Err(LinkError::TimedOut));
             assert_eq!(took, TIMEOUT);
             assert!(!paths.is_unreached_by_others(second));
-            let beyond = Conduct::Fails(LinkError::BeyondRelay);
+            let beyond = Conduct::Fails(LinkError::RelayTargetUnreachable);
             let network = FakeNetwork::new(Conduct::Silent, &[beyond]);
             let paths = Rc::new(ReplicaPaths::new(network));
             assert!(ask(&paths).await.0.is_err());
@@ -333,7 +333,7 @@
 async fn a_replica_that_was_slow_lately_is_not_asked_again_by_a_detour() {
     let slow = Duration::from_millis(600);
     let network = FakeNetwork::new(Conduct::Answers(slow), &[Conduct::Answers(ANSWER)]);
-    network.slowest_answer.set(Duration::from_millis(300));
+    network.slowest_reply.set(Duration::from_millis(300));
     let paths = Rc::new(ReplicaPaths::new(
         Rc::clone(&network) as Rc<dyn ReplicaNetwork>
     ));
@@ -357,7 +357,7 @@
         .ask_patiently(&replica(), read(), least, &Residency::anywhere())
         .await;
     assert_eq!(asked, Err(LinkError::TimedOut), "nothing is known of it");
-    network.slowest_answer.set(Duration::from_millis(300));
+    network.slowest_reply.set(Duration::from_millis(300));
     assert!(
         paths
             .ask_patiently(&replica(), read(), least, &Residency::anywhere())
--- a/crates/node/src/versions.rs
+++ b/crates/node/src/versions.rs
@@ -6,7 +6,8 @@
 use std::time::Duration;
 
 use ridgeworks_resident::peer::{
-    Build, LaterReply, LaterRequest, LinkError, MemberInfo, PeerLinks, PeerReply, PeerRequest,
+    Build, ExtensionReply, ExtensionRequest, LinkError, MemberInfo, PeerLinks, PeerReply,
+    PeerRequest,
 };
 use tokio::runtime::Builder;
 use tokio::task::LocalSet;
@@ -63,9 +64,9 @@
 
 /// What a node says that it runs. One that does not know the question is of the first protocol version.
 async fn ask(links: &PeerLinks, node: SocketAddr) -> String {
-    let request = PeerRequest::Later(LaterRequest::FetchBuild);
+    let request = PeerRequest::Extension(ExtensionRequest::FetchBuild);
     match links.call(node, request, TIMEOUT).await {
-        Ok(PeerReply::Later(LaterReply::Build(build))) => build.to_string(),
+        Ok(PeerReply::Extension(ExtensionReply::Build(build))) => build.to_string(),
         Ok(_) => first_version().to_string(),
         Err(error) => format!("no answer: {error}"),
     }
--- a/crates/replica/src/actor.rs
+++ b/crates/replica/src/actor.rs
@@ -17,7 +17,7 @@
     Change, Epoch, GroupId, Handled, ProgramId, ProgramLedger, ReplicaGroups, ReplicaId,
     ReplicaReply, ReplicaRequest, ReplicaState, StoredRecord, TurnId, TurnRecord, Wait,
 };
-use ridgeworks_resident::clock::{wall_ms, whole_ms};
+use ridgeworks_resident::clock::{unix_time_ms, whole_ms};
 use ridgeworks_resident::peer::{PeerReply, ReplicaStatus};
 use ridgeworks_resident::view::{Source, View};
 use ridgeworks_storage::{Store, StoreCountersSnapshot, WriteBatch};
@@ -193,7 +193,7 @@
             return;
         }
         let epoch_before = disk.state.epoch();
-        let handled = disk.state.handle(request, wall_ms());
+        let handled = disk.state.handle(request, unix_time_ms());
         let has_changed = disk.state.epoch() > epoch_before;
         self.carry_out(handled, Some(answer));
         if has_changed {
@@ -226,7 +226,7 @@
             send(answer, ReplicaReply::Unavailable);
             return;
         };
-        let now = wall_ms();
+        let now = unix_time_ms();
         let mut changes = Vec::new();
         let mut has_room = true;
         for record in copied {
@@ -322,7 +322,7 @@
         };
         // Behind the changes that were gathered before: a batch that overtook them would release their
         // replies before they are durable.
-        self.gathered.extend(disk.state.expire(wall_ms()));
+        self.gathered.extend(disk.state.expire(unix_time_ms()));
         self.submit_gathered();
         self.update_gauges();
     }
--- a/crates/replica/src/coordinator.rs
+++ b/crates/replica/src/coordinator.rs
@@ -18,7 +18,7 @@
 use ridgeworks_resident::clock::whole_ms;
 use ridgeworks_resident::node::{REPLICA_SET_NAME, RegisteredGroups};
 use ridgeworks_resident::view::Source;
-use ridgeworks_resident::watch_duty::{DutySignal, Patience};
+use ridgeworks_resident::watch_policy::{WatchControl, WatchTimings};
 
 use crate::handle::ReplicaHandle;
 use crate::liveness::{Liveness, alive};
@@ -60,7 +60,7 @@
     replica: Rc<ReplicaHandle>,
     retirements: Retirements,
     /// Whether this node watches for orders to empty a machine.
-    watching: Rc<DutySignal>,
+    store_watch: Rc<WatchControl>,
     /// Replicas that copy before they join.
     newcomers: Newcomers,
     liveness: Liveness,
@@ -76,14 +76,14 @@
     pub fn new(
         replica: Rc<ReplicaHandle>,
         retirements: Retirements,
-        watching: Rc<DutySignal>,
+        store_watch: Rc<WatchControl>,
     ) -> Self {
         Self {
             newcomers: Newcomers::new(Rc::clone(&replica.node)),
             liveness: Liveness::new(Rc::clone(&replica), retirements.clone()),
             replica,
             retirements,
-            watching,
+            store_watch,
             groups: BTreeMap::new(),
             founding: (0, Duration::ZERO),
             looked_at: Duration::ZERO,
@@ -127,7 +127,7 @@
         let own = self.own_groups(groups).into_iter();
         let mut ranks = own.filter_map(|group| self.rank(groups.set(group)?, nodes));
         let is_due = ranks.any(|rank| rank < WATCHERS);
-        if self.watching.set(is_due, Patience::RETIREMENTS) {
+        if self.store_watch.set(is_due, WatchTimings::RETIREMENTS) {
             log::info!(
                 target: "belief",
                 watches = is_due;
--- a/crates/replica/src/handle.rs
+++ b/crates/replica/src/handle.rs
@@ -7,8 +7,8 @@
 use ridgeworks_resident::actors::ActorRuntime;
 use ridgeworks_resident::node::Node;
 use ridgeworks_resident::peer::{
-    GossipSources, GrantRequest, LaterReply, LaterRequest, LoadReport, PeerReply, PeerRequest,
-    PeerService, Preparing, ReplicaStatus,
+    ExtensionReply, ExtensionRequest, GossipSources, GrantRequest, LoadReport, PeerReply,
+    PeerRequest, PeerService, PrepareRequest, ReplicaStatus,
 };
 use ridgeworks_resident::view::Source;
 use ridgeworks_routing::PrefillRecord;
@@ -137,16 +137,16 @@
         self.metrics.grants_asked.inc();
         let reply = self.limiting.grant(request, self.node.clock.now());
         reply.map_or(PeerReply::Unsupported, |reply| {
-            PeerReply::Later(LaterReply::Grant(reply))
+            PeerReply::Extension(ExtensionReply::Grant(reply))
         })
     }
 
     /// Says how far the copy is that is wanted before this replica joins a set.
-    fn prepare(&self, preparing: Preparing) -> PeerReply {
+    fn prepare(&self, preparing: PrepareRequest) -> PeerReply {
         let is_meant = self
             .status()
             .is_some_and(|status| status.id == preparing.to);
-        let Preparing { group, groups, .. } = preparing;
+        let PrepareRequest { group, groups, .. } = preparing;
         let epoch = groups.set(group).map(|set| set.epoch);
         self.node.view.adopt_groups(groups, Source::Peer);
         let epoch = epoch.filter(|_| is_meant);
@@ -181,7 +181,7 @@
             return;
         }
         let answer = match request {
-            PeerRequest::Later(LaterRequest::Grant(request)) => self.grant(&request),
+            PeerRequest::Extension(ExtensionRequest::Grant(request)) => self.grant(&request),
             PeerRequest::Prepare(preparing) => self.prepare(*preparing),
             other => self.node.answer(&other),
         };
--- a/crates/replica/src/newcomers.rs
+++ b/crates/replica/src/newcomers.rs
@@ -7,7 +7,7 @@
 
 use ridgeworks_records::{Epoch, GroupId, Replica, ReplicaGroups, ReplicaId};
 use ridgeworks_resident::node::Node;
-use ridgeworks_resident::peer::{PeerReply, PeerRequest, Preparing};
+use ridgeworks_resident::peer::{PeerReply, PeerRequest, PrepareRequest};
 use tokio::time::Instant;
 
 /// How long a newcomer may take to say how far it is.
@@ -107,7 +107,7 @@
         return false;
     };
     let to = replica.id;
-    let request = PeerRequest::Prepare(Box::new(Preparing { to, group, groups }));
+    let request = PeerRequest::Prepare(Box::new(PrepareRequest { to, group, groups }));
     // One that does not answer is asked again for as long as it is wanted.
     let reply = node.links.call(address, request, ASK_TIMEOUT).await;
     matches!(reply, Ok(PeerReply::Prepared { is_ready: true }))
--- a/crates/replica/src/retirements.rs
+++ b/crates/replica/src/retirements.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use ridgeworks_platform::{Object, ObjectEvent, RetirementState, read_retirement_state};
-use ridgeworks_resident::watching::Follower;
+use ridgeworks_resident::store_watch::WatchHandler;
 
 /// The orders by the name of the node, with how far each has come.
 #[derive(Debug, Clone, Default)]
@@ -40,7 +40,7 @@
     }
 }
 
-impl Follower for Retirements {
+impl WatchHandler for Retirements {
     fn on_list(&self, objects: Vec<Object>, _at: u64) {
         self.0.borrow_mut().clear();
         objects.iter().for_each(|order| self.take(order));
--- a/crates/replica/src/role.rs
+++ b/crates/replica/src/role.rs
@@ -11,13 +11,13 @@
 use ridgeworks_resident::build;
 use ridgeworks_resident::clock::Clock;
 use ridgeworks_resident::logging::LogCounters;
-use ridgeworks_resident::metrics::{self, LogCollector, UnreadCollector};
+use ridgeworks_resident::metrics::{self, LogCollector, RejectedMessageCollector};
 use ridgeworks_resident::node::Node;
 use ridgeworks_resident::process::{RoleError, run_until_stopped, serve_metrics};
 use ridgeworks_resident::settings::NodeSettings;
-use ridgeworks_resident::shutdown::Orders;
-use ridgeworks_resident::watch_duty::{DutySignal, Patience};
-use ridgeworks_resident::watching::follow;
+use ridgeworks_resident::shutdown::Signals;
+use ridgeworks_resident::store_watch::watch_objects;
+use ridgeworks_resident::watch_policy::{WatchControl, WatchTimings};
 use stakker::{ActorOwn, actor, ret_nop};
 use tokio::sync::mpsc;
 
@@ -44,10 +44,10 @@
         .data_folder
         .clone()
         .ok_or(RoleError::MissingSetting("data_folder"))?;
-    let mut orders = Orders::listen()?;
+    let mut orders = Signals::listen()?;
     let mut registry = metrics::registry();
     registry.register_collector(Box::new(LogCollector(log_counters)));
-    registry.register_collector(Box::new(UnreadCollector));
+    registry.register_collector(Box::new(RejectedMessageCollector));
     build::register(&mut registry);
     let replica_metrics = Rc::new(ReplicaMetrics::register(&mut registry));
     let node = Node::bind(settings, Clock::start()).await?;
@@ -57,18 +57,18 @@
     serve_metrics(&node, registry, move || updated.update_gauges()).await?;
     let retirements = Retirements::default();
     let store = Rc::clone(&node.store);
-    let watching = Rc::new(DutySignal::new(Patience::RETIREMENTS));
-    let following = follow(
+    let store_watch = Rc::new(WatchControl::new(WatchTimings::RETIREMENTS));
+    let following = watch_objects(
         store,
         ObjectKind::Retirements,
         retirements.clone(),
-        Rc::clone(&watching),
+        Rc::clone(&store_watch),
     );
     tokio::task::spawn_local(following);
     tokio::task::spawn_local(Rc::clone(&replica).pass_sets());
     tokio::task::spawn_local(Rc::clone(&replica).tidy_limits());
     tokio::task::spawn_local(copying::run(Rc::clone(&replica)));
-    tokio::task::spawn_local(Coordinator::new(replica, retirements, watching).run());
+    tokio::task::spawn_local(Coordinator::new(replica, retirements, store_watch).run());
     run_until_stopped(&node, &settings_path, &mut orders).await;
     log::info!(target: "process", role = "replica"; "stopping");
     tokio::time::sleep(STOP_TIME).await;
--- a/crates/resident/src/clock.rs
+++ b/crates/resident/src/clock.rs
@@ -57,7 +57,7 @@
 }
 
 /// Time of day in milliseconds since 1970; machines may not agree on it.
-pub fn wall_ms() -> u64 {
+pub fn unix_time_ms() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     since.map_or(0, |since| {
         u64::try_from(since.as_millis()).unwrap_or(u64::MAX)
--- a/crates/resident/src/drain_follower.rs
+++ b/crates/resident/src/drain_follower.rs
@@ -6,8 +6,8 @@
 use ridgeworks_platform::{Object, ObjectEvent};
 use ridgeworks_routing::ZoneDrains;
 
+use crate::store_watch::WatchHandler;
 use crate::view::{Source, View};
-use crate::watching::Follower;
 
 /// Takes in orders to drain zones.
 ///
@@ -24,7 +24,7 @@
     }
 }
 
-impl Follower for DrainFollower {
+impl WatchHandler for DrainFollower {
     fn on_list(&self, objects: Vec<Object>, at: u64) {
         let orders = objects
             .into_iter()
@@ -51,7 +51,7 @@
     }
 
     fn unconfirmed(&self) -> Option<Duration> {
-        self.view.drains.unconfirmed_for()
+        self.view.drains.confirmation_age()
     }
 
     fn told_up_to(&self) -> Option<u64> {
--- a/crates/resident/src/followers.rs
+++ b/crates/resident/src/followers.rs
@@ -11,8 +11,8 @@
 use ridgeworks_routing::EngineEntry;
 
 use crate::clock::whole_ms;
+use crate::store_watch::WatchHandler;
 use crate::view::{Source, View};
-use crate::watching::Follower;
 
 /// Takes in the configuration.
 pub struct ConfigurationFollower(pub Rc<View>);
@@ -34,7 +34,7 @@
     }
 }
 
-impl Follower for ConfigurationFollower {
+impl WatchHandler for ConfigurationFollower {
     fn on_list(&self, objects: Vec<Object>, _at: u64) {
         objects.iter().for_each(|object| self.take(object));
     }
@@ -53,7 +53,7 @@
     }
 
     fn unconfirmed(&self) -> Option<Duration> {
-        self.0.unconfirmed_for()
+        self.0.confirmation_age()
     }
 }
 
@@ -108,7 +108,7 @@
     }
 }
 
-impl Follower for EngineFollower {
+impl WatchHandler for EngineFollower {
     fn on_list(&self, objects: Vec<Object>, at: u64) {
         let is_listed = |name: &String| objects.iter().any(|object| object.name == *name);
         self.unreadable.borrow_mut().retain(is_listed);
--- a/crates/resident/src/http_server.rs
+++ b/crates/resident/src/http_server.rs
@@ -21,7 +21,7 @@
 
 /// A short answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct ShortAnswer {
+pub struct TextResponse {
     /// Its status.
     pub status: StatusCode,
     /// Media type of its body.
@@ -30,7 +30,7 @@
     pub body: String,
 }
 
-impl ShortAnswer {
+impl TextResponse {
     /// An answer without a body.
     pub fn empty(status: StatusCode) -> Self {
         Self {
@@ -44,7 +44,7 @@
 /// Answers requests by their path until the process ends.
 pub async fn serve(
     address: SocketAddr,
-    answer: impl Fn(&str) -> ShortAnswer + 'static,
+    answer: impl Fn(&str) -> TextResponse + 'static,
 ) -> io::Result<()> {
     let listener = TcpListener::bind(address).await?;
     let answer = Rc::new(answer);
@@ -59,7 +59,7 @@
     Ok(())
 }
 
-fn serve_connection(stream: TcpStream, answer: Rc<impl Fn(&str) -> ShortAnswer + 'static>) {
+fn serve_connection(stream: TcpStream, answer: Rc<impl Fn(&str) -> TextResponse + 'static>) {
     let service = service_fn(move |request: Request<Incoming>| {
         let short = answer(request.uri().path());
         async move { Ok::<_, std::convert::Infallible>(response(short)) }
@@ -74,7 +74,7 @@
     });
 }
 
-fn response(short: ShortAnswer) -> Response<Full<Bytes>> {
+fn response(short: TextResponse) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::new(Bytes::from(short.body)));
     *response.status_mut() = short.status;
     let content_type = HeaderValue::from_static(short.content_type);
--- a/crates/resident/src/metrics.rs
+++ b/crates/resident/src/metrics.rs
@@ -10,7 +10,7 @@
 use prometheus_client::metrics::counter::ConstCounter;
 use prometheus_client::registry::Registry;
 
-use crate::http_server::ShortAnswer;
+use crate::http_server::TextResponse;
 use crate::logging::LogCounters;
 use crate::peer::UNREAD;
 
@@ -24,15 +24,15 @@
 }
 
 /// Encodes a registry as an answer.
-pub fn answer(registry: &Registry) -> ShortAnswer {
+pub fn answer(registry: &Registry) -> TextResponse {
     let mut body = String::new();
     match encode(&mut body, registry) {
-        Ok(()) => ShortAnswer {
+        Ok(()) => TextResponse {
             status: StatusCode::OK,
             content_type: CONTENT_TYPE,
             body,
         },
-        Err(_) => ShortAnswer::empty(StatusCode::INTERNAL_SERVER_ERROR),
+        Err(_) => TextResponse::empty(StatusCode::INTERNAL_SERVER_ERROR),
     }
 }
 
@@ -61,9 +61,9 @@
 
 /// Tells at each request for metrics how many messages of other nodes were not understood.
 #[derive(Debug)]
-pub struct UnreadCollector;
+pub struct RejectedMessageCollector;
 
-impl Collector for UnreadCollector {
+impl Collector for RejectedMessageCollector {
     fn encode(&self, encoder: DescriptorEncoder) -> Result<(), std::fmt::Error> {
         let counters = [
             (
--- a/crates/resident/src/node.rs
+++ b/crates/resident/src/node.rs
@@ -20,15 +20,15 @@
 use crate::drain_follower::DrainFollower;
 use crate::followers::{ConfigurationFollower, ConfirmationLog, EngineFollower};
 use crate::peer::{
-    Gossip, GossipSources, LaterReply, LaterRequest, MemberInfo, PeerLinks, PeerReply, PeerRequest,
-    PeerService, fetch_members, fetch_view,
+    ExtensionReply, ExtensionRequest, Gossip, GossipSources, MemberInfo, PeerLinks, PeerReply,
+    PeerRequest, PeerService, fetch_members, fetch_view,
 };
 use crate::settings::{NodeSettings, Role};
 use crate::store_client::StoreClient;
+use crate::store_watch::{WatchHandler, list_once, watch_objects};
 use crate::traffic::Traffic;
 use crate::view::{Source, View};
-use crate::watch_duty::{DutySignal, Place, WatchDuty};
-use crate::watching::{Follower, follow, list_once};
+use crate::watch_policy::{Place, WatchControl, WatchDuty};
 
 /// Name of the object that holds the replica sets of all groups.
 pub const REPLICA_SET_NAME: &str = "main";
@@ -67,9 +67,9 @@
     /// Heartbeats.
     pub gossip: Rc<Gossip>,
     /// Whether this node follows the store itself.
-    pub duty: Rc<DutySignal>,
+    pub duty: Rc<WatchControl>,
     /// Whether it follows the drains of zones there: they have a bound of their own, and so another patience.
-    drain_duty: Rc<DutySignal>,
+    drain_duty: Rc<WatchControl>,
     /// The settings as they were last read.
     reloaded: RefCell<NodeSettings>,
     settings_unreadable: Cell<bool>,
@@ -98,9 +98,9 @@
         let bound = settings.bounds.configuration();
         let drain_bound = settings.bounds.zone_drain().unwrap_or(bound);
         let drain_duty = WatchDuty::new(&settings.name, drain_bound);
-        let drain_duty = DutySignal::new(drain_duty.patience(Place::Other));
+        let drain_duty = WatchControl::new(drain_duty.patience(Place::Other));
         let duty = WatchDuty::new(&settings.name, bound);
-        let duty = Rc::new(DutySignal::new(duty.patience(Place::Other)));
+        let duty = Rc::new(WatchControl::new(duty.patience(Place::Other)));
         let regions = settings.zone_regions();
         let traffic = Traffic::new(&settings.zone, regions.clone()).map(Rc::new);
         let links = Rc::new(PeerLinks::counting(traffic.clone()));
@@ -152,22 +152,27 @@
     }
 
     /// Follows the configuration, the engines and the drains of zones, from the store or from other nodes.
-    pub fn follow_traffic(self: &Rc<Self>) {
+    pub fn watch_store(self: &Rc<Self>) {
         tokio::task::spawn_local(Rc::clone(self).decide_duty());
         let configuration = ConfigurationFollower(Rc::clone(&self.view));
-        self.follow(ObjectKind::Configuration, configuration, &self.duty);
+        self.watch_objects(ObjectKind::Configuration, configuration, &self.duty);
         let engines = EngineFollower::new(Rc::clone(&self.view));
-        self.follow(ObjectKind::Engines, engines, &self.duty);
+        self.watch_objects(ObjectKind::Engines, engines, &self.duty);
         if self.view.drains.are_followed() {
             let drains = DrainFollower::new(Rc::clone(&self.view));
-            self.follow(ObjectKind::ZoneDrains, drains, &self.drain_duty);
+            self.watch_objects(ObjectKind::ZoneDrains, drains, &self.drain_duty);
         }
     }
 
-    fn follow(&self, kind: ObjectKind, follower: impl Follower + 'static, duty: &Rc<DutySignal>) {
+    fn watch_objects(
+        &self,
+        kind: ObjectKind,
+        follower: impl WatchHandler + 'static,
+        duty: &Rc<WatchControl>,
+    ) {
         let store = Rc::clone(&self.store);
         let duty = Rc::clone(duty);
-        tokio::task::spawn_local(follow(store, kind, follower, duty));
+        tokio::task::spawn_local(watch_objects(store, kind, follower, duty));
     }
 
     /// Answers what every role answers alike, and says of other requests that they are not supported.
@@ -175,8 +180,8 @@
         match request {
             PeerRequest::FetchView(known) => PeerReply::View(self.view.update_since(known)),
             PeerRequest::ListMembers => PeerReply::Members(self.gossip.known()),
-            PeerRequest::Later(LaterRequest::FetchBuild) => {
-                PeerReply::Later(LaterReply::Build(build::here()))
+            PeerRequest::Extension(ExtensionRequest::FetchBuild) => {
+                PeerReply::Extension(ExtensionReply::Build(build::here()))
             }
             _ => PeerReply::Unsupported,
         }
@@ -207,7 +212,7 @@
                 drain_duty.leave_to_seeds();
             }
             self.decide_drain_duty(&mut drain_duty, place, now);
-            let unconfirmed = self.view.unconfirmed_for();
+            let unconfirmed = self.view.confirmation_age();
             confirmation.tell(unconfirmed, self.view.version());
             let is_due = duty.is_due(now, place, unconfirmed);
             if self.duty.set(is_due, duty.patience(place)) {
@@ -232,7 +237,7 @@
         if !self.view.drains.are_followed() {
             return;
         }
-        let unconfirmed = self.view.drains.unconfirmed_for();
+        let unconfirmed = self.view.drains.confirmation_age();
         let is_due = duty.is_due(now, place, unconfirmed);
         if self.drain_duty.set(is_due, duty.patience(place)) {
             log::info!(
--- a/crates/resident/src/peer/encoding.rs
+++ b/crates/resident/src/peer/encoding.rs
@@ -18,7 +18,7 @@
 use rkyv::{Archive, Deserialize, Serialize};
 
 use super::frame::{FrameError, RawSection, frame, unframe};
-use super::later::{FIRST_KIND, Later, LaterDatagram, LaterReply, LaterRequest};
+use super::later::{Extension, ExtensionDatagram, ExtensionReply, ExtensionRequest, FIRST_KIND};
 use super::message::{
     Confirmations, Datagram, DrainNews, Envelope, PeerReply, PeerRequest, ViewUpdate,
 };
@@ -78,7 +78,7 @@
     /// Its kind.
     const KIND: MessageKind;
     /// Its kinds that the first protocol version does not know.
-    type Later: Later;
+    type Extension: Extension;
 
     /// Number that joins a request and its reply.
     fn number(&self) -> u64 {
@@ -86,13 +86,13 @@
     }
 
     /// Such a kind that travels beside a harmless body.
-    fn later(&self) -> Option<&Self::Later>;
+    fn later(&self) -> Option<&Self::Extension>;
 
     /// The body: the message itself, or one that does no harm where the message is not known.
     fn body(&self) -> Cow<'_, Self>;
 
     /// Puts such a kind in place of the body.
-    fn set_later(&mut self, later: Self::Later);
+    fn set_later(&mut self, later: Self::Extension);
 
     /// What nodes of the first protocol version do not know of it.
     fn sections(&self) -> Vec<Section> {
@@ -105,11 +105,11 @@
 
 impl Message for Datagram {
     const KIND: MessageKind = MessageKind::Datagram;
-    type Later = LaterDatagram;
+    type Extension = ExtensionDatagram;
 
-    fn later(&self) -> Option<&LaterDatagram> {
+    fn later(&self) -> Option<&ExtensionDatagram> {
         match self {
-            Self::Later(later) => Some(later),
+            Self::Extension(later) => Some(later),
             _ => None,
         }
     }
@@ -117,7 +117,7 @@
     fn body(&self) -> Cow<'_, Self> {
         match self {
             // An answer to a question that nobody asked.
-            Self::Later(_) => Cow::Owned(Self::FoundRead {
+            Self::Extension(_) => Cow::Owned(Self::FoundRead {
                 number: 0,
                 read: None,
             }),
@@ -125,8 +125,8 @@
         }
     }
 
-    fn set_later(&mut self, later: LaterDatagram) {
-        *self = Self::Later(later);
+    fn set_later(&mut self, later: ExtensionDatagram) {
+        *self = Self::Extension(later);
     }
 
     fn sections(&self) -> Vec<Section> {
@@ -166,15 +166,15 @@
 
 impl Message for Envelope<PeerRequest> {
     const KIND: MessageKind = MessageKind::Request;
-    type Later = LaterRequest;
+    type Extension = ExtensionRequest;
 
     fn number(&self) -> u64 {
         self.number
     }
 
-    fn later(&self) -> Option<&LaterRequest> {
+    fn later(&self) -> Option<&ExtensionRequest> {
         match &self.body {
-            PeerRequest::Later(later) => Some(later),
+            PeerRequest::Extension(later) => Some(later),
             _ => None,
         }
     }
@@ -182,7 +182,7 @@
     fn body(&self) -> Cow<'_, Self> {
         match self.body {
             // Its answer is none to what was asked, and changes nothing.
-            PeerRequest::Later(_) => Cow::Owned(Self {
+            PeerRequest::Extension(_) => Cow::Owned(Self {
                 number: self.number,
                 body: PeerRequest::ListMembers,
             }),
@@ -190,8 +190,8 @@
         }
     }
 
-    fn set_later(&mut self, later: LaterRequest) {
-        self.body = PeerRequest::Later(later);
+    fn set_later(&mut self, later: ExtensionRequest) {
+        self.body = PeerRequest::Extension(later);
     }
 
     fn sections(&self) -> Vec<Section> {
@@ -212,22 +212,22 @@
 
 impl Message for Envelope<PeerReply> {
     const KIND: MessageKind = MessageKind::Reply;
-    type Later = LaterReply;
+    type Extension = ExtensionReply;
 
     fn number(&self) -> u64 {
         self.number
     }
 
-    fn later(&self) -> Option<&LaterReply> {
+    fn later(&self) -> Option<&ExtensionReply> {
         match &self.body {
-            PeerReply::Later(later) => Some(later),
+            PeerReply::Extension(later) => Some(later),
             _ => None,
         }
     }
 
     fn body(&self) -> Cow<'_, Self> {
         match self.body {
-            PeerReply::Later(_) => Cow::Owned(Self {
+            PeerReply::Extension(_) => Cow::Owned(Self {
                 number: self.number,
                 body: PeerReply::Unsupported,
             }),
@@ -235,8 +235,8 @@
         }
     }
 
-    fn set_later(&mut self, later: LaterReply) {
-        self.body = PeerReply::Later(later);
+    fn set_later(&mut self, later: ExtensionReply) {
+        self.body = PeerReply::Extension(later);
     }
 
     fn sections(&self) -> Vec<Section> {
@@ -371,7 +371,7 @@
     let mut message: T = from_bytes(frame.body)?;
     message.set_sections(frame.protocol, known_sections(&sections)?);
     if let Some(later) = sections.iter().find(|raw| raw.kind >= FIRST_KIND) {
-        message.set_later(T::Later::decode(*later)?);
+        message.set_later(T::Extension::decode(*later)?);
     }
     Ok(message)
 }
--- a/crates/resident/src/peer/gossip.rs
+++ b/crates/resident/src/peer/gossip.rs
@@ -22,7 +22,7 @@
 use super::confirming::{Ages, Confirming};
 use super::encoding::{MessageKind, decode, encode};
 use super::frame::PROTOCOL;
-use super::later::LaterDatagram;
+use super::later::ExtensionDatagram;
 use super::links::PeerLinks;
 use super::members::{Member, Members};
 use super::message::{
@@ -34,7 +34,7 @@
 use super::unread::UNREAD;
 use crate::clock::Clock;
 use crate::view::View;
-use crate::watch_duty::{self, DutySignal, Place, SMALL_FLEET};
+use crate::watch_policy::{self, Place, SMALL_FLEET, WatchControl};
 
 const INTERVAL: Duration = Duration::from_millis(250);
 /// Other nodes named in a heartbeat.
@@ -85,7 +85,7 @@
     next_target: Cell<usize>,
     /// Epoch of the replica set whose nodes were taken in last.
     met_epoch: Cell<Epoch>,
-    duty: Rc<DutySignal>,
+    duty: Rc<WatchControl>,
     questions: Questions,
     confirming: Confirming,
 }
@@ -98,14 +98,14 @@
         clock: Clock,
         view: Rc<View>,
         links: Rc<PeerLinks>,
-        duty: Rc<DutySignal>,
+        duty: Rc<WatchControl>,
         bound: Duration,
     ) -> io::Result<Self> {
         let socket = UdpSocket::bind(me.address).await?;
         Ok(Self {
             socket,
             me,
-            incarnation: crate::clock::wall_ms(),
+            incarnation: crate::clock::unix_time_ms(),
             clock,
             view,
             links,
@@ -190,7 +190,7 @@
         // Somebody has to watch whose news are of use here.
         let speaking = members.iter();
         let speaking = speaking.filter(|member| self.view.speaks_enough(member.protocol));
-        watch_duty::place(&self.me.name, &self.me.zone, speaking, now)
+        watch_policy::place(&self.me.name, &self.me.zone, speaking, now)
     }
 
     /// Who the other nodes and this one are, for a node that asks.
@@ -353,7 +353,9 @@
                 self.send(from, &Datagram::Confirmed { number, told }).await;
             }
             Ok(Datagram::Confirmed { number, told }) => self.on_confirmed(number, &told),
-            Ok(Datagram::Later(LaterDatagram::Unknown(kind))) => UNREAD.on_unknown(from.ip(), kind),
+            Ok(Datagram::Extension(ExtensionDatagram::Unknown(kind))) => {
+                UNREAD.on_unknown(from.ip(), kind)
+            }
             Err(error) => UNREAD.on_unreadable(from.ip(), MessageKind::Datagram, error),
         }
     }
@@ -405,7 +407,7 @@
     async fn ask_if_younger(&self, told: &Confirmations, node: SocketAddr, now: Duration) {
         let age = |unconfirmed_ms: Option<u64>| unconfirmed_ms.map(Duration::from_millis);
         let configuration = Ages {
-            own: self.view.unconfirmed_for(),
+            own: self.view.confirmation_age(),
             told: age(told.unconfirmed_ms),
         };
         let has_engines = self.view.has_engines_up_to(told.engines_newest);
@@ -416,7 +418,7 @@
         let drains = &self.view.drains;
         let told_drains = told.drains.and_then(|known| known.unconfirmed_ms);
         let drains = Ages {
-            own: drains.unconfirmed_for(),
+            own: drains.confirmation_age(),
             told: age(told_drains).filter(|_| drains.are_followed()),
         };
         let ages = [configuration, engines, drains];
--- a/crates/resident/src/peer/gossip/reads.rs
+++ b/crates/resident/src/peer/gossip/reads.rs
@@ -73,7 +73,7 @@
 
 impl Gossip {
     /// Tells the directory node of a prompt that an engine reads it; gives it back where that is this node.
-    pub async fn tell_read(&self, read: PrefillRecord) -> Option<PrefillRecord> {
+    pub async fn publish_prefill(&self, read: PrefillRecord) -> Option<PrefillRecord> {
         let key = read.key()?;
         match self.directory_node(key) {
             None => Some(read),
@@ -85,7 +85,7 @@
     }
 
     /// Asks a directory node for the last read with this last part.
-    pub async fn ask_read(&self, node: SocketAddr, part: u64) -> Option<PrefillRecord> {
+    pub async fn query_prefill(&self, node: SocketAddr, part: u64) -> Option<PrefillRecord> {
         let (number, answer) = self.questions.ask();
         self.send(node, &Datagram::FindRead { number, part }).await;
         let answered = tokio::time::timeout(ASK_TIMEOUT, answer).await;
--- a/crates/resident/src/peer/later.rs
+++ b/crates/resident/src/peer/later.rs
@@ -30,7 +30,7 @@
 
 /// What one node asks another.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum LaterRequest {
+pub enum ExtensionRequest {
     /// Something that this version does not know, with the number of its kind. It is never sent.
     Unknown(u16),
     /// Asks what the node runs.
@@ -41,7 +41,7 @@
 
 /// What a node answers.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum LaterReply {
+pub enum ExtensionReply {
     /// Something that this version does not know, with the number of its kind. It is never sent.
     Unknown(u16),
     /// What the node runs.
@@ -52,7 +52,7 @@
 
 /// What nodes say to each other over UDP.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum LaterDatagram {
+pub enum ExtensionDatagram {
     /// Something that this version does not know, with the number of its kind. It is never sent.
     Unknown(u16),
 }
@@ -69,14 +69,14 @@
 }
 
 /// A message of such a kind.
-pub trait Later: Sized {
+pub trait Extension: Sized {
     /// The section that carries it, with the number of its kind.
     fn encode(&self) -> Result<(u16, Vec<u8>), MessageError>;
     /// Reads it, also where this version does not know its kind.
     fn decode(raw: RawSection<'_>) -> Result<Self, MessageError>;
 }
 
-impl Later for LaterRequest {
+impl Extension for ExtensionRequest {
     fn encode(&self) -> Result<(u16, Vec<u8>), MessageError> {
         match self {
             Self::Unknown(_) => Err(MessageError::Encode),
@@ -94,7 +94,7 @@
     }
 }
 
-impl Later for LaterReply {
+impl Extension for ExtensionReply {
     fn encode(&self) -> Result<(u16, Vec<u8>), MessageError> {
         match self {
             Self::Unknown(_) => Err(MessageError::Encode),
@@ -112,7 +112,7 @@
     }
 }
 
-impl Later for LaterDatagram {
+impl Extension for ExtensionDatagram {
     fn encode(&self) -> Result<(u16, Vec<u8>), MessageError> {
         match self {
             Self::Unknown(_) => Err(MessageError::Encode),
@@ -124,19 +124,19 @@
     }
 }
 
-impl Default for LaterRequest {
+impl Default for ExtensionRequest {
     fn default() -> Self {
         Self::Unknown(0)
     }
 }
 
-impl Default for LaterReply {
+impl Default for ExtensionReply {
     fn default() -> Self {
         Self::Unknown(0)
     }
 }
 
-impl Default for LaterDatagram {
+impl Default for ExtensionDatagram {
     fn default() -> Self {
         Self::Unknown(0)
     }
--- a/crates/resident/src/peer/link.rs
+++ b/crates/resident/src/peer/link.rs
@@ -41,7 +41,7 @@
     /// No reply in time.
     TimedOut,
     /// The node that was to pass the request on does not reach its receiver either.
-    BeyondRelay,
+    RelayTargetUnreachable,
     /// The reply cannot be read.
     Unreadable,
 }
@@ -54,7 +54,7 @@
             Self::Broken => "broken",
             Self::Full => "full",
             Self::TimedOut => "timed_out",
-            Self::BeyondRelay => "beyond_relay",
+            Self::RelayTargetUnreachable => "beyond_relay",
             Self::Unreadable => "unreadable",
         }
     }
--- a/crates/resident/src/peer/links.rs
+++ b/crates/resident/src/peer/links.rs
@@ -62,8 +62,8 @@
 
 /// How long a node may say nothing whose slowest answer lately took this long, before its silence means anything. At least
 /// this long.
-pub fn patience(slowest_answer: Duration, least: Duration) -> Duration {
-    least.max(slowest_answer * PACE_FACTOR)
+pub fn silence_timeout(slowest_reply: Duration, least: Duration) -> Duration {
+    least.max(slowest_reply * PACE_FACTOR)
 }
 
 struct Peer {
@@ -139,15 +139,15 @@
     }
 
     /// Whether anything has come from another node since then, also an answer that nobody waits for any more.
-    pub fn is_heard_since(&self, node: SocketAddr, since: Instant) -> bool {
+    pub fn has_received_since(&self, node: SocketAddr, since: Instant) -> bool {
         let peers = self.table.peers.borrow();
         let peer = peers.get(&node);
         peer.is_some_and(|peer| peer.link.state.heard_after(since).is_some())
     }
 
     /// How long another node's slowest answer took lately, earlier ones counting for less.
-    pub fn slowest_answer(&self, node: SocketAddr) -> Duration {
-        self.table.slowest_answer(node)
+    pub fn slowest_reply(&self, node: SocketAddr) -> Duration {
+        self.table.slowest_reply(node)
     }
 }
 
@@ -198,7 +198,7 @@
     async fn find_replaced(self: &Rc<Self>, to: SocketAddr, state: &LinkState) {
         let mut since = Instant::now();
         loop {
-            let patience = patience(self.slowest_answer(to), SILENCE);
+            let patience = silence_timeout(self.slowest_reply(to), SILENCE);
             sleep_until(since + patience).await;
             match state.heard_after(since) {
                 Some(heard_at) => since = heard_at,
@@ -209,7 +209,7 @@
         state.replaced().await;
     }
 
-    fn slowest_answer(&self, to: SocketAddr) -> Duration {
+    fn slowest_reply(&self, to: SocketAddr) -> Duration {
         let peers = self.peers.borrow();
         let peer = peers.get(&to);
         peer.map_or(Duration::ZERO, |peer| peer.pace.slowest())
--- a/crates/resident/src/peer/message.rs
+++ b/crates/resident/src/peer/message.rs
@@ -16,7 +16,7 @@
 use rkyv::with::Skip;
 use rkyv::{Archive, Deserialize, Serialize};
 
-use super::later::{LaterDatagram, LaterReply, LaterRequest};
+use super::later::{ExtensionDatagram, ExtensionReply, ExtensionRequest};
 
 /// What one node asks another.
 #[derive(Debug, Clone, PartialEq, Eq, Archive, Serialize, Deserialize)]
@@ -33,16 +33,16 @@
     /// Asks which nodes it has heard of.
     ListMembers,
     /// For a replica elsewhere that the sender does not reach itself.
-    PassOn(Box<PassedOn>),
+    Relay(Box<RelayedRequest>),
     /// Asks a replica to copy before it joins the set, and how far it is.
-    Prepare(Box<Preparing>),
+    Prepare(Box<PrepareRequest>),
     /// What nodes of the first protocol version do not know; no body ever holds it.
-    Later(#[rkyv(with = Skip)] LaterRequest),
+    Extension(#[rkyv(with = Skip)] ExtensionRequest),
 }
 
 /// A copy that a replica is to make before it joins a set.
 #[derive(Debug, Clone, PartialEq, Eq, Archive, Serialize, Deserialize)]
-pub struct Preparing {
+pub struct PrepareRequest {
     /// The replica that is meant.
     pub to: ReplicaId,
     /// The group whose records it copies.
@@ -53,7 +53,7 @@
 
 /// A request that a node is to pass on to a replica.
 #[derive(Debug, Clone, PartialEq, Eq, Archive, Serialize, Deserialize)]
-pub struct PassedOn {
+pub struct RelayedRequest {
     /// Where the replica's node is reached.
     pub address: SocketAddr,
     /// The replica that is meant.
@@ -74,14 +74,14 @@
     /// The node's role does not answer this.
     Unsupported,
     /// The node does not reach the replica that it was to pass a request on to.
-    Unreached,
+    RelayFailed,
     /// How far a replica is that is to join the set.
     Prepared {
         /// Whether it holds what a read quorum of the voters held moments ago.
         is_ready: bool,
     },
     /// What nodes of the first protocol version do not know; no body ever holds it.
-    Later(#[rkyv(with = Skip)] LaterReply),
+    Extension(#[rkyv(with = Skip)] ExtensionReply),
 }
 
 /// How far a node knows the deployment.
@@ -279,5 +279,5 @@
         read: Option<PrefillRecord>,
     },
     /// What nodes of the first protocol version do not know; no body ever holds it.
-    Later(#[rkyv(with = Skip)] LaterDatagram),
+    Extension(#[rkyv(with = Skip)] ExtensionDatagram),
 }
--- a/crates/resident/src/peer/mod.rs
+++ b/crates/resident/src/peer/mod.rs
@@ -19,13 +19,13 @@
 pub use frame::{Frame, FrameError, PROTOCOL, RawSection, frame, unframe};
 pub use gossip::{Gossip, GossipSources, Questions, fetch_members, fetch_view};
 pub use grant::{GrantReply, GrantRequest};
-pub use later::{Build, LaterDatagram, LaterReply, LaterRequest};
+pub use later::{Build, ExtensionDatagram, ExtensionReply, ExtensionRequest};
 pub use link::LinkError;
-pub use links::{PeerLinks, patience};
+pub use links::{PeerLinks, silence_timeout};
 pub use members::{Member, Members};
 pub use message::{
     Confirmations, Datagram, DrainNews, Envelope, Heartbeat, KnownDrains, KnownEngines, LoadReport,
-    MemberInfo, PassedOn, PeerReply, PeerRequest, Preparing, ReplicaStatus, ToldDrains,
+    MemberInfo, PeerReply, PeerRequest, PrepareRequest, RelayedRequest, ReplicaStatus, ToldDrains,
     ViewPosition, ViewUpdate,
 };
 pub use server::{PeerService, serve};
--- a/crates/resident/src/peer/purpose.rs
+++ b/crates/resident/src/peer/purpose.rs
@@ -2,7 +2,7 @@
 
 use ridgeworks_records::ReplicaRequest;
 
-use super::later::{LaterDatagram, LaterRequest};
+use super::later::{ExtensionDatagram, ExtensionRequest};
 use super::message::{Datagram, PeerRequest};
 use crate::traffic::Purpose;
 
@@ -10,10 +10,12 @@
 pub fn of_request(request: &PeerRequest) -> Purpose {
     match request {
         PeerRequest::Replica { request, .. } => of_replica_request(request),
-        PeerRequest::PassOn(passed) => of_replica_request(&passed.request),
+        PeerRequest::Relay(passed) => of_replica_request(&passed.request),
         PeerRequest::FetchView(_) | PeerRequest::ListMembers => Purpose::View,
-        PeerRequest::Later(LaterRequest::Grant(_)) => Purpose::Limit,
-        PeerRequest::Later(LaterRequest::FetchBuild | LaterRequest::Unknown(_)) => Purpose::View,
+        PeerRequest::Extension(ExtensionRequest::Grant(_)) => Purpose::Limit,
+        PeerRequest::Extension(ExtensionRequest::FetchBuild | ExtensionRequest::Unknown(_)) => {
+            Purpose::View
+        }
         PeerRequest::Prepare(_) => Purpose::Copy,
     }
 }
@@ -38,6 +40,6 @@
             Purpose::Place
         }
         Datagram::AskConfirmations { .. } | Datagram::Confirmed { .. } => Purpose::Proof,
-        Datagram::Later(LaterDatagram::Unknown(_)) => Purpose::Late,
+        Datagram::Extension(ExtensionDatagram::Unknown(_)) => Purpose::Late,
     }
 }
--- a/crates/resident/src/peer/server.rs
+++ b/crates/resident/src/peer/server.rs
@@ -13,7 +13,7 @@
 
 use super::codec;
 use super::encoding::{MessageKind, decode, encode, number_of};
-use super::later::LaterRequest;
+use super::later::ExtensionRequest;
 use super::message::{Envelope, PeerReply, PeerRequest};
 use super::unread::UNREAD;
 use crate::http_client::notice_silence;
@@ -104,7 +104,7 @@
 fn read(frame: &[u8], from: IpAddr) -> Option<Request> {
     match decode::<Envelope<PeerRequest>>(frame) {
         Ok(envelope) => {
-            if let PeerRequest::Later(LaterRequest::Unknown(kind)) = envelope.body {
+            if let PeerRequest::Extension(ExtensionRequest::Unknown(kind)) = envelope.body {
                 UNREAD.on_unknown(from, kind);
                 return Some(Request::NotKnown(Some(envelope.number)));
             }
--- a/crates/resident/src/process.rs
+++ b/crates/resident/src/process.rs
@@ -11,10 +11,10 @@
 use prometheus_client::registry::Registry;
 
 use crate::build;
-use crate::http_server::{self, ShortAnswer};
+use crate::http_server::{self, TextResponse};
 use crate::metrics;
 use crate::node::{Node, ReloadReason};
-use crate::shutdown::{Order, Orders};
+use crate::shutdown::{Order, Signals};
 use crate::traffic::TrafficCollector;
 
 /// How often the settings file is looked at; it may change without a signal.
@@ -62,7 +62,7 @@
     let address = SocketAddr::new(node.settings.address, port);
     let answer = move |path: &str| {
         if path != metrics_path {
-            return ShortAnswer::empty(StatusCode::NOT_FOUND);
+            return TextResponse::empty(StatusCode::NOT_FOUND);
         }
         update();
         metrics::answer(&registry)
@@ -72,7 +72,7 @@
 
 /// Says that the role has started, and reads the settings again whenever they may have changed, until the
 /// platform stops the process.
-pub async fn run_until_stopped(node: &Node, settings_path: &Path, orders: &mut Orders) {
+pub async fn run_until_stopped(node: &Node, settings_path: &Path, orders: &mut Signals) {
     let settings = &node.settings;
     let build = build::here();
     log::info!(
--- a/crates/resident/src/shutdown.rs
+++ b/crates/resident/src/shutdown.rs
@@ -15,13 +15,13 @@
 
 /// Receives signals.
 #[derive(Debug)]
-pub struct Orders {
+pub struct Signals {
     terminate: Signal,
     interrupt: Signal,
     reload: Signal,
 }
 
-impl Orders {
+impl Signals {
     /// Starts to receive signals.
     pub fn listen() -> io::Result<Self> {
         Ok(Self {
--- a/crates/resident/src/watching.rs
+++ b/crates/resident/src/store_watch.rs
@@ -1,7 +1,7 @@
 //! Follows kinds of objects in the platform's store.
 //!
 //! A watch waits for a change, and its connection may fall silent for good meanwhile. So the store is asked
-//! beside it when what is known has become too old ([`crate::watch_duty::Patience`]), and a store that did not answer is
+//! beside it when what is known has become too old ([`crate::watch_policy::WatchTimings`]), and a store that did not answer is
 //! asked without waiting until it does.
 //!
 //! An answer proves what was newest at some moment between the question and itself. So what is known counts as confirmed from when
@@ -22,7 +22,7 @@
 
 use crate::clock::whole_ms;
 use crate::store_client::{StoreClient, StoreFailure};
-use crate::watch_duty::DutySignal;
+use crate::watch_policy::WatchControl;
 
 /// Pause after changes, so that those of a moment come in one answer.
 const GATHERING: Duration = Duration::from_millis(200);
@@ -75,7 +75,7 @@
 }
 
 /// Takes in what the store holds of a kind.
-pub trait Follower {
+pub trait WatchHandler {
     /// A complete list as of this revision.
     fn on_list(&self, objects: Vec<Object>, at: u64);
     /// Changes, complete up to this revision.
@@ -95,11 +95,11 @@
 }
 
 /// Follows a kind whenever it is this node's duty, until the process ends.
-pub async fn follow(
+pub async fn watch_objects(
     store: Rc<StoreClient>,
     kind: ObjectKind,
-    follower: impl Follower,
-    duty: Rc<DutySignal>,
+    follower: impl WatchHandler,
+    duty: Rc<WatchControl>,
 ) {
     let mut state = Following {
         store,
@@ -134,7 +134,7 @@
     store: Rc<StoreClient>,
     kind: ObjectKind,
     follower: F,
-    duty: Rc<DutySignal>,
+    duty: Rc<WatchControl>,
     /// Revision up to which everything is known; `None` before the first list.
     at: Option<u64>,
     /// Whether the history since that revision is gone.
@@ -148,7 +148,7 @@
     lost_at: Instant,
 }
 
-impl<F: Follower> Following<F> {
+impl<F: WatchHandler> Following<F> {
     /// Other nodes may have told more meanwhile.
     async fn wait_for_duty(&mut self) {
         self.duty.wait_until_due().await;
--- a/crates/resident/src/traffic.rs
+++ b/crates/resident/src/traffic.rs
@@ -168,7 +168,7 @@
     }
 
     /// Counts bytes to or from an engine in this zone.
-    pub fn add_in(&self, purpose: Purpose, zone: &str, bytes: usize) {
+    pub fn add_for_zone(&self, purpose: Purpose, zone: &str, bytes: usize) {
         self.counts.add(purpose, self.reach(zone), bytes);
     }
 
--- a/crates/resident/src/view.rs
+++ b/crates/resident/src/view.rs
@@ -195,7 +195,7 @@
     }
 
     /// Time since somebody confirmed that the configuration is the newest one.
-    pub fn unconfirmed_for(&self) -> Option<Duration> {
+    pub fn confirmation_age(&self) -> Option<Duration> {
         let confirmed = self.confirmed.get()?;
         Some(self.clock.since(confirmed))
     }
@@ -214,7 +214,7 @@
     }
 
     /// Waits until the configuration is confirmed anew.
-    pub async fn confirmed_anew(&self) {
+    pub async fn wait_for_confirmation(&self) {
         self.proofs.notified().await;
     }
 
@@ -222,7 +222,7 @@
     pub fn confirmations(&self) -> Confirmations {
         Confirmations {
             version: self.version(),
-            unconfirmed_ms: self.unconfirmed_for().map(whole_ms),
+            unconfirmed_ms: self.confirmation_age().map(whole_ms),
             engines_newest: self.engines.borrow().newest(),
             engines_unconfirmed_ms: self.engines_unconfirmed_for().map(whole_ms),
             drains: self.drains.known(),
@@ -405,7 +405,7 @@
             configuration: configuration.cloned(),
             engines,
             groups: groups.map(|groups| ReplicaGroups::clone(&groups)),
-            unconfirmed_ms: self.unconfirmed_for().map(whole_ms),
+            unconfirmed_ms: self.confirmation_age().map(whole_ms),
             engines_unconfirmed_ms: self.engines_unconfirmed_for().map(whole_ms),
             drains: self
                 .drains
--- a/crates/resident/src/view/drains.rs
+++ b/crates/resident/src/view/drains.rs
@@ -57,7 +57,7 @@
     }
 
     /// For how long this node has known that a zone is drained.
-    pub fn stood_for(&self, zone: &str) -> Option<Duration> {
+    pub fn drained_for(&self, zone: &str) -> Option<Duration> {
         let since = self.since.borrow().get(zone).copied()?;
         Some(self.clock.since(since))
     }
@@ -68,7 +68,7 @@
     }
 
     /// Time since somebody confirmed that there is no newer change.
-    pub fn unconfirmed_for(&self) -> Option<Duration> {
+    pub fn confirmation_age(&self) -> Option<Duration> {
         let confirmed = self.confirmed.get()?;
         Some(self.clock.since(confirmed))
     }
@@ -97,7 +97,7 @@
         let newest = self.table.borrow().as_ref()?.newest();
         Some(KnownDrains {
             newest,
-            unconfirmed_ms: self.unconfirmed_for().map(whole_ms),
+            unconfirmed_ms: self.confirmation_age().map(whole_ms),
         })
     }
 
@@ -107,7 +107,7 @@
         let table = table.as_ref()?;
         Some(ToldDrains {
             table: ZoneDrains::clone(table),
-            unconfirmed_ms: self.unconfirmed_for().map(whole_ms),
+            unconfirmed_ms: self.confirmation_age().map(whole_ms),
         })
     }
 
@@ -130,7 +130,7 @@
 
 impl View {
     /// When this node heard that a zone was taken back last; its engines may have lost what they held.
-    pub fn zone_returned(&self, zone: &str) -> Option<Moment> {
+    pub fn zone_restored_at(&self, zone: &str) -> Option<Moment> {
         self.drains.returned.borrow().get(zone).copied()
     }
 
@@ -203,7 +203,7 @@
     fn log_drain(&self, zone: &str, revision: u64, source: Source, message: &str) {
         let engines = self.engines.borrow();
         let engines = engines.engines().filter(|engine| engine.zone == zone);
-        let age_ms = self.drains.unconfirmed_for().map(whole_ms);
+        let age_ms = self.drains.confirmation_age().map(whole_ms);
         log::info!(
             target: "belief",
             zone = zone,
--- a/crates/resident/src/watch_duty.rs
+++ b/crates/resident/src/watch_policy.rs
@@ -12,7 +12,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::peer::Member;
-use crate::watching::ANSWER_TIMEOUT;
+use crate::store_watch::ANSWER_TIMEOUT;
 
 /// Gateways up to which all of them watch.
 pub const SMALL_FLEET: usize = 12;
@@ -160,14 +160,14 @@
 
     /// How patient the node is with the store. In a large fleet the answers to watches are what keeps the
     /// knowledge of the others from being stale.
-    pub fn patience(&self, place: Place) -> Patience {
+    pub fn patience(&self, place: Place) -> WatchTimings {
         match place {
-            Place::All => Patience {
+            Place::All => WatchTimings {
                 wait: LONG_WAIT,
                 check_after: self.check_after,
                 longest_pause: LONGEST_PAUSE,
             },
-            Place::Chosen | Place::Other => Patience {
+            Place::Chosen | Place::Other => WatchTimings {
                 wait: self.wait.min(LONG_WAIT),
                 check_after: self.large_check_after,
                 longest_pause: match place {
@@ -183,7 +183,7 @@
 /// nothing; then the store is asked beside it. A watch alone cannot tell "nothing has changed" from a connection that
 /// fell silent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Patience {
+pub struct WatchTimings {
     /// How long a watch waits for a change.
     pub wait: Duration,
     /// Age of what is known from which on the store is asked beside a watch.
@@ -192,7 +192,7 @@
     pub longest_pause: Duration,
 }
 
-impl Patience {
+impl WatchTimings {
     /// For orders to empty a machine.
     pub const RETIREMENTS: Self = Self {
         wait: LONG_WAIT,
@@ -208,14 +208,14 @@
 
 /// The decision in force, for those that follow the store.
 #[derive(Debug)]
-pub struct DutySignal {
+pub struct WatchControl {
     is_due: watch::Sender<bool>,
-    patience: Cell<Patience>,
+    patience: Cell<WatchTimings>,
 }
 
-impl DutySignal {
+impl WatchControl {
     /// A signal that is not due until it is set.
-    pub fn new(patience: Patience) -> Self {
+    pub fn new(patience: WatchTimings) -> Self {
         Self {
             is_due: watch::Sender::new(false),
             patience: Cell::new(patience),
@@ -223,7 +223,7 @@
     }
 
     /// Sets the decision; says whether it is another one than before.
-    pub fn set(&self, is_due: bool, patience: Patience) -> bool {
+    pub fn set(&self, is_due: bool, patience: WatchTimings) -> bool {
         self.patience.set(patience);
         self.is_due.send_replace(is_due) != is_due
     }
@@ -234,7 +234,7 @@
     }
 
     /// How patient the node is with the store.
-    pub fn patience(&self) -> Patience {
+    pub fn patience(&self) -> WatchTimings {
         self.patience.get()
     }
 
--- a/crates/resident/tests/confirmations.rs
+++ b/crates/resident/tests/confirmations.rs
@@ -125,7 +125,7 @@
         send(&peer, node.settings.peer_address(), &heartbeat(from, 0)).await;
         // The node has read it once it asks.
         question(&peer).await;
-        assert_eq!(node.view.unconfirmed_for(), None);
+        assert_eq!(node.view.confirmation_age(), None);
     });
 }
 
@@ -153,14 +153,14 @@
         };
         send(&peer, address, &answer).await;
         let confirmed = async {
-            while node.view.unconfirmed_for().is_none() {
+            while node.view.confirmation_age().is_none() {
                 sleep(Duration::from_millis(1)).await;
             }
         };
         timeout(PATIENCE, confirmed)
             .await
             .expect("the node takes the answer");
-        let age = node.view.unconfirmed_for().expect("just confirmed");
+        let age = node.view.confirmation_age().expect("just confirmed");
         assert!(age >= Duration::from_millis(500) + late, "{age:?}");
         // A second answer to the same question counts for nothing.
         let again = Datagram::Confirmed {
@@ -171,7 +171,7 @@
         sleep(Duration::from_millis(50)).await;
         assert!(
             node.view
-                .unconfirmed_for()
+                .confirmation_age()
                 .is_some_and(|age| age >= Duration::from_millis(500))
         );
     });
--- a/crates/resident/tests/drains.rs
+++ b/crates/resident/tests/drains.rs
@@ -58,11 +58,11 @@
     one.adopt_drains(listed(&[ZONE], 10), Source::Store);
     fetch(&one, &other, Duration::ZERO);
     assert!(is_drained(&other));
-    assert!(other.zone_returned(ZONE).is_none());
+    assert!(other.zone_restored_at(ZONE).is_none());
     one.change_drains(&[(ZONE.to_owned(), None)], 12, Source::Store);
     fetch(&one, &other, Duration::ZERO);
     assert!(!is_drained(&other));
-    assert!(other.zone_returned(ZONE).is_some());
+    assert!(other.zone_restored_at(ZONE).is_some());
 }
 
 /// An answer may have waited for any time at a process that was frozen.
@@ -72,7 +72,7 @@
     one.adopt_drains(listed(&[], 10), Source::Store);
     one.drains.confirm_as_of(Duration::ZERO);
     fetch(&one, &other, AGE);
-    let age = other.drains.unconfirmed_for().expect("a proof");
+    let age = other.drains.confirmation_age().expect("a proof");
     assert!(age >= AGE, "{age:?}");
 }
 
@@ -85,12 +85,12 @@
     one.drains.confirm_as_of(Duration::ZERO);
     let told = one.confirmations();
     other.confirm(&told, Duration::ZERO);
-    assert!(other.drains.unconfirmed_for().is_none());
+    assert!(other.drains.confirmation_age().is_none());
     let known = told.drains.expect("a table is known");
     assert!(other.drains.lack(&known));
     fetch(&one, &other, Duration::ZERO);
     assert!(!is_drained(&other));
-    assert!(other.drains.unconfirmed_for().is_some());
+    assert!(other.drains.confirmation_age().is_some());
 }
 
 /// A node that the store and others have told the same by turns, the older after the newer.
@@ -110,7 +110,7 @@
     let both = [(ZONE.to_owned(), Some(11)), (ZONE.to_owned(), None)];
     view.change_drains(&both, 12, Source::Store);
     assert!(!is_drained(&view));
-    assert!(view.zone_returned(ZONE).is_some());
+    assert!(view.zone_restored_at(ZONE).is_some());
 }
 
 #[test]
@@ -128,10 +128,10 @@
     let view = view();
     view.adopt_drains(listed(&[ZONE], 10), Source::Store);
     view.adopt_drains(listed(&[], 12), Source::Peer);
-    let returned = view.zone_returned(ZONE);
+    let returned = view.zone_restored_at(ZONE);
     std::thread::sleep(Duration::from_millis(5));
     view.change_drains(&[(ZONE.to_owned(), None)], 12, Source::Store);
-    assert_eq!(view.zone_returned(ZONE), returned);
+    assert_eq!(view.zone_restored_at(ZONE), returned);
 }
 
 #[test]
--- a/crates/resident/tests/golden_messages.rs
+++ b/crates/resident/tests/golden_messages.rs
@@ -12,8 +12,8 @@
 use ridgeworks_records::GroupId;
 use ridgeworks_resident::node::MemberRecord;
 use ridgeworks_resident::peer::{
-    Build, Datagram, Envelope, GrantReply, GrantRequest, LaterReply, LaterRequest, PeerReply,
-    PeerRequest, ViewUpdate, decode, encode, unframe,
+    Build, Datagram, Envelope, ExtensionReply, ExtensionRequest, GrantReply, GrantRequest,
+    PeerReply, PeerRequest, ViewUpdate, decode, encode, unframe,
 };
 use ridgeworks_routing::{Residency, WarmUpLimit};
 use rkyv::rancor::Error;
@@ -186,14 +186,14 @@
 
 #[test]
 fn later_kinds_keep_their_form() {
-    let asked = enveloped(PeerRequest::Later(LaterRequest::FetchBuild));
+    let asked = enveloped(PeerRequest::Extension(ExtensionRequest::FetchBuild));
     check_frame!(Envelope<PeerRequest>, "request-fetch-build", asked);
     let build = Build {
         commit: "c0ffee".to_owned(),
         protocol: 1,
         disk: 0,
     };
-    let told = enveloped(PeerReply::Later(LaterReply::Build(build)));
+    let told = enveloped(PeerReply::Extension(ExtensionReply::Build(build)));
     check_frame!(Envelope<PeerReply>, "reply-build", told);
     let grant = GrantRequest {
         group: GroupId(2),
@@ -201,7 +201,7 @@
         per_ks: 19_000,
         version: 9,
     };
-    let asked = enveloped(PeerRequest::Later(LaterRequest::Grant(grant)));
+    let asked = enveloped(PeerRequest::Extension(ExtensionRequest::Grant(grant)));
     check_frame!(Envelope<PeerRequest>, "request-grant", asked);
     for (name, reply) in [
         ("reply-grant-granted", GrantReply::Granted),
@@ -214,7 +214,7 @@
         ),
         ("reply-grant-not-member", GrantReply::NotMember),
     ] {
-        let told = enveloped(PeerReply::Later(LaterReply::Grant(reply)));
+        let told = enveloped(PeerReply::Extension(ExtensionReply::Grant(reply)));
         check_frame!(Envelope<PeerReply>, name, told);
     }
 }
--- a/crates/resident/tests/later_messages.rs
+++ b/crates/resident/tests/later_messages.rs
@@ -11,9 +11,9 @@
 use bytes::Bytes;
 use futures_util::{SinkExt, StreamExt};
 use ridgeworks_resident::peer::{
-    Build, Datagram, Envelope, LaterDatagram, LaterReply, LaterRequest, LinkError, MessageKind,
-    PeerLinks, PeerReply, PeerRequest, PeerService, decode, encode, frame, number_of, serve,
-    unframe,
+    Build, Datagram, Envelope, ExtensionDatagram, ExtensionReply, ExtensionRequest, LinkError,
+    MessageKind, PeerLinks, PeerReply, PeerRequest, PeerService, decode, encode, frame, number_of,
+    serve, unframe,
 };
 use support::{free_address, run};
 use tokio::net::{TcpListener, TcpStream};
@@ -39,8 +39,8 @@
     fn on_request(&self, request: PeerRequest, reply: oneshot::Sender<PeerReply>) {
         let answer = match request {
             PeerRequest::ListMembers => PeerReply::Members(Vec::new()),
-            PeerRequest::Later(LaterRequest::FetchBuild) => {
-                PeerReply::Later(LaterReply::Build(build()))
+            PeerRequest::Extension(ExtensionRequest::FetchBuild) => {
+                PeerReply::Extension(ExtensionReply::Build(build()))
             }
             _ => PeerReply::Unsupported,
         };
@@ -85,9 +85,9 @@
     run(async {
         let node = node().await;
         let links = PeerLinks::default();
-        let request = PeerRequest::Later(LaterRequest::FetchBuild);
+        let request = PeerRequest::Extension(ExtensionRequest::FetchBuild);
         let answer = links.call(node, request, TIMEOUT).await;
-        let expected = PeerReply::Later(LaterReply::Build(build()));
+        let expected = PeerReply::Extension(ExtensionReply::Build(build()));
         assert_eq!(answer, Ok(expected));
     });
 }
@@ -95,12 +95,12 @@
 /// What a node of the first protocol version reads is the body alone.
 #[test]
 fn a_later_message_stands_beside_a_body_that_does_no_harm() {
-    let bytes = request(7, PeerRequest::Later(LaterRequest::FetchBuild));
+    let bytes = request(7, PeerRequest::Extension(ExtensionRequest::FetchBuild));
     let parts = unframe(&bytes).expect("whole").expect("framed");
     let body: Envelope<PeerRequest> = decode(parts.body).expect("a message of the first version");
     assert_eq!(body.body, PeerRequest::ListMembers);
     assert_eq!(body.number, 7);
-    let bytes = reply(7, PeerReply::Later(LaterReply::Build(build())));
+    let bytes = reply(7, PeerReply::Extension(ExtensionReply::Build(build())));
     let parts = unframe(&bytes).expect("whole").expect("framed");
     let body: Envelope<PeerReply> = decode(parts.body).expect("a message of the first version");
     assert_eq!(body.body, PeerReply::Unsupported);
@@ -181,5 +181,8 @@
     };
     let bytes = foreign(MessageKind::Datagram, &encode(&harmless).expect("small"));
     let read: Datagram = decode(&bytes).expect("a datagram");
-    assert_eq!(read, Datagram::Later(LaterDatagram::Unknown(FOREIGN)));
+    assert_eq!(
+        read,
+        Datagram::Extension(ExtensionDatagram::Unknown(FOREIGN))
+    );
 }
--- a/crates/resident/tests/mixed_versions.rs
+++ b/crates/resident/tests/mixed_versions.rs
@@ -26,7 +26,7 @@
 };
 use ridgeworks_resident::settings::NodeSettings;
 use ridgeworks_resident::view::{Source, View};
-use ridgeworks_resident::watch_duty::Place;
+use ridgeworks_resident::watch_policy::Place;
 use ridgeworks_routing::PrefillRecord;
 use support::{free_address, run};
 use tokio::net::UdpSocket;
@@ -80,7 +80,7 @@
     view.adopt_update(first_version(), Duration::ZERO);
     assert_eq!(view.version(), 42);
     assert!(view.engines_known());
-    assert!(view.unconfirmed_for().is_some());
+    assert!(view.confirmation_age().is_some());
     assert!(view.takes_from(0));
 }
 
@@ -90,7 +90,7 @@
     view.adopt_update(first_version(), Duration::ZERO);
     assert_eq!(view.version(), 0);
     assert!(!view.engines_known());
-    assert_eq!(view.unconfirmed_for(), None, "nothing is confirmed by it");
+    assert_eq!(view.confirmation_age(), None, "nothing is confirmed by it");
     assert_eq!(view.epoch(), samples::groups().epoch(), "sets lack nothing");
     assert!(!view.takes_from(0));
 }
@@ -114,7 +114,7 @@
     view.adopt_update(told_by(&informed()), Duration::ZERO);
     assert_eq!(view.version(), 42);
     assert!(view.engines_known());
-    assert!(view.unconfirmed_for().is_some());
+    assert!(view.confirmation_age().is_some());
 }
 
 #[test]
--- a/crates/resident/tests/mutated_messages.rs
+++ b/crates/resident/tests/mutated_messages.rs
@@ -13,8 +13,8 @@
 
 use ridgeworks_resident::node::MemberRecord;
 use ridgeworks_resident::peer::{
-    Build, Datagram, Envelope, LaterReply, LaterRequest, MessageKind, PeerReply, PeerRequest,
-    decode, encode, frame, number_of, unframe,
+    Build, Datagram, Envelope, ExtensionReply, ExtensionRequest, MessageKind, PeerReply,
+    PeerRequest, decode, encode, frame, number_of, unframe,
 };
 use ridgeworks_routing::{Residency, WarmUpLimit};
 use xxhash_rust::xxh3::xxh3_64;
@@ -47,7 +47,7 @@
 }
 
 fn framed() -> Vec<Vec<u8>> {
-    let later = PeerRequest::Later(LaterRequest::FetchBuild);
+    let later = PeerRequest::Extension(ExtensionRequest::FetchBuild);
     let requests = samples::requests().into_iter().chain([later]);
     let requests = requests.map(|request| encode(&enveloped(request)));
     let build = Build {
@@ -55,7 +55,7 @@
         protocol: 1,
         disk: 0,
     };
-    let later = PeerReply::Later(LaterReply::Build(build));
+    let later = PeerReply::Extension(ExtensionReply::Build(build));
     let replies = samples::replies().into_iter().chain([later, extended()]);
     let replies = replies.map(|reply| encode(&enveloped(reply)));
     let datagrams = samples::datagrams();
--- a/crates/resident/tests/support/samples.rs
+++ b/crates/resident/tests/support/samples.rs
@@ -10,8 +10,8 @@
     TurnId, TurnRecord,
 };
 use ridgeworks_resident::peer::{
-    Confirmations, Datagram, Heartbeat, KnownEngines, LoadReport, MemberInfo, PassedOn, PeerReply,
-    PeerRequest, Preparing, ReplicaStatus, ViewPosition, ViewUpdate,
+    Confirmations, Datagram, Heartbeat, KnownEngines, LoadReport, MemberInfo, PeerReply,
+    PeerRequest, PrepareRequest, RelayedRequest, ReplicaStatus, ViewPosition, ViewUpdate,
 };
 use ridgeworks_routing::{
     CallerLimits, Engine, EngineChanges, EngineEntry, EngineState, KeyDigest, ModelEngine,
@@ -219,14 +219,14 @@
     });
     let others = [
         PeerRequest::ListMembers,
-        PeerRequest::PassOn(Box::new(PassedOn {
+        PeerRequest::Relay(Box::new(RelayedRequest {
             address: address(7_001),
             to: REPLICA,
             request: ReplicaRequest::Fetch {
                 turns: vec![turn("t1")],
             },
         })),
-        PeerRequest::Prepare(Box::new(Preparing {
+        PeerRequest::Prepare(Box::new(PrepareRequest {
             to: REPLICA,
             group: GROUP,
             groups: groups(),
@@ -249,9 +249,9 @@
             format!("fetch-view-{engines}")
         }
         PeerRequest::ListMembers => "list-members".to_owned(),
-        PeerRequest::PassOn(_) => "pass-on".to_owned(),
+        PeerRequest::Relay(_) => "pass-on".to_owned(),
         PeerRequest::Prepare(_) => "prepare".to_owned(),
-        PeerRequest::Later(_) => "later".to_owned(), // not in version 0
+        PeerRequest::Extension(_) => "later".to_owned(), // not in version 0
     }
 }
 
@@ -393,7 +393,7 @@
         PeerReply::View(empty),
         PeerReply::Members(vec![member()]),
         PeerReply::Unsupported,
-        PeerReply::Unreached,
+        PeerReply::RelayFailed,
         PeerReply::Prepared { is_ready: true },
     ];
     of_replica.chain(others).collect()
@@ -406,9 +406,9 @@
         PeerReply::View(_) => "view-empty".to_owned(),
         PeerReply::Members(_) => "members".to_owned(),
         PeerReply::Unsupported => "unsupported".to_owned(),
-        PeerReply::Unreached => "unreached".to_owned(),
+        PeerReply::RelayFailed => "unreached".to_owned(),
         PeerReply::Prepared { .. } => "prepared".to_owned(),
-        PeerReply::Later(_) => "later".to_owned(), // not in version 0
+        PeerReply::Extension(_) => "later".to_owned(), // not in version 0
     }
 }
 
@@ -485,6 +485,6 @@
         Datagram::AskConfirmations { .. } => "ask-confirmations",
         Datagram::Confirmed { .. } => "confirmed",
         Datagram::FoundRead { .. } => "found-read",
-        Datagram::Later(_) => "later", // not in version 0
+        Datagram::Extension(_) => "later", // not in version 0
     }
 }
--- a/crates/resident/tests/traffic.rs
+++ b/crates/resident/tests/traffic.rs
@@ -35,7 +35,7 @@
         traffic.add(Purpose::Append, ip(last), 10 * usize::from(last));
     }
     traffic.add(Purpose::Append, ip(9), 5);
-    traffic.add_in(Purpose::EngineRequest, "zone-c", 7);
+    traffic.add_for_zone(Purpose::EngineRequest, "zone-c", 7);
     let count = |purpose, reach| traffic.counts.get(purpose, reach);
     assert_eq!(count(Purpose::Append, Reach::Zone), 10);
     assert_eq!(count(Purpose::Append, Reach::Region), 20);
@@ -53,7 +53,7 @@
 #[test]
 fn the_counts_are_told_with_their_labels() {
     let traffic = traffic();
-    traffic.add_in(Purpose::Chain, "zone-c", 41);
+    traffic.add_for_zone(Purpose::Chain, "zone-c", 41);
     let mut registry = Registry::default();
     registry.register_collector(Box::new(TrafficCollector(traffic.counts)));
     let mut text = String::new();
--- a/crates/resident/tests/watch_duty.rs
+++ b/crates/resident/tests/watch_policy.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use ridgeworks_resident::peer::{Member, MemberInfo};
-use ridgeworks_resident::watch_duty::{Place, WatchDuty, place};
+use ridgeworks_resident::watch_policy::{Place, WatchDuty, place};
 
 const BOUND: Duration = Duration::from_millis(2_000);
 const LATER: Duration = Duration::from_secs(30);
