--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -8,7 +8,9 @@
 use http::{HeaderMap, Request, StatusCode};
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Incoming;
-use ridgeworks_platform::{EngineHead, EngineOrder, engine_headers, read_engine_head};
+use ridgeworks_platform::{
+    EngineRequestMetadata, EngineResponseHead, engine_headers, read_engine_response_head,
+};
 use ridgeworks_quota::Grant;
 use ridgeworks_resident::http_client::{ConnectError, Connection};
 use ridgeworks_routing::{Engine, Exclusion, Outcome};
@@ -92,7 +94,7 @@
     /// Headers of the answer.
     pub headers: HeaderMap,
     /// What the head says.
-    pub head: EngineHead,
+    pub head: EngineResponseHead,
     /// The body, not read yet.
     pub body: Incoming,
     /// The request's stay at the engine.
@@ -154,7 +156,7 @@
             Ok(response) => {
                 at_engine.on_sent(sending.body.len());
                 let (parts, body) = response.into_parts();
-                let head = read_engine_head(parts.status.as_u16(), &parts.headers);
+                let head = read_engine_response_head(parts.status.as_u16(), &parts.headers);
                 gateway.warm_ups.on_answer(engine, head.warm_up);
                 let answered = Answered {
                     status: parts.status,
@@ -202,7 +204,7 @@
 fn build_request(engine: &Engine, sending: &Sending<'_>) -> Request<Full<Bytes>> {
     let call = sending.call;
     let remaining = call.limit.saturating_duration_since(Instant::now());
-    let order = EngineOrder {
+    let order = EngineRequestMetadata {
         remaining: remaining.max(Duration::from_millis(1)),
         instance: &engine.instance,
         priority: call.priority(),
@@ -231,7 +233,7 @@
     }
     let echoed = answered.head.request_id.as_deref();
     let is_ours = echoed.is_none_or(|id| id == call.metadata.request_id);
-    if is_ours && answered.head.sealed {
+    if is_ours && answered.head.is_signed {
         Ok(answered)
     } else {
         Err(AttemptFailure::Garbled)
--- a/crates/node/tests/resident_cancel.rs
+++ b/crates/node/tests/resident_cancel.rs
@@ -26,7 +26,7 @@
     wait_until("the engine was asked", || {
         number += 1;
         let id = format!("r-{number}");
-        make(&id).leave_after_time(gateway, WAITS);
+        make(&id).disconnect_after_time(gateway, WAITS);
         engine.runs().len() > before
     });
     let left = Instant::now();
@@ -79,7 +79,7 @@
         .replicas
         .iter()
         .for_each(|replica| replica.signal(Signal::STOP));
-    turn("left").leave_after_time(gateway, WAITS);
+    turn("left").disconnect_after_time(gateway, WAITS);
     deployment
         .replicas
         .iter()
--- a/crates/node/tests/resident_drains.rs
+++ b/crates/node/tests/resident_drains.rs
@@ -29,7 +29,7 @@
 
 fn deployment(gateways: u8, replicas: u8) -> Deployment {
     Deployment::new(PROGRAM)
-        .draining_within(BOUND)
+        .with_zone_drain_bound(BOUND)
         .with_nodes(gateways, replicas)
 }
 
@@ -95,7 +95,7 @@
     }
 
     fn assert_taken_back(&self) {
-        self.deployment.take_zone_back(ZONE);
+        self.deployment.cancel_zone_drain(ZONE);
         self.wait_until_all_say(TAKEN_BACK);
         self.wait_until_used(&self.a);
     }
@@ -199,7 +199,7 @@
         .expect("seconds");
     assert!((1.0..=30.0).contains(&after), "{after}");
     assert_eq!(zones.served(), before);
-    zones.deployment.take_zone_back(OTHER_ZONE);
+    zones.deployment.cancel_zone_drain(OTHER_ZONE);
     wait_until("it is taken back", || gateway.has_logged(TAKEN_BACK));
     zones.assert_passed_over(&zones.a);
 }
@@ -207,8 +207,8 @@
 /// The engine elsewhere is none that the request may go to, so that nothing is left to wait for.
 #[test]
 fn a_request_whose_regions_are_drained_refuses_at_once() {
-    let mut deployment = Deployment::of_regions(PROGRAM)
-        .draining_within(BOUND)
+    let mut deployment = Deployment::new_with_regions(PROGRAM)
+        .with_zone_drain_bound(BOUND)
         .with_nodes(1, 0);
     deployment.set_residency("tool", &["north"]);
     let _home = deployment.engine_in("zone-a", "tools", "i-a", ok());
@@ -255,7 +255,7 @@
     for _ in 0..20 {
         assert_eq!(turn("again"), 503);
     }
-    deployment.take_zone_back(ZONE);
+    deployment.cancel_zone_drain(ZONE);
     wait_until("it is over", || gateway.has_logged(TAKEN_BACK));
     assert_eq!(turn("again"), 200);
 }
@@ -333,7 +333,7 @@
 #[test]
 fn a_gateway_that_nobody_tells_of_drains_follows_them_itself() {
     let others = Deployment::started(PROGRAM, 17, 0);
-    let mut deployment = others.draining_within(BOUND);
+    let mut deployment = others.with_zone_drain_bound(BOUND);
     deployment.add_gateway().start();
     deployment.wait_until_ready_gateways();
     deployment.drain_zone(ZONE);
@@ -343,7 +343,7 @@
     assert!(ordered.elapsed() < BOUND, "{:?}", ordered.elapsed());
     // For longer than a start's first questions last.
     std::thread::sleep(BOUND);
-    deployment.take_zone_back(ZONE);
+    deployment.cancel_zone_drain(ZONE);
     let ended = Instant::now();
     wait_until("it knows the end", || alone.has_logged(TAKEN_BACK));
     assert!(ended.elapsed() < BOUND, "{:?}", ended.elapsed());
@@ -425,7 +425,7 @@
         times_logged(gateway, DRAINED) == 3
     });
     assert_eq!(status_of(gateway.callers()).status, 503);
-    zones.deployment.take_zone_back(ZONE);
+    zones.deployment.cancel_zone_drain(ZONE);
     wait_until("one is taken back", || gateway.has_logged(TAKEN_BACK));
     zones.assert_passed_over(&zones.b);
 }
@@ -436,7 +436,7 @@
     zones.assert_drained_in_time();
     let link = &zones.deployment.store_link;
     link.set_fault(fault);
-    zones.deployment.take_zone_back(ZONE);
+    zones.deployment.cancel_zone_drain(ZONE);
     meanwhile(&zones.deployment);
     zones.assert_passed_over(&zones.a);
     link.set_fault(LinkFault::None);
@@ -473,9 +473,9 @@
 #[test]
 fn a_gateway_that_never_reaches_the_store_hears_of_orders_from_others() {
     let mut zones = TwoZones::start(2);
-    let away = zones.deployment.another_store_link();
+    let away = zones.deployment.new_store_link();
     away.set_fault(LinkFault::Reset);
-    zones.deployment.add_gateway_by(&away).start();
+    zones.deployment.add_gateway_via(&away).start();
     zones.deployment.wait_until_ready_gateways();
     zones.assert_drained_in_time();
     zones.assert_taken_back();
@@ -490,7 +490,7 @@
     zones.deployment.drain_zone(ZONE);
     let awake = &zones.deployment.gateways[0];
     wait_until("the order is known", || awake.has_logged(DRAINED));
-    zones.deployment.take_zone_back(ZONE);
+    zones.deployment.cancel_zone_drain(ZONE);
     wait_until("it is over", || awake.has_logged(TAKEN_BACK));
     zones.deployment.drain_zone(OTHER_ZONE);
     wait_until("the next order is known", || {
@@ -517,7 +517,7 @@
         watching.count() == WATCHERS
     });
     // Ends the watches that nodes made at their start.
-    zones.deployment.take_zone_back(ZONE);
+    zones.deployment.cancel_zone_drain(ZONE);
     zones.wait_until_all_say(TAKEN_BACK);
     let store = &zones.deployment.store;
     let (drains, configuration) = (store.calls_of(DRAINS), store.calls_of("config"));
--- a/crates/node/tests/resident_engines.rs
+++ b/crates/node/tests/resident_engines.rs
@@ -16,7 +16,7 @@
 }
 
 fn list(deployment: &Deployment, engine: &EngineStandIn, born_ms: u64) {
-    let entry = engine.entry_born("tools", "ready", born_ms);
+    let entry = engine.entry_started_at("tools", "ready", born_ms);
     deployment.store.put("servers", engine.instance(), entry);
 }
 
--- a/crates/node/tests/resident_fleet.rs
+++ b/crates/node/tests/resident_fleet.rs
@@ -36,7 +36,7 @@
     let (mut deployment, engine) = fleet();
     let calls = deployment.store.calls();
     let began = Instant::now();
-    deployment.move_routes("/moved/");
+    deployment.configure_with_prefix("/moved/");
     let next = deployment.engine("tools", "i-2", ok());
     let entry = engine.entry("tools", "draining");
     deployment.store.put("servers", "i-1", entry);
@@ -89,7 +89,7 @@
 fn when_all_watchers_die_others_take_over_within_the_bound() {
     let (mut deployment, _engine) = fleet();
     // Ends the watches that nodes made at their start.
-    deployment.move_routes("/first/");
+    deployment.configure_with_prefix("/first/");
     wait_until("all serve the first change", || {
         deployment.all_serve("/first/x")
     });
@@ -98,7 +98,7 @@
         deployment.gateways[*index].kill();
     }
     let began = Instant::now();
-    deployment.move_routes("/moved/");
+    deployment.configure_with_prefix("/moved/");
     let left: Vec<&Process> = (0..deployment.gateways.len())
         .filter(|index| !watchers.contains(index))
         .map(|index| &deployment.gateways[index])
--- a/crates/node/tests/resident_lifecycle.rs
+++ b/crates/node/tests/resident_lifecycle.rs
@@ -276,7 +276,7 @@
         log.iter()
             .any(|line| line["message"] == "settings reloaded")
     });
-    deployment.gateways[0].spoil_settings();
+    deployment.gateways[0].corrupt_settings();
     deployment.gateways[0].signal(Signal::HUP);
     wait_until("the fault is told", || {
         let log = deployment.gateways[0].log();
@@ -385,7 +385,7 @@
     let deployment = Deployment::started(PROGRAM, 1, 1);
     let [gateway, replica] = [&deployment.gateways[0], &deployment.replicas[0]];
     wait_until("they hear each other", || {
-        gateway.has_heard(replica) && replica.has_heard(gateway)
+        gateway.has_discovered(replica) && replica.has_discovered(gateway)
     });
     let told = std::process::Command::new(PROGRAM)
         .args(["versions", &gateway.peers().to_string()])
--- a/crates/node/tests/resident_quotas.rs
+++ b/crates/node/tests/resident_quotas.rs
@@ -169,7 +169,7 @@
 fn a_request_that_did_not_run_gives_back_what_it_took() {
     let (deployment, engine) = fleet(1, 1);
     let gateway = deployment.gateways[0].callers();
-    engine.set_script(Script::always(Answer::Rejects(503)));
+    engine.set_script(Script::always(Answer::NotExecuted(503)));
     let post = |id: &str| call_post("/once/x", id, "order").header(CREDENTIAL, "key-1");
     for number in 0..3 {
         let reply = post(&format!("r-{number}"))
--- a/crates/node/tests/resident_records.rs
+++ b/crates/node/tests/resident_records.rs
@@ -62,7 +62,7 @@
         .expect("an answer");
     assert_eq!(reply.status, 404);
     engine.set_script(Script::first(
-        [Answer::BreaksAfter { events: 1 }],
+        [Answer::TruncatedStream { events: 1 }],
         Answer::Silent,
     ));
     let broken = turn("t-3", Some("t-1"), "x")
@@ -532,7 +532,7 @@
     for replica in &deployment.replicas {
         replica.signal(Signal::STOP);
     }
-    budgeted("b-1", "p", 30, 20).leave_after_time(gateway, Duration::from_millis(150));
+    budgeted("b-1", "p", 30, 20).disconnect_after_time(gateway, Duration::from_millis(150));
     for replica in &deployment.replicas {
         replica.signal(Signal::CONT);
     }
--- a/crates/node/tests/resident_regions.rs
+++ b/crates/node/tests/resident_regions.rs
@@ -107,7 +107,7 @@
 
 /// One gateway in the south, and an engine in each region that the gateway knows.
 fn deployment() -> (Deployment, Engines) {
-    let deployment = Deployment::started_in_regions(PROGRAM, 1, 0);
+    let deployment = Deployment::started_with_regions(PROGRAM, 1, 0);
     let engines = Engines::start(&deployment, "tools", &ok());
     engines.wait_until_known(&deployment.gateways[0]);
     (deployment, engines)
@@ -228,7 +228,7 @@
 
 #[test]
 fn an_engine_in_a_zone_that_nobody_names_gets_nothing_of_a_region() {
-    let deployment = Deployment::started_in_regions(PROGRAM, 1, 0);
+    let deployment = Deployment::started_with_regions(PROGRAM, 1, 0);
     let far = deployment.engine_in("zone-x", "tools", "i-far", ok());
     let gateway = deployment.gateways[0].callers();
     send_until_served(gateway, &call_get("/tool/x", "warm"));
@@ -243,8 +243,8 @@
 /// A stream that was broken off in its region is taken up there, or not at all.
 #[test]
 fn a_broken_stream_is_taken_up_in_its_region_alone() {
-    let mut deployment = Deployment::started_in_regions(PROGRAM, 1, 0);
-    let breaks = Script::always(Answer::BreaksAfter { events: 3 });
+    let mut deployment = Deployment::started_with_regions(PROGRAM, 1, 0);
+    let breaks = Script::always(Answer::TruncatedStream { events: 3 });
     let streams = Script::always(Answer::Stream {
         events: 8,
         gap_ms: 2,
@@ -283,7 +283,7 @@
 /// The engine may have run it, but since then it is in no region of the request any more.
 #[test]
 fn a_stream_is_not_taken_up_where_its_region_is_no_longer_allowed() {
-    let mut deployment = Deployment::started_in_regions(PROGRAM, 1, 0);
+    let mut deployment = Deployment::started_with_regions(PROGRAM, 1, 0);
     let streams = Script::always(Answer::Stream {
         events: 2_000,
         gap_ms: 2,
@@ -320,7 +320,7 @@
 /// Replicas stand in all three regions, and copies go to whichever of them has a place in the group.
 #[test]
 fn turns_that_must_stay_in_a_region_are_not_kept_outside() {
-    let mut deployment = Deployment::started_in_regions(PROGRAM, 1, 3);
+    let mut deployment = Deployment::started_with_regions(PROGRAM, 1, 3);
     let streams = Script::always(Answer::Stream {
         events: 2,
         gap_ms: 2,
@@ -330,7 +330,7 @@
     let marked = |deployment: &Deployment| {
         let names = deployment.replicas.iter().map(|replica| &replica.name);
         names
-            .filter(|name| deployment.disk_holds(name, MARK))
+            .filter(|name| deployment.disk_contains(name, MARK))
             .count()
     };
     apply(
--- a/crates/node/tests/resident_requests.rs
+++ b/crates/node/tests/resident_requests.rs
@@ -103,12 +103,12 @@
 #[test]
 fn what_must_run_once_is_sent_once_whatever_the_engine_does() {
     let faults = [
-        Answer::LosesAnswer,
+        Answer::ClosesWithoutResponse,
         Answer::Resets,
         Answer::Garbage,
         Answer::Unsigned("x".to_owned()),
         Answer::WrongRequest("x".to_owned()),
-        Answer::CutShort("x".to_owned()),
+        Answer::Truncated("x".to_owned()),
     ];
     for fault in faults {
         let (status, runs) = one_request("/once/", fault.clone());
@@ -125,7 +125,7 @@
 #[test]
 fn a_body_without_a_length_is_whole_when_its_connection_closes() {
     assert_eq!(
-        one_request("/once/", Answer::Unframed("x".to_owned())),
+        one_request("/once/", Answer::CloseDelimited("x".to_owned())),
         (200, 1)
     );
 }
@@ -140,7 +140,7 @@
         reply.is_some_and(|reply| reply.status == 200)
     });
     let before = engine.runs().len();
-    engine.set_script(Script::always(Answer::Rejects(503)));
+    engine.set_script(Script::always(Answer::NotExecuted(503)));
     let began = std::time::Instant::now();
     let reply = call_post("/once/x", "r-1", "")
         .send(gateway)
@@ -166,7 +166,7 @@
         let reply = call_get("/tool/warm", "warm").send(gateway);
         reply.is_some_and(|reply| reply.status == 200)
     });
-    let rejections = std::iter::repeat_n(Answer::Rejects(503), 6);
+    let rejections = std::iter::repeat_n(Answer::NotExecuted(503), 6);
     engine.set_script(Script::first(rejections, Answer::Whole("fine".to_owned())));
     let reply = call_post("/once/x", "r-1", "")
         .send(gateway)
@@ -177,7 +177,11 @@
 #[test]
 fn what_may_repeat_goes_to_another_engine() {
     let deployment = Deployment::started(PROGRAM, 1, 0);
-    let bad = deployment.engine("tools", "i-bad", Script::always(Answer::LosesAnswer));
+    let bad = deployment.engine(
+        "tools",
+        "i-bad",
+        Script::always(Answer::ClosesWithoutResponse),
+    );
     let good = deployment.engine("tools", "i-good", ok());
     let gateway = deployment.gateways[0].callers();
     wait_until("both engines were asked", || {
@@ -232,7 +236,7 @@
 #[test]
 fn a_broken_stream_is_taken_up_without_a_seam() {
     let deployment = Deployment::started(PROGRAM, 1, 0);
-    let breaks = Script::always(Answer::BreaksAfter { events: 3 });
+    let breaks = Script::always(Answer::TruncatedStream { events: 3 });
     let first = deployment.engine("models", "i-1", breaks);
     let second = deployment.engine("models", "i-2", stream(8));
     let gateway = deployment.gateways[0].callers();
@@ -269,7 +273,7 @@
 #[test]
 fn a_stream_that_must_not_be_taken_up_is_broken_off() {
     let deployment = Deployment::started(PROGRAM, 1, 3);
-    let breaks = Script::always(Answer::BreaksAfter { events: 3 });
+    let breaks = Script::always(Answer::TruncatedStream { events: 3 });
     let engine = deployment.engine("models", "i-1", breaks);
     let gateway = deployment.gateways[0].callers();
     wait_until("the engine was asked", || {
@@ -402,7 +406,7 @@
     }
     let mut failed_again = 0;
     for session in 0..SESSIONS {
-        let once = Script::always(Answer::LosesAnswer);
+        let once = Script::always(Answer::ClosesWithoutResponse);
         failing.set_script(once);
         let first = turn(2, session).send(gateways[2 * session]);
         assert_eq!(
@@ -431,7 +435,7 @@
     let silent = deployment.engine("tools", "i-silent", Script::always(Answer::Silent));
     let gateway = deployment.gateways[0].callers();
     wait_until("the engine was asked", || {
-        call_post("/once/x", "r-1", "").leave_after_time(gateway, Duration::from_millis(300));
+        call_post("/once/x", "r-1", "").disconnect_after_time(gateway, Duration::from_millis(300));
         !silent.runs().is_empty()
     });
     wait_until("the engine noticed", || {
@@ -443,7 +447,7 @@
     });
     let streaming = deployment.engine("models", "i-stream", slow);
     wait_until("the stream began", || {
-        call_post("/chat/x", "r-2", "").leave_after(gateway, 2);
+        call_post("/chat/x", "r-2", "").disconnect_after_frames(gateway, 2);
         !streaming.runs().is_empty()
     });
     wait_until("the engine noticed", || {
--- a/crates/node/tests/resident_silence.rs
+++ b/crates/node/tests/resident_silence.rs
@@ -25,7 +25,7 @@
     let mut deployment = Deployment::started(PROGRAM, gateways, 0);
     let engine = deployment.engine("tools", "i-1", ok());
     wait_until("all serve", || deployment.all_serve("/tool/x"));
-    deployment.move_routes("/first/");
+    deployment.configure_with_prefix("/first/");
     wait_until("the first change is in force", || {
         deployment.all_serve("/first/x")
     });
@@ -49,7 +49,7 @@
     deployment.store_link.set_fault(LinkFault::Stalled);
     // Long enough that gateways which notice have asked again, in the silence.
     std::thread::sleep(Duration::from_secs(4));
-    deployment.move_routes("/moved/");
+    deployment.configure_with_prefix("/moved/");
     assert!(deployment.all_serve("/first/x"), "served on meanwhile");
     let gateway = &deployment.gateways[0];
     assert_eq!(
@@ -81,7 +81,7 @@
     let next = deployment.engine("tools", "i-2", ok());
     let leaving = engine.entry("tools", "draining");
     deployment.store.put("servers", "i-1", leaving);
-    deployment.move_routes("/moved/");
+    deployment.configure_with_prefix("/moved/");
     let changed = Instant::now();
     assert_in_force_in_time(&deployment, "/moved/x", changed);
     std::thread::sleep(CONFIGURATION_BOUND.saturating_sub(changed.elapsed()));
--- a/crates/node/tests/resident_warm_up.rs
+++ b/crates/node/tests/resident_warm_up.rs
@@ -29,7 +29,7 @@
 /// Gateways that have served an engine that is warm, and limiters that have run for longer than a grant lives.
 fn fleet() -> (Deployment, EngineStandIn) {
     let mut deployment = Deployment::new(PROGRAM);
-    deployment.set_cold("tools", PER_S, WARM_UP.as_secs_f64());
+    deployment.set_warm_up_limit("tools", PER_S, WARM_UP.as_secs_f64());
     for _ in 0..3 {
         deployment.add_replica().start();
     }
@@ -49,8 +49,8 @@
 /// Lists an engine that is new.
 fn warming_engine(deployment: &Deployment, instance: &str) -> EngineStandIn {
     let engine = deployment.engine("away", instance, fine());
-    engine.turn_cold(WARM_UP, most());
-    let entry = engine.entry_cold("tools");
+    engine.start_warm_up(WARM_UP, most());
+    let entry = engine.entry_warming_up("tools");
     deployment.store.put("servers", instance, entry);
     engine
 }
@@ -111,7 +111,11 @@
     let before = warm.runs().len();
     let new = warming_engine(&deployment, "i-new");
     let seen = send_for(&deployment, Duration::from_millis(2_500));
-    assert!(new.most_while_cold() <= most(), "{}", new.most_while_cold());
+    assert!(
+        new.peak_requests_in_warm_up() <= most(),
+        "{}",
+        new.peak_requests_in_warm_up()
+    );
     let ran = new.runs().len();
     assert!(ran as f64 > PER_S as f64 * 2.0 * 0.6, "{ran} ran there");
     assert!(warm.runs().len() > before + ran, "the rest went on");
@@ -124,12 +128,12 @@
     let new = deployment.engine("tools", "i-turns", fine());
     // Presumed to warm up at first.
     send_for(&deployment, WARM_UP + Duration::from_secs(2));
-    new.turn_cold(WARM_UP * 2, usize::MAX);
+    new.start_warm_up(WARM_UP * 2, usize::MAX);
     send_for(&deployment, Duration::from_millis(200));
     all_know(&deployment, "i-turns", "answer");
-    new.turn_cold(WARM_UP, usize::MAX);
+    new.start_warm_up(WARM_UP, usize::MAX);
     send_for(&deployment, Duration::from_secs(2));
-    let came = new.most_while_cold();
+    let came = new.peak_requests_in_warm_up();
     assert!(came <= most(), "{came}");
     assert!(came >= PER_S as usize / 2, "{came}");
 }
@@ -148,7 +152,11 @@
             frozen.iter().for_each(|node| node.signal(Signal::CONT));
         }
     });
-    assert!(new.most_while_cold() <= most(), "{}", new.most_while_cold());
+    assert!(
+        new.peak_requests_in_warm_up() <= most(),
+        "{}",
+        new.peak_requests_in_warm_up()
+    );
     assert!(!new.runs().is_empty());
 }
 
@@ -207,7 +215,7 @@
         }
     }
     assert!(refused > 0);
-    assert!(new.most_while_cold() <= most());
+    assert!(new.peak_requests_in_warm_up() <= most());
     let node = &deployment.gateways[0];
     let log = node.log();
     assert!(
@@ -224,8 +232,8 @@
 fn a_service_without_such_a_limit_asks_nobody() {
     let deployment = Deployment::started(PROGRAM, GATEWAYS, 3);
     let engine = deployment.engine("tools", "i-1", fine());
-    engine.turn_cold(WARM_UP, usize::MAX);
-    let entry = engine.entry_cold("tools");
+    engine.start_warm_up(WARM_UP, usize::MAX);
+    let entry = engine.entry_warming_up("tools");
     deployment.store.put("servers", "i-1", entry);
     for gateway in &deployment.gateways {
         send_until_served(gateway.callers(), &call_get("/tool/x", "first"));
--- a/crates/replica/src/coordinator.rs
+++ b/crates/replica/src/coordinator.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use ridgeworks_platform::{
-    ObjectKind, RetirementState, StoreCall, StoreOutcome, create, replace, retirement_status,
+    ObjectKind, RetirementState, StoreOutcome, StoreRequest, create, replace, retirement_status,
     set_status,
 };
 use ridgeworks_records::{
@@ -378,7 +378,7 @@
         }
     }
 
-    async fn call(&self, call: StoreCall) -> Option<StoreOutcome> {
+    async fn call(&self, call: StoreRequest) -> Option<StoreOutcome> {
         let answer = self.replica.node.store.call(call, CALL_TIMEOUT).await;
         match answer {
             Ok(answer) => Some(answer.outcome),
--- a/crates/resident/src/node.rs
+++ b/crates/resident/src/node.rs
@@ -9,7 +9,7 @@
 
 use rand::RngExt;
 use ridgeworks_platform::{
-    Object, ObjectKind, StoreOutcome, check_form, create, read, read_object, replace,
+    Object, ObjectKind, StoreOutcome, check_format_version, create, read, read_object, replace,
 };
 use ridgeworks_records::ReplicaGroups;
 use ridgeworks_routing::ZoneRegions;
@@ -291,7 +291,7 @@
             StoreOutcome::NotFound => Some(RegisteredGroups::Missing),
             StoreOutcome::Done => {
                 let object = read_object(&answer.body).ok()?;
-                if let Err(error) = check_form(&object.spec) {
+                if let Err(error) = check_format_version(&object.spec) {
                     self.on_unreadable_sets(object.revision, &error);
                     return None;
                 }
@@ -462,7 +462,7 @@
     }
 
     fn read(object: &Object) -> Option<MemberInfo> {
-        check_form(&object.spec).ok()?;
+        check_format_version(&object.spec).ok()?;
         let record = Self::deserialize(&object.spec).ok()?;
         Some(MemberInfo {
             name: object.name.clone(),
--- a/crates/resident/src/store_client.rs
+++ b/crates/resident/src/store_client.rs
@@ -10,7 +10,7 @@
 use http::header::{CONTENT_TYPE, HOST};
 use http::{HeaderValue, Request};
 use http_body_util::{BodyExt, Full};
-use ridgeworks_platform::{StoreCall, StoreOutcome, outcome};
+use ridgeworks_platform::{StoreOutcome, StoreRequest, outcome};
 use tokio::time::Instant;
 
 use crate::http_client::{ConnectError, Connection, connect};
@@ -130,7 +130,7 @@
     /// Makes a call and waits for its answer.
     pub async fn call(
         &self,
-        call: StoreCall,
+        call: StoreRequest,
         timeout: Duration,
     ) -> Result<StoreAnswer, StoreFailure> {
         match tokio::time::timeout(timeout, self.exchange(call)).await {
@@ -143,7 +143,7 @@
         }
     }
 
-    async fn exchange(&self, call: StoreCall) -> Result<StoreAnswer, StoreFailure> {
+    async fn exchange(&self, call: StoreRequest) -> Result<StoreAnswer, StoreFailure> {
         let mut connection = self.connection().await?;
         self.calls.set(self.calls.get() + 1);
         let request = self.request(call);
@@ -181,7 +181,7 @@
         }
     }
 
-    fn request(&self, call: StoreCall) -> Request<Full<Bytes>> {
+    fn request(&self, call: StoreRequest) -> Request<Full<Bytes>> {
         let has_body = !call.body.is_empty();
         let mut request = Request::new(Full::new(call.body));
         *request.method_mut() = call.method;
--- a/crates/resident/src/store_watch.rs
+++ b/crates/resident/src/store_watch.rs
@@ -14,8 +14,8 @@
 
 use rand::RngExt;
 use ridgeworks_platform::{
-    BadAnswer, Listing, Object, ObjectEvent, ObjectKind, StoreCall, StoreOutcome, WatchBatch, list,
-    read_listing, read_watch, watch,
+    Listing, MalformedStoreResponse, Object, ObjectEvent, ObjectKind, StoreOutcome, StoreRequest,
+    WatchBatch, list, read_listing, read_watch, watch,
 };
 
 use tokio::time::Instant;
@@ -42,7 +42,7 @@
 enum FollowError {
     Failure(StoreFailure),
     Outcome(StoreOutcome),
-    Answer(BadAnswer),
+    Answer(MalformedStoreResponse),
 }
 
 impl FollowError {
@@ -68,8 +68,8 @@
     }
 }
 
-impl From<BadAnswer> for FollowError {
-    fn from(error: BadAnswer) -> Self {
+impl From<MalformedStoreResponse> for FollowError {
+    fn from(error: MalformedStoreResponse) -> Self {
         Self::Answer(error)
     }
 }
@@ -330,7 +330,7 @@
 
 async fn call_store(
     store: &StoreClient,
-    call: StoreCall,
+    call: StoreRequest,
     timeout: Duration,
 ) -> Result<bytes::Bytes, FollowError> {
     let answer = store.call(call, timeout).await;
