--- a/crates/quota/src/bucket.rs
+++ b/crates/quota/src/bucket.rs
@@ -8,11 +8,11 @@
 
 /// Part of a bucket that requests of programs that are under way find when others find it empty. Where a tenant asks for more than its
 /// limit, every program that is let in can be carried out; without it each program lost some request in its midst.
-const BEGUN_SHARE: f64 = 0.55;
+const RESERVED_FRACTION: f64 = 0.55;
 /// Full buckets that are kept for the limits that they tell: more than a deployment has tenants, within half a megabyte.
 const MAX_FULL_BUCKETS: usize = 4_096;
 /// When a request may come back whose limit may be out of date: its gateway hears of the newer version meanwhile.
-const UNSURE_RETRY: Duration = Duration::from_millis(200);
+const STALE_LIMIT_RETRY: Duration = Duration::from_millis(200);
 
 /// A token bucket for one share of a limit. Times are since the start of the process.
 #[derive(Debug)]
@@ -23,9 +23,9 @@
     /// Requests that it holds.
     level: f64,
     /// When that was worked out.
-    at: Duration,
+    updated_at: Duration,
     /// When the last request that was turned away may come back.
-    promised: Duration,
+    last_retry_at: Duration,
 }
 
 impl Bucket {
@@ -34,13 +34,13 @@
             version,
             share,
             level,
-            at: now,
-            promised: now,
+            updated_at: now,
+            last_retry_at: now,
         }
     }
 
     /// Takes a share in that a newer version of the configuration sets.
-    fn renew(&mut self, fresh: &Self) {
+    fn update_share(&mut self, fresh: &Self) {
         if fresh.version > self.version {
             self.version = fresh.version;
             self.share = fresh.share;
@@ -48,42 +48,43 @@
         }
     }
 
-    fn fill(&mut self, now: Duration) {
-        let passed = now.saturating_sub(self.at).as_secs_f64();
+    fn refill(&mut self, now: Duration) {
+        let passed = now.saturating_sub(self.updated_at).as_secs_f64();
         self.level = (self.level + passed * self.share.per_s).min(self.share.capacity);
-        self.at = self.at.max(now);
+        self.updated_at = self.updated_at.max(now);
     }
 
     fn is_full(&self) -> bool {
         self.level >= self.share.capacity
     }
 
-    fn take(&mut self, progress: ProgramProgress, longest: Duration) -> LimiterDecision {
-        let needed = match progress {
-            ProgramProgress::Beginning => 1.0 + self.share.capacity * BEGUN_SHARE,
+    fn take(&mut self, progress: ProgramProgress, max_wait: Duration) -> LimiterDecision {
+        let required = match progress {
+            ProgramProgress::Beginning => 1.0 + self.share.capacity * RESERVED_FRACTION,
             ProgramProgress::UnderWay => 1.0,
         };
         // A bucket that is full serves whoever comes, however small it is.
-        let needed = needed.min(self.share.capacity).max(1.0);
-        if self.level >= needed {
+        let required = required.min(self.share.capacity).max(1.0);
+        if self.level >= required {
             self.level -= 1.0;
             return LimiterDecision::Granted;
         }
-        let pace = seconds(1.0 / self.share.per_s, longest);
-        let next = seconds((needed - self.level) / self.share.per_s, longest);
-        let first = self.at + next;
-        let latest = self.at + longest;
-        self.promised = (self.promised + pace).max(first).min(latest);
+        let interval = bounded_duration(1.0 / self.share.per_s, max_wait);
+        let next = bounded_duration((required - self.level) / self.share.per_s, max_wait);
+        let earliest = self.updated_at + next;
+        let latest = self.updated_at + max_wait;
+        self.last_retry_at = (self.last_retry_at + interval).max(earliest).min(latest);
         LimiterDecision::Exhausted {
             next,
-            retry: self.promised - self.at,
+            retry: self.last_retry_at - self.updated_at,
         }
     }
 }
 
 /// A time that may be longer than anybody waits, or endless.
-fn seconds(seconds: f64, longest: Duration) -> Duration {
-    Duration::try_from_secs_f64(seconds).map_or(longest, |time| time.min(longest))
+fn bounded_duration(bounded_duration: f64, max_wait: Duration) -> Duration {
+    Duration::try_from_secs_f64(bounded_duration)
+        .map_or(max_wait, |duration| duration.min(max_wait))
 }
 
 /// The buckets of one limiter, by whose limit it is.
@@ -91,7 +92,7 @@
 pub(crate) struct Buckets {
     buckets: HashMap<String, Bucket>,
     /// Newest version among the limits that were let go.
-    forgotten: u64,
+    discarded_version: u64,
 }
 
 impl Buckets {
@@ -101,29 +102,29 @@
         name: &str,
         fresh: Bucket,
         progress: ProgramProgress,
-        longest: Duration,
+        max_wait: Duration,
     ) -> LimiterDecision {
         let Some(bucket) = self.buckets.get_mut(name) else {
-            if fresh.version < self.forgotten {
+            if fresh.version < self.discarded_version {
                 // A lower limit may be among those that were let go.
                 return LimiterDecision::Exhausted {
-                    next: UNSURE_RETRY,
-                    retry: UNSURE_RETRY,
+                    next: STALE_LIMIT_RETRY,
+                    retry: STALE_LIMIT_RETRY,
                 };
             }
             let bucket = self.buckets.entry(name.to_owned()).or_insert(fresh);
-            return bucket.take(progress, longest);
+            return bucket.take(progress, max_wait);
         };
-        bucket.fill(fresh.at);
-        bucket.renew(&fresh);
-        bucket.take(progress, longest)
+        bucket.refill(fresh.updated_at);
+        bucket.update_share(&fresh);
+        bucket.take(progress, max_wait)
     }
 
     /// Lets go of full buckets beyond those that are kept so that no gateway brings an earlier limit than the newest one that was heard of.
     /// Those with limits of the oldest versions go first.
     pub(crate) fn clean_up(&mut self, now: Duration) {
         let buckets = self.buckets.values_mut();
-        buckets.for_each(|bucket| bucket.fill(now));
+        buckets.for_each(|bucket| bucket.refill(now));
         let full = self.buckets.values().filter(|bucket| bucket.is_full());
         let mut versions: Vec<u64> = full.map(|bucket| bucket.version).collect();
         if versions.len() <= MAX_FULL_BUCKETS {
@@ -132,7 +133,7 @@
         let last = versions.len() - MAX_FULL_BUCKETS - 1;
         let (_, newest, _) = versions.select_nth_unstable(last);
         let newest = *newest;
-        self.forgotten = self.forgotten.max(newest);
+        self.discarded_version = self.discarded_version.max(newest);
         self.buckets
             .retain(|_, bucket| !bucket.is_full() || bucket.version > newest);
     }
@@ -144,7 +145,7 @@
     }
 
     /// All that are kept.
-    pub(crate) fn kept(&self) -> usize {
+    pub(crate) fn retained(&self) -> usize {
         self.buckets.len()
     }
 }
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -6,13 +6,13 @@
 //! (`docs/design/quotas.md` has the other ways that were weighed, and their figures).
 
 mod bucket;
-mod gate;
 mod limiter;
+mod limiter_selector;
 mod share;
 mod warm_up;
 
-pub use gate::{LimiterCandidate, LimiterKey, LimiterSelection, LimiterSelector};
 pub use limiter::{Limiter, LimiterDecision, ProgramProgress};
+pub use limiter_selector::{LimiterCandidate, LimiterKey, LimiterSelection, LimiterSelector};
 pub use share::{QuotaBounds, Share};
 pub use warm_up::{
     GRANT_LIFETIME, Grant, GrantDelay, GrantLimiter, GrantPool, GrantState, WarmUpBounds,
--- a/crates/quota/src/limiter.rs
+++ b/crates/quota/src/limiter.rs
@@ -37,7 +37,7 @@
     /// Limiters that a limit is split among.
     limiters: usize,
     /// Since when it is known what this limiter has given out.
-    since: Duration,
+    known_since: Duration,
     buckets: Buckets,
 }
 
@@ -47,7 +47,7 @@
         Self {
             bounds,
             limiters,
-            since: now,
+            known_since: now,
             buckets: Buckets::default(),
         }
     }
@@ -71,11 +71,11 @@
     /// does not count any more once a window has passed.
     fn new_bucket(&self, limit: RateLimit, version: u64, now: Duration) -> Bucket {
         let share = Share::new(limit, &self.bounds, self.limiters);
-        let known = now.saturating_sub(self.since);
+        let known = now.saturating_sub(self.known_since);
         let level = if known >= self.bounds.window {
             share.capacity
         } else {
-            let filled = share.start + known.as_secs_f64() * share.per_s;
+            let filled = share.initial + known.as_secs_f64() * share.per_s;
             filled.min(share.capacity)
         };
         Bucket::new(share, level, version, now)
@@ -83,7 +83,7 @@
 
     /// Lets go of full buckets beyond those that are kept so that no gateway brings an earlier limit than the newest one that was heard of.
     pub fn clean_up(&mut self, now: Duration) {
-        if now.saturating_sub(self.since) < self.bounds.window {
+        if now.saturating_sub(self.known_since) < self.bounds.window {
             return;
         }
         self.buckets.clean_up(now);
@@ -100,7 +100,7 @@
     }
 
     /// Tenants whose limits are kept.
-    pub fn kept(&self) -> usize {
-        self.buckets.kept()
+    pub fn retained(&self) -> usize {
+        self.buckets.retained()
     }
 }
--- a/crates/quota/src/warm_up.rs
+++ b/crates/quota/src/warm_up.rs
@@ -7,20 +7,20 @@
 use ridgeworks_routing::{EngineKey, WarmUpLimit};
 
 use crate::bucket::{Bucket, Buckets};
-use crate::gate::{LimiterCandidate, LimiterKey, LimiterSelection, LimiterSelector};
 use crate::limiter::{LimiterDecision, ProgramProgress};
+use crate::limiter_selector::{LimiterCandidate, LimiterKey, LimiterSelection, LimiterSelector};
 use crate::share::Share;
 
 /// How long after it was asked for a grant may be used. What was granted before a window is sent within it for so long; a limiter's
 /// answer takes some milliseconds.
 pub const GRANT_LIFETIME: Duration = Duration::from_millis(150);
 /// What one limiter gives out within it may be sent within one window.
-const SPAN: Duration = Duration::from_millis(1_150);
+const GRANT_WINDOW: Duration = Duration::from_millis(1_150);
 /// Limiters that are asked for one request: another engine may take it.
-const MAX_ASKED: usize = 2;
+const MAX_LIMITERS_ASKED: usize = 2;
 /// For how long at most a request is told to stay away.
-const LONGEST_WAIT: Duration = Duration::from_secs(2);
-const PER_KS: f64 = 1_000.0;
+const MAX_WAIT: Duration = Duration::from_secs(2);
+const SECONDS_PER_KS: f64 = 1_000.0;
 
 /// What a deployment promises of engines that warm up: within a second one receives no more requests than `rate × factor + slack`.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -42,7 +42,7 @@
     fn share(&self, limit: WarmUpLimit, limiters: usize) -> Share {
         let limiters = limiters.max(1) as f64;
         let budget = self.most(limit) / (limiters + 1.0);
-        let span = SPAN.as_secs_f64();
+        let span = GRANT_WINDOW.as_secs_f64();
         let per_s = (per_s(limit) / limiters).min((budget - 1.0) / span);
         let capacity = if per_s > 0.0 {
             budget - per_s * span
@@ -52,13 +52,13 @@
         Share {
             per_s: per_s.max(0.0),
             capacity,
-            start: 0.0,
+            initial: 0.0,
         }
     }
 }
 
 fn per_s(limit: WarmUpLimit) -> f64 {
-    limit.per_ks as f64 / PER_KS
+    limit.per_ks as f64 / SECONDS_PER_KS
 }
 
 /// Gives out one share of what each engine bears that warms up. Times are since the start of the process.
@@ -68,7 +68,7 @@
     /// Limiters that a limit is split among.
     limiters: usize,
     /// Since when it is known what this limiter has given out.
-    since: Duration,
+    known_since: Duration,
     /// By identifier, not by run: gateways that have not heard of a run's end yet are counted with those that have.
     buckets: Buckets,
 }
@@ -79,7 +79,7 @@
         Self {
             bounds,
             limiters,
-            since: now,
+            known_since: now,
             buckets: Buckets::default(),
         }
     }
@@ -92,17 +92,17 @@
         version: u64,
         now: Duration,
     ) -> LimiterDecision {
-        let known = now.saturating_sub(self.since);
-        if known < SPAN {
-            return nothing_for(SPAN - known);
+        let known = now.saturating_sub(self.known_since);
+        if known < GRANT_WINDOW {
+            return exhausted_for(GRANT_WINDOW - known);
         }
         let share = self.bounds.share(limit, self.limiters);
         if share.capacity < 1.0 {
-            return nothing_for(LONGEST_WAIT);
+            return exhausted_for(MAX_WAIT);
         }
         let fresh = Bucket::new(share, share.capacity, version, now);
         self.buckets
-            .take(engine, fresh, ProgramProgress::UnderWay, LONGEST_WAIT)
+            .take(engine, fresh, ProgramProgress::UnderWay, MAX_WAIT)
     }
 
     /// Lets go of full buckets beyond those that are kept for the limits that they tell.
@@ -121,7 +121,7 @@
     }
 }
 
-fn nothing_for(time: Duration) -> LimiterDecision {
+fn exhausted_for(time: Duration) -> LimiterDecision {
     LimiterDecision::Exhausted {
         next: time,
         retry: time,
@@ -167,10 +167,10 @@
 /// The grants that a gateway has at hand, and what it knows of the limiters. Times are since the start of the process.
 #[derive(Debug, Default)]
 pub struct GrantPool {
-    gate: LimiterSelector,
+    selector: LimiterSelector,
     grants: HashMap<EngineKey, Vec<Grant>>,
     /// Until when nothing is to be had for an engine.
-    closed: HashMap<EngineKey, Duration>,
+    exhausted_until: HashMap<EngineKey, Duration>,
 }
 
 impl GrantPool {
@@ -190,12 +190,14 @@
             return GrantState::Closed(left);
         }
         let progress = ProgramProgress::UnderWay;
-        let state = self.gate.next(instance, progress, limiters, now, random);
+        let state = self
+            .selector
+            .next(instance, progress, limiters, now, random);
         match state {
             LimiterSelection::Granted => GrantState::Available,
             LimiterSelection::Closed(left) => GrantState::Closed(left),
             LimiterSelection::Ask(mut order) => {
-                order.truncate(MAX_ASKED);
+                order.truncate(MAX_LIMITERS_ASKED);
                 GrantState::Ask(order)
             }
         }
@@ -213,14 +215,14 @@
     ) {
         let GrantDelay { next, retry } = wait;
         let progress = ProgramProgress::UnderWay;
-        self.gate
+        self.selector
             .on_exhausted(instance, progress, limiter, next, retry, now);
         self.close(engine, retry, now);
     }
 
     /// Puts a grant by.
     pub fn put(&mut self, engine: EngineKey, grant: Grant) {
-        self.closed.remove(&engine);
+        self.exhausted_until.remove(&engine);
         self.grants.entry(engine).or_default().push(grant);
     }
 
@@ -242,19 +244,22 @@
     pub fn close(&mut self, engine: EngineKey, time: Duration, now: Duration) {
         let left = self.closed_for(engine, now);
         let time = left.map_or(time, |left| left.min(time));
-        self.closed.insert(engine, now + time);
+        self.exhausted_until.insert(engine, now + time);
     }
 
     /// For how long nothing is to be had for an engine; `None` where that is not known.
     pub fn closed_for(&self, engine: EngineKey, now: Duration) -> Option<Duration> {
-        let until = self.closed.get(&engine).filter(|until| now < **until)?;
+        let until = self
+            .exhausted_until
+            .get(&engine)
+            .filter(|until| now < **until)?;
         Some(*until - now)
     }
 
     /// Lets go of what lies in the past.
     pub fn clean_up(&mut self, now: Duration) {
-        self.gate.clean_up(now);
-        self.closed.retain(|_, until| now < *until);
+        self.selector.clean_up(now);
+        self.exhausted_until.retain(|_, until| now < *until);
         self.grants.retain(|_, grants| {
             grants.retain(|grant| now < grant.until);
             !grants.is_empty()
--- a/crates/quota/tests/simulation.rs
+++ b/crates/quota/tests/simulation.rs
@@ -165,7 +165,7 @@
     let later = Duration::from_secs(60);
     limiter.clean_up(later);
     assert!(limiter.is_empty());
-    assert!(limiter.kept() <= 5_000, "{}", limiter.kept());
+    assert!(limiter.retained() <= 5_000, "{}", limiter.retained());
     // Of the first tenant nothing is known, and its limit may have been lowered.
     assert_ne!(once(&mut limiter, 0, 1, later), LimiterDecision::Granted);
     assert_eq!(
@@ -208,12 +208,12 @@
 #[test]
 fn a_gate_asks_no_limiter_that_has_nothing_and_late_ones_last() {
     let keys: Vec<LimiterCandidate> = (0..3).map(candidate).collect();
-    let mut gate = LimiterSelector::default();
+    let mut selector = LimiterSelector::default();
     let mut random = rand::rng();
     let now = Duration::from_secs(1);
     for _ in 0..20 {
         let LimiterSelection::Ask(order) =
-            gate.next("a", ProgramProgress::UnderWay, &keys, now, &mut random)
+            selector.next("a", ProgramProgress::UnderWay, &keys, now, &mut random)
         else {
             panic!("all are open");
         };
@@ -221,18 +221,18 @@
     }
     for key in &keys {
         let closed = Duration::from_millis(100 * (key.key.0 + 1));
-        gate.on_exhausted("a", ProgramProgress::UnderWay, key.key, closed, closed, now);
+        selector.on_exhausted("a", ProgramProgress::UnderWay, key.key, closed, closed, now);
     }
-    let closed = gate.next("a", ProgramProgress::UnderWay, &keys, now, &mut random);
+    let closed = selector.next("a", ProgramProgress::UnderWay, &keys, now, &mut random);
     assert_eq!(closed, LimiterSelection::Closed(Duration::from_millis(100)));
     let later = now + Duration::from_millis(150);
     assert_eq!(
-        gate.next("a", ProgramProgress::UnderWay, &keys, later, &mut random),
+        selector.next("a", ProgramProgress::UnderWay, &keys, later, &mut random),
         LimiterSelection::Ask(vec![keys[0].key])
     );
     // Another tenant is not concerned.
     assert!(matches!(
-        gate.next("b", ProgramProgress::UnderWay, &keys, now, &mut random),
+        selector.next("b", ProgramProgress::UnderWay, &keys, now, &mut random),
         LimiterSelection::Ask(_)
     ));
 }
@@ -240,18 +240,18 @@
 #[test]
 fn a_grant_that_was_not_used_serves_the_next_request_for_a_moment() {
     let keys = [candidate(0)];
-    let mut gate = LimiterSelector::default();
+    let mut selector = LimiterSelector::default();
     let mut random = rand::rng();
     let now = Duration::from_secs(1);
-    gate.return_grant("a", now);
-    gate.return_grant("a", now);
+    selector.return_grant("a", now);
+    selector.return_grant("a", now);
     assert_eq!(
-        gate.next("a", ProgramProgress::UnderWay, &keys, now, &mut random),
+        selector.next("a", ProgramProgress::UnderWay, &keys, now, &mut random),
         LimiterSelection::Granted
     );
     let later = now + Duration::from_secs(1);
     assert!(matches!(
-        gate.next("a", ProgramProgress::UnderWay, &keys, later, &mut random),
+        selector.next("a", ProgramProgress::UnderWay, &keys, later, &mut random),
         LimiterSelection::Ask(_)
     ));
 }
--- a/crates/quota/tests/support/ways.rs
+++ b/crates/quota/tests/support/ways.rs
@@ -73,8 +73,8 @@
         } else {
             ProgramProgress::UnderWay
         };
-        let gate = &mut self.gates[gateway];
-        let state = gate.next(&name, progress, &candidates, now, moment.random);
+        let selector = &mut self.gates[gateway];
+        let state = selector.next(&name, progress, &candidates, now, moment.random);
         let order = match state {
             LimiterSelection::Granted => return Answer::Granted,
             LimiterSelection::Closed(_) => return Answer::Refused,
--- a/crates/routing/examples/choice_cost.rs
+++ b/crates/routing/examples/choice_cost.rs
@@ -77,8 +77,8 @@
     };
     for _ in 0..3 {
         measure("one region", &table, &mut Placement::default(), &[]);
-        let ways = || RegionLatencies::new(&regions, "zone-0");
-        let mut several = Placement::with_region_latencies(ways());
+        let latencies = || RegionLatencies::new(&regions, "zone-0");
+        let mut several = Placement::with_region_latencies(latencies());
         for number in 0..ZONES {
             several.on_connected(&engine(number), Duration::from_millis(40));
         }
--- a/crates/routing/src/engine_health.rs
+++ b/crates/routing/src/engine_health.rs
@@ -3,14 +3,14 @@
 use std::time::Duration;
 
 /// How long an engine rests after its first failure.
-const FIRST_REST: Duration = Duration::from_millis(250);
+const INITIAL_BACKOFF: Duration = Duration::from_millis(250);
 /// The longest that an engine rests between two tries.
-const LONGEST_REST: Duration = Duration::from_secs(2);
+const MAX_BACKOFF: Duration = Duration::from_secs(2);
 /// Weight of the newest sample in the moving average.
 const SAMPLE_WEIGHT: f64 = 0.2;
 /// Time after which an outcome counts for a third. An engine that was repaired gets its share of requests
 /// again within a few of these.
-const OUTCOME_MEMORY: Duration = Duration::from_secs(4);
+const OUTCOME_DECAY_TIME: Duration = Duration::from_secs(4);
 
 /// How a request ended at an engine, as far as it speaks for or against the engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -36,10 +36,10 @@
 /// Health of one engine. Times are since the start of the process.
 #[derive(Debug, Clone, Default)]
 pub struct EngineHealth {
-    failures: u32,
-    resting_until: Option<Duration>,
+    consecutive_failures: u32,
+    backoff_until: Option<Duration>,
     outcomes: OutcomeCounts,
-    counted_at: Duration,
+    updated_at: Duration,
     step_ms: Option<f64>,
 }
 
@@ -52,17 +52,17 @@
         }
     }
 
-    /// Share of the requests that failed, if `prior` requests more had ended of which `share` failed. With few
+    /// Share of the requests that failed, if `prior` requests more had ended of which `prior_share` failed. With few
     /// requests seen, an engine is taken to be like the others.
-    pub fn failed_share(self, prior: f64, share: f64) -> f64 {
-        (self.failed + prior * share) / (self.ended + prior)
+    pub fn failed_share(self, prior: f64, prior_share: f64) -> f64 {
+        (self.failed + prior * prior_share) / (self.ended + prior)
     }
 
-    fn after(self, age: Duration) -> Self {
-        let left = (-age.as_secs_f64() / OUTCOME_MEMORY.as_secs_f64()).exp();
+    fn decayed(self, age: Duration) -> Self {
+        let remaining = (-age.as_secs_f64() / OUTCOME_DECAY_TIME.as_secs_f64()).exp();
         Self {
-            ended: self.ended * left,
-            failed: self.failed * left,
+            ended: self.ended * remaining,
+            failed: self.failed * remaining,
         }
     }
 }
@@ -72,32 +72,32 @@
     pub fn on_outcome(&mut self, outcome: Outcome, now: Duration) {
         match outcome {
             Outcome::Served => {
-                self.failures = 0;
-                self.resting_until = None;
-                self.count(0.0, now);
+                self.consecutive_failures = 0;
+                self.backoff_until = None;
+                self.record(0.0, now);
             }
             Outcome::Failed => {
-                self.rest(now);
-                self.count(1.0, now);
+                self.back_off(now);
+                self.record(1.0, now);
             }
-            Outcome::Unreachable => self.rest(now),
+            Outcome::Unreachable => self.back_off(now),
         }
     }
 
     /// How the requests of this gateway ended there lately.
     pub fn outcomes(&self, now: Duration) -> OutcomeCounts {
-        self.outcomes.after(now.saturating_sub(self.counted_at))
+        self.outcomes.decayed(now.saturating_sub(self.updated_at))
     }
 
     /// Takes in a time that the engine needed for a unit of work, in milliseconds.
-    pub fn on_step(&mut self, milliseconds: f64) {
+    pub fn on_step_time(&mut self, milliseconds: f64) {
         let average = self.step_ms.unwrap_or(milliseconds);
         self.step_ms = Some(average + SAMPLE_WEIGHT * (milliseconds - average));
     }
 
     /// Whether the engine should be left alone while there are others.
-    pub fn rests(&self, now: Duration) -> bool {
-        self.resting_until.is_some_and(|until| now < until)
+    pub fn is_backing_off(&self, now: Duration) -> bool {
+        self.backoff_until.is_some_and(|until| now < until)
     }
 
     /// Moving average of the time for a unit of work, in milliseconds.
@@ -105,16 +105,16 @@
         self.step_ms
     }
 
-    fn count(&mut self, failed: f64, now: Duration) {
+    fn record(&mut self, failed: f64, now: Duration) {
         self.outcomes = self.outcomes(now);
         self.outcomes.ended += 1.0;
         self.outcomes.failed += failed;
-        self.counted_at = now;
+        self.updated_at = now;
     }
 
-    fn rest(&mut self, now: Duration) {
-        let doubled = FIRST_REST.saturating_mul(1 << self.failures.min(8));
-        self.failures = self.failures.saturating_add(1);
-        self.resting_until = Some(now + doubled.min(LONGEST_REST));
+    fn back_off(&mut self, now: Duration) {
+        let backoff = INITIAL_BACKOFF.saturating_mul(1 << self.consecutive_failures.min(8));
+        self.consecutive_failures = self.consecutive_failures.saturating_add(1);
+        self.backoff_until = Some(now + backoff.min(MAX_BACKOFF));
     }
 }
--- a/crates/routing/src/engine_load.rs
+++ b/crates/routing/src/engine_load.rs
@@ -9,8 +9,8 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use crate::engine_health::{EngineHealth, OutcomeCounts};
+use crate::reported_outcomes::{MAX_SUSPECTS, ReportedOutcomes, ReportedSums};
 use crate::request::PromptPart;
-use crate::told_outcomes::{MAX_SUSPECTS, ReportedOutcomes, ToldSums};
 
 /// How long a report of another gateway counts.
 const REPORT_LIFETIME: Duration = Duration::from_secs(2);
@@ -23,11 +23,11 @@
 const FAILING_SHARE: f64 = 0.25;
 const SERVING_SHARE: f64 = 0.1;
 /// Failures from which on an engine is a suspect. One that faded to less says nothing any more.
-const LEAST_FAILED: f64 = 0.5;
+const MIN_SUSPECT_FAILURES: f64 = 0.5;
 const MS_PER_S: f64 = 1_000.0;
 /// Parts of prompts remembered for one engine. With about 45 bytes each this is the larger part of a
 /// gateway's memory in a large fleet: 4.4 MB for 190 engines. An engine's own memory holds fewer.
-const MAX_PARTS: usize = 512;
+const MAX_CACHED_PARTS: usize = 512;
 
 /// The key of one run of an engine, in tables and in reports between gateways.
 ///
@@ -50,26 +50,26 @@
 
 /// Parts of prompts that an engine is believed to hold.
 #[derive(Debug, Clone, Default)]
-pub struct HeldParts {
+pub struct CachedParts {
     tokens: HashMap<u64, u64>,
     order: VecDeque<u64>,
 }
 
-impl HeldParts {
+impl CachedParts {
     /// Notes that a part was read; the oldest give way. A part that belongs to a session grows from turn
     /// to turn.
     pub fn insert(&mut self, part: PromptPart) {
         match self.tokens.entry(part.hash) {
-            Entry::Occupied(mut held) => {
-                let tokens = part.tokens.max(*held.get());
-                held.insert(tokens);
+            Entry::Occupied(mut cached) => {
+                let tokens = part.tokens.max(*cached.get());
+                cached.insert(tokens);
             }
             Entry::Vacant(place) => {
                 place.insert(part.tokens);
                 self.order.push_back(part.hash);
             }
         }
-        while self.order.len() > MAX_PARTS {
+        while self.order.len() > MAX_CACHED_PARTS {
             if let Some(oldest) = self.order.pop_front() {
                 self.tokens.remove(&oldest);
             }
@@ -78,26 +78,26 @@
 
     /// Tokens of a prompt that are not held: all from the first one on that is missing.
     pub fn missing(&self, parts: &[PromptPart]) -> u64 {
-        let mut held = 0_u64;
+        let mut cached = 0_u64;
         for part in parts {
-            let held_of_part = self.held(*part);
-            held = held.saturating_add(held_of_part);
-            if held_of_part < part.tokens {
+            let cached_of_part = self.cached(*part);
+            cached = cached.saturating_add(cached_of_part);
+            if cached_of_part < part.tokens {
                 break;
             }
         }
-        prompt_tokens(parts).saturating_sub(held)
+        prompt_tokens(parts).saturating_sub(cached)
     }
 
     /// Whether a part is held whole.
-    pub fn holds(&self, part: PromptPart) -> bool {
-        self.held(part) == part.tokens
+    pub fn is_cached(&self, part: PromptPart) -> bool {
+        self.cached(part) == part.tokens
     }
 
     /// Tokens of a part that are held; of one that has grown, those that it had before.
-    pub fn held(&self, part: PromptPart) -> u64 {
-        let held = self.tokens.get(&part.hash).copied().unwrap_or(0);
-        held.min(part.tokens)
+    pub fn cached(&self, part: PromptPart) -> u64 {
+        let cached = self.tokens.get(&part.hash).copied().unwrap_or(0);
+        cached.min(part.tokens)
     }
 }
 
@@ -112,17 +112,17 @@
 #[derive(Debug, Clone, Default)]
 pub struct EngineLoad {
     /// Open requests of this gateway.
-    pub own: u32,
+    pub own_open: u32,
     /// Tokens that open requests of this gateway have there to be read.
-    pub unread: u64,
+    pub pending_prefill_tokens: u64,
     /// Open requests of other gateways, by their reports.
-    reported: u32,
+    reported_open: u32,
     /// Parts of prompts that it is believed to hold.
-    pub parts: HeldParts,
+    pub parts: CachedParts,
     /// What its answers say of it.
     pub health: EngineHealth,
     /// What its answers to other gateways say of it, by their reports.
-    told: ToldSums,
+    reported_outcomes: ReportedSums,
     /// Whether it was last said to fail requests.
     is_failing: bool,
 }
@@ -130,15 +130,20 @@
 impl EngineLoad {
     /// How requests ended there lately, as far as this gateway knows.
     pub fn outcomes(&self, now: Duration) -> OutcomeCounts {
-        self.health.outcomes(now).plus(self.told.counts())
+        self.health
+            .outcomes(now)
+            .plus(self.reported_outcomes.counts())
     }
 
     /// Share of the requests that failed there. Where other gateways saw little the engine is taken to be typical,
     /// and where this one saw little, to be as the others say: an engine may fail some callers alone.
-    pub fn failed_share(&self, typical: f64, now: Duration) -> f64 {
-        let told = self.told.counts().failed_share(PRIOR_OUTCOMES, typical);
-        let own = self.health.outcomes(now);
-        own.failed_share(PRIOR_OUTCOMES, told)
+    pub fn failed_share(&self, typical_share: f64, now: Duration) -> f64 {
+        let reported_outcomes = self
+            .reported_outcomes
+            .counts()
+            .failed_share(PRIOR_OUTCOMES, typical_share);
+        let own_open = self.health.outcomes(now);
+        own_open.failed_share(PRIOR_OUTCOMES, reported_outcomes)
     }
 
     /// Whether it fails requests, if that is new. Between the two shares nothing is, so that it does not change with
@@ -168,18 +173,18 @@
 
 /// A report that still counts.
 #[derive(Debug, Clone)]
-struct Report {
+struct ReceivedReport {
     at: Duration,
-    told: GatewayReport,
+    reported_outcomes: GatewayReport,
 }
 
 /// Loads of all engines. Times are since the start of the process.
 #[derive(Debug, Clone, Default)]
 pub struct EngineLoads {
     engines: HashMap<EngineKey, EngineLoad>,
-    reports: HashMap<String, Report>,
+    reports: HashMap<String, ReceivedReport>,
     /// When reports came, oldest first; some have been replaced since.
-    came: VecDeque<(Duration, String)>,
+    arrivals: VecDeque<(Duration, String)>,
     /// Mean time between two reports of one gateway, in milliseconds.
     interval_ms: f64,
 }
@@ -203,7 +208,7 @@
     /// Open requests at an engine, of this gateway and of those that reported lately.
     pub fn open_at(&self, key: EngineKey) -> u32 {
         let load = self.engines.get(&key);
-        load.map_or(0, |load| load.own + load.reported)
+        load.map_or(0, |load| load.own_open + load.reported_open)
     }
 
     /// How long ago other gateways have reported, in the mean and in milliseconds.
@@ -212,13 +217,13 @@
     }
 
     /// Open requests of other gateways at an engine, by their reports.
-    pub fn reported_at(&self, key: EngineKey) -> u32 {
-        self.engines.get(&key).map_or(0, |load| load.reported)
+    pub fn reported_open_requests(&self, key: EngineKey) -> u32 {
+        self.engines.get(&key).map_or(0, |load| load.reported_open)
     }
 
     /// Open requests of this gateway at an engine.
     pub fn own_open_requests(&self, key: EngineKey) -> u32 {
-        self.engines.get(&key).map_or(0, |load| load.own)
+        self.engines.get(&key).map_or(0, |load| load.own_open)
     }
 
     /// What this gateway tells the others.
@@ -231,9 +236,10 @@
 
     /// Open requests of this gateway by engine, the most loaded engines first.
     fn open(&self) -> Vec<(EngineKey, u32)> {
-        let busy = self.engines.iter().filter(|(_, load)| load.own > 0);
-        let mut open: Vec<(EngineKey, u32)> = busy.map(|(key, load)| (*key, load.own)).collect();
-        open.sort_unstable_by_key(|(key, own)| (std::cmp::Reverse(*own), *key));
+        let loaded = self.engines.iter().filter(|(_, load)| load.own_open > 0);
+        let mut open: Vec<(EngineKey, u32)> =
+            loaded.map(|(key, load)| (*key, load.own_open)).collect();
+        open.sort_unstable_by_key(|(key, own_open)| (std::cmp::Reverse(*own_open), *key));
         open
     }
 
@@ -241,42 +247,52 @@
     /// most first.
     fn suspects(&self, now: Duration) -> Vec<ReportedOutcomes> {
         let known = self.engines.iter();
-        let suspected = known.filter(|(_, load)| load.outcomes(now).failed >= LEAST_FAILED);
-        let told =
+        let suspected = known.filter(|(_, load)| load.outcomes(now).failed >= MIN_SUSPECT_FAILURES);
+        let reported_outcomes =
             suspected.map(|(key, load)| ReportedOutcomes::new(key.0, load.health.outcomes(now)));
-        let mut suspects: Vec<ReportedOutcomes> = told.filter(|told| told.ended > 0).collect();
-        suspects.sort_unstable_by_key(|told| (std::cmp::Reverse(told.failed), told.engine));
+        let mut suspects: Vec<ReportedOutcomes> = reported_outcomes
+            .filter(|reported_outcomes| reported_outcomes.ended > 0)
+            .collect();
+        suspects.sort_unstable_by_key(|reported_outcomes| {
+            (
+                std::cmp::Reverse(reported_outcomes.failed),
+                reported_outcomes.engine,
+            )
+        });
         suspects.truncate(MAX_SUSPECTS);
         suspects
     }
 
     /// Takes in another gateway's report in place of its last one.
-    pub fn on_report(&mut self, gateway: &str, told: GatewayReport, now: Duration) {
+    pub fn on_report(&mut self, gateway: &str, reported_outcomes: GatewayReport, now: Duration) {
         self.expire(now);
         if let Some(last) = self.reports.get(gateway) {
             let interval_ms = now.saturating_sub(last.at).as_secs_f64() * MS_PER_S;
             self.interval_ms += INTERVAL_WEIGHT * (interval_ms - self.interval_ms);
         }
-        self.forget_report(gateway);
-        for (key, count) in &told.open {
+        self.remove_report(gateway);
+        for (key, count) in &reported_outcomes.open {
             let load = self.engines.entry(*key).or_default();
-            load.reported = load.reported.saturating_add(*count);
+            load.reported_open = load.reported_open.saturating_add(*count);
         }
-        for suspect in &told.suspects {
+        for suspect in &reported_outcomes.suspects {
             let load = self.engines.entry(EngineKey(suspect.engine)).or_default();
-            load.told.add(suspect);
+            load.reported_outcomes.add(suspect);
         }
-        self.came.push_back((now, gateway.to_owned()));
-        let report = Report { at: now, told };
+        self.arrivals.push_back((now, gateway.to_owned()));
+        let report = ReceivedReport {
+            at: now,
+            reported_outcomes,
+        };
         self.reports.insert(gateway.to_owned(), report);
     }
 
     /// Lets go of reports that are too old to count.
     pub fn expire(&mut self, now: Duration) {
-        while let Some((at, _)) = self.came.front()
+        while let Some((at, _)) = self.arrivals.front()
             && now.saturating_sub(*at) >= REPORT_LIFETIME
         {
-            let Some((at, gateway)) = self.came.pop_front() else {
+            let Some((at, gateway)) = self.arrivals.pop_front() else {
                 return;
             };
             if self
@@ -284,7 +300,7 @@
                 .get(&gateway)
                 .is_some_and(|report| report.at == at)
             {
-                self.forget_report(&gateway);
+                self.remove_report(&gateway);
             }
         }
     }
@@ -292,23 +308,24 @@
     /// Forgets engines that nobody uses and that are not kept.
     pub fn retain(&mut self, is_kept: impl Fn(EngineKey) -> bool) {
         self.engines.retain(|key, load| {
-            let is_used = load.own > 0 || load.reported > 0 || !load.told.is_empty();
+            let is_used =
+                load.own_open > 0 || load.reported_open > 0 || !load.reported_outcomes.is_empty();
             is_used || is_kept(*key)
         });
     }
 
-    fn forget_report(&mut self, gateway: &str) {
+    fn remove_report(&mut self, gateway: &str) {
         let Some(report) = self.reports.remove(gateway) else {
             return;
         };
-        for (key, count) in report.told.open {
+        for (key, count) in report.reported_outcomes.open {
             if let Some(load) = self.engines.get_mut(&key) {
-                load.reported = load.reported.saturating_sub(count);
+                load.reported_open = load.reported_open.saturating_sub(count);
             }
         }
-        for suspect in &report.told.suspects {
+        for suspect in &report.reported_outcomes.suspects {
             if let Some(load) = self.engines.get_mut(&EngineKey(suspect.engine)) {
-                load.told.subtract(suspect);
+                load.reported_outcomes.subtract(suspect);
             }
         }
     }
--- a/crates/routing/src/engine_table.rs
+++ b/crates/routing/src/engine_table.rs
@@ -122,7 +122,7 @@
     revision: u64,
     /// Revision up to which the table was complete when it took the removal in. A removal may be told
     /// with the revision of the last change before it, so this is what tells others of it.
-    told_at: u64,
+    reported_at: u64,
 }
 
 /// All engines, by instance.
@@ -160,7 +160,7 @@
         let changed = self.entries.values();
         let changed = changed.filter(|entry| entry.revision > revision);
         let removed = self.removed.iter();
-        let removed = removed.filter(|(_, tombstone)| tombstone.told_at > revision);
+        let removed = removed.filter(|(_, tombstone)| tombstone.reported_at > revision);
         EngineChanges {
             is_whole: false,
             entries: changed.cloned().collect(),
@@ -211,24 +211,27 @@
         true
     }
 
-    /// Removes an engine as of this revision, told by somebody who is complete up to `told_at`; says
+    /// Removes an engine as of this revision, told by somebody who is complete up to `reported_at`; says
     /// whether it was there.
-    pub fn remove(&mut self, instance: &str, revision: u64, told_at: u64) -> bool {
+    pub fn remove(&mut self, instance: &str, revision: u64, reported_at: u64) -> bool {
         let known = self.entries.get(instance).map(|known| known.revision);
         if known > Some(revision) {
             return false;
         }
         if self.removed.len() >= MAX_TOMBSTONES {
             self.removed.clear();
-            self.complete_since = told_at;
+            self.complete_since = reported_at;
         }
-        let told_at = told_at.max(revision);
+        let reported_at = reported_at.max(revision);
         let earlier = self.removed.get(instance);
         if earlier.is_some_and(|earlier| earlier.revision >= revision) {
             return false;
         }
-        self.newest = self.newest.max(told_at);
-        let tombstone = Tombstone { revision, told_at };
+        self.newest = self.newest.max(reported_at);
+        let tombstone = Tombstone {
+            revision,
+            reported_at,
+        };
         self.removed.insert(instance.to_owned(), tombstone);
         self.entries.remove(instance).is_some()
     }
@@ -242,18 +245,20 @@
             // What was removed before the first list is not known.
             self.complete_since = at;
         }
-        let named: std::collections::HashSet<String> = entries
+        let listed_instances: std::collections::HashSet<String> = entries
             .iter()
             .map(|entry| entry.engine.instance.clone())
             .collect();
-        let gone: Vec<String> = self
+        let missing: Vec<String> = self
             .entries
             .values()
-            .filter(|known| known.revision <= at && !named.contains(&known.engine.instance))
+            .filter(|known| {
+                known.revision <= at && !listed_instances.contains(&known.engine.instance)
+            })
             .map(|known| known.engine.instance.clone())
             .collect();
-        let mut changed = !gone.is_empty();
-        for instance in gone {
+        let mut changed = !missing.is_empty();
+        for instance in missing {
             self.remove(&instance, at, at);
         }
         for entry in entries {
--- a/crates/routing/src/event_stream.rs
+++ b/crates/routing/src/event_stream.rs
@@ -62,13 +62,13 @@
 
     fn find_end(&self) -> Option<usize> {
         let from = self.searched.min(self.buffer.len());
-        let tail = &self.buffer[from..];
-        let plain = tail.windows(2).position(|two| two == b"\n\n");
-        let carriage = tail.windows(4).position(|four| four == b"\r\n\r\n");
-        match (plain, carriage) {
-            (Some(plain), Some(carriage)) if carriage < plain => Some(from + carriage + 4),
-            (Some(plain), _) => Some(from + plain + 2),
-            (None, Some(carriage)) => Some(from + carriage + 4),
+        let unsearched = &self.buffer[from..];
+        let lf = unsearched.windows(2).position(|two| two == b"\n\n");
+        let crlf = unsearched.windows(4).position(|four| four == b"\r\n\r\n");
+        match (lf, crlf) {
+            (Some(lf), Some(crlf)) if crlf < lf => Some(from + crlf + 4),
+            (Some(lf), _) => Some(from + lf + 2),
+            (None, Some(crlf)) => Some(from + crlf + 4),
             (None, None) => None,
         }
     }
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -12,9 +12,10 @@
 mod engine_table;
 mod event_stream;
 mod placement;
-mod read_directory;
+mod prefill_directory;
 mod refusal;
-mod region_ways;
+mod region_latencies;
+mod reported_outcomes;
 mod request;
 mod residency;
 mod residency_faults;
@@ -22,7 +23,6 @@
 mod sample_window;
 mod service_model;
 mod tenants;
-mod told_outcomes;
 mod warm_up;
 mod weighted_split;
 mod zone_drains;
@@ -40,18 +40,20 @@
     Engine, EngineChanges, EngineEntry, EngineState, EngineTable, EngineWarmUp, Removal,
 };
 pub use event_stream::{Event, EventSplitter};
-pub use placement::{Choice, FailingNews, Forecast, Placement, PlacementRequest};
-pub use read_directory::{PrefillDirectory, PrefillRecord};
+pub use placement::{Choice, FailureStateChange, Forecast, Placement, PlacementRequest};
+pub use prefill_directory::{PrefillDirectory, PrefillRecord};
 pub use refusal::{Refusal, RefusalReason};
-pub use region_ways::RegionLatencies;
+pub use region_latencies::RegionLatencies;
+pub use reported_outcomes::{MAX_SUSPECTS, ReportedOutcomes};
 pub use request::{CallMetadata, PromptPart};
 pub use residency::{Residency, ZoneRegions};
 pub use residency_faults::ResidencyFaults;
 pub use route_table::{RouteTable, UnknownKey};
 pub use sample_window::SampleWindow;
-pub use service_model::{Reading, ServiceCosts, ServiceKey, ServiceModel, ServiceSummary, Turn};
+pub use service_model::{
+    PrefillSample, ServiceCosts, ServiceKey, ServiceModel, ServiceSummary, Turn,
+};
 pub use tenants::{KeyDigest, RateLimit, Tenant, TenantFault, TenantTable, check_tenants};
-pub use told_outcomes::{MAX_SUSPECTS, ReportedOutcomes};
-pub use warm_up::{WarmUpLimit, WarmUpNews, WarmUpSource, WarmUps};
+pub use warm_up::{WarmUpChange, WarmUpLimit, WarmUpSource, WarmUps};
 pub use weighted_split::WeightedSplit;
 pub use zone_drains::{DrainChange, ZoneDrains};
--- a/crates/routing/src/placement.rs
+++ b/crates/routing/src/placement.rs
@@ -18,32 +18,34 @@
 use crate::engine_health::{EngineHealth, Outcome, OutcomeCounts};
 use crate::engine_load::{EngineKey, EngineLoads, GatewayReport, PRIOR_OUTCOMES, prompt_tokens};
 use crate::engine_table::{Engine, EngineTable};
-use crate::read_directory::PrefillRecord;
-use crate::region_ways::RegionLatencies;
+use crate::prefill_directory::PrefillRecord;
+use crate::region_latencies::RegionLatencies;
 use crate::request::PromptPart;
-use crate::service_model::{Reading, ServiceCosts, ServiceKey, ServiceModel, ServiceSummary, Turn};
+use crate::service_model::{
+    PrefillSample, ServiceCosts, ServiceKey, ServiceModel, ServiceSummary, Turn,
+};
 
 /// Requests that an engine which is no candidate of the session has to have fewer: counts of open
 /// requests are old by a heartbeat, in which each engine gets a few.
-const STRANGER_REQUESTS: f64 = 4.0;
+const NON_CANDIDATE_REQUESTS: f64 = 4.0;
 /// Candidates of a session among all engines, and among those of the gateway's zone.
-const CANDIDATES: usize = 2;
+const CANDIDATES_PER_SESSION: usize = 2;
 /// Sessions whose engine is remembered.
-const MAX_HOMES: usize = 8_192;
+const MAX_SESSION_ENGINES: usize = 8_192;
 /// Extra cost for an engine of another zone, in milliseconds: the way there, and the price of the bytes. What another region costs
 /// beside is measured ([`RegionLatencies`]).
 const OTHER_ZONE_MS: f64 = 20.0;
 /// Extra cost for an engine that failed lately, in milliseconds.
-const RESTING_MS: f64 = 10_000.0;
+const BACKOFF_MS: f64 = 10_000.0;
 /// What a request that fails loses, in times of a request: its own time, its client's pause, and the risk that
 /// its program ends with the third failure.
-const FAILURE_TURNS: f64 = 4.0;
+const FAILURE_COST_TURNS: f64 = 4.0;
 /// Part of a request's time that grows with the engine's step; the rest is reading and waiting, and steps
 /// of one engine differ by its batch.
-const STEP_SHARE: f64 = 0.4;
+const STEP_FRACTION: f64 = 0.4;
 /// How far the reading of a beginning that others share counts for all in the batch. It is read there once
 /// for all of them (0), but takes memory that other prompts lose (1); `docs/design/decisions.md`, "Ablation".
-const SHARED_WEIGHT: f64 = 0.25;
+const SHARED_PREFILL_WEIGHT: f64 = 0.25;
 /// Services of which something is remembered.
 const MAX_SERVICES: usize = 256;
 const MS_PER_S: f64 = 1_000.0;
@@ -71,9 +73,9 @@
     loads: EngineLoads,
     models: HashMap<ServiceKey, ServiceModel>,
     /// The engine that last got a request, by the hash of the request's key.
-    homes: HashMap<u64, EngineKey>,
+    session_engines: HashMap<u64, EngineKey>,
     /// Ways to other regions, where there are some.
-    ways: Option<RegionLatencies>,
+    latencies: Option<RegionLatencies>,
 }
 
 /// The engine for a request.
@@ -87,7 +89,7 @@
 
 /// An engine that has begun or ceased to fail requests.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct FailingNews<'a> {
+pub struct FailureStateChange<'a> {
     /// The engine's instance.
     pub instance: &'a str,
     /// Whether it fails them now.
@@ -112,11 +114,11 @@
 
 /// What reports of other gateways are worth.
 #[derive(Debug, Clone, Copy)]
-struct News {
+struct ReportWeight {
     /// Their open requests at an engine, in the mean.
     mean: f64,
     /// How far an engine's own count is to be trusted beside the mean, from 0 to 1.
-    trust: f64,
+    weight: f64,
 }
 
 /// An engine that may get a request.
@@ -129,25 +131,25 @@
 
 impl Placement {
     /// Nothing is known yet of engines that these ways lead to.
-    pub fn with_region_latencies(ways: Option<RegionLatencies>) -> Self {
+    pub fn with_region_latencies(latencies: Option<RegionLatencies>) -> Self {
         Self {
-            ways,
+            latencies,
             ..Self::default()
         }
     }
 
     /// A connection to an engine took so long.
     pub fn on_connected(&mut self, engine: &Engine, taken: Duration) {
-        if let Some(ways) = &mut self.ways {
-            ways.on_connected(&engine.zone, taken);
+        if let Some(latencies) = &mut self.latencies {
+            latencies.on_connected(&engine.zone, taken);
         }
     }
 
     /// Ways to regions that have changed since they were last told, in milliseconds there and back.
     pub fn latency_changes(&mut self) -> Vec<(String, f64)> {
-        self.ways
+        self.latencies
             .as_mut()
-            .map(RegionLatencies::news)
+            .map(RegionLatencies::changes)
             .unwrap_or_default()
     }
 
@@ -162,23 +164,24 @@
         let costs = self.costs(demand.service);
         let session = xxh3_64(demand.key.as_bytes());
         let candidates = candidates(table, demand, session);
-        let quickest = self.quickest_step(&candidates);
-        let home = self.homes.get(&session);
-        let preferred = preferred(&candidates, demand.zone, self.ways.as_ref());
-        let news = self.news_of(&candidates, &costs);
-        let typical = self.typical_failed(&candidates, now);
-        let weighed = candidates.iter().map(|candidate| {
-            let open = self.open_now(candidate.key, news);
+        let fastest_step_ms = self.fastest_step_ms(&candidates);
+        let last_engine = self.session_engines.get(&session);
+        let preferred = preferred(&candidates, demand.zone, self.latencies.as_ref());
+        let news = self.report_weight(&candidates, &costs);
+        let typical_share = self.typical_failed_share(&candidates, now);
+        let costed = candidates.iter().map(|candidate| {
+            let open = self.estimated_open(candidate.key, news);
             let mut cost = self.cost(candidate, demand, &costs, open, now);
-            cost += self.slower_ms(candidate, &costs, quickest);
-            cost += self.failing_ms(candidate, &costs, typical, now);
-            let is_home = home == Some(&candidate.key) || self.holds_last(candidate.key, demand);
-            if !is_home && !preferred.contains(&candidate.key) {
-                cost += STRANGER_REQUESTS * costs.open_ms(candidate.engine.slots);
+            cost += self.slow_step_ms(candidate, &costs, fastest_step_ms);
+            cost += self.failure_ms(candidate, &costs, typical_share, now);
+            let has_affinity = last_engine == Some(&candidate.key)
+                || self.caches_session_part(candidate.key, demand);
+            if !has_affinity && !preferred.contains(&candidate.key) {
+                cost += NON_CANDIDATE_REQUESTS * costs.open_ms(candidate.engine.slots);
             }
             (cost, candidate)
         });
-        let best = weighed.min_by(|one, two| {
+        let best = costed.min_by(|one, two| {
             let by_cost = one.0.total_cmp(&two.0);
             by_cost.then(two.1.rank.cmp(&one.1.rank))
         });
@@ -207,22 +210,25 @@
 
     /// A request with this key goes to an engine.
     pub fn on_sent(&mut self, key: &str, engine: &Engine, parts: &[PromptPart]) -> Forecast {
-        if self.homes.len() >= MAX_HOMES {
-            self.homes.clear();
+        if self.session_engines.len() >= MAX_SESSION_ENGINES {
+            self.session_engines.clear();
         }
         let engine_key = engine.key();
-        self.homes.insert(xxh3_64(key.as_bytes()), engine_key);
+        self.session_engines
+            .insert(xxh3_64(key.as_bytes()), engine_key);
         let open = self.loads.open_at(engine_key);
         let load = self.loads.entry(engine_key);
         let forecast = Forecast {
             missing: load.parts.missing(parts),
-            ahead: load.unread,
+            ahead: load.pending_prefill_tokens,
             open,
             is_certain: parts.len() == 1
-                || parts.first().is_some_and(|part| load.parts.holds(*part)),
+                || parts
+                    .first()
+                    .is_some_and(|part| load.parts.is_cached(*part)),
         };
-        load.own += 1;
-        load.unread = load.unread.saturating_add(forecast.missing);
+        load.own_open += 1;
+        load.pending_prefill_tokens = load.pending_prefill_tokens.saturating_add(forecast.missing);
         for part in parts {
             load.parts.insert(*part);
         }
@@ -232,34 +238,37 @@
     /// The first event of a request has come, so its prompt has been read.
     pub fn on_first_event(&mut self, engine: &Engine, forecast: Forecast, taken: Duration) {
         let load = self.loads.entry(engine.key());
-        load.unread = load.unread.saturating_sub(forecast.missing);
+        load.pending_prefill_tokens = load.pending_prefill_tokens.saturating_sub(forecast.missing);
         if forecast.open >= engine.slots || forecast.ahead > 0 {
             // It waited for a place, or for other readings: of this gateway's, and of more that it does
             // not know.
             return;
         }
-        self.model(&engine.service).on_reading(Reading {
-            tokens: forecast.missing,
-            first_ms: taken.as_secs_f64() * MS_PER_S,
-            is_certain: forecast.is_certain,
-        });
+        self.model(&engine.service)
+            .on_prefill_sample(PrefillSample {
+                tokens: forecast.missing,
+                first_ms: taken.as_secs_f64() * MS_PER_S,
+                is_certain: forecast.is_certain,
+            });
     }
 
     /// A request ended well.
     pub fn on_turn(&mut self, engine: &Engine, turn: Turn) {
         if let Some(step_ms) = turn.step_ms {
-            self.health(engine.key()).on_step(step_ms);
+            self.health(engine.key()).on_step_time(step_ms);
         }
         if turn.open < engine.slots {
             self.model(&engine.service).on_turn(turn);
         }
     }
 
-    /// A request has left an engine; `unread` of its tokens had not been read.
-    pub fn on_ended(&mut self, engine: EngineKey, unread: u64) {
+    /// A request has left an engine; `pending_prefill_tokens` of its tokens had not been read.
+    pub fn on_ended(&mut self, engine: EngineKey, pending_prefill_tokens: u64) {
         let load = self.loads.entry(engine);
-        load.own = load.own.saturating_sub(1);
-        load.unread = load.unread.saturating_sub(unread);
+        load.own_open = load.own_open.saturating_sub(1);
+        load.pending_prefill_tokens = load
+            .pending_prefill_tokens
+            .saturating_sub(pending_prefill_tokens);
     }
 
     /// Services whose costs have changed since they were last told, with the samples they rest on.
@@ -306,14 +315,14 @@
         &mut self,
         table: &'a EngineTable,
         now: Duration,
-    ) -> Vec<FailingNews<'a>> {
+    ) -> Vec<FailureStateChange<'a>> {
         let mut news = Vec::new();
         for engine in table.engines() {
             let Some(load) = self.loads.get_mut(engine.key()) else {
                 continue;
             };
             if let Some(is_failing) = load.failure_state_changes(now) {
-                news.push(FailingNews {
+                news.push(FailureStateChange {
                     instance: &engine.instance,
                     is_failing,
                     outcomes: load.outcomes(now),
@@ -347,33 +356,33 @@
 
     /// How far reports of other gateways count: they tell of requests that have ended since, the more of
     /// them the older a report is beside the time that a request takes.
-    fn news_of(&self, candidates: &[Candidate<'_>], costs: &ServiceCosts) -> News {
+    fn report_weight(&self, candidates: &[Candidate<'_>], costs: &ServiceCosts) -> ReportWeight {
         let reported = candidates
             .iter()
-            .map(|candidate| f64::from(self.loads.reported_at(candidate.key)));
+            .map(|candidate| f64::from(self.loads.reported_open_requests(candidate.key)));
         let mean = reported.sum::<f64>() / candidates.len().max(1) as f64;
         let age = self.loads.report_age_ms() / costs.turn_ms.max(1.0);
-        News {
+        ReportWeight {
             mean,
-            trust: (-age).exp(),
+            weight: (-age).exp(),
         }
     }
 
     /// Open requests at an engine: this gateway's own, and those of others as they may be by now, between
     /// what they were and what engines have in the mean.
-    fn open_now(&self, key: EngineKey, news: News) -> f64 {
-        let reported = f64::from(self.loads.reported_at(key));
-        let others = news.mean + news.trust * (reported - news.mean);
+    fn estimated_open(&self, key: EngineKey, news: ReportWeight) -> f64 {
+        let reported = f64::from(self.loads.reported_open_requests(key));
+        let others = news.mean + news.weight * (reported - news.mean);
         f64::from(self.loads.own_open_requests(key)) + others
     }
 
     /// Whether an engine holds the part of a prompt that is the session's own.
-    fn holds_last(&self, key: EngineKey, demand: &PlacementRequest<'_>) -> bool {
+    fn caches_session_part(&self, key: EngineKey, demand: &PlacementRequest<'_>) -> bool {
         let last = demand.parts.last().zip(self.loads.get(key));
-        last.is_some_and(|(part, load)| load.parts.held(*part) > 0)
+        last.is_some_and(|(part, load)| load.parts.cached(*part) > 0)
     }
 
-    fn quickest_step(&self, candidates: &[Candidate<'_>]) -> Option<f64> {
+    fn fastest_step_ms(&self, candidates: &[Candidate<'_>]) -> Option<f64> {
         let steps = candidates.iter().filter_map(|candidate| {
             let load = self.loads.get(candidate.key)?;
             load.health.step_ms()
@@ -382,7 +391,7 @@
     }
 
     /// Share of the requests that fail at the engines all together.
-    fn typical_failed(&self, candidates: &[Candidate<'_>], now: Duration) -> f64 {
+    fn typical_failed_share(&self, candidates: &[Candidate<'_>], now: Duration) -> f64 {
         // Of this gateway's own requests: others tell of suspects only.
         let loads = candidates
             .iter()
@@ -393,18 +402,18 @@
     }
 
     /// What a request is expected to lose at an engine that fails more of them than engines typically do.
-    fn failing_ms(
+    fn failure_ms(
         &self,
         candidate: &Candidate<'_>,
         costs: &ServiceCosts,
-        typical: f64,
+        typical_share: f64,
         now: Duration,
     ) -> f64 {
         let Some(load) = self.loads.get(candidate.key) else {
             return 0.0;
         };
-        let excess = load.failed_share(typical, now) - typical;
-        excess.max(0.0) * FAILURE_TURNS * costs.turn_ms
+        let excess = load.failed_share(typical_share, now) - typical_share;
+        excess.max(0.0) * FAILURE_COST_TURNS * costs.turn_ms
     }
 
     fn model(&mut self, service: &str) -> &mut ServiceModel {
@@ -427,13 +436,13 @@
         let slots = f64::from(engine.slots);
         let queued = (open + 1.0 - slots).max(0.0);
         let mut cost = open * costs.open_ms(engine.slots);
-        cost += queued * costs.place_ms(engine.slots);
+        cost += queued * costs.queue_position_ms(engine.slots);
         if engine.zone != demand.zone {
             cost += OTHER_ZONE_MS;
             cost += self
-                .ways
+                .latencies
                 .as_ref()
-                .map_or(0.0, |ways| ways.extra_ms(&engine.zone));
+                .map_or(0.0, |latencies| latencies.extra_ms(&engine.zone));
         }
         let known = self.loads.get(candidate.key);
         let missing = known.map_or_else(
@@ -442,37 +451,37 @@
         );
         // While the prompt is read, all other requests there wait too.
         let waiting = 1.0 + open.min(slots);
-        cost += reading_tokens(demand.parts, missing, waiting) / costs.tokens_per_ms;
-        if known.is_some_and(|load| load.health.rests(now)) {
-            cost += RESTING_MS;
+        cost += prefill_wait_tokens(demand.parts, missing, waiting) / costs.tokens_per_ms;
+        if known.is_some_and(|load| load.health.is_backing_off(now)) {
+            cost += BACKOFF_MS;
         }
         cost
     }
 
     /// What a request loses at an engine whose steps are longer than the quickest one's.
-    fn slower_ms(
+    fn slow_step_ms(
         &self,
         candidate: &Candidate<'_>,
         costs: &ServiceCosts,
-        quickest: Option<f64>,
+        fastest_step_ms: Option<f64>,
     ) -> f64 {
         let step = self
             .loads
             .get(candidate.key)
             .and_then(|load| load.health.step_ms());
-        let (Some(step), Some(quickest)) = (step, quickest) else {
+        let (Some(step), Some(fastest_step_ms)) = (step, fastest_step_ms) else {
             return 0.0;
         };
-        (step / quickest.max(0.1) - 1.0) * STEP_SHARE * costs.turn_ms
+        (step / fastest_step_ms.max(0.1) - 1.0) * STEP_FRACTION * costs.turn_ms
     }
 }
 
 /// Tokens that all requests of a batch together wait for while one of them is read.
-fn reading_tokens(parts: &[PromptPart], missing: u64, waiting: f64) -> f64 {
-    let own = parts.last().map_or(0, |part| part.tokens.min(missing));
-    let shared = (missing - own) as f64;
-    let shared_waiting = 1.0 + SHARED_WEIGHT * (waiting - 1.0);
-    waiting * own as f64 + shared_waiting * shared
+fn prefill_wait_tokens(parts: &[PromptPart], missing: u64, waiting: f64) -> f64 {
+    let own_open = parts.last().map_or(0, |part| part.tokens.min(missing));
+    let shared = (missing - own_open) as f64;
+    let shared_waiting = 1.0 + SHARED_PREFILL_WEIGHT * (waiting - 1.0);
+    waiting * own_open as f64 + shared_waiting * shared
 }
 
 fn candidates<'a>(
@@ -488,7 +497,7 @@
         Candidate {
             engine,
             key,
-            rank: rendezvous(session, key),
+            rank: rendezvous_rank(session, key),
         }
     });
     candidates.collect()
@@ -499,27 +508,28 @@
 fn preferred(
     candidates: &[Candidate<'_>],
     zone: &str,
-    ways: Option<&RegionLatencies>,
+    latencies: Option<&RegionLatencies>,
 ) -> Vec<EngineKey> {
     let mut ranked: Vec<&Candidate<'_>> = candidates.iter().collect();
     ranked.sort_unstable_by_key(|candidate| std::cmp::Reverse(candidate.rank));
-    let is_own = |zone: &str| ways.is_none_or(|ways| ways.is_own(zone));
+    let is_own_region =
+        |zone: &str| latencies.is_none_or(|latencies| latencies.is_own_region(zone));
     let own_region = ranked
         .iter()
-        .filter(|candidate| is_own(&candidate.engine.zone));
-    let first: Vec<_> = own_region.take(CANDIDATES).collect();
+        .filter(|candidate| is_own_region(&candidate.engine.zone));
+    let first: Vec<_> = own_region.take(CANDIDATES_PER_SESSION).collect();
     let first = if first.is_empty() {
-        ranked.iter().take(CANDIDATES).collect()
+        ranked.iter().take(CANDIDATES_PER_SESSION).collect()
     } else {
         first
     };
     let near = ranked
         .iter()
         .filter(|candidate| candidate.engine.zone == zone);
-    let preferred = first.into_iter().chain(near.take(CANDIDATES));
+    let preferred = first.into_iter().chain(near.take(CANDIDATES_PER_SESSION));
     preferred.map(|candidate| candidate.key).collect()
 }
 
-fn rendezvous(session: u64, key: EngineKey) -> u64 {
+fn rendezvous_rank(session: u64, key: EngineKey) -> u64 {
     xxh3_64_with_seed(&key.0.to_le_bytes(), session)
 }
--- a/crates/routing/src/read_directory.rs
+++ b/crates/routing/src/prefill_directory.rs
@@ -18,10 +18,10 @@
 /// Entries of one directory node.
 const MAX_ENTRIES: usize = 4_096;
 /// How long an entry is kept; a session that pauses for longer has mostly lost its place at the engine.
-const LIFETIME: Duration = Duration::from_secs(20);
+const ENTRY_LIFETIME: Duration = Duration::from_secs(20);
 /// Stands in place of the first part where an engine has failed the prompt. A gateway that does not know it takes it for a part of no
 /// tokens, which costs nothing.
-const FAILED: PromptPart = PromptPart {
+const FAILURE_MARKER: PromptPart = PromptPart {
     hash: 0x9a3f_51c7_2ed8_064b,
     tokens: 0,
 };
@@ -48,14 +48,14 @@
         };
         let failed = Self {
             engine,
-            parts: vec![FAILED, last],
+            parts: vec![FAILURE_MARKER, last],
         };
         (parts.len() <= MAX_PARTS).then_some(failed)
     }
 
     /// Whether the engine has failed the prompt.
     pub fn is_failure(&self) -> bool {
-        self.parts.len() > 1 && self.parts.first() == Some(&FAILED)
+        self.parts.len() > 1 && self.parts.first() == Some(&FAILURE_MARKER)
     }
 
     /// The last part's hash, by which the read is kept; `None` for prompts that are not told.
@@ -68,7 +68,7 @@
 /// The reads that this gateway keeps for all. Times are since the start of the process.
 #[derive(Debug, Clone, Default)]
 pub struct PrefillDirectory {
-    reads: HashMap<u64, (Duration, PrefillRecord)>,
+    records: HashMap<u64, (Duration, PrefillRecord)>,
     /// Keys with the time at which they were written, oldest first; some have been written again since.
     order: VecDeque<(Duration, u64)>,
 }
@@ -76,48 +76,48 @@
 impl PrefillDirectory {
     /// Takes in a read in place of an earlier one with the same last part. A failure of an engine that was not the last one to get the
     /// prompt comes late, and is nobody's concern any more.
-    pub fn insert(&mut self, read: PrefillRecord, now: Duration) {
-        let Some(key) = read.key() else {
+    pub fn insert(&mut self, record: PrefillRecord, now: Duration) {
+        let Some(key) = record.key() else {
             return;
         };
         self.expire(now);
-        let last = self.reads.get(&key).map(|(_, last)| last.engine);
-        if read.is_failure() && last.is_some_and(|engine| engine != read.engine) {
+        let last = self.records.get(&key).map(|(_, last)| last.engine);
+        if record.is_failure() && last.is_some_and(|engine| engine != record.engine) {
             return;
         }
-        self.reads.insert(key, (now, read));
+        self.records.insert(key, (now, record));
         self.order.push_back((now, key));
     }
 
     /// The last read with this last part.
     pub fn find(&self, key: u64, now: Duration) -> Option<&PrefillRecord> {
-        let (at, read) = self.reads.get(&key)?;
-        (now.saturating_sub(*at) < LIFETIME).then_some(read)
+        let (at, record) = self.records.get(&key)?;
+        (now.saturating_sub(*at) < ENTRY_LIFETIME).then_some(record)
     }
 
     /// Number of reads.
     pub fn len(&self) -> usize {
-        self.reads.len()
+        self.records.len()
     }
 
     /// Whether there are none.
     pub fn is_empty(&self) -> bool {
-        self.reads.is_empty()
+        self.records.is_empty()
     }
 
     fn expire(&mut self, now: Duration) {
         while let Some((at, key)) = self.order.front().copied() {
-            let is_old = now.saturating_sub(at) >= LIFETIME;
-            if !is_old && self.order.len() < MAX_ENTRIES {
+            let is_expired = now.saturating_sub(at) >= ENTRY_LIFETIME;
+            if !is_expired && self.order.len() < MAX_ENTRIES {
                 return;
             }
             self.order.pop_front();
             if self
-                .reads
+                .records
                 .get(&key)
-                .is_some_and(|(written, _)| *written == at)
+                .is_some_and(|(inserted_at, _)| *inserted_at == at)
             {
-                self.reads.remove(&key);
+                self.records.remove(&key);
             }
         }
     }
--- a/crates/routing/src/told_outcomes.rs
+++ b/crates/routing/src/reported_outcomes.rs
@@ -11,7 +11,7 @@
 
 /// Suspects that one report names; the ones that failed most.
 pub const MAX_SUSPECTS: usize = 24;
-const TENTHS: f64 = 10.0;
+const TENTHS_PER_REQUEST: f64 = 10.0;
 
 /// How one gateway's requests ended at an engine lately. Counts fade, so they are told in tenths.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Archive, Serialize, Deserialize)]
@@ -26,7 +26,7 @@
 
 /// Sums of what other gateways tell of one engine, in tenths.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct ToldSums {
+pub struct ReportedSums {
     ended: u64,
     failed: u64,
 }
@@ -36,23 +36,23 @@
     pub fn new(engine: u64, counts: OutcomeCounts) -> Self {
         Self {
             engine,
-            ended: (counts.ended * TENTHS).round() as u32,
-            failed: (counts.failed * TENTHS).round() as u32,
+            ended: (counts.ended * TENTHS_PER_REQUEST).round() as u32,
+            failed: (counts.failed * TENTHS_PER_REQUEST).round() as u32,
         }
     }
 }
 
-impl ToldSums {
+impl ReportedSums {
     /// A report names the engine.
-    pub fn add(&mut self, told: &ReportedOutcomes) {
-        self.ended = self.ended.saturating_add(u64::from(told.ended));
-        self.failed = self.failed.saturating_add(u64::from(told.failed));
+    pub fn add(&mut self, reported: &ReportedOutcomes) {
+        self.ended = self.ended.saturating_add(u64::from(reported.ended));
+        self.failed = self.failed.saturating_add(u64::from(reported.failed));
     }
 
     /// A report counts no longer.
-    pub fn subtract(&mut self, told: &ReportedOutcomes) {
-        self.ended = self.ended.saturating_sub(u64::from(told.ended));
-        self.failed = self.failed.saturating_sub(u64::from(told.failed));
+    pub fn subtract(&mut self, reported: &ReportedOutcomes) {
+        self.ended = self.ended.saturating_sub(u64::from(reported.ended));
+        self.failed = self.failed.saturating_sub(u64::from(reported.failed));
     }
 
     /// Whether nothing is told.
@@ -63,8 +63,8 @@
     /// The counts. No more can have failed than ended, whatever others tell.
     pub fn counts(self) -> OutcomeCounts {
         OutcomeCounts {
-            ended: self.ended as f64 / TENTHS,
-            failed: self.failed.min(self.ended) as f64 / TENTHS,
+            ended: self.ended as f64 / TENTHS_PER_REQUEST,
+            failed: self.failed.min(self.ended) as f64 / TENTHS_PER_REQUEST,
         }
     }
 }
--- a/crates/routing/src/sample_window.rs
+++ b/crates/routing/src/sample_window.rs
@@ -15,7 +15,7 @@
 const GROUPS: usize = 3;
 const MEDIAN: f64 = 0.5;
 /// Smaller values of `y` are taken for this one in ratios.
-const LEAST_Y: f32 = 0.01;
+const MIN_Y: f32 = 0.01;
 
 /// The newest pairs of two quantities.
 #[derive(Debug, Clone, Default)]
@@ -47,31 +47,31 @@
         self.pairs.is_empty()
     }
 
-    /// How much the `part` quantile of `y` grows with each unit of `x`; `None` while there are few pairs,
-    /// or where the groups lie closer together than `least_spread`.
-    pub fn slope(&self, part: f64, least_spread: f64) -> Option<f64> {
+    /// How much the `q` quantile of `y` grows with each unit of `x`; `None` while there are few pairs,
+    /// or where the groups lie closer together than `min_spread`.
+    pub fn slope(&self, q: f64, min_spread: f64) -> Option<f64> {
         let sorted = self.sorted()?;
         let group = sorted.len() / GROUPS;
         let (low, high) = (&sorted[..group], &sorted[sorted.len() - group..]);
         let spread = quantile(high, MEDIAN, |pair| pair.0) - quantile(low, MEDIAN, |pair| pair.0);
-        if spread < least_spread || spread <= 0.0 {
+        if spread < min_spread || spread <= 0.0 {
             return None;
         }
-        let rise = quantile(high, part, |pair| pair.1) - quantile(low, part, |pair| pair.1);
+        let rise = quantile(high, q, |pair| pair.1) - quantile(low, q, |pair| pair.1);
         Some(rise / spread)
     }
 
-    /// The `part` quantile of `x / y` where `x` is largest; `None` while there are few pairs.
-    pub fn ratio(&self, part: f64) -> Option<f64> {
+    /// The `q` quantile of `x / y` where `x` is largest; `None` while there are few pairs.
+    pub fn ratio_quantile(&self, q: f64) -> Option<f64> {
         let sorted = self.sorted()?;
         let high = &sorted[sorted.len() - sorted.len() / GROUPS..];
-        Some(quantile(high, part, |pair| pair.0 / pair.1.max(LEAST_Y)))
+        Some(quantile(high, q, |pair| pair.0 / pair.1.max(MIN_Y)))
     }
 
-    /// The `part` quantile of `y`; `None` without pairs.
-    pub fn level(&self, part: f64) -> Option<f64> {
+    /// The `q` quantile of `y`; `None` without pairs.
+    pub fn y_quantile(&self, q: f64) -> Option<f64> {
         let pairs: Vec<(f32, f32)> = self.pairs.iter().copied().collect();
-        (!pairs.is_empty()).then(|| quantile(&pairs, part, |pair| pair.1))
+        (!pairs.is_empty()).then(|| quantile(&pairs, q, |pair| pair.1))
     }
 
     fn sorted(&self) -> Option<Vec<(f32, f32)>> {
@@ -84,10 +84,10 @@
     }
 }
 
-fn quantile(pairs: &[(f32, f32)], part: f64, value: impl Fn(&(f32, f32)) -> f32) -> f64 {
+fn quantile(pairs: &[(f32, f32)], q: f64, value: impl Fn(&(f32, f32)) -> f32) -> f64 {
     let mut values: Vec<f32> = pairs.iter().map(value).collect();
-    let place = (values.len() as f64 * part) as usize;
-    let place = place.min(values.len() - 1);
-    let (_, quantile, _) = values.select_nth_unstable_by(place, f32::total_cmp);
+    let index = (values.len() as f64 * q) as usize;
+    let index = index.min(values.len() - 1);
+    let (_, quantile, _) = values.select_nth_unstable_by(index, f32::total_cmp);
     f64::from(*quantile)
 }
--- a/crates/routing/src/service_model.rs
+++ b/crates/routing/src/service_model.rs
@@ -15,32 +15,32 @@
 
 /// Prompt tokens read in a millisecond that are assumed before anything is known: the middle, by ratio,
 /// of what engines are known to reach (20 to 400).
-const UNKNOWN_TOKENS_PER_MS: f64 = 90.0;
+const DEFAULT_TOKENS_PER_MS: f64 = 90.0;
 /// Bounds of a believable reading rate, in tokens a millisecond.
-const TOKENS_PER_MS: std::ops::RangeInclusive<f64> = 5.0..=1_000.0;
+const TOKENS_PER_MS_RANGE: std::ops::RangeInclusive<f64> = 5.0..=1_000.0;
 /// Time of a request that is assumed before anything is known, in milliseconds.
-const UNKNOWN_TURN_MS: f64 = 300.0;
+const DEFAULT_TURN_MS: f64 = 300.0;
 /// Least difference of prompt lengths that tells a reading rate, in tokens.
-const LEAST_TOKEN_SPREAD: f64 = 100.0;
+const MIN_TOKEN_SPREAD: f64 = 100.0;
 /// Least difference of batches that tells their growth, in requests.
-const LEAST_OPEN_SPREAD: f64 = 1.0;
+const MIN_OPEN_SPREAD: f64 = 1.0;
 /// Part of a place's time that one more request costs at least, even where none waits: counts of open
 /// requests are old by a moment, and the place may be taken by then.
-const LEAST_SHARE: f64 = 0.25;
+const MIN_SLOT_FRACTION: f64 = 0.25;
 /// Weight of the newest sample in a mean.
 const SAMPLE_WEIGHT: f64 = 0.05;
 /// Weight of the newest slope, or of what another gateway tells.
-const FOLLOW_WEIGHT: f64 = 0.2;
+const SMOOTHING_WEIGHT: f64 = 0.2;
 /// Samples from which on a gateway trusts its own over what others tell.
-const OWN_SAMPLES: u32 = 9;
+const MIN_OWN_SAMPLES: u32 = 9;
 /// Ratio of costs from which on a change is told in the log.
-const TOLD_RATIO: f64 = 1.3;
+const REPORTED_CHANGE_RATIO: f64 = 1.3;
 /// Part of the readings that hardly waited.
-const QUICK_PART: f64 = 0.25;
-const MIDDLE_PART: f64 = 0.5;
+const LOW_QUANTILE: f64 = 0.25;
+const MEDIAN: f64 = 0.5;
 const THOUSAND: f64 = 1_000.0;
 /// New samples after which the slopes are worked out anew.
-const REFRESH_EVERY: u32 = 8;
+const REFRESH_SAMPLES: u32 = 8;
 
 /// A service's key in tables and in heartbeats.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -67,8 +67,8 @@
 }
 
 /// A value that follows new ones slowly.
-fn follow(value: Option<f64>, new: f64) -> f64 {
-    value.map_or(new, |value| value + FOLLOW_WEIGHT * (new - value))
+fn smoothed(value: Option<f64>, new: f64) -> f64 {
+    value.map_or(new, |value| value + SMOOTHING_WEIGHT * (new - value))
 }
 
 impl RunningMean {
@@ -113,7 +113,7 @@
 
 /// A reading of a prompt, from the sending of the request to its first event.
 #[derive(Debug, Clone, Copy)]
-pub struct Reading {
+pub struct PrefillSample {
     /// Tokens that the engine was believed to have to read before.
     pub tokens: u64,
     /// Time to the first event, in milliseconds.
@@ -149,7 +149,7 @@
 /// What is known of the engines of one service.
 #[derive(Debug, Clone, Default)]
 pub struct ServiceModel {
-    readings: SampleWindow,
+    prefills: SampleWindow,
     steps: SampleWindow,
     events: RunningMean,
     /// Times of whole requests by the requests that were open there.
@@ -162,25 +162,25 @@
     first_ms: f64,
     ms_per_token: Option<f64>,
     /// What prompts show that were read in so and so much time, waits included: the rate is no lower.
-    least_rate: Option<f64>,
+    min_rate: Option<f64>,
     step_growth: Option<f64>,
-    fresh: u32,
-    heard: Option<ServiceCosts>,
+    samples_since_refresh: u32,
+    received: Option<ServiceCosts>,
     costs: Cell<Option<ServiceCosts>>,
-    told: Option<ServiceCosts>,
+    last_reported: Option<ServiceCosts>,
 }
 
 impl ServiceModel {
     /// An engine has read a prompt.
-    pub fn on_reading(&mut self, reading: Reading) {
+    pub fn on_prefill_sample(&mut self, reading: PrefillSample) {
         let tokens = reading.tokens as f64;
-        if self.readings.len() < OWN_SAMPLES as usize && reading.first_ms.is_finite() {
+        if self.prefills.len() < MIN_OWN_SAMPLES as usize && reading.first_ms.is_finite() {
             self.first_tokens += tokens;
             self.first_ms += reading.first_ms.max(0.0);
             self.costs.set(None);
         }
         if reading.is_certain {
-            self.readings.push(tokens, reading.first_ms);
+            self.prefills.push(tokens, reading.first_ms);
             self.on_sample();
         }
     }
@@ -199,12 +199,12 @@
     /// Another gateway tells what it knows.
     pub fn on_summary(&mut self, summary: ServiceSummary) {
         let costs = summary.costs();
-        self.heard = Some(match self.heard {
+        self.received = Some(match self.received {
             None => costs,
-            Some(heard) => ServiceCosts {
-                tokens_per_ms: follow(Some(heard.tokens_per_ms), costs.tokens_per_ms),
-                share_ms: follow(Some(heard.share_ms), costs.share_ms),
-                turn_ms: follow(Some(heard.turn_ms), costs.turn_ms),
+            Some(received) => ServiceCosts {
+                tokens_per_ms: smoothed(Some(received.tokens_per_ms), costs.tokens_per_ms),
+                share_ms: smoothed(Some(received.share_ms), costs.share_ms),
+                turn_ms: smoothed(Some(received.turn_ms), costs.turn_ms),
             },
         });
         self.costs.set(None);
@@ -212,7 +212,7 @@
 
     /// What this gateway tells others; `None` while it has seen too little itself.
     pub fn summary(&self, key: ServiceKey) -> Option<ServiceSummary> {
-        if self.samples < OWN_SAMPLES {
+        if self.samples < MIN_OWN_SAMPLES {
             return None;
         }
         let costs = self.costs();
@@ -243,11 +243,14 @@
     /// The costs, where they have changed so much since they were last told that it should be told again.
     pub fn news(&mut self) -> Option<ServiceCosts> {
         let costs = self.costs();
-        if self.told.is_some_and(|told| told.is_near(&costs)) {
+        if self
+            .last_reported
+            .is_some_and(|last_reported| last_reported.is_similar(&costs))
+        {
             return None;
         }
-        self.told = Some(costs);
-        self.told
+        self.last_reported = Some(costs);
+        self.last_reported
     }
 
     /// Samples that the costs rest on, of this gateway's own requests.
@@ -257,58 +260,58 @@
 
     fn on_sample(&mut self) {
         self.costs.set(None);
-        self.fresh += 1;
-        if self.fresh < REFRESH_EVERY {
+        self.samples_since_refresh += 1;
+        if self.samples_since_refresh < REFRESH_SAMPLES {
             return;
         }
-        self.fresh = 0;
-        let ms_per_token = self.readings.slope(QUICK_PART, LEAST_TOKEN_SPREAD);
+        self.samples_since_refresh = 0;
+        let ms_per_token = self.prefills.slope(LOW_QUANTILE, MIN_TOKEN_SPREAD);
         if let Some(ms_per_token) = ms_per_token {
             // Slopes of nothing but noise count too, or the mean would be too high.
-            self.ms_per_token = Some(follow(self.ms_per_token, ms_per_token));
+            self.ms_per_token = Some(smoothed(self.ms_per_token, ms_per_token));
         }
-        self.turn_ms = self.turns.level(QUICK_PART);
-        self.least_rate = self.readings.ratio(1.0 - QUICK_PART);
-        if let Some(growth) = self.steps.slope(MIDDLE_PART, LEAST_OPEN_SPREAD) {
-            self.step_growth = Some(follow(self.step_growth, growth.max(0.0)));
+        self.turn_ms = self.turns.y_quantile(LOW_QUANTILE);
+        self.min_rate = self.prefills.ratio_quantile(1.0 - LOW_QUANTILE);
+        if let Some(growth) = self.steps.slope(MEDIAN, MIN_OPEN_SPREAD) {
+            self.step_growth = Some(smoothed(self.step_growth, growth.max(0.0)));
         }
     }
 
     /// The reading rate by this gateway's own requests, in tokens a millisecond.
     fn own_rate(&self) -> Option<f64> {
         let ms_per_token = self.ms_per_token?;
-        let rate = 1.0 / ms_per_token.max(1.0 / TOKENS_PER_MS.end());
-        Some(rate.max(self.least_rate.unwrap_or(0.0)))
+        let rate = 1.0 / ms_per_token.max(1.0 / TOKENS_PER_MS_RANGE.end());
+        Some(rate.max(self.min_rate.unwrap_or(0.0)))
     }
 
     fn tokens_per_ms(&self) -> f64 {
-        let heard = self.heard.map(|heard| heard.tokens_per_ms);
+        let received = self.received.map(|received| received.tokens_per_ms);
         let first = (self.first_ms > 0.0 && self.first_tokens > 0.0)
             .then_some(self.first_tokens / self.first_ms);
         let own = self.own_rate();
         // All gateways measure the same engines, so the middle of both is nearer than either.
-        let rate = match (own, heard) {
-            (Some(own), Some(heard)) => Some((own * heard).sqrt()),
-            (own, heard) => own.or(heard).or(first),
+        let rate = match (own, received) {
+            (Some(own), Some(received)) => Some((own * received).sqrt()),
+            (own, received) => own.or(received).or(first),
         };
-        let rate = rate.unwrap_or(UNKNOWN_TOKENS_PER_MS);
-        rate.clamp(*TOKENS_PER_MS.start(), *TOKENS_PER_MS.end())
+        let rate = rate.unwrap_or(DEFAULT_TOKENS_PER_MS);
+        rate.clamp(*TOKENS_PER_MS_RANGE.start(), *TOKENS_PER_MS_RANGE.end())
     }
 
     fn turn_ms(&self) -> f64 {
-        let heard = self.heard.map(|heard| heard.turn_ms);
-        let own = self.turn_ms.or_else(|| self.turns.level(QUICK_PART));
-        let is_known = self.samples >= OWN_SAMPLES;
-        let turn_ms = if is_known { own } else { heard.or(own) };
-        turn_ms.unwrap_or(UNKNOWN_TURN_MS)
+        let received = self.received.map(|received| received.turn_ms);
+        let own = self.turn_ms.or_else(|| self.turns.y_quantile(LOW_QUANTILE));
+        let is_known = self.samples >= MIN_OWN_SAMPLES;
+        let turn_ms = if is_known { own } else { received.or(own) };
+        turn_ms.unwrap_or(DEFAULT_TURN_MS)
     }
 
     /// Each request makes every step of the others in its batch longer.
     fn share_ms(&self) -> f64 {
-        if self.samples < OWN_SAMPLES
-            && let Some(heard) = self.heard
+        if self.samples < MIN_OWN_SAMPLES
+            && let Some(received) = self.received
         {
-            return heard.share_ms;
+            return received.share_ms;
         }
         let events = self.events.get().unwrap_or(0.0);
         let growth_ms = self.step_growth.map_or(0.0, |growth| growth * events);
@@ -317,22 +320,22 @@
 }
 
 impl ServiceCosts {
-    /// Whether no cost differs by more than [`TOLD_RATIO`].
-    fn is_near(&self, other: &Self) -> bool {
-        let is_near = |one: f64, two: f64| one.max(two) <= one.min(two) * TOLD_RATIO;
-        is_near(self.tokens_per_ms, other.tokens_per_ms)
-            && is_near(self.share_ms, other.share_ms)
-            && is_near(self.turn_ms, other.turn_ms)
+    /// Whether no cost differs by more than [`REPORTED_CHANGE_RATIO`].
+    fn is_similar(&self, other: &Self) -> bool {
+        let is_similar = |one: f64, two: f64| one.max(two) <= one.min(two) * REPORTED_CHANGE_RATIO;
+        is_similar(self.tokens_per_ms, other.tokens_per_ms)
+            && is_similar(self.share_ms, other.share_ms)
+            && is_similar(self.turn_ms, other.turn_ms)
     }
 
     /// What each place in an engine's queue costs, where it works on `slots` requests at once.
-    pub fn place_ms(&self, slots: u32) -> f64 {
+    pub fn queue_position_ms(&self, slots: u32) -> f64 {
         self.turn_ms / f64::from(slots.max(1))
     }
 
     /// What one more open request costs at an engine that works on `slots` requests at once.
     pub fn open_ms(&self, slots: u32) -> f64 {
         // It is slowed by the others, and they by it.
-        (2.0 * self.share_ms).max(self.place_ms(slots) * LEAST_SHARE)
+        (2.0 * self.share_ms).max(self.queue_position_ms(slots) * MIN_SLOT_FRACTION)
     }
 }
--- a/crates/routing/src/warm_up.rs
+++ b/crates/routing/src/warm_up.rs
@@ -10,11 +10,11 @@
 
 const MS_PER_KS: u64 = 1_000_000;
 /// Part of the usual time of a warm-up over which an engine that is warm gets its share back.
-const GROWTH_SHARE: f64 = 0.5;
+const RAMP_FRACTION: f64 = 0.5;
 /// How long an engine counts as away that was not reached.
-const AWAY_TIME: Duration = Duration::from_secs(15);
+const UNREACHABLE_PERIOD: Duration = Duration::from_secs(15);
 /// How long a run is remembered that is not listed any more: a store that lost its entries lists it again.
-const REMEMBERED: Duration = Duration::from_secs(60);
+const UNLISTED_RETENTION: Duration = Duration::from_secs(60);
 
 /// What the engines of a service bear while they warm up.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Archive, Serialize, Deserialize)]
@@ -27,7 +27,7 @@
 
 impl WarmUpLimit {
     /// How long an engine warms up where it does not say.
-    pub fn lasts(&self) -> Duration {
+    pub fn duration(&self) -> Duration {
         Duration::from_millis(self.duration_ms)
     }
 
@@ -45,11 +45,11 @@
     /// One of its answers.
     Answer,
     /// It was not listed before.
-    Appeared,
+    NewlyListed,
     /// It was found away: it may have started again, and looks idle.
-    FoundAway,
+    Unreachable,
     /// Its zone was taken back from a drain.
-    ZoneReturned,
+    DrainEnded,
 }
 
 impl WarmUpSource {
@@ -58,16 +58,16 @@
         match self {
             Self::Entry => "entry",
             Self::Answer => "answer",
-            Self::Appeared => "appeared",
-            Self::FoundAway => "found_away",
-            Self::ZoneReturned => "zone_returned",
+            Self::NewlyListed => "appeared",
+            Self::Unreachable => "found_away",
+            Self::DrainEnded => "zone_returned",
         }
     }
 }
 
 /// An engine has begun to warm up, or is warm.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct WarmUpNews {
+pub struct WarmUpChange {
     /// The engine's instance.
     pub instance: String,
     /// Its service.
@@ -82,7 +82,7 @@
 
 /// How one run of an engine warms up.
 #[derive(Debug)]
-struct Course {
+struct RunWarmUp {
     instance: String,
     service: String,
     born_ms: u64,
@@ -96,15 +96,15 @@
     /// By what nobody says but is to be feared.
     presumed_end: Duration,
     /// Until when it counts as away, unless it is reached before: whoever is the first to reach it may find it just started.
-    away_until: Duration,
+    unreachable_until: Duration,
     source: WarmUpSource,
     /// Whether it was last said to warm up.
-    is_told: bool,
+    is_reported_warming: bool,
     /// When it was last listed.
-    listed: Duration,
+    last_listed: Duration,
 }
 
-impl Course {
+impl RunWarmUp {
     fn new(engine: &Engine, limit: WarmUpLimit) -> Self {
         Self {
             instance: engine.instance.clone(),
@@ -115,20 +115,20 @@
             entry_end: Duration::ZERO,
             answer_end: Duration::ZERO,
             presumed_end: Duration::ZERO,
-            away_until: Duration::ZERO,
+            unreachable_until: Duration::ZERO,
             source: WarmUpSource::Entry,
-            is_told: false,
-            listed: Duration::ZERO,
+            is_reported_warming: false,
+            last_listed: Duration::ZERO,
         }
     }
 
     fn end(&self) -> Duration {
-        let presumed = self.presumed_end.max(self.away_until);
+        let presumed = self.presumed_end.max(self.unreachable_until);
         self.entry_end.max(self.answer_end).max(presumed)
     }
 
     fn presume(&mut self, source: WarmUpSource, now: Duration) {
-        self.presumed_end = self.presumed_end.max(now + self.limit.lasts());
+        self.presumed_end = self.presumed_end.max(now + self.limit.duration());
         self.source = source;
     }
 
@@ -145,9 +145,9 @@
 
     /// It has answered. Where it was away it may have started anew; an entry that tells of it is on its way.
     fn on_reached(&mut self, now: Duration) {
-        if now < self.away_until {
-            self.away_until = Duration::ZERO;
-            self.presume(WarmUpSource::FoundAway, now);
+        if now < self.unreachable_until {
+            self.unreachable_until = Duration::ZERO;
+            self.presume(WarmUpSource::Unreachable, now);
         }
     }
 
@@ -172,12 +172,12 @@
         if end.is_zero() {
             return 1.0;
         }
-        let grows = self.limit.lasts().mul_f64(GROWTH_SHARE);
+        let ramp = self.limit.duration().mul_f64(RAMP_FRACTION);
         let since = now - end;
-        if since >= grows {
+        if since >= ramp {
             return 1.0;
         }
-        since.as_secs_f64() / grows.as_secs_f64()
+        since.as_secs_f64() / ramp.as_secs_f64()
     }
 }
 
@@ -187,7 +187,7 @@
 /// a warm-up says nothing against it.
 #[derive(Debug, Default)]
 pub struct WarmUps {
-    courses: HashMap<EngineKey, Course>,
+    runs: HashMap<EngineKey, RunWarmUp>,
     /// Services of which a list of engines was seen: those of the first one may have run for long.
     services: HashSet<String>,
 }
@@ -203,31 +203,37 @@
         for entry in entries {
             let service = entry.engine.service.as_str();
             if let Some(limit) = limits.get(service) {
-                let is_first = !self.services.contains(service);
-                self.on_entry(entry, *limit, is_first, now);
+                let is_first_list = !self.services.contains(service);
+                self.on_entry(entry, *limit, is_first_list, now);
             }
         }
         self.services = limits.keys().map(|name| (*name).to_owned()).collect();
-        self.courses.retain(|_, course| {
+        self.runs.retain(|_, run| {
             // Those of services whose engines need no care any more go with them.
-            let is_due = now.saturating_sub(course.listed) < REMEMBERED;
-            is_due && limits.contains_key(course.service.as_str())
+            let is_retained = now.saturating_sub(run.last_listed) < UNLISTED_RETENTION;
+            is_retained && limits.contains_key(run.service.as_str())
         });
     }
 
-    fn on_entry(&mut self, entry: &EngineEntry, limit: WarmUpLimit, is_first: bool, now: Duration) {
+    fn on_entry(
+        &mut self,
+        entry: &EngineEntry,
+        limit: WarmUpLimit,
+        is_first_list: bool,
+        now: Duration,
+    ) {
         let engine = &entry.engine;
-        let known = self.courses.contains_key(&engine.key());
-        let course = self.course(engine, limit);
-        course.limit = limit;
-        course.listed = now;
-        if entry.revision <= course.revision {
+        let known = self.runs.contains_key(&engine.key());
+        let run = self.run(engine, limit);
+        run.limit = limit;
+        run.last_listed = now;
+        if entry.revision <= run.revision {
             return;
         }
-        course.revision = entry.revision;
-        course.on_entry(Duration::from_millis(engine.warm_up_ms), now);
-        if !known && !is_first && engine.warm_up_ms == 0 {
-            course.presume(WarmUpSource::Appeared, now);
+        run.revision = entry.revision;
+        run.on_entry(Duration::from_millis(engine.warm_up_ms), now);
+        if !known && !is_first_list && engine.warm_up_ms == 0 {
+            run.presume(WarmUpSource::NewlyListed, now);
         }
     }
 
@@ -239,23 +245,23 @@
         warm_up: Duration,
         now: Duration,
     ) {
-        if warm_up.is_zero() && !self.courses.contains_key(&engine.key()) {
+        if warm_up.is_zero() && !self.runs.contains_key(&engine.key()) {
             return;
         }
-        self.course(engine, limit).on_answer(warm_up, now);
+        self.run(engine, limit).on_answer(warm_up, now);
     }
 
     /// No connection to an engine came about.
     pub fn on_unreachable(&mut self, engine: &Engine, limit: WarmUpLimit, now: Duration) {
-        let course = self.course(engine, limit);
-        course.away_until = now + AWAY_TIME;
-        course.source = WarmUpSource::FoundAway;
+        let run = self.run(engine, limit);
+        run.unreachable_until = now + UNREACHABLE_PERIOD;
+        run.source = WarmUpSource::Unreachable;
     }
 
     /// An engine has answered, whatever it says of its warm-up.
     pub fn on_reached(&mut self, engine: EngineKey, now: Duration) {
-        if let Some(course) = self.courses.get_mut(&engine) {
-            course.on_reached(now);
+        if let Some(run) = self.runs.get_mut(&engine) {
+            run.on_reached(now);
         }
     }
 
@@ -264,59 +270,59 @@
         &mut self,
         engines: impl Iterator<Item = &'a Engine>,
         limits: &HashMap<&str, WarmUpLimit>,
-        returned: Duration,
+        drain_ended: Duration,
     ) {
         for engine in engines {
             if let Some(limit) = limits.get(engine.service.as_str()) {
-                self.course(engine, *limit)
-                    .presume(WarmUpSource::ZoneReturned, returned);
+                self.run(engine, *limit)
+                    .presume(WarmUpSource::DrainEnded, drain_ended);
             }
         }
     }
 
-    fn course(&mut self, engine: &Engine, limit: WarmUpLimit) -> &mut Course {
-        let courses = self.courses.entry(engine.key());
-        courses.or_insert_with(|| Course::new(engine, limit))
+    fn run(&mut self, engine: &Engine, limit: WarmUpLimit) -> &mut RunWarmUp {
+        let runs = self.runs.entry(engine.key());
+        runs.or_insert_with(|| RunWarmUp::new(engine, limit))
     }
 
     /// Part of the requests that would go to an engine if it were warm that it may get without being counted: none while it warms up,
     /// then more and more, so that its load grows without a step.
     pub fn share(&self, engine: EngineKey, now: Duration) -> f64 {
-        let course = self.courses.get(&engine);
-        course.map_or(1.0, |course| course.share(now))
+        let run = self.runs.get(&engine);
+        run.map_or(1.0, |run| run.share(now))
     }
 
     /// Whether requests to any engine of a service are counted now.
     pub fn has_limited_engines(&self, service: &str, now: Duration) -> bool {
-        let mut courses = self.courses.values();
-        courses.any(|course| course.service == service && course.share(now) < 1.0)
+        let mut runs = self.runs.values();
+        runs.any(|run| run.service == service && run.share(now) < 1.0)
     }
 
     /// Engines that warm up, by service.
     pub fn warming(&self, now: Duration) -> HashMap<&str, u64> {
         let mut warming = HashMap::new();
-        for course in self.courses.values() {
-            let count: &mut u64 = warming.entry(course.service.as_str()).or_default();
-            *count += u64::from(now < course.end());
+        for run in self.runs.values() {
+            let count: &mut u64 = warming.entry(run.service.as_str()).or_default();
+            *count += u64::from(now < run.end());
         }
         warming
     }
 
     /// Engines that have begun to warm up, or are warm, since this was last asked.
-    pub fn news(&mut self, now: Duration) -> Vec<WarmUpNews> {
+    pub fn news(&mut self, now: Duration) -> Vec<WarmUpChange> {
         let mut news = Vec::new();
-        for course in self.courses.values_mut() {
-            let left = course.end().checked_sub(now).filter(|left| !left.is_zero());
-            if left.is_some() == course.is_told {
+        for run in self.runs.values_mut() {
+            let left = run.end().checked_sub(now).filter(|left| !left.is_zero());
+            if left.is_some() == run.is_reported_warming {
                 continue;
             }
-            course.is_told = left.is_some();
-            news.push(WarmUpNews {
-                instance: course.instance.clone(),
-                service: course.service.clone(),
-                born_ms: course.born_ms,
+            run.is_reported_warming = left.is_some();
+            news.push(WarmUpChange {
+                instance: run.instance.clone(),
+                service: run.service.clone(),
+                born_ms: run.born_ms,
                 left,
-                source: course.source,
+                source: run.source,
             });
         }
         news
--- a/crates/routing/src/weighted_split.rs
+++ b/crates/routing/src/weighted_split.rs
@@ -40,8 +40,8 @@
             return None;
         }
         if !self.credits.contains_key(&route.name) {
-            let begun = self.begin(&route.name, &weights, total);
-            self.credits.insert(route.name.clone(), begun);
+            let initial = self.initial_credits(&route.name, &weights, total);
+            self.credits.insert(route.name.clone(), initial);
         }
         let credits = self.credits.get_mut(&route.name)?;
         credits.resize(weights.len(), 0);
@@ -64,10 +64,10 @@
     }
 
     /// Credits after some requests of a round, how many is drawn from the seed.
-    fn begin(&self, route: &str, weights: &[i64], total: i64) -> Vec<i64> {
+    fn initial_credits(&self, route: &str, weights: &[i64], total: i64) -> Vec<i64> {
         /// A round of larger weights is not played to its end.
-        const LONGEST_ROUND: i64 = 1_000;
-        let round = total.min(LONGEST_ROUND).unsigned_abs();
+        const MAX_ROUND: i64 = 1_000;
+        let round = total.min(MAX_ROUND).unsigned_abs();
         let skipped = xxh3_64_with_seed(route.as_bytes(), self.seed) % round;
         let mut credits = vec![0; weights.len()];
         for _ in 0..skipped {
--- a/crates/routing/src/zone_drains.rs
+++ b/crates/routing/src/zone_drains.rs
@@ -100,21 +100,21 @@
     }
 
     /// Takes in a table; says what has changed, and nothing where this one is as new.
-    pub fn take(&mut self, mut told: Self) -> Vec<DrainChange> {
-        if told.at < self.at {
+    pub fn take(&mut self, mut received: Self) -> Vec<DrainChange> {
+        if received.at < self.at {
             return Vec::new();
         }
-        let changes = self.changes_to(&told);
+        let changes = self.changes_to(&received);
         // Both tell the same of a time without a gap.
-        if changes.is_empty() && told.newest <= self.at {
-            told.newest = told.newest.min(self.newest);
+        if changes.is_empty() && received.newest <= self.at {
+            received.newest = received.newest.min(self.newest);
         }
-        *self = told;
+        *self = received;
         changes
     }
 
-    fn changes_to(&self, told: &Self) -> Vec<DrainChange> {
-        let ordered = told.orders.iter().filter_map(|(zone, revision)| {
+    fn changes_to(&self, received: &Self) -> Vec<DrainChange> {
+        let ordered = received.orders.iter().filter_map(|(zone, revision)| {
             let (zone, revision) = (zone.clone(), *revision);
             match self.orders.get(&zone) {
                 None => Some(DrainChange::Started { zone, revision }),
@@ -125,7 +125,7 @@
             }
         });
         let over = self.orders.keys();
-        let over = over.filter(|zone| !told.orders.contains_key(*zone));
+        let over = over.filter(|zone| !received.orders.contains_key(*zone));
         let over = over.map(|zone| DrainChange::Ended { zone: zone.clone() });
         ordered.chain(over).collect()
     }
--- a/crates/routing/tests/placement.rs
+++ b/crates/routing/tests/placement.rs
@@ -119,8 +119,8 @@
 fn a_slow_engine_gets_less() {
     let table = table(["i-1", "i-2"].map(|name| engine(name, "zone-a")));
     let mut placement = Placement::default();
-    placement.health(EngineKey::of("i-1")).on_step(10.0);
-    placement.health(EngineKey::of("i-2")).on_step(50.0);
+    placement.health(EngineKey::of("i-1")).on_step_time(10.0);
+    placement.health(EngineKey::of("i-2")).on_step_time(50.0);
     for number in 0..20 {
         let key = format!("session-{number}");
         let chosen = choose(&mut placement, &table, &demand(&key, &[], &[]), NOW);
--- a/crates/routing/tests/region_ways.rs
+++ b/crates/routing/tests/region_latencies.rs
@@ -20,12 +20,12 @@
 }
 
 /// A placement that has connected to both regions, the other one so many milliseconds away.
-fn measured(round_ms: u64) -> Placement {
+fn measured(round_trip_ms: u64) -> Placement {
     let mut placement =
         Placement::with_region_latencies(RegionLatencies::new(&regions(), "zone-a"));
     for _ in 0..20 {
         placement.on_connected(&engine("i", "zone-a"), Duration::from_millis(2));
-        let taken = Duration::from_millis(2 + round_ms);
+        let taken = Duration::from_millis(2 + round_trip_ms);
         placement.on_connected(&engine("i", "zone-c"), taken);
     }
     placement
@@ -57,9 +57,9 @@
 }
 
 /// Requests at the near engine from which on the one beyond is chosen.
-fn borne_first(round_ms: u64) -> usize {
+fn borne_first(round_trip_ms: u64) -> usize {
     let engines = [("i-beyond", "zone-c"), ("i-near", "zone-a")];
-    let mut placement = measured(round_ms);
+    let mut placement = measured(round_trip_ms);
     let mut sent = 0;
     while chosen(&mut placement, &engines, &demand("s", &[], &[])) == "i-near" {
         send(&mut placement, "i-near", &[]);
@@ -112,27 +112,33 @@
 
 #[test]
 fn a_slow_connection_says_little_of_the_way_and_a_quick_one_much() {
-    let mut ways = RegionLatencies::new(&regions(), "zone-a").expect("several regions");
-    assert!(ways.extra_ms("zone-c") > 0.0, "before anything is measured");
-    assert!(ways.extra_ms("zone-b") == 0.0);
-    ways.on_connected("zone-c", Duration::from_millis(240));
+    let mut latencies = RegionLatencies::new(&regions(), "zone-a").expect("several regions");
+    assert!(
+        latencies.extra_ms("zone-c") > 0.0,
+        "before anything is measured"
+    );
+    assert!(latencies.extra_ms("zone-b") == 0.0);
+    latencies.on_connected("zone-c", Duration::from_millis(240));
     for _ in 0..8 {
-        ways.on_connected("zone-c", Duration::from_millis(40));
+        latencies.on_connected("zone-c", Duration::from_millis(40));
     }
-    ways.on_connected("zone-c", Duration::from_millis(200));
-    let extra = ways.extra_ms("zone-c");
+    latencies.on_connected("zone-c", Duration::from_millis(200));
+    let extra = latencies.extra_ms("zone-c");
     assert!((35.0..55.0).contains(&extra), "{extra}");
-    assert_eq!(ways.news().len(), 1);
-    assert!(ways.news().is_empty(), "nothing has changed since");
+    assert_eq!(latencies.changes().len(), 1);
+    assert!(latencies.changes().is_empty(), "nothing has changed since");
 }
 
 /// One engine for each number: its zone and the requests that are open there.
 fn same_choice_in_one_region(engines: Vec<(u8, u8)>, key: String, reads: Vec<u8>) -> bool {
     let zones = ["zone-a", "zone-b", "zone-c"];
     let of_one = zones.map(|zone| (zone, "north"));
-    let ways = RegionLatencies::new(&ZoneRegions::from(of_one), "zone-a");
-    let is_unpaid = ways.is_none();
-    let mut placements = [Placement::default(), Placement::with_region_latencies(ways)];
+    let latencies = RegionLatencies::new(&ZoneRegions::from(of_one), "zone-a");
+    let is_unpaid = latencies.is_none();
+    let mut placements = [
+        Placement::default(),
+        Placement::with_region_latencies(latencies),
+    ];
     let names: Vec<String> = (0..engines.len())
         .map(|number| format!("i-{number}"))
         .collect();
--- a/crates/routing/tests/service_model.rs
+++ b/crates/routing/tests/service_model.rs
@@ -2,7 +2,7 @@
 
 use quickcheck::{TestResult, quickcheck};
 use ridgeworks_routing::{
-    Reading, SampleWindow, ServiceCosts, ServiceKey, ServiceModel, ServiceSummary, Turn,
+    PrefillSample, SampleWindow, ServiceCosts, ServiceKey, ServiceModel, ServiceSummary, Turn,
 };
 
 /// A small linear congruential generator: the same numbers on each run.
@@ -33,7 +33,7 @@
     let tokens = (200.0 + draws.next() * 4_000.0).floor();
     let read = if draws.next() < wrong { 100.0 } else { tokens };
     let queue_ms = draws.next().powi(2) * 1_000.0 / engine.tokens_per_ms;
-    model.on_reading(Reading {
+    model.on_prefill_sample(PrefillSample {
         tokens: tokens as u64,
         first_ms: engine.first_ms + queue_ms + read / engine.tokens_per_ms,
         is_certain: true,
@@ -77,7 +77,7 @@
         let mut model = ServiceModel::default();
         for tokens in [3_000_u64, 1_500] {
             let first_ms = 4.0 + tokens as f64 / tokens_per_ms;
-            model.on_reading(Reading {
+            model.on_prefill_sample(PrefillSample {
                 tokens,
                 first_ms,
                 is_certain: true,
@@ -168,7 +168,7 @@
     fn costs_stay_finite(readings: Vec<(u64, f64)>, turns: Vec<(f64, f64, u64)>, told: Vec<(u32, u32, u32)>) -> TestResult {
         let mut model = ServiceModel::default();
         for (tokens, first_ms) in readings {
-            model.on_reading(Reading { tokens, first_ms, is_certain: true });
+            model.on_prefill_sample(PrefillSample { tokens, first_ms, is_certain: true });
         }
         for (turn_ms, step_ms, events) in turns {
             let step_ms = Some(step_ms);
@@ -178,7 +178,7 @@
             model.on_summary(ServiceSummary { service: 1, tokens_per_s, share_us, turn_us });
         }
         let costs = model.costs();
-        let values = [costs.tokens_per_ms, costs.open_ms(0), costs.place_ms(0)];
+        let values = [costs.tokens_per_ms, costs.open_ms(0), costs.queue_position_ms(0)];
         let is_sound = values.iter().all(|value| value.is_finite() && *value >= 0.0);
         TestResult::from_bool(is_sound && costs.tokens_per_ms > 0.0)
     }
--- a/crates/routing/tests/warm_up.rs
+++ b/crates/routing/tests/warm_up.rs
@@ -149,7 +149,7 @@
     known.engines.on_drain_ended(own.iter(), &limits(), at(100));
     assert!(known.is_warming(&engine, 4_099));
     let news = known.engines.news(at(200));
-    assert_eq!(news[0].source, WarmUpSource::ZoneReturned);
+    assert_eq!(news[0].source, WarmUpSource::DrainEnded);
     assert_eq!(news[0].left, Some(at(3_900)));
     assert!(known.engines.news(at(300)).is_empty(), "told once");
     assert_eq!(known.engines.news(at(4_200))[0].left, None);
