--- a/crates/quota/src/bucket.rs
+++ b/crates/quota/src/bucket.rs
@@ -1,4 +1,4 @@
-//! What one limiter gives out of one limit.
+//! Token buckets of one limiter.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -6,25 +6,27 @@
 use crate::limiter::{LimiterDecision, ProgramProgress};
 use crate::share::Share;
 
-/// Part of a bucket that requests of programs that are under way find when others find it empty. Where a tenant asks for more than its
-/// limit, every program that is let in can be carried out; without it each program lost some request in its midst.
+/// Fraction of a bucket that is reserved for programs in progress. Where a tenant asks for more than its
+/// limit, programs that were admitted can then finish; without the reserve, each program would lose a request
+/// at some point.
 const RESERVED_FRACTION: f64 = 0.55;
-/// Full buckets that are kept for the limits that they tell: more than a deployment has tenants, within half a megabyte.
+/// Full buckets that are kept so that their limits are known: more than a deployment has tenants, in less
+/// than half a megabyte.
 const MAX_FULL_BUCKETS: usize = 4_096;
-/// When a request may come back whose limit may be out of date: its gateway hears of the newer version meanwhile.
+/// Delay before a retry of a request whose limit may be outdated. Its gateway receives the newer
+/// configuration in the meantime.
 const STALE_LIMIT_RETRY: Duration = Duration::from_millis(200);
 
-/// A token bucket for one share of a limit. Times are since the start of the process.
+/// Token bucket for one share of a limit. Times are since the start of the process.
 #[derive(Debug)]
 pub(crate) struct Bucket {
     /// Version of the configuration that set the share.
     version: u64,
     share: Share,
-    /// Requests that it holds.
+    /// Tokens in the bucket when it was last updated.
     level: f64,
-    /// When that was worked out.
     updated_at: Duration,
-    /// When the last request that was turned away may come back.
+    /// When the last refused request may retry. Each refused request gets a later time, one token apart.
     last_retry_at: Duration,
 }
 
@@ -39,7 +41,7 @@
         }
     }
 
-    /// Takes a share in that a newer version of the configuration sets.
+    /// Takes over the share of a newer version of the configuration.
     fn update_share(&mut self, fresh: &Self) {
         if fresh.version > self.version {
             self.version = fresh.version;
@@ -63,7 +65,7 @@
             ProgramProgress::Beginning => 1.0 + self.share.capacity * RESERVED_FRACTION,
             ProgramProgress::UnderWay => 1.0,
         };
-        // A bucket that is full serves whoever comes, however small it is.
+        // A full bucket grants any request, however small it is.
         let required = required.min(self.share.capacity).max(1.0);
         if self.level >= required {
             self.level -= 1.0;
@@ -81,22 +83,23 @@
     }
 }
 
-/// A time that may be longer than anybody waits, or endless.
+/// A duration in seconds, capped at `max_wait`; the cap also holds for values that are infinite or not a
+/// number.
 fn bounded_duration(bounded_duration: f64, max_wait: Duration) -> Duration {
     Duration::try_from_secs_f64(bounded_duration)
         .map_or(max_wait, |duration| duration.min(max_wait))
 }
 
-/// The buckets of one limiter, by whose limit it is.
+/// The buckets of one limiter, by name of the tenant or engine.
 #[derive(Debug, Default)]
 pub(crate) struct Buckets {
     buckets: HashMap<String, Bucket>,
-    /// Newest version among the limits that were let go.
+    /// Newest version among the limits that were discarded.
     discarded_version: u64,
 }
 
 impl Buckets {
-    /// Takes from the bucket of this name: this one, unless there is one.
+    /// Takes a token from the bucket of this name; `fresh` is its initial state if there is none.
     pub(crate) fn take(
         &mut self,
         name: &str,
@@ -106,7 +109,7 @@
     ) -> LimiterDecision {
         let Some(bucket) = self.buckets.get_mut(name) else {
             if fresh.version < self.discarded_version {
-                // A lower limit may be among those that were let go.
+                // A lower limit may be among those that were discarded.
                 return LimiterDecision::Exhausted {
                     next: STALE_LIMIT_RETRY,
                     retry: STALE_LIMIT_RETRY,
@@ -120,8 +123,8 @@
         bucket.take(progress, max_wait)
     }
 
-    /// Lets go of full buckets beyond those that are kept so that no gateway brings an earlier limit than the newest one that was heard of.
-    /// Those with limits of the oldest versions go first.
+    /// Discards full buckets over the maximum, those with limits of the oldest versions first. The others
+    /// stay, so that a gateway with an older configuration does not bring back an earlier limit.
     pub(crate) fn clean_up(&mut self, now: Duration) {
         let buckets = self.buckets.values_mut();
         buckets.for_each(|bucket| bucket.refill(now));
@@ -138,13 +141,13 @@
             .retain(|_, bucket| !bucket.is_full() || bucket.version > newest);
     }
 
-    /// Those of which something was taken lately.
+    /// Number of buckets that are not full.
     pub(crate) fn len(&self) -> usize {
         let taken = self.buckets.values().filter(|bucket| !bucket.is_full());
         taken.count()
     }
 
-    /// All that are kept.
+    /// Number of all buckets.
     pub(crate) fn retained(&self) -> usize {
         self.buckets.len()
     }
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -1,9 +1,10 @@
-//! Rate limits of tenants that hold over all gateways together, and of engines that warm up, without I/O.
+//! Distributed rate limits without I/O: of tenants over all gateways, and of engines that are warming up.
 //!
-//! A tenant's limit is split evenly among a few *limiters*, the voters of the replica group that the tenant belongs to by its name. Each gives out
-//! its [`Share`] by itself from a token bucket ([`Limiter`]), and a gateway asks any of them before a request reaches an engine ([`LimiterSelector`]). The shares
-//! add up to the limit, so that nothing has to be agreed on, and no cut, frozen process or loss of messages lets more through
-//! (`docs/design/quotas.md` has the other ways that were weighed, and their figures).
+//! A tenant's limit is split evenly among a few *limiters*, the voters of the replica group to which the
+//! tenant's name maps. Each limiter hands out its [`Share`] from a token bucket without coordination
+//! ([`Limiter`]), and a gateway asks any of them before a request reaches an engine ([`LimiterSelector`]).
+//! The shares add up to the limit, so no consensus is needed, and no partition, frozen process or message
+//! loss lets more requests through (`docs/design/quotas.md` compares the alternatives).
 
 mod bucket;
 mod limiter;
--- a/crates/quota/src/limiter.rs
+++ b/crates/quota/src/limiter.rs
@@ -1,4 +1,4 @@
-//! Gives out one share of each tenant's limit.
+//! Hands out one share of each tenant's limit.
 
 use std::time::Duration;
 
@@ -7,42 +7,42 @@
 use crate::bucket::{Bucket, Buckets};
 use crate::share::{QuotaBounds, Share};
 
-/// How far the program of a request has come.
+/// Progress of the program that a request belongs to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum ProgramProgress {
-    /// The request may be its first one.
+    /// The request may be the program's first.
     Beginning,
-    /// It is under way.
+    /// The program has made requests before.
     UnderWay,
 }
 
-/// What becomes of a request.
+/// A limiter's decision on a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LimiterDecision {
-    /// It may run.
+    /// The request may run.
     Granted,
-    /// This limiter has nothing left.
+    /// The limiter has no token for the request.
     Exhausted {
-        /// Until the next request can be granted.
+        /// Time until the next request can be granted.
         next: Duration,
-        /// Until this one can, if all that were turned away before it come back first.
+        /// Time until this request can be granted if all requests that were refused before it retry first.
         retry: Duration,
     },
 }
 
-/// Gives out one share of each tenant's limit. Times are since the start of the process.
+/// Hands out one share of each tenant's limit. Times are since the start of the process.
 #[derive(Debug)]
 pub struct Limiter {
     bounds: QuotaBounds,
-    /// Limiters that a limit is split among.
+    /// Limiters that share each limit.
     limiters: usize,
-    /// Since when it is known what this limiter has given out.
+    /// When this limiter's memory of its grants begins.
     known_since: Duration,
     buckets: Buckets,
 }
 
 impl Limiter {
-    /// A limiter that knows nothing of what was given out before now.
+    /// A limiter that knows nothing of grants before `now`, such as after a restart.
     pub fn new(bounds: QuotaBounds, limiters: usize, now: Duration) -> Self {
         Self {
             bounds,
@@ -52,8 +52,8 @@
         }
     }
 
-    /// Whether a request of a tenant may run, whose limit this version of the configuration sets. A limit of an earlier version than
-    /// one that was heard of changes nothing.
+    /// Decides on a request of a tenant. `version` is that of the configuration that sets the limit; a limit
+    /// of an earlier version than a known one is ignored.
     pub fn admit(
         &mut self,
         tenant: &str,
@@ -67,8 +67,8 @@
             .take(tenant, fresh, progress, self.bounds.window)
     }
 
-    /// A bucket of which nothing was taken since it is known what was given out. What was given out before that
-    /// does not count any more once a window has passed.
+    /// The bucket of a tenant without known grants. Until a window has passed since the start, it may hold
+    /// less than its capacity, since earlier grants are not known.
     fn new_bucket(&self, limit: RateLimit, version: u64, now: Duration) -> Bucket {
         let share = Share::new(limit, &self.bounds, self.limiters);
         let known = now.saturating_sub(self.known_since);
@@ -81,7 +81,8 @@
         Bucket::new(share, level, version, now)
     }
 
-    /// Lets go of full buckets beyond those that are kept so that no gateway brings an earlier limit than the newest one that was heard of.
+    /// Discards full buckets over a maximum. The others stay, so that a gateway with an older configuration
+    /// does not bring back an earlier limit.
     pub fn clean_up(&mut self, now: Duration) {
         if now.saturating_sub(self.known_since) < self.bounds.window {
             return;
@@ -89,17 +90,17 @@
         self.buckets.clean_up(now);
     }
 
-    /// Tenants of whom something was taken lately.
+    /// Tenants with recent grants.
     pub fn len(&self) -> usize {
         self.buckets.len()
     }
 
-    /// Whether nothing was taken lately.
+    /// Whether no tenant has recent grants.
     pub fn is_empty(&self) -> bool {
         self.buckets.len() == 0
     }
 
-    /// Tenants whose limits are kept.
+    /// Tenants whose limits are known.
     pub fn retained(&self) -> usize {
         self.buckets.retained()
     }
--- a/crates/quota/src/limiter_selector.rs
+++ b/crates/quota/src/limiter_selector.rs
@@ -1,4 +1,4 @@
-//! Which limiter a gateway asks for a tenant's next request.
+//! Selects the limiters that a gateway asks for a tenant's next request.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -8,38 +8,39 @@
 
 use crate::limiter::ProgramProgress;
 
-/// Limiters that are asked for one request before it is turned away: with one of five empty by chance, as a limiter of a tenant of one request in
-/// two seconds is now and then, fewer than one in a thousand is turned away below the limit.
+/// Limiters asked for one request before it is refused. If one of five is empty by chance, as happens to a
+/// tenant with one request in two seconds, fewer than one request in a thousand is refused below the limit.
 const MAX_LIMITERS_ASKED: usize = 3;
-/// How long a grant that reached no engine serves another request of the tenant. It adds to a window what was granted so long before it.
+/// How long a grant that reached no engine may serve another request of the tenant. It extends the window of
+/// the limit by as much.
 const RETURNED_GRANT_LIFETIME: Duration = Duration::from_millis(400);
-/// Part of the time until a request may come back for which its limiter is not asked again: the longer its queue, the
-/// less often it is asked in vain.
+/// Fraction of the time until a request may retry for which its limiter is not asked again. The longer a
+/// limiter's queue, the less often it is asked in vain.
 const EXHAUSTED_FRACTION: f64 = 0.25;
 
-/// Which limiter: the identity of its replica.
+/// Identity of the limiter's replica.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct LimiterKey(pub u64);
 
 /// A limiter that may be asked.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LimiterCandidate {
-    /// Which.
+    /// Identity of the limiter.
     pub key: LimiterKey,
-    /// Whether it has not answered lately: it is asked last.
+    /// Whether the limiter has not answered recently, so that it is asked last.
     pub is_unresponsive: bool,
 }
 
 #[derive(Debug, Default)]
 struct TenantState {
-    /// Until when limiters have nothing to give, by how far the program has come.
+    /// Until when limiters have no token, by progress of the program.
     exhausted_until: HashMap<(LimiterKey, ProgramProgress), Duration>,
-    /// When grants that were not used lapse.
+    /// Expiry times of grants that were not used.
     returned_grants: Vec<Duration>,
 }
 
 impl TenantState {
-    /// When the first limiter has something again for requests of programs that have come so far.
+    /// When the first limiter has a token again; `None` if none is known to be exhausted.
     fn next_available_at(&self, progress: ProgramProgress) -> Option<Duration> {
         let exhausted_until = self
             .exhausted_until
@@ -49,25 +50,25 @@
     }
 }
 
-/// What a gateway knows of a tenant's limiters.
+/// How to handle a tenant's next request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum LimiterSelection {
-    /// These are to be asked, in this order.
+    /// Ask these limiters in this order.
     Ask(Vec<LimiterKey>),
-    /// A grant that reached no engine serves this request.
+    /// A returned grant serves the request.
     Granted,
-    /// None has anything to give before this time is over.
+    /// No limiter has a token for this long.
     Closed(Duration),
 }
 
-/// What a gateway knows of the limiters. Times are since the start of the process.
+/// A gateway's knowledge of the limiters. Times are since the start of the process.
 #[derive(Debug, Default)]
 pub struct LimiterSelector {
     tenants: HashMap<String, TenantState>,
 }
 
 impl LimiterSelector {
-    /// What is to be done for a tenant's next request.
+    /// Selects limiters for a tenant's next request, or uses a returned grant.
     pub fn next(
         &mut self,
         tenant: &str,
@@ -95,14 +96,15 @@
         {
             return LimiterSelection::Closed(until - now);
         }
-        // Evenly, whatever their zones: a limiter that is asked less keeps a part of the limit that nobody gets.
+        // Shuffled regardless of zones: the share of a limiter that is asked less would go unused.
         open.shuffle(random);
         open.sort_by_key(|limiter| limiter.is_unresponsive);
         open.truncate(MAX_LIMITERS_ASKED);
         LimiterSelection::Ask(open.into_iter().map(|limiter| limiter.key).collect())
     }
 
-    /// A limiter had nothing to give.
+    /// A limiter had no token; `next` and `retry` are those of
+    /// [`LimiterDecision::Exhausted`](crate::LimiterDecision::Exhausted).
     pub fn on_exhausted(
         &mut self,
         tenant: &str,
@@ -120,13 +122,13 @@
         }
     }
 
-    /// A grant reached no engine.
+    /// Returns a grant whose request reached no engine.
     pub fn return_grant(&mut self, tenant: &str, now: Duration) {
         let state = self.tenants.entry(tenant.to_owned()).or_default();
         state.returned_grants.push(now + RETURNED_GRANT_LIFETIME);
     }
 
-    /// Lets go of what lies in the past.
+    /// Drops expired state.
     pub fn clean_up(&mut self, now: Duration) {
         self.tenants.retain(|_, state| {
             state.returned_grants.retain(|until| *until > now);
--- a/crates/quota/src/warm_up.rs
+++ b/crates/quota/src/warm_up.rs
@@ -1,4 +1,4 @@
-//! Grants for requests to engines that warm up (`docs/design/warm-up.md`).
+//! Grants for requests to engines that are warming up (`docs/design/warm-up.md`).
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -11,34 +11,37 @@
 use crate::limiter_selector::{LimiterCandidate, LimiterKey, LimiterSelection, LimiterSelector};
 use crate::share::Share;
 
-/// How long after it was asked for a grant may be used. What was granted before a window is sent within it for so long; a limiter's
-/// answer takes some milliseconds.
+/// Lifetime of a grant from the time it was requested. Grants from before a window add to it for as long. A
+/// limiter answers within a few milliseconds.
 pub const GRANT_LIFETIME: Duration = Duration::from_millis(150);
-/// What one limiter gives out within it may be sent within one window.
+/// Grants that one limiter makes within this time can be sent within one window: a second and the lifetime of
+/// a grant.
 const GRANT_WINDOW: Duration = Duration::from_millis(1_150);
-/// Limiters that are asked for one request: another engine may take it.
+/// Limiters asked for one request; if they refuse, another engine may take it.
 const MAX_LIMITERS_ASKED: usize = 2;
-/// For how long at most a request is told to stay away.
+/// Longest delay that a refusal gives.
 const MAX_WAIT: Duration = Duration::from_secs(2);
 const SECONDS_PER_KS: f64 = 1_000.0;
 
-/// What a deployment promises of engines that warm up: within a second one receives no more requests than `rate × factor + slack`.
+/// Guarantee for engines that are warming up: within a second an engine receives at most `rate × factor +
+/// slack` requests.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct WarmUpBounds {
-    /// How many times what an engine bears.
+    /// Multiple of the engine's rate limit.
     pub factor: f64,
-    /// Requests besides.
+    /// Requests in addition.
     pub slack: f64,
 }
 
 impl WarmUpBounds {
-    /// The most requests that an engine may receive within a second.
+    /// Most requests that an engine may receive within a second.
     pub fn most(&self, limit: WarmUpLimit) -> f64 {
         per_s(limit) * self.factor + self.slack
     }
 
-    /// What one of so many limiters gives out. A limiter that was replaced and has not heard of it gives its part out beside the one in
-    /// its place. Each bucket holds one request at least, if need be at a lower rate; where that leaves nothing, nothing is given out.
+    /// The share of one of several limiters. It leaves room for one more, since a replaced limiter that does
+    /// not know of its replacement grants its share as well. Each bucket holds at least one request, at a
+    /// lower rate if necessary; where that leaves no rate, nothing is granted.
     fn share(&self, limit: WarmUpLimit, limiters: usize) -> Share {
         let limiters = limiters.max(1) as f64;
         let budget = self.most(limit) / (limiters + 1.0);
@@ -61,20 +64,21 @@
     limit.per_ks as f64 / SECONDS_PER_KS
 }
 
-/// Gives out one share of what each engine bears that warms up. Times are since the start of the process.
+/// Hands out one share of the rate limit of each engine that is warming up. Times are since the start of the
+/// process.
 #[derive(Debug)]
 pub struct GrantLimiter {
     bounds: WarmUpBounds,
-    /// Limiters that a limit is split among.
+    /// Limiters that share each limit.
     limiters: usize,
-    /// Since when it is known what this limiter has given out.
+    /// When this limiter's memory of its grants begins.
     known_since: Duration,
-    /// By identifier, not by run: gateways that have not heard of a run's end yet are counted with those that have.
+    /// By instance, not by run: gateways that do not know of a restart yet count together with those that do.
     buckets: Buckets,
 }
 
 impl GrantLimiter {
-    /// A limiter that knows nothing of what was given out before now.
+    /// A limiter that knows nothing of grants before `now`, such as after a restart.
     pub fn new(bounds: WarmUpBounds, limiters: usize, now: Duration) -> Self {
         Self {
             bounds,
@@ -84,7 +88,8 @@
         }
     }
 
-    /// Whether a request may go to an engine. Nothing is given out before what an earlier life of this limiter gave out has lapsed.
+    /// Decides on a request to an engine. Nothing is granted until the grants from before a restart of this
+    /// limiter have expired.
     pub fn grant(
         &mut self,
         engine: &str,
@@ -105,17 +110,17 @@
             .take(engine, fresh, ProgramProgress::UnderWay, MAX_WAIT)
     }
 
-    /// Lets go of full buckets beyond those that are kept for the limits that they tell.
+    /// Discards full buckets over a maximum.
     pub fn clean_up(&mut self, now: Duration) {
         self.buckets.clean_up(now);
     }
 
-    /// Engines for which something was given out lately.
+    /// Engines with recent grants.
     pub fn len(&self) -> usize {
         self.buckets.len()
     }
 
-    /// Whether nothing was given out lately.
+    /// Whether no engine has recent grants.
     pub fn is_empty(&self) -> bool {
         self.buckets.len() == 0
     }
@@ -128,24 +133,24 @@
     }
 }
 
-/// What a limiter says that has nothing to give.
+/// Delays given by a limiter that has no grant.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct GrantDelay {
-    /// Until it can grant anything.
+    /// Time until the limiter can grant any request.
     pub next: Duration,
-    /// Until it can grant this request, if all that were turned away before come back first.
+    /// Time until this request can be granted if all requests that were refused before it retry first.
     pub retry: Duration,
 }
 
-/// A grant that may be used until then.
+/// A grant that is valid until a time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Grant {
-    /// Time since the start of the process.
+    /// Expiry, since the start of the process.
     pub until: Duration,
 }
 
 impl Grant {
-    /// A grant that was asked for at this time.
+    /// A grant that was requested at this time.
     pub fn requested_at(asked: Duration) -> Self {
         Self {
             until: asked + GRANT_LIFETIME,
@@ -153,28 +158,28 @@
     }
 }
 
-/// What a gateway does with a request that would go to an engine that warms up.
+/// How to handle a request to an engine that is warming up.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum GrantState {
-    /// A grant is at hand.
+    /// A grant is in the pool.
     Available,
-    /// These limiters are to be asked, in this order.
+    /// Ask these limiters in this order.
     Ask(Vec<LimiterKey>),
-    /// Nothing is to be had before this time is over.
+    /// There will be no grant for this long.
     Closed(Duration),
 }
 
-/// The grants that a gateway has at hand, and what it knows of the limiters. Times are since the start of the process.
+/// A gateway's unused grants and its knowledge of the limiters. Times are since the start of the process.
 #[derive(Debug, Default)]
 pub struct GrantPool {
     selector: LimiterSelector,
     grants: HashMap<EngineKey, Vec<Grant>>,
-    /// Until when nothing is to be had for an engine.
+    /// Until when there is no grant, by engine.
     exhausted_until: HashMap<EngineKey, Duration>,
 }
 
 impl GrantPool {
-    /// What is to be done for a request that would go to an engine.
+    /// Looks for a grant in the pool, or selects limiters to ask.
     pub fn next(
         &mut self,
         engine: EngineKey,
@@ -203,8 +208,8 @@
         }
     }
 
-    /// A limiter had nothing to give. The engine is not asked for before the first limiter keeps something for this request: with many
-    /// gateways each would ask in vain again and again.
+    /// A limiter had no grant. The engine's limiters are not asked again until the first of them reserves a
+    /// token for this request, or with many gateways most questions would be in vain.
     pub fn on_exhausted(
         &mut self,
         engine: EngineKey,
@@ -220,19 +225,19 @@
         self.close(engine, retry, now);
     }
 
-    /// Puts a grant by.
+    /// Adds a grant to the pool.
     pub fn put(&mut self, engine: EngineKey, grant: Grant) {
         self.exhausted_until.remove(&engine);
         self.grants.entry(engine).or_default().push(grant);
     }
 
-    /// Whether there is a grant that may be used now.
+    /// Whether there is a valid grant.
     pub fn has(&self, engine: EngineKey, now: Duration) -> bool {
         let grants = self.grants.get(&engine);
         grants.is_some_and(|grants| grants.iter().any(|grant| now < grant.until))
     }
 
-    /// Uses a grant up, the one that lapses first.
+    /// Takes the grant that expires first; `None` without a valid one.
     pub fn take(&mut self, engine: EngineKey, now: Duration) -> Option<Grant> {
         let grants = self.grants.get_mut(&engine)?;
         grants.retain(|grant| now < grant.until);
@@ -240,14 +245,14 @@
         Some(grants.swap_remove(first))
     }
 
-    /// Nothing is to be had for an engine for this time, or for less where that is known already.
+    /// Records that there is no grant for an engine for this long, or for the shorter known time.
     pub fn close(&mut self, engine: EngineKey, time: Duration, now: Duration) {
         let left = self.closed_for(engine, now);
         let time = left.map_or(time, |left| left.min(time));
         self.exhausted_until.insert(engine, now + time);
     }
 
-    /// For how long nothing is to be had for an engine; `None` where that is not known.
+    /// How long there is no grant for an engine; `None` if that is not known.
     pub fn closed_for(&self, engine: EngineKey, now: Duration) -> Option<Duration> {
         let until = self
             .exhausted_until
@@ -256,7 +261,7 @@
         Some(*until - now)
     }
 
-    /// Lets go of what lies in the past.
+    /// Drops expired state.
     pub fn clean_up(&mut self, now: Duration) {
         self.selector.clean_up(now);
         self.exhausted_until.retain(|_, until| now < *until);
--- a/crates/routing/examples/choice_cost.rs
+++ b/crates/routing/examples/choice_cost.rs
@@ -1,4 +1,4 @@
-//! Processor time of one choice of an engine: in one region, in several, and with a residency.
+//! Measures the CPU time of one placement: with one region, with several, and with a residency.
 //!
 //! `cargo run --release -p ridgeworks-routing --example choice_cost`
 
--- a/crates/routing/examples/tenant_lookup.rs
+++ b/crates/routing/examples/tenant_lookup.rs
@@ -1,4 +1,5 @@
-//! Time to find the tenant of a request by its key, and memory of a key, for three numbers of tenants.
+//! Measures the time to find a request's tenant by its key, and the memory of each key, for three numbers of
+//! tenants.
 //!
 //! `cargo run --release -p ridgeworks-routing --example tenant_lookup`
 
--- a/crates/routing/src/configuration.rs
+++ b/crates/routing/src/configuration.rs
@@ -1,4 +1,4 @@
-//! The configuration that the operators put in force.
+//! The configuration set by the operators.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -10,64 +10,59 @@
 use crate::tenants::Tenant;
 use crate::warm_up::WarmUpLimit;
 
-/// How a request may be repeated, and what its answer looks like.
+/// Whether a request may be repeated, and whether its answer is a stream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub enum RequestKind {
     /// May run more than once.
     Repeatable,
-    /// May run once at most.
+    /// May run at most once.
     NotRepeatable,
-    /// Answered by a stream of events; may be repeated only where the route is resumable.
+    /// Answered by an event stream; may be repeated only if the route is resumable.
     Stream,
 }
 
-/// A service with its part of a route's requests.
 #[derive(Debug, Clone, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct WeightedService {
-    /// Name of the service.
     pub service: String,
-    /// Its part, relative to the others.
+    /// Weight relative to the route's other services; 0 gets no request.
     pub weight: u32,
 }
 
-/// Requests of one host under one path.
+/// Requests to one host under one path prefix.
 #[derive(Debug, Clone, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct Route {
-    /// Name of the route.
     pub name: String,
-    /// Host that clients name.
+    /// Host name, without a port; compared without case.
     pub host: String,
-    /// Beginning of the path, with a slash at both ends.
+    /// Prefix of the path, with a slash at both ends.
     pub path_prefix: String,
-    /// How requests may be repeated.
     pub kind: RequestKind,
-    /// The longest that a request is held, in milliseconds.
+    /// Longest time that the gateway holds a request, in milliseconds.
     pub timeout_ms: u64,
-    /// Time for the answer or its first event, in milliseconds.
+    /// Target for the time to the answer or its first event, in milliseconds.
     pub target_ms: u64,
-    /// Longest pause between events that is still in time, in milliseconds.
+    /// Target for the longest pause between events, in milliseconds.
     pub gap_target_ms: u64,
-    /// Rank of the requests, 0 first.
+    /// 0 is the highest.
     pub priority: u8,
-    /// Services that take the requests.
+    /// Services that share the requests by weight.
     pub services: Vec<WeightedService>,
-    /// Engines that one attempt of a client may run on.
+    /// Engines on which one attempt of a client may run.
     pub max_attempts: u32,
-    /// Whether a stream may be taken up at another engine.
+    /// Whether another engine may resume a stream.
     pub resumable: bool,
-    /// Whether turns are kept, so that later turns bring only their new input.
+    /// Whether turns are stored, so that later turns send only their new input.
     pub keeps_turns: bool,
-    /// How long turns and ledgers are kept, in milliseconds.
+    /// How long turns and token ledgers are stored, in milliseconds.
     pub retention_ms: u64,
-    /// Whether requests need no key, whoever the tenants are.
+    /// Whether requests need no key even if the configuration has tenants.
     pub is_public: bool,
-    /// Where requests may be served. Travels in [`ConfigurationExtras`].
+    /// Where requests may be served. Sent in [`ConfigurationExtras`].
     #[rkyv(with = Skip)]
     pub residency: Residency,
 }
 
 impl Route {
-    /// Whether a request of the route may run more than once.
     pub fn is_repeatable(&self) -> bool {
         match self.kind {
             RequestKind::Repeatable => true,
@@ -76,84 +71,77 @@
         }
     }
 
-    /// The longest that a request is held.
     pub fn timeout(&self) -> Duration {
         Duration::from_millis(self.timeout_ms)
     }
 
-    /// How long turns and ledgers are kept.
     pub fn retention(&self) -> Duration {
         Duration::from_millis(self.retention_ms)
     }
 }
 
-/// What is known of the model engines of a service.
+/// Properties of the model engines of a service.
 #[derive(Debug, Clone, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct ModelEngine {
     /// Requests in one batch.
     pub slots: u32,
     /// Tokens in each event.
     pub event_tokens: u64,
-    /// Tokens that the memory of one engine holds.
+    /// Tokens that the prompt cache of one engine holds.
     pub memory_tokens: u64,
 }
 
-/// A service and how its engines are to be treated.
 #[derive(Debug, Clone, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct Service {
-    /// Name of the service.
     pub name: String,
-    /// Connections that one engine accepts from all callers.
+    /// Connections that one engine accepts from all callers together.
     pub max_connections: u32,
-    /// Given for services of model engines.
+    /// Set for services of model engines.
     pub model: Option<ModelEngine>,
-    /// Given where engines bear less while they warm up. Travels in [`ConfigurationExtras`].
+    /// Set if engines have a rate limit while they warm up. Sent in [`ConfigurationExtras`].
     #[rkyv(with = Skip)]
     pub warm_up: Option<WarmUpLimit>,
 }
 
-/// Bounds on what a client may send.
+/// Limits on what clients send.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct CallerLimits {
-    /// Bytes of a request's head.
+    /// Size of a request's header section, in bytes.
     pub max_header_bytes: u64,
-    /// Bytes of a request's body.
+    /// Size of a request's body, in bytes.
     pub max_body_bytes: u64,
-    /// Time for a request's head, in milliseconds.
+    /// Time to receive a request's header section, in milliseconds.
     pub header_timeout_ms: u64,
-    /// Time that a connection may rest, in milliseconds.
+    /// Time that a connection may be idle, in milliseconds.
     pub idle_timeout_ms: u64,
 }
 
 /// The whole configuration at one version.
 #[derive(Debug, Clone, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct RouteConfiguration {
-    /// Its version; only grows.
+    /// Increases with each change.
     pub version: u64,
-    /// All routes.
     pub routes: Vec<Route>,
-    /// All services.
     pub services: Vec<Service>,
-    /// Bounds for clients.
     pub limits: CallerLimits,
-    /// Who may make requests; `None` where nobody is asked for a key.
+    /// `None` if requests need no key.
     pub tenants: Option<Vec<Tenant>>,
 }
 
-/// What a configuration says that nodes of the first protocol version do not know. It travels beside what they
-/// know, so that they read the rest ([`RouteConfiguration`]; `docs/design/versions.md`).
+/// Parts of a configuration that nodes of the first protocol version do not know. They are sent next to the
+/// [`RouteConfiguration`], so that such nodes can still read the rest (`docs/design/versions.md`).
 #[derive(Debug, Clone, Default, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct ConfigurationExtras {
-    /// Where requests of these routes may be served.
+    /// Residency of routes, by name; routes without a restriction are omitted.
     pub routes: Vec<(String, Residency)>,
-    /// Where requests of these tenants may be served.
+    /// Residency of tenants, by name; tenants without a restriction are omitted.
     pub tenants: Vec<(String, Residency)>,
-    /// What engines of these services bear while they warm up.
+    /// Rate limits of engines that warm up, by service.
     pub warm_ups: Vec<(String, WarmUpLimit)>,
 }
 
 impl RouteConfiguration {
-    /// What nodes of the first protocol version do not know of it.
+    /// The parts that nodes of the first protocol version do not know.
     pub fn extras(&self) -> ConfigurationExtras {
         let routes = self.routes.iter();
         let routes = routes.filter(|route| !route.residency.is_anywhere());
@@ -173,7 +161,7 @@
         }
     }
 
-    /// Takes in what travelled beside it.
+    /// Sets the parts that were sent in the extras; what they do not name is reset.
     pub fn set_extras(&mut self, extras: ConfigurationExtras) {
         let residencies: HashMap<String, Residency> = extras.routes.into_iter().collect();
         for route in &mut self.routes {
--- a/crates/routing/src/eligibility.rs
+++ b/crates/routing/src/eligibility.rs
@@ -1,25 +1,26 @@
-//! Which engines may get a request at all, whatever it would cost there.
+//! Decides which engines are eligible for a request, regardless of cost.
 //!
-//! Each reason for which an engine is passed over is a rule of its own; the choice of an engine knows none of them.
+//! Each reason for excluding an engine is a separate rule, and placement knows only the trait
+//! [`EligibilityRule`].
 
 use std::fmt;
 
 use crate::engine_table::{Engine, EngineTable};
 use crate::residency::{Residency, ZoneRegions};
 
-/// Why an engine gets no request.
+/// Why an engine is excluded. Ordered: a later variant is more likely to pass while the request waits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Exclusion {
-    /// Its region is none of those in which the request may be served.
+    /// The engine's region is not one in which the request may be served.
     Residency,
-    /// Its zone is drained.
+    /// The engine's zone is drained.
     ZoneDrain,
-    /// It warms up and has as much work as it bears meanwhile.
+    /// The engine is warming up and at its rate limit.
     WarmUp,
 }
 
 impl Exclusion {
-    /// Name for logs and metrics.
+    /// Name in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             Self::Residency => "residency",
@@ -35,17 +36,15 @@
     }
 }
 
-/// A reason for which engines are passed over.
+/// A rule that excludes engines from a request.
 pub trait EligibilityRule {
-    /// Why this engine gets no request now; `None` if it may.
+    /// Why the engine is excluded now; `None` if it is eligible.
     fn exclusion(&self, engine: &Engine) -> Option<Exclusion>;
 }
 
-/// Keeps a request from engines outside the regions in which it may be served (`docs/design/regions.md`).
+/// Excludes engines outside the regions in which the request may be served (`docs/design/regions.md`).
 pub struct ResidencyRule<'a> {
-    /// Where the request may be served.
     pub residency: &'a Residency,
-    /// The regions of the engines' zones.
     pub regions: &'a ZoneRegions,
 }
 
@@ -56,13 +55,14 @@
     }
 }
 
-/// Why an engine gets no request by any of these rules.
+/// Why the engine is excluded, by the first rule that excludes it; `None` if it is eligible.
 pub fn first_exclusion(rules: &[&dyn EligibilityRule], engine: &Engine) -> Option<Exclusion> {
     rules.iter().find_map(|rule| rule.exclusion(engine))
 }
 
-/// What keeps a request from all ready engines of a service; `None` if one may get it, or if there is no engine.
-/// The least passing bar counts: a request that waits for it may be served.
+/// Why all ready engines of a service are excluded; `None` if one is eligible or there is no engine. Of
+/// several reasons the greatest counts, as the most temporary one: a request that waits for it to pass may be
+/// served.
 pub fn service_exclusion(
     table: &EngineTable,
     service: &str,
--- a/crates/routing/src/engine_health.rs
+++ b/crates/routing/src/engine_health.rs
@@ -1,35 +1,34 @@
-//! What a gateway learns about one engine from the requests it sends there.
+//! Health of one engine, as learned from the requests that this gateway sends to it.
 
 use std::time::Duration;
 
-/// How long an engine rests after its first failure.
+/// Backoff after the first failure.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(250);
-/// The longest that an engine rests between two tries.
 const MAX_BACKOFF: Duration = Duration::from_secs(2);
 /// Weight of the newest sample in the moving average.
 const SAMPLE_WEIGHT: f64 = 0.2;
-/// Time after which an outcome counts for a third. An engine that was repaired gets its share of requests
-/// again within a few of these.
+/// Time constant of the decay of outcomes: one that is this old counts for 1/e. An engine that recovered gets
+/// its share of requests again within a few of these times.
 const OUTCOME_DECAY_TIME: Duration = Duration::from_secs(4);
 
-/// How a request ended at an engine, as far as it speaks for or against the engine.
+/// How a request ended, as far as it tells about the engine's health.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// It was answered.
+    /// The engine answered.
     Served,
-    /// The engine failed it, or nothing that could be passed on came of it.
+    /// The engine failed, or its answer was unusable.
     Failed,
-    /// It did not reach the engine. It went to another one without much loss, so only the engine's rest
-    /// speaks of it.
+    /// The request did not reach the engine. Another engine can take it at little cost, so it starts a
+    /// backoff and is not counted as a failed request.
     Unreachable,
 }
 
-/// Requests that ended at an engine lately; the longer ago one ended, the less it counts.
+/// Decaying counts of the requests that ended at an engine.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct OutcomeCounts {
-    /// Requests that ended, however.
+    /// Requests that ended, with any outcome.
     pub ended: f64,
-    /// Those that failed.
+    /// Requests that failed.
     pub failed: f64,
 }
 
@@ -44,7 +43,6 @@
 }
 
 impl OutcomeCounts {
-    /// These and others together.
     pub fn plus(self, other: Self) -> Self {
         Self {
             ended: self.ended + other.ended,
@@ -52,8 +50,8 @@
         }
     }
 
-    /// Share of the requests that failed, if `prior` requests more had ended of which `prior_share` failed. With few
-    /// requests seen, an engine is taken to be like the others.
+    /// Share of failed requests, with `prior` more requests assumed of which `prior_share` failed. An engine
+    /// with few requests is thus assumed to be like the others.
     pub fn failed_share(self, prior: f64, prior_share: f64) -> f64 {
         (self.failed + prior * prior_share) / (self.ended + prior)
     }
@@ -68,7 +66,6 @@
 }
 
 impl EngineHealth {
-    /// A request ended there.
     pub fn on_outcome(&mut self, outcome: Outcome, now: Duration) {
         match outcome {
             Outcome::Served => {
@@ -84,23 +81,23 @@
         }
     }
 
-    /// How the requests of this gateway ended there lately.
+    /// Decayed counts of this gateway's requests.
     pub fn outcomes(&self, now: Duration) -> OutcomeCounts {
         self.outcomes.decayed(now.saturating_sub(self.updated_at))
     }
 
-    /// Takes in a time that the engine needed for a unit of work, in milliseconds.
+    /// Records the time that the engine took for one decode step, in milliseconds.
     pub fn on_step_time(&mut self, milliseconds: f64) {
         let average = self.step_ms.unwrap_or(milliseconds);
         self.step_ms = Some(average + SAMPLE_WEIGHT * (milliseconds - average));
     }
 
-    /// Whether the engine should be left alone while there are others.
+    /// Whether the engine should be avoided while others are available.
     pub fn is_backing_off(&self, now: Duration) -> bool {
         self.backoff_until.is_some_and(|until| now < until)
     }
 
-    /// Moving average of the time for a unit of work, in milliseconds.
+    /// Moving average of the time of a decode step, in milliseconds; `None` before the first sample.
     pub fn step_ms(&self) -> Option<f64> {
         self.step_ms
     }
--- a/crates/routing/src/engine_load.rs
+++ b/crates/routing/src/engine_load.rs
@@ -1,6 +1,6 @@
-//! What one gateway knows of the engines' load and contents: its own requests, and what other gateways
-//! reported. Sums are kept up to date as reports come and go, so that a choice costs no more in a large
-//! fleet (`docs/design/platform.md`, "Load of engines in a large fleet").
+//! Load and cached prompts of the engines as known to one gateway, from its own requests and the reports of
+//! other gateways. Sums are updated as reports arrive and expire, so that the cost of a choice does not grow
+//! with the number of gateways (`docs/design/platform.md`, "Load of engines in a large fleet").
 
 use std::collections::hash_map::Entry;
 use std::collections::{HashMap, VecDeque};
@@ -12,43 +12,45 @@
 use crate::reported_outcomes::{MAX_SUSPECTS, ReportedOutcomes, ReportedSums};
 use crate::request::PromptPart;
 
-/// How long a report of another gateway counts.
+/// Reports that are older are dropped.
 const REPORT_LIFETIME: Duration = Duration::from_secs(2);
-/// Weight of the newest time between two reports in their mean.
+/// Weight of the newest interval between two reports in the moving average.
 const INTERVAL_WEIGHT: f64 = 0.05;
-/// Requests like those of the service's other engines that every engine is taken to have ended beside the ones
-/// that were seen.
+/// Weight, in requests, of the prior assumption that an engine fails as many requests as the service's other
+/// engines.
 pub const PRIOR_OUTCOMES: f64 = 3.0;
-/// Share of failures above which an engine is said to fail requests, and below which it is said to serve again.
+/// Share of failures above which an engine is reported as failing, and below which it is reported as serving
+/// again.
 const FAILING_SHARE: f64 = 0.25;
 const SERVING_SHARE: f64 = 0.1;
-/// Failures from which on an engine is a suspect. One that faded to less says nothing any more.
+/// Decayed failures from which on an engine is a suspect.
 const MIN_SUSPECT_FAILURES: f64 = 0.5;
 const MS_PER_S: f64 = 1_000.0;
-/// Parts of prompts remembered for one engine. With about 45 bytes each this is the larger part of a
-/// gateway's memory in a large fleet: 4.4 MB for 190 engines. An engine's own memory holds fewer.
+/// Prompt parts remembered for each engine, at about 45 bytes each. They are the larger part of a gateway's
+/// memory in a large fleet: 4.4 MB for 190 engines. An engine's prompt cache holds fewer.
 const MAX_CACHED_PARTS: usize = 512;
 
-/// The key of one run of an engine, in tables and in reports between gateways.
+/// Key of one run of an engine, in tables and in reports between gateways.
 ///
-/// What dies with a run is kept under it: what the engine holds, what is open there, how requests ended. An engine that starts again under its
-/// identifier is another run, and whatever comes late of the earlier one changes nothing of it.
+/// State that ends with the run is stored under this key: cached prompt parts, in-flight requests, outcomes.
+/// An engine that restarts under its identifier is another run, so late messages about the earlier run do not
+/// affect it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct EngineKey(pub u64);
 
 impl EngineKey {
-    /// The key of an engine that does not say when it started.
+    /// The key of an engine that does not report its start time.
     pub fn of(instance: &str) -> Self {
         Self::of_run(instance, 0)
     }
 
-    /// The key of the run of an engine that started at this time.
+    /// The key of the run that started at this time, in milliseconds since 1970.
     pub fn of_run(instance: &str, born_ms: u64) -> Self {
         Self(xxh3_64_with_seed(instance.as_bytes(), born_ms))
     }
 }
 
-/// Parts of prompts that an engine is believed to hold.
+/// Prompt parts that an engine is believed to have cached.
 #[derive(Debug, Clone, Default)]
 pub struct CachedParts {
     tokens: HashMap<u64, u64>,
@@ -56,8 +58,8 @@
 }
 
 impl CachedParts {
-    /// Notes that a part was read; the oldest give way. A part that belongs to a session grows from turn
-    /// to turn.
+    /// Records that a part was prefilled, and evicts the oldest parts over the limit. A session's own part
+    /// keeps its hash and grows with each turn.
     pub fn insert(&mut self, part: PromptPart) {
         match self.tokens.entry(part.hash) {
             Entry::Occupied(mut cached) => {
@@ -76,7 +78,7 @@
         }
     }
 
-    /// Tokens of a prompt that are not held: all from the first one on that is missing.
+    /// Tokens of a prompt that are not cached: all from the first gap on.
     pub fn missing(&self, parts: &[PromptPart]) -> u64 {
         let mut cached = 0_u64;
         for part in parts {
@@ -89,54 +91,54 @@
         prompt_tokens(parts).saturating_sub(cached)
     }
 
-    /// Whether a part is held whole.
+    /// Whether all tokens of the part are cached.
     pub fn is_cached(&self, part: PromptPart) -> bool {
         self.cached(part) == part.tokens
     }
 
-    /// Tokens of a part that are held; of one that has grown, those that it had before.
+    /// Cached tokens of a part; for a part that has grown, those of its earlier length.
     pub fn cached(&self, part: PromptPart) -> u64 {
         let cached = self.tokens.get(&part.hash).copied().unwrap_or(0);
         cached.min(part.tokens)
     }
 }
 
-/// Tokens of a whole prompt; the heads that tell them are the clients' and may be absurd.
+/// Tokens of a whole prompt. The counts come from request headers, so the sum saturates.
 pub fn prompt_tokens(parts: &[PromptPart]) -> u64 {
     parts
         .iter()
         .fold(0, |sum, part| sum.saturating_add(part.tokens))
 }
 
-/// One engine, as this gateway knows it.
+/// State of one engine as known to this gateway.
 #[derive(Debug, Clone, Default)]
 pub struct EngineLoad {
-    /// Open requests of this gateway.
+    /// In-flight requests of this gateway.
     pub own_open: u32,
-    /// Tokens that open requests of this gateway have there to be read.
+    /// Prompt tokens of this gateway's in-flight requests that the engine has yet to prefill.
     pub pending_prefill_tokens: u64,
-    /// Open requests of other gateways, by their reports.
+    /// In-flight requests of other gateways, as reported.
     reported_open: u32,
-    /// Parts of prompts that it is believed to hold.
+    /// Prompt parts that the engine is believed to have cached.
     pub parts: CachedParts,
-    /// What its answers say of it.
+    /// Health as seen by this gateway.
     pub health: EngineHealth,
-    /// What its answers to other gateways say of it, by their reports.
+    /// Outcomes at suspects as seen by other gateways.
     reported_outcomes: ReportedSums,
-    /// Whether it was last said to fail requests.
+    /// The state that [`EngineLoad::failure_state_changes`] returned last.
     is_failing: bool,
 }
 
 impl EngineLoad {
-    /// How requests ended there lately, as far as this gateway knows.
+    /// Recent outcomes of this gateway's requests and of the reports.
     pub fn outcomes(&self, now: Duration) -> OutcomeCounts {
         self.health
             .outcomes(now)
             .plus(self.reported_outcomes.counts())
     }
 
-    /// Share of the requests that failed there. Where other gateways saw little the engine is taken to be typical,
-    /// and where this one saw little, to be as the others say: an engine may fail some callers alone.
+    /// Share of failed requests. The prior is `typical_share` for the reports, and the reported share for
+    /// this gateway's own requests: an engine may fail for some callers only.
     pub fn failed_share(&self, typical_share: f64, now: Duration) -> f64 {
         let reported_outcomes = self
             .reported_outcomes
@@ -146,8 +148,8 @@
         own_open.failed_share(PRIOR_OUTCOMES, reported_outcomes)
     }
 
-    /// Whether it fails requests, if that is new. Between the two shares nothing is, so that it does not change with
-    /// each request.
+    /// The new state if the engine has started or ceased to fail requests. The two thresholds give
+    /// hysteresis, so that the state does not flip with each request.
     pub fn failure_state_changes(&mut self, now: Duration) -> Option<bool> {
         let share = self.failed_share(0.0, now);
         let limit = if self.is_failing {
@@ -162,16 +164,16 @@
     }
 }
 
-/// What one gateway tells the others of the engines.
+/// What one gateway reports about the engines to the others.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct GatewayReport {
-    /// Its open requests by engine.
+    /// In-flight requests of the gateway by engine.
     pub open: Vec<(EngineKey, u32)>,
-    /// How its requests ended at engines of which somebody has told a failure.
+    /// Outcomes of the gateway's requests at suspects.
     pub suspects: Vec<ReportedOutcomes>,
 }
 
-/// A report that still counts.
+/// The latest report of a gateway.
 #[derive(Debug, Clone)]
 struct ReceivedReport {
     at: Duration,
@@ -183,50 +185,48 @@
 pub struct EngineLoads {
     engines: HashMap<EngineKey, EngineLoad>,
     reports: HashMap<String, ReceivedReport>,
-    /// When reports came, oldest first; some have been replaced since.
+    /// Arrival times of reports, oldest first; some reports have been replaced since.
     arrivals: VecDeque<(Duration, String)>,
-    /// Mean time between two reports of one gateway, in milliseconds.
+    /// Moving average of the interval between two reports of a gateway, in milliseconds.
     interval_ms: f64,
 }
 
 impl EngineLoads {
-    /// What is known of an engine.
     pub fn get(&self, key: EngineKey) -> Option<&EngineLoad> {
         self.engines.get(&key)
     }
 
-    /// What is known of an engine, to be changed; `None` when nothing is.
     pub fn get_mut(&mut self, key: EngineKey) -> Option<&mut EngineLoad> {
         self.engines.get_mut(&key)
     }
 
-    /// What is known of an engine, to be changed.
+    /// The state of an engine, created if it is new.
     pub fn entry(&mut self, key: EngineKey) -> &mut EngineLoad {
         self.engines.entry(key).or_default()
     }
 
-    /// Open requests at an engine, of this gateway and of those that reported lately.
+    /// In-flight requests of this gateway and of the reports.
     pub fn open_at(&self, key: EngineKey) -> u32 {
         let load = self.engines.get(&key);
         load.map_or(0, |load| load.own_open + load.reported_open)
     }
 
-    /// How long ago other gateways have reported, in the mean and in milliseconds.
+    /// Mean age of the reports, in milliseconds.
     pub fn report_age_ms(&self) -> f64 {
         self.interval_ms / 2.0
     }
 
-    /// Open requests of other gateways at an engine, by their reports.
+    /// In-flight requests of other gateways, as reported.
     pub fn reported_open_requests(&self, key: EngineKey) -> u32 {
         self.engines.get(&key).map_or(0, |load| load.reported_open)
     }
 
-    /// Open requests of this gateway at an engine.
+    /// In-flight requests of this gateway.
     pub fn own_open_requests(&self, key: EngineKey) -> u32 {
         self.engines.get(&key).map_or(0, |load| load.own_open)
     }
 
-    /// What this gateway tells the others.
+    /// The report for the other gateways.
     pub fn report(&self, now: Duration) -> GatewayReport {
         GatewayReport {
             open: self.open(),
@@ -234,7 +234,7 @@
         }
     }
 
-    /// Open requests of this gateway by engine, the most loaded engines first.
+    /// In-flight requests of this gateway by engine, the most loaded engines first.
     fn open(&self) -> Vec<(EngineKey, u32)> {
         let loaded = self.engines.iter().filter(|(_, load)| load.own_open > 0);
         let mut open: Vec<(EngineKey, u32)> =
@@ -243,8 +243,7 @@
         open
     }
 
-    /// How this gateway's requests ended at engines of which it or another one tells a failure, those that failed
-    /// most first.
+    /// Outcomes of this gateway's requests at suspects, those with the most failures first.
     fn suspects(&self, now: Duration) -> Vec<ReportedOutcomes> {
         let known = self.engines.iter();
         let suspected = known.filter(|(_, load)| load.outcomes(now).failed >= MIN_SUSPECT_FAILURES);
@@ -263,7 +262,7 @@
         suspects
     }
 
-    /// Takes in another gateway's report in place of its last one.
+    /// Replaces a gateway's report.
     pub fn on_report(&mut self, gateway: &str, reported_outcomes: GatewayReport, now: Duration) {
         self.expire(now);
         if let Some(last) = self.reports.get(gateway) {
@@ -287,7 +286,7 @@
         self.reports.insert(gateway.to_owned(), report);
     }
 
-    /// Lets go of reports that are too old to count.
+    /// Drops reports that are too old.
     pub fn expire(&mut self, now: Duration) {
         while let Some((at, _)) = self.arrivals.front()
             && now.saturating_sub(*at) >= REPORT_LIFETIME
@@ -305,7 +304,7 @@
         }
     }
 
-    /// Forgets engines that nobody uses and that are not kept.
+    /// Drops engines without load or reports that `is_kept` does not name.
     pub fn retain(&mut self, is_kept: impl Fn(EngineKey) -> bool) {
         self.engines.retain(|key, load| {
             let is_used =
--- a/crates/routing/src/engine_table.rs
+++ b/crates/routing/src/engine_table.rs
@@ -1,4 +1,4 @@
-//! The engines that the platform lists.
+//! The engines listed by the platform.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -8,37 +8,32 @@
 
 use crate::engine_load::EngineKey;
 
-/// Removed engines that are remembered, so that an older report cannot bring them back.
+/// Removed engines that are remembered, so that an older report cannot add them again.
 const MAX_TOMBSTONES: usize = 4_096;
 
-/// Whether an engine takes new work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub enum EngineState {
-    /// It takes new work.
+    /// The engine accepts new requests.
     Ready,
-    /// It is about to leave.
+    /// The engine is about to stop and accepts no new requests.
     Draining,
 }
 
-/// One engine as the platform lists it.
+/// One engine as listed by the platform.
 #[derive(Debug, Clone, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct Engine {
-    /// The identifier under which the platform lists it. An engine that starts again may have the one that it had.
+    /// Identifier in the platform's list. An engine may keep it when it restarts.
     pub instance: String,
-    /// When it started, in milliseconds since 1970; 0 where it does not say. Clocks jump, so this tells one run from another and says
-    /// nothing of which came first.
+    /// Start of the engine's run, in milliseconds since 1970; 0 if unknown. Since clocks jump, it identifies
+    /// a run but does not order runs.
     pub born_ms: u64,
-    /// Service that it belongs to.
     pub service: String,
-    /// Where it is reached.
     pub address: SocketAddr,
-    /// Its zone.
     pub zone: String,
-    /// Requests that it works on at once.
+    /// Requests that the engine processes at once.
     pub slots: u32,
-    /// Whether it takes new work.
     pub state: EngineState,
-    /// For how long it still warmed up when its entry was written, in milliseconds. Travels in [`EngineWarmUp`].
+    /// Remaining warm-up time when the entry was written, in milliseconds. Sent in [`EngineWarmUp`].
     #[rkyv(with = Skip)]
     pub warm_up_ms: u64,
 }
@@ -50,48 +45,45 @@
     }
 }
 
-/// An engine with the revision of the report.
+/// An engine with the revision of its entry.
 #[derive(Debug, Clone, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct EngineEntry {
-    /// The engine.
     pub engine: Engine,
-    /// Revision of the list at which it last changed.
+    /// Revision of the list at which the entry last changed.
     pub revision: u64,
 }
 
-/// An engine that warms up, beside its entry: nodes of the first protocol version do not know of it.
+/// Warm-up of an engine. Sent next to its entry, since nodes of the first protocol version do not know it.
 #[derive(Debug, Clone, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct EngineWarmUp {
-    /// The engine's instance.
     pub instance: String,
-    /// For how long it still warmed up when its entry was written, in milliseconds.
+    /// Remaining warm-up time when the entry was written, in milliseconds.
     pub warm_up_ms: u64,
 }
 
-/// An engine that is gone.
+/// An engine that was removed.
 #[derive(Debug, Clone, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct Removal {
-    /// The engine's instance.
     pub instance: String,
-    /// Revision as of which it is gone.
+    /// Revision as of which it is removed.
     pub revision: u64,
 }
 
-/// What changed in a table of engines since a revision.
+/// Changes of a table of engines since a revision.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct EngineChanges {
-    /// Whether this is the whole table: engines that it does not name are gone.
+    /// Whether this is the whole table, so that engines without an entry are removed.
     pub is_whole: bool,
     /// Engines that are new or changed.
     pub entries: Vec<EngineEntry>,
-    /// Engines that are gone.
+    /// Engines that were removed.
     pub removals: Vec<Removal>,
-    /// Revision up to which nothing is left out.
+    /// Revision up to which the changes are complete.
     pub at: u64,
 }
 
 impl EngineChanges {
-    /// The engines among them that warm up.
+    /// Warm-ups of the engines among the entries.
     pub fn warm_ups(&self) -> Vec<EngineWarmUp> {
         let engines = self.entries.iter().map(|entry| &entry.engine);
         let warming = engines.filter(|engine| engine.warm_up_ms > 0);
@@ -102,7 +94,7 @@
         warm_ups.collect()
     }
 
-    /// Takes in which of them warm up.
+    /// Sets the warm-ups of the entries; engines that are not named are warm.
     pub fn set_warm_ups(&mut self, warm_ups: Vec<EngineWarmUp>) {
         let warm_ups = warm_ups
             .into_iter()
@@ -115,13 +107,13 @@
     }
 }
 
-/// When an engine was removed.
+/// The removal of an engine.
 #[derive(Debug, Clone, Copy)]
 struct Tombstone {
-    /// Reports up to this revision do not bring the engine back.
+    /// Entries up to this revision do not add the engine again.
     revision: u64,
-    /// Revision up to which the table was complete when it took the removal in. A removal may be told
-    /// with the revision of the last change before it, so this is what tells others of it.
+    /// Revision up to which the reporting table was complete. A removal may be reported with the revision of
+    /// the last change before it, so [`EngineTable::changes_since`] uses this revision instead.
     reported_at: u64,
 }
 
@@ -131,7 +123,7 @@
     entries: HashMap<String, EngineEntry>,
     removed: HashMap<String, Tombstone>,
     at: u64,
-    /// Changes since older revisions are not known in full.
+    /// Revision since which all changes are known.
     complete_since: u64,
     newest: u64,
 }
@@ -142,12 +134,12 @@
         self.at
     }
 
-    /// Revision of the newest change in the table, never above [`EngineTable::at`].
+    /// Revision of the newest change in the table; at most [`EngineTable::at`].
     pub fn newest(&self) -> u64 {
         self.newest.min(self.at)
     }
 
-    /// What changed after a revision up to which somebody else's table is complete.
+    /// Changes for a table that is complete up to a revision. The whole table if older changes are not known.
     pub fn changes_since(&self, revision: u64) -> EngineChanges {
         if revision < self.complete_since {
             return EngineChanges {
@@ -174,7 +166,7 @@
         }
     }
 
-    /// Takes in another table's changes; says whether anything changed here.
+    /// Applies the changes of another table; returns whether this one changed.
     pub fn apply_changes(&mut self, changes: EngineChanges) -> bool {
         let EngineChanges {
             is_whole,
@@ -196,7 +188,7 @@
         changed
     }
 
-    /// Takes in one entry unless a newer one is known; says whether anything changed.
+    /// Applies an entry unless a newer one is known; returns whether the table changed.
     pub fn apply(&mut self, entry: EngineEntry) -> bool {
         let instance = entry.engine.instance.clone();
         let removed = self.removed.get(&instance);
@@ -211,8 +203,8 @@
         true
     }
 
-    /// Removes an engine as of this revision, told by somebody who is complete up to `reported_at`; says
-    /// whether it was there.
+    /// Removes an engine as of a revision, as reported by a table that is complete up to `reported_at`;
+    /// returns whether the engine was listed.
     pub fn remove(&mut self, instance: &str, revision: u64, reported_at: u64) -> bool {
         let known = self.entries.get(instance).map(|known| known.revision);
         if known > Some(revision) {
@@ -236,13 +228,14 @@
         self.entries.remove(instance).is_some()
     }
 
-    /// Takes in a complete list as of this revision. What it does not name is gone, unless it is newer.
+    /// Applies a complete list as of a revision. Engines that it does not name are removed unless they are
+    /// newer. Returns whether the table changed.
     pub fn replace(&mut self, entries: Vec<EngineEntry>, at: u64) -> bool {
         if at < self.at {
             return false;
         }
         if self.at == 0 {
-            // What was removed before the first list is not known.
+            // Removals before the first list are not known.
             self.complete_since = at;
         }
         let listed_instances: std::collections::HashSet<String> = entries
@@ -268,42 +261,36 @@
         changed
     }
 
-    /// Notes that all changes up to this revision are in.
+    /// Records that all changes up to this revision are applied.
     pub fn advance(&mut self, at: u64) {
         self.at = self.at.max(at);
     }
 
-    /// All entries, for another node.
     pub fn entries(&self) -> Vec<EngineEntry> {
         self.entries.values().cloned().collect()
     }
 
-    /// All entries.
     pub fn listed(&self) -> impl Iterator<Item = &EngineEntry> {
         self.entries.values()
     }
 
-    /// Number of engines.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether there is no engine.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// An engine by its instance.
     pub fn get(&self, instance: &str) -> Option<&Engine> {
         self.entries.get(instance).map(|entry| &entry.engine)
     }
 
-    /// All engines.
     pub fn engines(&self) -> impl Iterator<Item = &Engine> {
         self.entries.values().map(|entry| &entry.engine)
     }
 
-    /// Engines of a service that take new work.
+    /// Engines of a service that accept new requests.
     pub fn ready<'a>(&'a self, service: &'a str) -> impl Iterator<Item = &'a Engine> {
         let engines = self.entries.values().map(|entry| &entry.engine);
         engines
--- a/crates/routing/src/event_stream.rs
+++ b/crates/routing/src/event_stream.rs
@@ -1,24 +1,24 @@
-//! Splits the bytes of an engine's event stream into whole events, without changing a byte.
+//! Splits the bytes of an engine's event stream into complete events, without changing a byte.
 //!
-//! Source: the `text/event-stream` format of the HTML standard. Only `id` and `data` fields are read.
+//! Source: the `text/event-stream` format of the HTML standard. Only `id` and `data` fields are parsed.
 
 use std::fmt;
 
-/// Bytes of one event at most; an engine that sends more is at fault.
+/// Longest event, in bytes; a longer one is an engine's fault.
 const MAX_EVENT_BYTES: usize = 1024 * 1024;
 
 /// One event.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Event {
-    /// Its bytes as they came, with the blank line that ends it.
+    /// Its bytes as received, including the blank line at its end.
     pub raw: Vec<u8>,
-    /// Its number, where it has one.
+    /// The `id` field if it is a number.
     pub id: Option<u64>,
-    /// Its data, lines joined by line feeds; `None` for a comment.
+    /// The `data` fields, joined by line feeds; `None` for a comment.
     pub data: Option<Vec<u8>>,
 }
 
-/// An event is longer than any engine may send.
+/// An event is longer than an engine may send.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct EventTooLong;
 
@@ -30,16 +30,16 @@
 
 impl std::error::Error for EventTooLong {}
 
-/// Collects bytes until an event is whole.
+/// Buffers bytes until an event is complete.
 #[derive(Debug, Clone, Default)]
 pub struct EventSplitter {
     buffer: Vec<u8>,
-    /// Bytes of the buffer that hold no end of an event.
+    /// Number of bytes at the start of the buffer that contain no end of an event.
     searched: usize,
 }
 
 impl EventSplitter {
-    /// Takes in bytes and returns the events that they complete.
+    /// Adds bytes and returns the events that they complete.
     pub fn push(&mut self, bytes: &[u8]) -> Result<Vec<Event>, EventTooLong> {
         self.buffer.extend_from_slice(bytes);
         let mut events = Vec::new();
@@ -55,7 +55,7 @@
         Ok(events)
     }
 
-    /// Bytes of an event that is not whole yet.
+    /// Bytes of an incomplete event.
     pub fn rest(&self) -> &[u8] {
         &self.buffer
     }
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,5 +1,5 @@
-//! Decisions of a gateway about one request, without I/O: which route and service it belongs to, which
-//! engine gets it, and what an engine's event stream says.
+//! Decisions of a gateway about one request, without I/O: its route and service, the engine that serves it,
+//! and how the engine's event stream splits into events.
 #![allow(
     missing_docs,
     reason = "the resolvers that rkyv derives carry undocumented fields"
--- a/crates/routing/src/placement.rs
+++ b/crates/routing/src/placement.rs
@@ -1,13 +1,14 @@
 //! Chooses the engine of a request.
 //!
-//! The cost of an engine is the time that the request is expected to lose there, in milliseconds: the
-//! wait for a slot, the slower steps of a fuller batch, and the reading of prompt parts that the engine
-//! does not hold. What these cost is learned from the service's engines ([`ServiceModel`];
+//! The cost of an engine is the time in milliseconds that the request is expected to lose there: the wait for
+//! a slot, the slower steps of a larger batch, and the prefill of prompt parts that the engine has not
+//! cached. These costs are estimated from the service's engines ([`ServiceModel`];
 //! `docs/design/decisions.md`).
 //!
-//! Gateways decide alone and know each other's load only as it was a moment ago. If all of them took the
-//! engine that looked idlest, they would flock to it. So each session has a few *candidates*, by rendezvous
-//! hashing, the same at all gateways; other engines are taken only where they are better by a margin.
+//! Gateways decide independently and know each other's load only with a delay. If all of them took the engine
+//! that looked least loaded, they would overload it together. So each session has a few *candidates* by
+//! rendezvous hashing, the same at all gateways, and another engine is chosen only if it is better by a
+//! margin.
 
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
@@ -25,112 +26,109 @@
     PrefillSample, ServiceCosts, ServiceKey, ServiceModel, ServiceSummary, Turn,
 };
 
-/// Requests that an engine which is no candidate of the session has to have fewer: counts of open
-/// requests are old by a heartbeat, in which each engine gets a few.
+/// Margin by which an engine that is not a candidate of the session has to be better, in in-flight requests.
+/// Counts lag by a heartbeat, in which each engine gets a few requests.
 const NON_CANDIDATE_REQUESTS: f64 = 4.0;
-/// Candidates of a session among all engines, and among those of the gateway's zone.
+/// Candidates of a session in the gateway's region, and in its zone.
 const CANDIDATES_PER_SESSION: usize = 2;
-/// Sessions whose engine is remembered.
+/// Sessions whose last engine is remembered.
 const MAX_SESSION_ENGINES: usize = 8_192;
-/// Extra cost for an engine of another zone, in milliseconds: the way there, and the price of the bytes. What another region costs
-/// beside is measured ([`RegionLatencies`]).
+/// Extra cost of an engine in another zone, in milliseconds, for latency and traffic. The extra cost of
+/// another region is measured ([`RegionLatencies`]).
 const OTHER_ZONE_MS: f64 = 20.0;
-/// Extra cost for an engine that failed lately, in milliseconds.
+/// Extra cost of an engine that is backing off after a failure, in milliseconds.
 const BACKOFF_MS: f64 = 10_000.0;
-/// What a request that fails loses, in times of a request: its own time, its client's pause, and the risk that
-/// its program ends with the third failure.
+/// Cost of a failed request, in durations of a request: its own duration, the client's pause before a retry,
+/// and the risk that the program ends with the third failure.
 const FAILURE_COST_TURNS: f64 = 4.0;
-/// Part of a request's time that grows with the engine's step; the rest is reading and waiting, and steps
-/// of one engine differ by its batch.
+/// Fraction of a request's duration that grows with the engine's step time. The rest is prefill and waiting,
+/// and step times of one engine also differ with its batch.
 const STEP_FRACTION: f64 = 0.4;
-/// How far the reading of a beginning that others share counts for all in the batch. It is read there once
-/// for all of them (0), but takes memory that other prompts lose (1); `docs/design/decisions.md`, "Ablation".
+/// Weight of a shared prompt prefix in the wait of the batch. With 0 it is prefilled once for all requests;
+/// with 1 it counts as memory that other prompts lose (`docs/design/decisions.md`, "Ablation").
 const SHARED_PREFILL_WEIGHT: f64 = 0.25;
-/// Services of which something is remembered.
+/// Services with a cost model.
 const MAX_SERVICES: usize = 256;
 const MS_PER_S: f64 = 1_000.0;
 
-/// What a request asks of an engine.
+/// What placement needs to know of a request.
 #[derive(Clone, Copy)]
 pub struct PlacementRequest<'a> {
-    /// Service whose engines may take it.
     pub service: &'a str,
-    /// Key by which gateways agree on an engine where costs are equal.
+    /// Key for rendezvous hashing, by which gateways agree on an engine where costs are equal.
     pub key: &'a str,
     /// Parts of its prompt, in order.
     pub parts: &'a [PromptPart],
     /// Zone of the gateway.
     pub zone: &'a str,
-    /// Engines that must not get it.
+    /// Instances that must not get the request.
     pub excluded: &'a [String],
-    /// What else keeps it from engines.
+    /// Rules that exclude further engines.
     pub rules: &'a [&'a dyn EligibilityRule],
 }
 
-/// Load and contents of the engines, as one gateway knows them. Times are since the start of the process.
+/// Load and cached prompts of the engines as known to one gateway. Times are since the start of the process.
 #[derive(Debug, Clone, Default)]
 pub struct Placement {
     loads: EngineLoads,
     models: HashMap<ServiceKey, ServiceModel>,
-    /// The engine that last got a request, by the hash of the request's key.
+    /// The engine that got the last request, by the hash of the request's key.
     session_engines: HashMap<u64, EngineKey>,
-    /// Ways to other regions, where there are some.
+    /// `None` if the deployment has one region.
     latencies: Option<RegionLatencies>,
 }
 
-/// The engine for a request.
+/// The engine chosen for a request.
 #[derive(Debug, Clone, Copy)]
 pub struct Choice<'a> {
-    /// The engine.
     pub engine: &'a Engine,
-    /// What the request is expected to lose there, in milliseconds.
+    /// Time that the request is expected to lose there, in milliseconds.
     pub cost_ms: f64,
 }
 
-/// An engine that has begun or ceased to fail requests.
+/// An engine has started or ceased to fail requests.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct FailureStateChange<'a> {
-    /// The engine's instance.
     pub instance: &'a str,
     /// Whether it fails them now.
     pub is_failing: bool,
-    /// What this gateway and others saw of it lately.
+    /// Recent outcomes that this gateway and others saw.
     pub outcomes: OutcomeCounts,
 }
 
 /// What was believed of an engine when a request was sent to it.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Forecast {
-    /// Tokens of the prompt that the engine was believed to lack.
+    /// Prompt tokens that the engine was believed to lack in its cache.
     pub missing: u64,
-    /// Tokens that earlier requests of this gateway had there to be read.
+    /// Tokens of this gateway's earlier requests that the engine had yet to prefill.
     pub ahead: u64,
-    /// Requests that were open there.
+    /// In-flight requests at the engine.
     pub open: u32,
-    /// Whether the engine was believed to hold the prompt's beginning, so that what it lacked is the
-    /// session's own. Beginnings are shared, and others may have had them read unseen.
+    /// Whether the engine was believed to have cached the prompt's first part, so that only the session's own
+    /// part was missing. First parts are shared, and other gateways may have had them prefilled unnoticed.
     pub is_certain: bool,
 }
 
-/// What reports of other gateways are worth.
+/// How much the reports of other gateways count.
 #[derive(Debug, Clone, Copy)]
 struct ReportWeight {
-    /// Their open requests at an engine, in the mean.
+    /// Mean number of their in-flight requests at an engine.
     mean: f64,
-    /// How far an engine's own count is to be trusted beside the mean, from 0 to 1.
+    /// Weight of an engine's reported count against the mean, from 0 to 1.
     weight: f64,
 }
 
-/// An engine that may get a request.
+/// An eligible engine.
 struct Candidate<'a> {
     engine: &'a Engine,
     key: EngineKey,
-    /// Its rank for the request's key, the highest first.
+    /// Rank by rendezvous hashing; the highest is preferred.
     rank: u64,
 }
 
 impl Placement {
-    /// Nothing is known yet of engines that these ways lead to.
+    /// A placement without state; `latencies` is `None` if the deployment has one region.
     pub fn with_region_latencies(latencies: Option<RegionLatencies>) -> Self {
         Self {
             latencies,
@@ -138,14 +136,14 @@
         }
     }
 
-    /// A connection to an engine took so long.
+    /// A connection to the engine was established in this time.
     pub fn on_connected(&mut self, engine: &Engine, taken: Duration) {
         if let Some(latencies) = &mut self.latencies {
             latencies.on_connected(&engine.zone, taken);
         }
     }
 
-    /// Ways to regions that have changed since they were last told, in milliseconds there and back.
+    /// Regions whose round-trip time has changed notably since the last call, in milliseconds.
     pub fn latency_changes(&mut self) -> Vec<(String, f64)> {
         self.latencies
             .as_mut()
@@ -153,7 +151,7 @@
             .unwrap_or_default()
     }
 
-    /// The engine with the least cost; `None` when no engine of the service may get the request.
+    /// The engine with the least cost; `None` if no engine of the service is eligible.
     pub fn choose<'a>(
         &mut self,
         table: &'a EngineTable,
@@ -191,24 +189,24 @@
         })
     }
 
-    /// Open requests at an engine, of this gateway and of those that reported lately.
+    /// In-flight requests of this gateway and of recent reports.
     pub fn open_at(&mut self, engine: EngineKey, now: Duration) -> u32 {
         self.loads.expire(now);
         self.loads.open_at(engine)
     }
 
-    /// Open requests of this gateway at an engine.
+    /// In-flight requests of this gateway.
     pub fn own_open_requests(&self, engine: EngineKey) -> u32 {
         self.loads.own_open_requests(engine)
     }
 
-    /// What work costs at the engines of a service, as far as it is known.
+    /// The current estimates; defaults for a service without samples.
     pub fn costs(&self, service: &str) -> ServiceCosts {
         let model = self.models.get(&ServiceKey::of(service));
         model.map_or_else(|| ServiceModel::default().costs(), ServiceModel::costs)
     }
 
-    /// A request with this key goes to an engine.
+    /// A request with this key is being sent to the engine.
     pub fn on_sent(&mut self, key: &str, engine: &Engine, parts: &[PromptPart]) -> Forecast {
         if self.session_engines.len() >= MAX_SESSION_ENGINES {
             self.session_engines.clear();
@@ -235,13 +233,13 @@
         forecast
     }
 
-    /// The first event of a request has come, so its prompt has been read.
+    /// The first event of a request has arrived, so its prompt is prefilled.
     pub fn on_first_event(&mut self, engine: &Engine, forecast: Forecast, taken: Duration) {
         let load = self.loads.entry(engine.key());
         load.pending_prefill_tokens = load.pending_prefill_tokens.saturating_sub(forecast.missing);
         if forecast.open >= engine.slots || forecast.ahead > 0 {
-            // It waited for a place, or for other readings: of this gateway's, and of more that it does
-            // not know.
+            // It waited for a slot or for other prefills, perhaps also for those of other gateways, so it is
+            // no sample.
             return;
         }
         self.model(&engine.service)
@@ -252,7 +250,7 @@
             });
     }
 
-    /// A request ended well.
+    /// A request was answered.
     pub fn on_turn(&mut self, engine: &Engine, turn: Turn) {
         if let Some(step_ms) = turn.step_ms {
             self.health(engine.key()).on_step_time(step_ms);
@@ -262,7 +260,7 @@
         }
     }
 
-    /// A request has left an engine; `pending_prefill_tokens` of its tokens had not been read.
+    /// A request has ended at an engine; `pending_prefill_tokens` of its tokens were not prefilled.
     pub fn on_ended(&mut self, engine: EngineKey, pending_prefill_tokens: u64) {
         let load = self.loads.entry(engine);
         load.own_open = load.own_open.saturating_sub(1);
@@ -271,14 +269,14 @@
             .saturating_sub(pending_prefill_tokens);
     }
 
-    /// Services whose costs have changed since they were last told, with the samples they rest on.
+    /// Services whose costs have changed notably since the last call, with the number of samples.
     pub fn news(&mut self) -> Vec<(ServiceKey, ServiceCosts, u32)> {
         let models = self.models.iter_mut();
         let news = models.filter_map(|(key, model)| Some((*key, model.news()?, model.samples())));
         news.collect()
     }
 
-    /// What this gateway has learned of the services, for the other gateways.
+    /// Summaries for the other gateways.
     pub fn summaries(&self) -> Vec<ServiceSummary> {
         let models = self.models.iter();
         models
@@ -286,7 +284,7 @@
             .collect()
     }
 
-    /// Takes in what an engine has read for another gateway.
+    /// An engine prefilled a prompt for another gateway.
     pub fn on_prefill(&mut self, read: &PrefillRecord) {
         let load = self.loads.entry(EngineKey(read.engine));
         for part in &read.parts {
@@ -294,7 +292,7 @@
         }
     }
 
-    /// Takes in what another gateway has learned.
+    /// Takes summaries of another gateway.
     pub fn on_summaries(&mut self, summaries: Vec<ServiceSummary>) {
         for summary in summaries {
             let known = self.models.len() < MAX_SERVICES;
@@ -310,7 +308,7 @@
         self.health(engine).on_outcome(outcome, now);
     }
 
-    /// Engines that have begun or ceased to fail requests since they were last told.
+    /// Engines that have started or ceased to fail requests since the last call.
     pub fn failure_state_changes<'a>(
         &mut self,
         table: &'a EngineTable,
@@ -332,30 +330,30 @@
         news
     }
 
-    /// Health of an engine.
+    /// The health of an engine, created if it is new.
     pub fn health(&mut self, engine: EngineKey) -> &mut EngineHealth {
         &mut self.loads.entry(engine).health
     }
 
-    /// What this gateway tells the others of the engines.
+    /// The report for the other gateways.
     pub fn report(&self, now: Duration) -> GatewayReport {
         self.loads.report(now)
     }
 
-    /// Takes in another gateway's report.
+    /// Replaces a gateway's report.
     pub fn on_report(&mut self, gateway: &str, report: GatewayReport, now: Duration) {
         self.loads.on_report(gateway, report, now);
     }
 
-    /// Forgets engines that are gone and reports that are too old.
+    /// Drops engines that are not listed and reports that are too old.
     pub fn retain(&mut self, table: &EngineTable, now: Duration) {
         self.loads.expire(now);
         let listed: HashSet<EngineKey> = table.engines().map(Engine::key).collect();
         self.loads.retain(|key| listed.contains(&key));
     }
 
-    /// How far reports of other gateways count: they tell of requests that have ended since, the more of
-    /// them the older a report is beside the time that a request takes.
+    /// The older a report is in relation to a request's duration, the more of the reported requests have
+    /// ended, so the less it counts.
     fn report_weight(&self, candidates: &[Candidate<'_>], costs: &ServiceCosts) -> ReportWeight {
         let reported = candidates
             .iter()
@@ -368,15 +366,15 @@
         }
     }
 
-    /// Open requests at an engine: this gateway's own, and those of others as they may be by now, between
-    /// what they were and what engines have in the mean.
+    /// Estimated in-flight requests at an engine: this gateway's own, and those of others between the
+    /// reported count and the mean of all engines.
     fn estimated_open(&self, key: EngineKey, news: ReportWeight) -> f64 {
         let reported = f64::from(self.loads.reported_open_requests(key));
         let others = news.mean + news.weight * (reported - news.mean);
         f64::from(self.loads.own_open_requests(key)) + others
     }
 
-    /// Whether an engine holds the part of a prompt that is the session's own.
+    /// Whether the engine has cached the last part of the prompt, which is the session's own.
     fn caches_session_part(&self, key: EngineKey, demand: &PlacementRequest<'_>) -> bool {
         let last = demand.parts.last().zip(self.loads.get(key));
         last.is_some_and(|(part, load)| load.parts.cached(*part) > 0)
@@ -390,9 +388,9 @@
         steps.min_by(f64::total_cmp)
     }
 
-    /// Share of the requests that fail at the engines all together.
+    /// Share of failed requests over all candidates.
     fn typical_failed_share(&self, candidates: &[Candidate<'_>], now: Duration) -> f64 {
-        // Of this gateway's own requests: others tell of suspects only.
+        // Own requests only: reports cover suspects alone and would bias the share.
         let loads = candidates
             .iter()
             .filter_map(|candidate| self.loads.get(candidate.key));
@@ -401,7 +399,7 @@
         all.failed_share(PRIOR_OUTCOMES, 0.0)
     }
 
-    /// What a request is expected to lose at an engine that fails more of them than engines typically do.
+    /// Expected loss at an engine that fails more requests than is typical.
     fn failure_ms(
         &self,
         candidate: &Candidate<'_>,
@@ -449,7 +447,7 @@
             || prompt_tokens(demand.parts),
             |load| load.parts.missing(demand.parts),
         );
-        // While the prompt is read, all other requests there wait too.
+        // All other requests at the engine wait during the prefill.
         let waiting = 1.0 + open.min(slots);
         cost += prefill_wait_tokens(demand.parts, missing, waiting) / costs.tokens_per_ms;
         if known.is_some_and(|load| load.health.is_backing_off(now)) {
@@ -458,7 +456,7 @@
         cost
     }
 
-    /// What a request loses at an engine whose steps are longer than the quickest one's.
+    /// Expected loss at an engine whose decode steps are longer than those of the fastest.
     fn slow_step_ms(
         &self,
         candidate: &Candidate<'_>,
@@ -476,7 +474,7 @@
     }
 }
 
-/// Tokens that all requests of a batch together wait for while one of them is read.
+/// Tokens of prefill that the requests of a batch wait for, summed over the requests.
 fn prefill_wait_tokens(parts: &[PromptPart], missing: u64, waiting: f64) -> f64 {
     let own_open = parts.last().map_or(0, |part| part.tokens.min(missing));
     let shared = (missing - own_open) as f64;
@@ -503,8 +501,9 @@
     candidates.collect()
 }
 
-/// The engines that a session prefers: the first by rank of all in the gateway's region, and the first of its zone. Of all regions where
-/// its own has none: else nothing would keep gateways from flocking.
+/// The candidates that a session prefers: the first by rank in the gateway's region and in its zone. If its
+/// region has none, the first of all regions count, or gateways would all choose the engine that looks least
+/// loaded.
 fn preferred(
     candidates: &[Candidate<'_>],
     zone: &str,
--- a/crates/routing/src/refusal.rs
+++ b/crates/routing/src/refusal.rs
@@ -1,68 +1,68 @@
-//! Why a request gets no answer of an engine.
+//! Why a request ends without an engine's answer.
 
 use std::fmt;
 use std::time::Duration;
 
-/// The reason, and with it what the client may conclude.
+/// Why a request was refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum RefusalReason {
-    /// The request lacks something or contradicts itself.
+    /// The request lacks a required value or contradicts itself.
     BadRequest,
-    /// An earlier request had the same identifier.
+    /// An earlier request used the same identifier.
     DuplicateRequestId,
-    /// No route has this host and path.
+    /// No route matches the host and path.
     NoRoute,
-    /// No tenant holds the key that it brings.
+    /// No tenant holds the request's key.
     UnknownKey,
-    /// The turn that it goes on from does not exist.
+    /// The previous turn that the request names does not exist.
     NoSuchTurn,
-    /// The program's budget does not hold the turn at its most.
+    /// The remaining token budget of the program does not cover the most tokens that the turn may generate.
     BudgetSpent,
-    /// The body is longer than allowed.
     BodyTooLarge,
-    /// No configuration is known yet.
+    /// The gateway has not received a configuration yet.
     NoConfiguration,
-    /// The gateway has not heard of the newest configuration for too long to be certain.
+    /// The gateway's configuration has not been confirmed as the newest one for too long.
     ConfigurationStale,
-    /// The gateway has not heard for so long that keys are still in force that this one may have been taken away.
+    /// The gateway's list of keys has not been confirmed for so long that the request's key may have been
+    /// revoked.
     KeyStateStale,
-    /// The tenant has made as many requests as it may.
+    /// The tenant is over its rate limit.
     RateExceeded,
-    /// Nobody who counts the tenant's requests answered.
+    /// No limiter of the tenant answered.
     RateUnknown,
-    /// The gateway holds as many requests as it can.
+    /// The gateway holds its maximum number of requests.
     Overloaded,
-    /// No engine takes requests of the service.
+    /// No engine of the service accepts requests.
     NoEngine,
-    /// All engines of the service stand in drained zones.
+    /// All engines of the service are in drained zones.
     ZonesDrained,
-    /// No engine takes requests of the service where this one may be served.
+    /// No engine of the service is in a region where the request may be served.
     NoAllowedRegion,
-    /// The turns of the route may be kept in fewer regions than there are replicas in.
+    /// The route's residency does not allow all the regions that hold replicas of its turns.
     ReplicasOutsideResidency,
-    /// All engines that were asked refused to run it.
+    /// All engines that were tried refused the request because they were full.
     EnginesFull,
-    /// All engines of the service warm up and have what they bear.
+    /// All engines of the service are warming up and at their rate limit.
     EnginesWarmUp,
-    /// Not enough replicas answered to reserve tokens.
+    /// Too few replicas answered to reserve tokens.
     LedgerUnavailable,
-    /// Not enough replicas answered to read the earlier turns.
+    /// Too few replicas answered to read the earlier turns.
     TurnsUnavailable,
-    /// The engine broke off or answered with something else; the request may have run.
+    /// The engine broke the connection or sent an invalid answer; the request may have run.
     EngineFailed,
-    /// Time is up; the request may have run.
+    /// The deadline passed after the request was sent; it may have run.
     TimedOut,
-    /// Time is up and no engine got the request.
+    /// The deadline passed before the request was sent to an engine.
     TimedOutUnsent,
 }
 
 impl RefusalReason {
-    /// Whether the request has certainly not run and never will.
+    /// Whether the request has not run and never will.
     pub fn is_not_run(self) -> bool {
         !matches!(self, Self::EngineFailed | Self::TimedOut)
     }
 
-    /// Whether the cause is this gateway's alone, so that the client is better off with another one.
+    /// Whether only this gateway is affected, so that a retry at another gateway may succeed.
     pub fn is_gateway_local(self) -> bool {
         matches!(
             self,
@@ -75,7 +75,7 @@
         )
     }
 
-    /// Name for logs and metrics.
+    /// Name in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             Self::BadRequest => "bad_request",
@@ -112,17 +112,16 @@
     }
 }
 
-/// A final answer without an engine's.
+/// The final answer of a request that no engine answered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Refusal {
-    /// Why.
     pub reason: RefusalReason,
-    /// When the client may come back.
+    /// How long the client should wait before a retry; `None` where a retry does not help.
     pub retry_after: Option<Duration>,
 }
 
 impl Refusal {
-    /// A refusal after which coming back does not help.
+    /// A refusal that a retry does not change.
     pub fn last(reason: RefusalReason) -> Self {
         Self {
             reason,
@@ -130,7 +129,7 @@
         }
     }
 
-    /// A refusal after which the client may come back.
+    /// A refusal after which the client may retry.
     pub fn retry_later(reason: RefusalReason, after: Duration) -> Self {
         Self {
             reason,
--- a/crates/routing/src/region_latencies.rs
+++ b/crates/routing/src/region_latencies.rs
@@ -1,44 +1,45 @@
-//! What the way to engines of other regions costs, as one gateway measures it.
+//! Measures the extra latency of engines in other regions.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
 use crate::residency::ZoneRegions;
 
-/// Least extra cost of another region, in milliseconds: before any connection has told, and for the price of the bytes.
+/// Least extra cost of another region, in milliseconds: for traffic, and before there are measurements.
 const MIN_EXTRA_MS: f64 = 20.0;
-/// Weight of a connection that was quicker than the way was taken to be, and of one that was slower: a busy engine or gateway makes a
-/// connection slow, nothing makes it quicker than its way.
+/// Weights of samples below and above the current value. Load on an engine or gateway makes connections
+/// slower, while nothing makes them faster than the network, so fast samples count more.
 const FASTER_SAMPLE_WEIGHT: f64 = 0.5;
 const SLOWER_SAMPLE_WEIGHT: f64 = 0.05;
-/// Part by which a way has to change to be told again.
+/// Relative change of a latency from which on it is logged again.
 const REPORTED_CHANGE_FRACTION: f64 = 0.25;
 const MS_PER_S: f64 = 1_000.0;
 
-/// The way to the engines of one region.
+/// Latency to the engines of one region.
 #[derive(Debug, Clone, Copy, PartialEq)]
 struct Latency {
-    /// There and back, in milliseconds.
+    /// Round-trip time in milliseconds.
     round_trip_ms: f64,
-    /// What was told last.
+    /// The round-trip time that [`RegionLatencies::changes`] returned last; 0 at first.
     reported_ms: f64,
 }
 
-/// The ways from one gateway to the engines of each region. Each choice asks for all engines, so that a zone is looked up once.
+/// Latencies from one gateway to the engines of each region. Zones are mapped to indices in advance, since
+/// each choice looks up all engines.
 #[derive(Debug, Clone)]
 pub struct RegionLatencies {
     /// Names of the regions.
     regions: Vec<String>,
-    /// Place of each zone's region among them.
+    /// Index into `regions` of each zone's region.
     region_by_zone: BTreeMap<String, usize>,
-    /// Region of the gateway.
+    /// Region of the gateway; `None` if its zone is not in the settings.
     own_region: Option<usize>,
-    /// The way to each region, once a connection has told.
+    /// By region; `None` before the first connection.
     latencies: Vec<Option<Latency>>,
 }
 
 impl RegionLatencies {
-    /// The ways from a zone, none measured yet; `None` where the deployment stands in one region.
+    /// Latencies from a zone, none measured yet; `None` if the deployment has one region.
     pub fn new(regions: &ZoneRegions, zone: &str) -> Option<Self> {
         if !regions.has_multiple_regions() {
             return None;
@@ -58,12 +59,12 @@
         })
     }
 
-    /// Whether a zone stands in the gateway's region.
+    /// Whether the zone is in the gateway's region.
     pub fn is_own_region(&self, zone: &str) -> bool {
         self.own_region.is_some() && self.region_by_zone.get(zone).copied() == self.own_region
     }
 
-    /// A connection to an engine in this zone took so long.
+    /// A connection to an engine in this zone was established in this time.
     pub fn on_connected(&mut self, zone: &str, taken: Duration) {
         let Some(region) = self.region_by_zone.get(zone) else {
             return;
@@ -82,7 +83,7 @@
         latency.round_trip_ms += weight * (taken_ms - latency.round_trip_ms);
     }
 
-    /// What a request loses by the way to a zone beyond that to the gateway's own region, in milliseconds.
+    /// Extra cost of a request to this zone in relation to the gateway's own region, in milliseconds.
     pub fn extra_ms(&self, zone: &str) -> f64 {
         let region = self.region_by_zone.get(zone).copied();
         if region.is_some() && region == self.own_region {
@@ -92,13 +93,13 @@
         extra.max(MIN_EXTRA_MS)
     }
 
-    /// 0 while nothing is known.
+    /// 0 without a measurement.
     fn round_trip_ms(&self, region: Option<usize>) -> f64 {
         let latency = region.and_then(|region| self.latencies[region]);
         latency.map_or(0.0, |latency| latency.round_trip_ms)
     }
 
-    /// Ways that have changed since they were last told, in milliseconds there and back.
+    /// Regions whose round-trip time has changed notably since the last call, in milliseconds.
     pub fn changes(&mut self) -> Vec<(String, f64)> {
         let mut changes = Vec::new();
         for (region, latency) in self.regions.iter().zip(&mut self.latencies) {
--- a/crates/routing/src/reported_outcomes.rs
+++ b/crates/routing/src/reported_outcomes.rs
@@ -1,30 +1,32 @@
-//! What gateways tell each other of engines that fail requests.
+//! Outcomes of requests at failing engines, as gateways report them to each other.
 //!
-//! In a large fleet each gateway sends an engine a request every few seconds, too few to tell a failing engine
-//! from bad luck. So each tells how its own requests ended at *suspects*: engines of which anybody has told a
-//! failure. Whoever tells a failure draws the counts of all others after it, also those without one, and the
-//! share of failures that they make together is fair to the engine (`docs/design/decisions.md`, "Failing engines").
+//! In a large fleet each gateway sends an engine one request every few seconds, too few to tell a failing
+//! engine from chance. So each gateway reports the outcomes of its own requests at *suspects*: engines for
+//! which any gateway has reported a failure. One reported failure makes all other gateways report their
+//! counts as well, also those that saw no failure, so the share of failures over all reports is unbiased
+//! (`docs/design/decisions.md`, "Failing engines").
 
 use rkyv::{Archive, Deserialize, Serialize};
 
 use crate::engine_health::OutcomeCounts;
 
-/// Suspects that one report names; the ones that failed most.
+/// Suspects in one report; those with the most failures are kept.
 pub const MAX_SUSPECTS: usize = 24;
 const TENTHS_PER_REQUEST: f64 = 10.0;
 
-/// How one gateway's requests ended at an engine lately. Counts fade, so they are told in tenths.
+/// Recent outcomes of one gateway's requests at an engine. Counts decay to fractions, so they are sent in
+/// tenths.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct ReportedOutcomes {
-    /// Hash of the engine's instance.
+    /// Value of the engine's [`EngineKey`](crate::EngineKey).
     pub engine: u64,
-    /// Tenths of requests that ended, however.
+    /// Tenths of requests that ended, with any outcome.
     pub ended: u32,
-    /// Tenths of those that failed.
+    /// Tenths of requests that failed.
     pub failed: u32,
 }
 
-/// Sums of what other gateways tell of one engine, in tenths.
+/// Sums of the reports of other gateways about one engine, in tenths.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct ReportedSums {
     ended: u64,
@@ -32,7 +34,6 @@
 }
 
 impl ReportedOutcomes {
-    /// These counts of an engine.
     pub fn new(engine: u64, counts: OutcomeCounts) -> Self {
         Self {
             engine,
@@ -43,24 +44,24 @@
 }
 
 impl ReportedSums {
-    /// A report names the engine.
+    /// Adds a report.
     pub fn add(&mut self, reported: &ReportedOutcomes) {
         self.ended = self.ended.saturating_add(u64::from(reported.ended));
         self.failed = self.failed.saturating_add(u64::from(reported.failed));
     }
 
-    /// A report counts no longer.
+    /// Subtracts a report that expired or was replaced.
     pub fn subtract(&mut self, reported: &ReportedOutcomes) {
         self.ended = self.ended.saturating_sub(u64::from(reported.ended));
         self.failed = self.failed.saturating_sub(u64::from(reported.failed));
     }
 
-    /// Whether nothing is told.
     pub fn is_empty(self) -> bool {
         self.ended == 0 && self.failed == 0
     }
 
-    /// The counts. No more can have failed than ended, whatever others tell.
+    /// The counts as requests. Failures are capped at the requests that ended, since reports may be
+    /// inconsistent.
     pub fn counts(self) -> OutcomeCounts {
         OutcomeCounts {
             ended: self.ended as f64 / TENTHS_PER_REQUEST,
--- a/crates/routing/src/residency.rs
+++ b/crates/routing/src/residency.rs
@@ -1,35 +1,35 @@
-//! Residency: the regions in which requests may be served, and what they carry be kept.
+//! Residency: the regions in which requests may be served and their data may be stored.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use rkyv::{Archive, Deserialize, Serialize};
 
-/// Regions in which something may be served and kept.
+/// The regions in which something may be served and stored.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct Residency {
-    /// `None` where any region will do; none of them where those of two have nothing in common.
+    /// `None` allows any region; an empty set, as from an intersection, allows none.
     regions: Option<BTreeSet<String>>,
 }
 
 impl Residency {
-    /// Any region will do.
+    /// Allows any region.
     pub fn anywhere() -> Self {
         Self::default()
     }
 
-    /// These regions only.
+    /// Allows these regions only.
     pub fn within(regions: impl IntoIterator<Item = String>) -> Self {
         Self {
             regions: Some(regions.into_iter().collect()),
         }
     }
 
-    /// Whether any region will do.
+    /// Whether any region is allowed.
     pub fn is_anywhere(&self) -> bool {
         self.regions.is_none()
     }
 
-    /// Whether a region is allowed. One that is not known, `None`, is allowed only where any is.
+    /// Whether a region is allowed. An unknown region, `None`, is allowed only if any region is.
     pub fn allows(&self, region: Option<&str>) -> bool {
         match &self.regions {
             None => true,
@@ -47,7 +47,7 @@
         Self { regions }
     }
 
-    /// The regions that are named; none where any will do.
+    /// The allowed regions; none if any region is allowed.
     pub fn regions(&self) -> impl Iterator<Item = &str> {
         self.regions.iter().flatten().map(String::as_str)
     }
@@ -60,7 +60,7 @@
 }
 
 impl<const N: usize> From<[(&str, &str); N]> for ZoneRegions {
-    /// Zones with their regions.
+    /// Pairs of a zone and its region.
     fn from(pairs: [(&str, &str); N]) -> Self {
         let pairs = pairs.map(|(zone, region)| (zone.to_owned(), region.to_owned()));
         Self::new(BTreeMap::from(pairs))
@@ -68,17 +68,17 @@
 }
 
 impl ZoneRegions {
-    /// Regions by the names of their zones.
+    /// Regions by zone.
     pub fn new(by_zone: BTreeMap<String, String>) -> Self {
         Self { by_zone }
     }
 
-    /// The region of a zone; `None` for a zone that the settings do not name.
+    /// The region of a zone; `None` if the settings do not name the zone.
     pub fn region(&self, zone: &str) -> Option<&str> {
         self.by_zone.get(zone).map(String::as_str)
     }
 
-    /// The zones with their regions.
+    /// Pairs of a zone and its region.
     pub fn iter(&self) -> impl Iterator<Item = (&str, &str)> {
         let pairs = self.by_zone.iter();
         pairs.map(|(zone, region)| (zone.as_str(), region.as_str()))
@@ -89,7 +89,8 @@
         self.by_zone.is_empty()
     }
 
-    /// How far a zone is from another: 0 for itself, 1 within a region or where one of the regions is not known, 2 beyond.
+    /// Distance between zones: 0 for the same zone, 1 in the same region or if a region is unknown, 2
+    /// otherwise.
     pub fn distance(&self, one: &str, other: &str) -> u8 {
         if one == other {
             return 0;
@@ -98,25 +99,24 @@
         regions.map_or(1, |(one, other)| if one == other { 1 } else { 2 })
     }
 
-    /// Whether something may be served or kept in a zone.
+    /// Whether the residency allows the region of the zone.
     pub fn allows(&self, residency: &Residency, zone: &str) -> bool {
         residency.allows(self.region(zone))
     }
 
-    /// Whether something may be served in some region of the deployment.
+    /// Whether the residency allows any region of the deployment.
     pub fn allows_any(&self, residency: &Residency) -> bool {
         let mut regions = self.by_zone.values();
         residency.is_anywhere() || regions.any(|region| residency.allows(Some(region)))
     }
 
-    /// Whether something may be kept in all regions of the deployment.
+    /// Whether the residency allows all regions of the deployment.
     pub fn allows_all(&self, residency: &Residency) -> bool {
         let mut regions = self.by_zone.values();
         residency.is_anywhere()
             || !self.by_zone.is_empty() && regions.all(|region| residency.allows(Some(region)))
     }
 
-    /// Whether the deployment stands in more than one region.
     pub fn has_multiple_regions(&self) -> bool {
         let mut regions = self.by_zone.values();
         let first = regions.next();
--- a/crates/routing/src/residency_faults.rs
+++ b/crates/routing/src/residency_faults.rs
@@ -1,23 +1,24 @@
-//! What a configuration asks of regions that the deployment cannot give: told to the operator when it comes in force.
+//! Finds routes and tenants whose residency the deployment cannot satisfy, to warn the operator when a
+//! configuration takes effect.
 
 use std::collections::BTreeSet;
 
 use crate::residency::ZoneRegions;
 use crate::route_table::RouteTable;
 
-/// Routes and tenants that are refused for their regions, by name.
+/// Names of the routes and tenants whose requests are refused because of their residency.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct ResidencyFaults {
-    /// Routes without a region of the deployment.
+    /// Routes that allow no region of the deployment.
     pub routes: BTreeSet<String>,
-    /// Tenants without a region of the deployment.
+    /// Tenants that allow no region of the deployment.
     pub tenants: BTreeSet<String>,
-    /// Routes that keep turns and may do so in some regions only.
+    /// Routes that keep turns and allow only some regions of the deployment.
     pub keeping: BTreeSet<String>,
 }
 
 impl ResidencyFaults {
-    /// What is refused of a configuration where these regions are.
+    /// Checks a configuration against the deployment's regions.
     pub fn of(table: &RouteTable, regions: &ZoneRegions) -> Self {
         let served = |route: &&crate::Route| regions.allows_any(&route.residency);
         let unserved = table.routes().filter(|route| !served(route));
@@ -33,7 +34,6 @@
         }
     }
 
-    /// How many there are.
     pub fn count(&self) -> usize {
         self.routes.len() + self.tenants.len() + self.keeping.len()
     }
--- a/crates/routing/src/route_table.rs
+++ b/crates/routing/src/route_table.rs
@@ -7,11 +7,11 @@
 use crate::tenants::{KeyDigest, Tenant, TenantTable};
 use crate::warm_up::WarmUpLimit;
 
-/// The request brings no key that anybody holds.
+/// No tenant holds the request's key, or the request has none.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct UnknownKey;
 
-/// One version of the configuration, arranged for lookups.
+/// One version of the configuration, indexed for lookups.
 #[derive(Debug, Clone)]
 pub struct RouteTable {
     version: u64,
@@ -23,7 +23,7 @@
 }
 
 impl RouteTable {
-    /// Arranges a configuration.
+    /// Indexes a configuration.
     pub fn new(configuration: &RouteConfiguration) -> Self {
         let mut routes: HashMap<String, Vec<Arc<Route>>> = HashMap::new();
         for route in &configuration.routes {
@@ -46,17 +46,15 @@
         }
     }
 
-    /// Version of the configuration.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// Bounds for clients.
     pub fn limits(&self) -> CallerLimits {
         self.limits
     }
 
-    /// The route with the longest prefix that begins the path; the host may carry a port.
+    /// The route of the host with the longest prefix of the path. The host may carry a port.
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let name = host.split(':').next().unwrap_or(host);
         let of_host = self.routes.get(&name.to_ascii_lowercase())?;
@@ -65,12 +63,12 @@
             .find(|route| path.starts_with(&route.path_prefix))
     }
 
-    /// Whether clients are asked for keys.
+    /// Whether the configuration has tenants, so that requests need keys.
     pub fn has_tenants(&self) -> bool {
         self.tenants.is_some()
     }
 
-    /// The tenant to whom a request with this key belongs; `None` where no key is asked for.
+    /// The tenant that holds the key; `None` if the request needs no key.
     pub fn tenant(
         &self,
         route: &Route,
@@ -83,13 +81,12 @@
         holder.map(Some).ok_or(UnknownKey)
     }
 
-    /// Whether there is a route of this name.
     pub fn has_route(&self, name: &str) -> bool {
         let mut routes = self.routes.values().flatten();
         routes.any(|route| route.name == name)
     }
 
-    /// Services whose engines bear less while they warm up.
+    /// Rate limits of engines that warm up, by service.
     pub fn warm_ups(&self) -> HashMap<&str, WarmUpLimit> {
         let services = self.services.values();
         let limited =
@@ -97,17 +94,15 @@
         limited.collect()
     }
 
-    /// All routes.
     pub fn routes(&self) -> impl Iterator<Item = &Route> {
         self.routes.values().flatten().map(AsRef::as_ref)
     }
 
-    /// All tenants that hold a key, those with several as often.
+    /// Tenants that hold keys; a tenant is repeated for each of its keys.
     pub fn tenants(&self) -> impl Iterator<Item = &Tenant> {
         self.tenants.iter().flat_map(TenantTable::holders)
     }
 
-    /// A service by its name.
     pub fn service(&self, name: &str) -> Option<&Arc<Service>> {
         self.services.get(name)
     }
--- a/crates/routing/src/sample_window.rs
+++ b/crates/routing/src/sample_window.rs
@@ -1,20 +1,19 @@
-//! How one measured quantity grows with another, from the newest noisy pairs.
+//! Estimates how one measured quantity grows with another, from the newest noisy pairs.
 //!
-//! The slope is taken between quantiles of the pairs with the smallest and of those with the largest `x`.
-//! A quantile of a third of the pairs stays near its place while some of them are outliers, which a
-//! least-squares fit would not. Where noise only adds, as waits do, a low quantile is the best
-//! (`docs/design/decisions.md`, "What is learned of engines").
+//! The slope is taken between quantiles of the third of the pairs with the smallest `x` and the third with
+//! the largest. Unlike a least-squares fit, quantiles tolerate outliers. Where noise only adds, as waits do,
+//! a low quantile is the best (`docs/design/decisions.md`, "What is learned of engines").
 
 use std::collections::VecDeque;
 
-/// Pairs that are remembered; older ones give way, so that the slope follows a change.
+/// Pairs kept. Bounded so that the slope follows changes.
 const CAPACITY: usize = 192;
-/// Fewest pairs that tell a slope: three for each quantile.
+/// Fewest pairs for a slope: three in each group.
 const MIN_PAIRS: usize = 9;
-/// Parts into which the pairs are divided by `x`; the middle ones are left out.
+/// Groups into which the pairs are divided by `x`; the middle one is not used.
 const GROUPS: usize = 3;
 const MEDIAN: f64 = 0.5;
-/// Smaller values of `y` are taken for this one in ratios.
+/// Lower bound of `y` in ratios, against division by zero.
 const MIN_Y: f32 = 0.01;
 
 /// The newest pairs of two quantities.
@@ -24,7 +23,7 @@
 }
 
 impl SampleWindow {
-    /// Takes a pair in. Pairs that are no finite numbers, or negative, are left out.
+    /// Adds a pair unless one of its values is negative or not finite.
     pub fn push(&mut self, x: f64, y: f64) {
         let is_valid =
             |value: f64| value.is_finite() && (0.0..=f64::from(f32::MAX)).contains(&value);
@@ -37,18 +36,16 @@
         self.pairs.push_back((x as f32, y as f32));
     }
 
-    /// Number of pairs.
     pub fn len(&self) -> usize {
         self.pairs.len()
     }
 
-    /// Whether there are none.
     pub fn is_empty(&self) -> bool {
         self.pairs.is_empty()
     }
 
-    /// How much the `q` quantile of `y` grows with each unit of `x`; `None` while there are few pairs,
-    /// or where the groups lie closer together than `min_spread`.
+    /// How much the `q` quantile of `y` grows with each unit of `x`; `None` with too few pairs or if the
+    /// medians of `x` in the groups differ by less than `min_spread`.
     pub fn slope(&self, q: f64, min_spread: f64) -> Option<f64> {
         let sorted = self.sorted()?;
         let group = sorted.len() / GROUPS;
@@ -61,7 +58,8 @@
         Some(rise / spread)
     }
 
-    /// The `q` quantile of `x / y` where `x` is largest; `None` while there are few pairs.
+    /// The `q` quantile of `x / y` over the third of the pairs with the largest `x`; `None` with too few
+    /// pairs.
     pub fn ratio_quantile(&self, q: f64) -> Option<f64> {
         let sorted = self.sorted()?;
         let high = &sorted[sorted.len() - sorted.len() / GROUPS..];
--- a/crates/routing/src/service_model.rs
+++ b/crates/routing/src/service_model.rs
@@ -1,9 +1,9 @@
-//! What a gateway learns of a service's engines while they serve: how fast they read prompts, how much
-//! the requests of a batch slow each other, how long a request takes.
+//! Estimates the costs of work at a service's engines from this gateway's own requests: the rate of prefill,
+//! the slowdown of a batch by each request in it, and the duration of a request.
 //!
-//! Engines of one service are alike but for their speed, so what one of them shows counts for all
-//! (`docs/design/decisions.md`, "What is learned of engines"). A gateway that has just started takes over
-//! what others tell in their heartbeats.
+//! Engines of one service differ only in speed, so samples of all engines are pooled
+//! (`docs/design/decisions.md`, "What is learned of engines"). A gateway that has just started uses the
+//! summaries in other gateways' heartbeats.
 
 use std::cell::Cell;
 use std::fmt;
@@ -13,36 +13,36 @@
 
 use crate::sample_window::SampleWindow;
 
-/// Prompt tokens read in a millisecond that are assumed before anything is known: the middle, by ratio,
-/// of what engines are known to reach (20 to 400).
+/// Rate of prefill assumed before there are samples: the geometric mean of the known range of engines (20 to
+/// 400).
 const DEFAULT_TOKENS_PER_MS: f64 = 90.0;
-/// Bounds of a believable reading rate, in tokens a millisecond.
+/// Range of plausible rates of prefill, in tokens per millisecond.
 const TOKENS_PER_MS_RANGE: std::ops::RangeInclusive<f64> = 5.0..=1_000.0;
-/// Time of a request that is assumed before anything is known, in milliseconds.
+/// Duration of a request assumed before there are samples, in milliseconds.
 const DEFAULT_TURN_MS: f64 = 300.0;
-/// Least difference of prompt lengths that tells a reading rate, in tokens.
+/// Least difference of prompt lengths for an estimate of the rate of prefill, in tokens.
 const MIN_TOKEN_SPREAD: f64 = 100.0;
-/// Least difference of batches that tells their growth, in requests.
+/// Least difference of in-flight requests for an estimate of the slowdown of a batch.
 const MIN_OPEN_SPREAD: f64 = 1.0;
-/// Part of a place's time that one more request costs at least, even where none waits: counts of open
-/// requests are old by a moment, and the place may be taken by then.
+/// Least cost of one more in-flight request, as a fraction of a slot's time. It applies even where slots are
+/// free, since the counts of in-flight requests lag and the slot may be taken by then.
 const MIN_SLOT_FRACTION: f64 = 0.25;
-/// Weight of the newest sample in a mean.
+/// Weight of the newest sample in a running mean.
 const SAMPLE_WEIGHT: f64 = 0.05;
-/// Weight of the newest slope, or of what another gateway tells.
+/// Weight of the newest slope or received summary in an exponential average.
 const SMOOTHING_WEIGHT: f64 = 0.2;
-/// Samples from which on a gateway trusts its own over what others tell.
+/// Samples from which on a gateway's own estimates replace those of other gateways.
 const MIN_OWN_SAMPLES: u32 = 9;
-/// Ratio of costs from which on a change is told in the log.
+/// Ratio between costs from which on a change is logged.
 const REPORTED_CHANGE_RATIO: f64 = 1.3;
-/// Part of the readings that hardly waited.
+/// Quantile of samples that hardly waited.
 const LOW_QUANTILE: f64 = 0.25;
 const MEDIAN: f64 = 0.5;
 const THOUSAND: f64 = 1_000.0;
-/// New samples after which the slopes are worked out anew.
+/// New samples after which the slopes are computed again.
 const REFRESH_SAMPLES: u32 = 8;
 
-/// A service's key in tables and in heartbeats.
+/// Key of a service in tables and in heartbeats.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ServiceKey(pub u64);
 
@@ -53,20 +53,19 @@
 }
 
 impl ServiceKey {
-    /// The key of a service's name.
     pub fn of(service: &str) -> Self {
         Self(xxh3_64(service.as_bytes()))
     }
 }
 
-/// A mean that follows the newest samples; of the first ones it is the plain mean.
+/// Running mean that becomes an exponential average once `1 / SAMPLE_WEIGHT` samples are in.
 #[derive(Debug, Clone, Copy, Default)]
 struct RunningMean {
     value: f64,
     samples: u32,
 }
 
-/// A value that follows new ones slowly.
+/// Exponential average of a value and a new one.
 fn smoothed(value: Option<f64>, new: f64) -> f64 {
     value.map_or(new, |value| value + SMOOTHING_WEIGHT * (new - value))
 }
@@ -86,18 +85,18 @@
     }
 }
 
-/// What one gateway tells others of a service.
+/// Estimates of a service's costs, as sent to other gateways.
 ///
-/// Whole numbers, so that no message can bring in a value that is no number.
+/// Integers, so that no message can bring in a value that is not a number.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct ServiceSummary {
-    /// Key of the service.
+    /// Value of the service's [`ServiceKey`].
     pub service: u64,
-    /// Prompt tokens that its engines read in a second.
+    /// Rate of prefill in tokens per second.
     pub tokens_per_s: u32,
-    /// What one more request costs another one in its batch, in microseconds.
+    /// Slowdown of each other request in the batch by one more request, in microseconds.
     pub share_us: u32,
-    /// How long a request takes, in microseconds.
+    /// Duration of a request, in microseconds.
     pub turn_us: u32,
 }
 
@@ -111,57 +110,56 @@
     }
 }
 
-/// A reading of a prompt, from the sending of the request to its first event.
+/// A prefill, measured from the sending of the request to its first event.
 #[derive(Debug, Clone, Copy)]
 pub struct PrefillSample {
-    /// Tokens that the engine was believed to have to read before.
+    /// Tokens that the engine was believed to lack in its prompt cache.
     pub tokens: u64,
     /// Time to the first event, in milliseconds.
     pub first_ms: f64,
-    /// Whether what was believed of the engine's memory is certain enough to learn from.
+    /// Whether the belief about the prompt cache is certain enough for an estimate.
     pub is_certain: bool,
 }
 
-/// An answer that ended well.
+/// Measurements of a request that was answered.
 #[derive(Debug, Clone, Copy)]
 pub struct Turn {
-    /// Time at the engine, in milliseconds.
+    /// Time from the sending of the request to the end of the answer, in milliseconds.
     pub turn_ms: f64,
-    /// Time between two events while the engine read no prompt in between, in milliseconds.
+    /// Time between two events without a prefill in between, in milliseconds.
     pub step_ms: Option<f64>,
-    /// Events.
     pub events: u64,
-    /// Requests that were open at the engine when this one was sent.
+    /// In-flight requests at the engine when this one was sent.
     pub open: u32,
 }
 
-/// What a service's engines take for which work, in milliseconds where nothing else is said.
+/// Costs of work at a service's engines, in milliseconds unless stated otherwise.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ServiceCosts {
-    /// Prompt tokens read in a millisecond.
+    /// Rate of prefill in tokens per millisecond.
     pub tokens_per_ms: f64,
-    /// What one more request costs another one in its batch.
+    /// Slowdown of each other request in the batch by one more request.
     pub share_ms: f64,
-    /// How long a request takes.
+    /// Duration of a request.
     pub turn_ms: f64,
 }
 
-/// What is known of the engines of one service.
+/// Samples and estimates for the engines of one service.
 #[derive(Debug, Clone, Default)]
 pub struct ServiceModel {
     prefills: SampleWindow,
     steps: SampleWindow,
     events: RunningMean,
-    /// Times of whole requests by the requests that were open there.
+    /// Durations of requests by the requests that were in flight.
     turns: SampleWindow,
-    /// The shorter ones of these times, in which hardly any waited for a place.
+    /// A low quantile of these durations, of requests that hardly waited for a slot.
     turn_ms: Option<f64>,
     samples: u32,
-    /// Sums of the first readings, for a rate before there is a slope.
+    /// Sums of the first prefills, for a rate before there is a slope.
     first_tokens: f64,
     first_ms: f64,
     ms_per_token: Option<f64>,
-    /// What prompts show that were read in so and so much time, waits included: the rate is no lower.
+    /// Lower bound of the rate: prefilled tokens over the time to the first event, waits included.
     min_rate: Option<f64>,
     step_growth: Option<f64>,
     samples_since_refresh: u32,
@@ -171,7 +169,7 @@
 }
 
 impl ServiceModel {
-    /// An engine has read a prompt.
+    /// An engine has prefilled a prompt.
     pub fn on_prefill_sample(&mut self, reading: PrefillSample) {
         let tokens = reading.tokens as f64;
         if self.prefills.len() < MIN_OWN_SAMPLES as usize && reading.first_ms.is_finite() {
@@ -185,7 +183,7 @@
         }
     }
 
-    /// A request ended well.
+    /// A request was answered.
     pub fn on_turn(&mut self, turn: Turn) {
         self.samples = self.samples.saturating_add(1);
         self.turns.push(f64::from(turn.open), turn.turn_ms);
@@ -196,7 +194,7 @@
         self.on_sample();
     }
 
-    /// Another gateway tells what it knows.
+    /// Takes a summary of another gateway.
     pub fn on_summary(&mut self, summary: ServiceSummary) {
         let costs = summary.costs();
         self.received = Some(match self.received {
@@ -210,13 +208,13 @@
         self.costs.set(None);
     }
 
-    /// What this gateway tells others; `None` while it has seen too little itself.
+    /// The summary for other gateways; `None` while there are too few samples.
     pub fn summary(&self, key: ServiceKey) -> Option<ServiceSummary> {
         if self.samples < MIN_OWN_SAMPLES {
             return None;
         }
         let costs = self.costs();
-        // What others told is left out, or gateways would confirm each other for ever.
+        // Leaves out received rates, or gateways would confirm each other forever.
         let rate = self.own_rate().unwrap_or(costs.tokens_per_ms);
         Some(ServiceSummary {
             service: key.0,
@@ -226,7 +224,7 @@
         })
     }
 
-    /// What work costs at the service's engines.
+    /// The current estimates.
     pub fn costs(&self) -> ServiceCosts {
         if let Some(costs) = self.costs.get() {
             return costs;
@@ -240,7 +238,7 @@
         costs
     }
 
-    /// The costs, where they have changed so much since they were last told that it should be told again.
+    /// The costs if they differ enough from those that the last call returned.
     pub fn news(&mut self) -> Option<ServiceCosts> {
         let costs = self.costs();
         if self
@@ -253,7 +251,7 @@
         self.last_reported
     }
 
-    /// Samples that the costs rest on, of this gateway's own requests.
+    /// Number of this gateway's own requests that the costs are based on.
     pub fn samples(&self) -> u32 {
         self.samples
     }
@@ -267,7 +265,7 @@
         self.samples_since_refresh = 0;
         let ms_per_token = self.prefills.slope(LOW_QUANTILE, MIN_TOKEN_SPREAD);
         if let Some(ms_per_token) = ms_per_token {
-            // Slopes of nothing but noise count too, or the mean would be too high.
+            // Negative slopes from noise count too, or the mean would be biased upwards.
             self.ms_per_token = Some(smoothed(self.ms_per_token, ms_per_token));
         }
         self.turn_ms = self.turns.y_quantile(LOW_QUANTILE);
@@ -277,7 +275,7 @@
         }
     }
 
-    /// The reading rate by this gateway's own requests, in tokens a millisecond.
+    /// Rate of prefill by this gateway's own requests, in tokens per millisecond.
     fn own_rate(&self) -> Option<f64> {
         let ms_per_token = self.ms_per_token?;
         let rate = 1.0 / ms_per_token.max(1.0 / TOKENS_PER_MS_RANGE.end());
@@ -289,7 +287,7 @@
         let first = (self.first_ms > 0.0 && self.first_tokens > 0.0)
             .then_some(self.first_tokens / self.first_ms);
         let own = self.own_rate();
-        // All gateways measure the same engines, so the middle of both is nearer than either.
+        // All gateways measure the same engines, so the geometric mean is closer than either value.
         let rate = match (own, received) {
             (Some(own), Some(received)) => Some((own * received).sqrt()),
             (own, received) => own.or(received).or(first),
@@ -306,7 +304,7 @@
         turn_ms.unwrap_or(DEFAULT_TURN_MS)
     }
 
-    /// Each request makes every step of the others in its batch longer.
+    /// Each request in a batch makes every decode step of the others longer.
     fn share_ms(&self) -> f64 {
         if self.samples < MIN_OWN_SAMPLES
             && let Some(received) = self.received
@@ -328,14 +326,14 @@
             && is_similar(self.turn_ms, other.turn_ms)
     }
 
-    /// What each place in an engine's queue costs, where it works on `slots` requests at once.
+    /// Cost of each position in the queue of an engine with this many slots.
     pub fn queue_position_ms(&self, slots: u32) -> f64 {
         self.turn_ms / f64::from(slots.max(1))
     }
 
-    /// What one more open request costs at an engine that works on `slots` requests at once.
+    /// Cost of one more in-flight request at an engine with this many slots.
     pub fn open_ms(&self, slots: u32) -> f64 {
-        // It is slowed by the others, and they by it.
+        // The request is slowed by the others and slows them as much.
         (2.0 * self.share_ms).max(self.queue_position_ms(slots) * MIN_SLOT_FRACTION)
     }
 }
--- a/crates/routing/src/tenants.rs
+++ b/crates/routing/src/tenants.rs
@@ -1,4 +1,4 @@
-//! Tenants: who a request belongs to, by the key that it brings (`docs/operations/tenants.md`).
+//! Tenants and the lookup of a request's tenant by its key (`docs/operations/tenants.md`).
 
 use std::collections::{HashMap, HashSet};
 use std::fmt;
@@ -10,13 +10,13 @@
 
 use crate::residency::Residency;
 
-/// Digest of a key. The key itself is forgotten once it is read, so that no log, message, or image of the memory
-/// holds one; and looking up a digest takes no time that depends on how much of a key was guessed right.
+/// Digest of a key. The key itself is dropped once it is read, so that no log, message or memory dump
+/// contains it. The time of a digest lookup does not depend on how much of a key was guessed.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Archive, Serialize, Deserialize)]
 pub struct KeyDigest([u8; 32]);
 
 impl KeyDigest {
-    /// The digest of a key; `None` for an empty one, which is no key.
+    /// The digest of a key; `None` if the key is empty.
     pub fn of(key: &[u8]) -> Option<Self> {
         (!key.is_empty()).then(|| Self(Sha256::digest(key).into()))
     }
@@ -28,58 +28,57 @@
     }
 }
 
-/// How many requests of a tenant may run, over all gateways.
+/// Rate limit of a tenant's requests over all gateways.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct RateLimit {
-    /// Requests in a thousand seconds.
+    /// Requests in 1000 seconds.
     pub per_ks: u64,
-    /// Requests beyond that at once.
+    /// Requests allowed at once in addition.
     pub burst: u64,
 }
 
-/// Somebody for whom requests are made.
+/// A customer or application on whose behalf requests are made.
 #[derive(Debug, Clone, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct Tenant {
-    /// Name, which engines are told.
+    /// Sent to engines.
     pub name: String,
-    /// Digests of the keys that are in force.
+    /// Digests of the valid keys.
     pub keys: Vec<KeyDigest>,
-    /// Rank of the requests, 0 first, in place of their routes'.
+    /// Replaces the priority of the route; 0 is the highest.
     pub priority: Option<u8>,
-    /// `None` where there is no limit.
+    /// `None` for no limit.
     pub limit: Option<RateLimit>,
-    /// Where requests may be served. Travels in [`crate::ConfigurationExtras`].
+    /// Where requests may be served. Sent in [`crate::ConfigurationExtras`].
     #[rkyv(with = Skip)]
     pub residency: Residency,
 }
 
-/// Why tenants cannot be put in force. Names a key by its place and never by its text.
+/// Why a set of tenants is invalid. Keys are identified by position, never by text.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum TenantFault {
-    /// The name is empty or cannot stand in a header.
+    /// The name is empty or contains a character that is invalid in a header.
     BadName {
-        /// Place of the tenant, from 0.
+        /// Position of the tenant, from 0.
         position: usize,
     },
     /// Two tenants have this name.
     SameName(String),
-    /// A key is empty.
     EmptyKey {
         /// Name of the tenant.
         tenant: String,
-        /// Place of the key, from 0.
+        /// Position of the key, from 0.
         position: usize,
     },
     /// Two tenants have the same key.
     SharedKey {
-        /// Name of the tenant that has it as well.
+        /// Name of the other tenant.
         first: String,
         /// Name of the tenant.
         tenant: String,
-        /// Place of the key, from 0.
+        /// Position of the key, from 0.
         position: usize,
     },
-    /// The rate or the burst is negative or no number.
+    /// The rate or the burst is negative or not a number. Contains the tenant's name.
     BadLimit(String),
 }
 
@@ -113,7 +112,7 @@
 
 impl std::error::Error for TenantFault {}
 
-/// Whether these tenants can be told apart by name and by key.
+/// Checks that names are valid and that no two tenants share a name or a key.
 pub fn check_tenants(tenants: &[Tenant]) -> Result<(), TenantFault> {
     let mut names = HashSet::new();
     let mut holders: HashMap<KeyDigest, &str> = HashMap::new();
@@ -139,14 +138,13 @@
     Ok(())
 }
 
-/// Tenants, arranged for look-ups: one costs the same however many there are.
+/// Index of tenants by key; the time of a lookup does not depend on their number.
 #[derive(Debug, Clone)]
 pub struct TenantTable {
     holders: HashMap<KeyDigest, Arc<Tenant>>,
 }
 
 impl TenantTable {
-    /// Arranges tenants.
     pub fn new(tenants: &[Tenant]) -> Self {
         let tenants = tenants.iter().map(|tenant| Arc::new(tenant.clone()));
         let holders = tenants.flat_map(|tenant| {
@@ -158,12 +156,11 @@
         }
     }
 
-    /// Who holds each key.
+    /// The tenants of all keys; a tenant is repeated for each of its keys.
     pub fn holders(&self) -> impl Iterator<Item = &Tenant> {
         self.holders.values().map(AsRef::as_ref)
     }
 
-    /// Who holds a key.
     pub fn holder(&self, key: KeyDigest) -> Option<&Arc<Tenant>> {
         self.holders.get(&key)
     }
--- a/crates/routing/src/warm_up.rs
+++ b/crates/routing/src/warm_up.rs
@@ -1,4 +1,4 @@
-//! Engines that have just started bear less than others until they are warm.
+//! Tracks which engines are warming up. After a start an engine takes fewer requests until it is warm.
 
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
@@ -9,51 +9,51 @@
 use crate::engine_table::{Engine, EngineEntry};
 
 const MS_PER_KS: u64 = 1_000_000;
-/// Part of the usual time of a warm-up over which an engine that is warm gets its share back.
+/// Fraction of the usual warm-up time over which the share of a warm engine ramps up.
 const RAMP_FRACTION: f64 = 0.5;
-/// How long an engine counts as away that was not reached.
+/// How long an engine counts as unreachable after a failed connection.
 const UNREACHABLE_PERIOD: Duration = Duration::from_secs(15);
-/// How long a run is remembered that is not listed any more: a store that lost its entries lists it again.
+/// How long an unlisted run is remembered, since a store that lost its entries lists the same run again.
 const UNLISTED_RETENTION: Duration = Duration::from_secs(60);
 
-/// What the engines of a service bear while they warm up.
+/// Rate limit of each engine of a service while it warms up.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct WarmUpLimit {
-    /// Requests in a thousand seconds.
+    /// Requests in 1000 seconds.
     pub per_ks: u64,
-    /// How long an engine warms up after its start, in milliseconds, where it does not say.
+    /// Duration of a warm-up that no entry or answer limits, in milliseconds.
     pub duration_ms: u64,
 }
 
 impl WarmUpLimit {
-    /// How long an engine warms up where it does not say.
+    /// Duration of a warm-up that no entry or answer limits.
     pub fn duration(&self) -> Duration {
         Duration::from_millis(self.duration_ms)
     }
 
-    /// The time after which one more request may reach an engine that got all that it bears.
+    /// Interval between requests at the limit.
     pub fn min_interval(&self) -> Duration {
         Duration::from_millis(MS_PER_KS / self.per_ks.max(1))
     }
 }
 
-/// Who says that an engine warms up.
+/// Why an engine is taken to be warming up.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WarmUpSource {
-    /// Its entry.
+    /// Its entry says so.
     Entry,
-    /// One of its answers.
+    /// One of its answers says so.
     Answer,
     /// It was not listed before.
     NewlyListed,
-    /// It was found away: it may have started again, and looks idle.
+    /// A connection to it failed, so it may have restarted and would look idle.
     Unreachable,
-    /// Its zone was taken back from a drain.
+    /// The drain of its zone ended.
     DrainEnded,
 }
 
 impl WarmUpSource {
-    /// Name for logs.
+    /// Name in logs.
     pub fn name(self) -> &'static str {
         match self {
             Self::Entry => "entry",
@@ -65,42 +65,41 @@
     }
 }
 
-/// An engine has begun to warm up, or is warm.
+/// An engine has started to warm up or has become warm.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct WarmUpChange {
-    /// The engine's instance.
     pub instance: String,
-    /// Its service.
     pub service: String,
-    /// When it started.
+    /// Start of the engine's run, in milliseconds since 1970.
     pub born_ms: u64,
-    /// For how long it warms up yet; `None` when it is warm.
+    /// Remaining time of the warm-up; `None` if the engine is warm.
     pub left: Option<Duration>,
-    /// Who said so last.
+    /// The latest source of the warm-up.
     pub source: WarmUpSource,
 }
 
-/// How one run of an engine warms up.
+/// The warm-up of one run of an engine.
 #[derive(Debug)]
 struct RunWarmUp {
     instance: String,
     service: String,
     born_ms: u64,
     limit: WarmUpLimit,
-    /// Revision of the newest entry that is known.
+    /// Revision of the newest known entry.
     revision: u64,
-    /// By its entry.
+    /// End according to the entry.
     entry_end: Duration,
-    /// By its answers.
+    /// End according to the answers.
     answer_end: Duration,
-    /// By what nobody says but is to be feared.
+    /// Presumed end where a warm-up is likely but neither entry nor answer says so.
     presumed_end: Duration,
-    /// Until when it counts as away, unless it is reached before: whoever is the first to reach it may find it just started.
+    /// Until when the engine counts as unreachable, unless it answers before. It may have restarted and be
+    /// cold for the first gateway that reaches it.
     unreachable_until: Duration,
     source: WarmUpSource,
-    /// Whether it was last said to warm up.
+    /// Whether the last change returned by [`WarmUps::news`] was the start of a warm-up.
     is_reported_warming: bool,
-    /// When it was last listed.
+    /// When the run was last listed.
     last_listed: Duration,
 }
 
@@ -132,7 +131,7 @@
         self.source = source;
     }
 
-    /// An entry that is newer than what is known. Where it ends a warm-up the engine's share grows from now on.
+    /// Applies a newer entry. If it ends the warm-up, the share ramps up from now on.
     fn on_entry(&mut self, warm_up: Duration, now: Duration) {
         if warm_up.is_zero() {
             self.entry_end = self.entry_end.min(now);
@@ -143,7 +142,8 @@
         self.source = WarmUpSource::Entry;
     }
 
-    /// It has answered. Where it was away it may have started anew; an entry that tells of it is on its way.
+    /// The engine answered. If it was unreachable, it may have restarted, and its new entry may not have
+    /// arrived yet.
     fn on_reached(&mut self, now: Duration) {
         if now < self.unreachable_until {
             self.unreachable_until = Duration::ZERO;
@@ -163,7 +163,7 @@
         };
     }
 
-    /// Part of the requests that would go there if it were warm that it may get without being counted.
+    /// Fraction of the requests that the engine gets without a grant: 0 while it warms up, then rising to 1.
     fn share(&self, now: Duration) -> f64 {
         let end = self.end();
         if now < end {
@@ -181,19 +181,20 @@
     }
 }
 
-/// Which engines warm up, as one node knows it. Times are since the start of the process.
+/// Engines that are warming up, as known to one node. Times are since the start of the process.
 ///
-/// Each run of an engine has a course of its own. The latest of the ends by different sources counts: one that knows nothing of
-/// a warm-up says nothing against it.
+/// Each run of an engine has its own state. The latest end from any source counts, since a source that does
+/// not know of a warm-up does not refute it.
 #[derive(Debug, Default)]
 pub struct WarmUps {
     runs: HashMap<EngineKey, RunWarmUp>,
-    /// Services of which a list of engines was seen: those of the first one may have run for long.
+    /// Services whose engines were listed before. Engines in the first list of a service may have run for
+    /// long, so they are not presumed to warm up.
     services: HashSet<String>,
 }
 
 impl WarmUps {
-    /// Takes the engines in that are listed now, those of services whose engines warm up.
+    /// Takes the list of engines; those of services without a limit are ignored.
     pub fn on_list<'a>(
         &mut self,
         entries: impl Iterator<Item = &'a EngineEntry>,
@@ -209,7 +210,7 @@
         }
         self.services = limits.keys().map(|name| (*name).to_owned()).collect();
         self.runs.retain(|_, run| {
-            // Those of services whose engines need no care any more go with them.
+            // Runs of services that no longer have a limit are dropped as well.
             let is_retained = now.saturating_sub(run.last_listed) < UNLISTED_RETENTION;
             is_retained && limits.contains_key(run.service.as_str())
         });
@@ -237,7 +238,7 @@
         }
     }
 
-    /// An answer of an engine says for how long it warms up.
+    /// Takes the remaining warm-up time that an answer of the engine gives; zero if it is warm.
     pub fn on_answer(
         &mut self,
         engine: &Engine,
@@ -251,21 +252,21 @@
         self.run(engine, limit).on_answer(warm_up, now);
     }
 
-    /// No connection to an engine came about.
+    /// A connection to the engine failed.
     pub fn on_unreachable(&mut self, engine: &Engine, limit: WarmUpLimit, now: Duration) {
         let run = self.run(engine, limit);
         run.unreachable_until = now + UNREACHABLE_PERIOD;
         run.source = WarmUpSource::Unreachable;
     }
 
-    /// An engine has answered, whatever it says of its warm-up.
+    /// The engine answered, whether or not the answer mentions a warm-up.
     pub fn on_reached(&mut self, engine: EngineKey, now: Duration) {
         if let Some(run) = self.runs.get_mut(&engine) {
             run.on_reached(now);
         }
     }
 
-    /// The drain of a zone ended at this time; its engines may warm up again.
+    /// The drain of the engines' zone ended at this time, so they may warm up again.
     pub fn on_drain_ended<'a>(
         &mut self,
         engines: impl Iterator<Item = &'a Engine>,
@@ -285,20 +286,20 @@
         runs.or_insert_with(|| RunWarmUp::new(engine, limit))
     }
 
-    /// Part of the requests that would go to an engine if it were warm that it may get without being counted: none while it warms up,
-    /// then more and more, so that its load grows without a step.
+    /// Fraction of the requests that the engine gets without a grant: 0 while it warms up, then rising to 1,
+    /// so that its load grows gradually.
     pub fn share(&self, engine: EngineKey, now: Duration) -> f64 {
         let run = self.runs.get(&engine);
         run.map_or(1.0, |run| run.share(now))
     }
 
-    /// Whether requests to any engine of a service are counted now.
+    /// Whether requests to any engine of the service need grants now.
     pub fn has_limited_engines(&self, service: &str, now: Duration) -> bool {
         let mut runs = self.runs.values();
         runs.any(|run| run.service == service && run.share(now) < 1.0)
     }
 
-    /// Engines that warm up, by service.
+    /// Number of engines that are warming up, by service.
     pub fn warming(&self, now: Duration) -> HashMap<&str, u64> {
         let mut warming = HashMap::new();
         for run in self.runs.values() {
@@ -308,7 +309,7 @@
         warming
     }
 
-    /// Engines that have begun to warm up, or are warm, since this was last asked.
+    /// Engines that have started to warm up or have become warm since the last call.
     pub fn news(&mut self, now: Duration) -> Vec<WarmUpChange> {
         let mut news = Vec::new();
         for run in self.runs.values_mut() {
--- a/crates/routing/src/weighted_split.rs
+++ b/crates/routing/src/weighted_split.rs
@@ -6,12 +6,12 @@
 
 use crate::configuration::Route;
 
-/// Smooth weighted round robin, by route: any run of requests is split as evenly as whole requests
+/// Smooth weighted round robin for each route: every run of requests is split as evenly as whole requests
 /// allow.
 ///
-/// Each gateway begins at a point of the round of its own, drawn from its seed. If all began at the start,
-/// the heaviest service would get the first request of every gateway, and with many gateways that see a
-/// few requests each, far more than its share.
+/// Each gateway starts at a point of the round drawn from its seed. If all started at the same point, the
+/// heaviest service would get the first request of every gateway, and with many gateways that see few
+/// requests each, far more than its share.
 #[derive(Debug, Clone)]
 pub struct WeightedSplit {
     seed: u64,
@@ -19,7 +19,7 @@
 }
 
 impl WeightedSplit {
-    /// A split whose rounds begin where this seed says.
+    /// Creates a split whose starting points are drawn from the seed.
     pub fn new(seed: u64) -> Self {
         Self {
             seed,
@@ -27,8 +27,7 @@
         }
     }
 
-    /// The service of the route's next request, as an index into its services; `None` without any
-    /// service that has a weight.
+    /// Index of the service for the route's next request; `None` if no service has a weight.
     pub fn next(&mut self, route: &Route) -> Option<usize> {
         let weights: Vec<i64> = route
             .services
@@ -48,24 +47,23 @@
         step(credits, &weights, total)
     }
 
-    /// Number of routes whose split is remembered.
+    /// Number of routes with state.
     pub fn len(&self) -> usize {
         self.credits.len()
     }
 
-    /// Whether no split is remembered.
     pub fn is_empty(&self) -> bool {
         self.credits.is_empty()
     }
 
-    /// Forgets routes that the configuration no longer has.
+    /// Drops the state of routes that the configuration no longer has.
     pub fn retain_routes(&mut self, is_kept: impl Fn(&str) -> bool) {
         self.credits.retain(|name, _| is_kept(name));
     }
 
-    /// Credits after some requests of a round, how many is drawn from the seed.
+    /// Credits after a number of requests drawn from the seed.
     fn initial_credits(&self, route: &str, weights: &[i64], total: i64) -> Vec<i64> {
-        /// A round of larger weights is not played to its end.
+        /// Limits the work where the sum of the weights is large.
         const MAX_ROUND: i64 = 1_000;
         let round = total.min(MAX_ROUND).unsigned_abs();
         let skipped = xxh3_64_with_seed(route.as_bytes(), self.seed) % round;
@@ -77,7 +75,8 @@
     }
 }
 
-/// One request: every service earns its weight, and the one with the most pays for the round.
+/// Takes one step: each service earns its weight, and the one with the most credit pays the total and is
+/// chosen.
 fn step(credits: &mut [i64], weights: &[i64], total: i64) -> Option<usize> {
     for (credit, weight) in credits.iter_mut().zip(weights) {
         *credit += weight;
--- a/crates/routing/src/zone_drains.rs
+++ b/crates/routing/src/zone_drains.rs
@@ -1,4 +1,4 @@
-//! Orders to send nothing more to a zone's engines.
+//! Orders to send no more requests to the engines of a zone.
 
 use std::collections::BTreeMap;
 
@@ -7,46 +7,37 @@
 use crate::eligibility::{EligibilityRule, Exclusion};
 use crate::engine_table::Engine;
 
-/// All orders as of a revision of the store.
+/// All drain orders as of a revision of the store.
 ///
-/// There are as many as a deployment has zones, so a table is always passed on whole: the one as of the later revision is in
-/// force, and neither removals nor what came between have to be remembered.
+/// There are at most as many as zones, so a table is always passed on as a whole. The one with the later
+/// revision replaces the other, and neither removals nor intermediate changes are stored.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct ZoneDrains {
-    /// Revision of the order, by zone.
+    /// Revisions of the orders, by zone.
     orders: BTreeMap<String, u64>,
-    /// Revision as of which the table is complete.
+    /// Revision up to which the table is complete.
     at: u64,
-    /// Revision since which there has been no change, as far as is known; never above `at`.
+    /// Revision since which no change is known; at most `at`.
     newest: u64,
 }
 
-/// What has become of one zone's order.
+/// Change of one zone's order.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum DrainChange {
-    /// The zone is drained.
-    Started {
-        /// The zone.
-        zone: String,
-        /// Revision of the order.
-        revision: u64,
-    },
-    /// The order stood already and was written again.
+    /// A drain was ordered.
+    Started { zone: String, revision: u64 },
+    /// An existing order was written again.
     Rewritten {
-        /// The zone.
         zone: String,
-        /// Its new revision.
+        /// The new revision.
         revision: u64,
     },
-    /// The order is over.
-    Ended {
-        /// The zone.
-        zone: String,
-    },
+    /// The order was removed.
+    Ended { zone: String },
 }
 
 impl ZoneDrains {
-    /// The table as of this revision. Whether it was the same before is not known.
+    /// The table as listed at this revision. Changes before it are unknown.
     pub fn listed(orders: BTreeMap<String, u64>, at: u64) -> Self {
         Self {
             orders,
@@ -55,22 +46,22 @@
         }
     }
 
-    /// Revision as of which the table is complete.
+    /// Revision up to which the table is complete.
     pub fn at(&self) -> u64 {
         self.at
     }
 
-    /// Revision since which there has been no change: whoever knows the orders as of it or later knows these.
+    /// Revision since which there has been no change. A node that knows the orders as of it or later knows
+    /// this table.
     pub fn newest(&self) -> u64 {
         self.newest
     }
 
-    /// Whether nothing is to be sent to the zone's engines.
     pub fn is_drained(&self, zone: &str) -> bool {
         self.orders.contains_key(zone)
     }
 
-    /// The drained zones with the revisions of their orders.
+    /// Drained zones with the revisions of their orders.
     pub fn orders(&self) -> impl Iterator<Item = (&str, u64)> {
         let orders = self.orders.iter();
         orders.map(|(zone, revision)| (zone.as_str(), *revision))
@@ -81,8 +72,8 @@
         self.orders.is_empty()
     }
 
-    /// The table after these changes, in the order in which they came, complete as of a revision: the zone, and the revision of
-    /// its order or `None` where it is over. Changes that are in the table already do no harm.
+    /// The table after these changes, complete up to a revision. Each change is a zone with the revision of
+    /// its order, or `None` if the order was removed. Applying changes again has no effect.
     pub fn after(&self, changes: &[(String, Option<u64>)], at: u64) -> Self {
         let mut orders = self.orders.clone();
         for (zone, revision) in changes {
@@ -99,13 +90,14 @@
         Self { orders, at, newest }
     }
 
-    /// Takes in a table; says what has changed, and nothing where this one is as new.
+    /// Replaces this table by one that is at least as recent, and returns the differences; none for an older
+    /// table.
     pub fn take(&mut self, mut received: Self) -> Vec<DrainChange> {
         if received.at < self.at {
             return Vec::new();
         }
         let changes = self.changes_to(&received);
-        // Both tell the same of a time without a gap.
+        // The tables are equal and overlap in time, so there was no change in between.
         if changes.is_empty() && received.newest <= self.at {
             received.newest = received.newest.min(self.newest);
         }
