--- a/crates/quota/src/bucket.rs
+++ b/crates/quota/src/bucket.rs
@@ -85,9 +85,8 @@
 
 /// A duration in seconds, capped at `max_wait`; the cap also holds for values that are infinite or not a
 /// number.
-fn bounded_duration(bounded_duration: f64, max_wait: Duration) -> Duration {
-    Duration::try_from_secs_f64(bounded_duration)
-        .map_or(max_wait, |duration| duration.min(max_wait))
+fn bounded_duration(seconds: f64, max_wait: Duration) -> Duration {
+    Duration::try_from_secs_f64(seconds).map_or(max_wait, |duration| duration.min(max_wait))
 }
 
 /// The buckets of one limiter, by name of the tenant or engine.
--- a/crates/routing/src/engine_load.rs
+++ b/crates/routing/src/engine_load.rs
@@ -177,7 +177,7 @@
 #[derive(Debug, Clone)]
 struct ReceivedReport {
     at: Duration,
-    reported_outcomes: GatewayReport,
+    report: GatewayReport,
 }
 
 /// Loads of all engines. Times are since the start of the process.
@@ -247,43 +247,35 @@
     fn suspects(&self, now: Duration) -> Vec<ReportedOutcomes> {
         let known = self.engines.iter();
         let suspected = known.filter(|(_, load)| load.outcomes(now).failed >= MIN_SUSPECT_FAILURES);
-        let reported_outcomes =
+        let outcomes =
             suspected.map(|(key, load)| ReportedOutcomes::new(key.0, load.health.outcomes(now)));
-        let mut suspects: Vec<ReportedOutcomes> = reported_outcomes
-            .filter(|reported_outcomes| reported_outcomes.ended > 0)
-            .collect();
-        suspects.sort_unstable_by_key(|reported_outcomes| {
-            (
-                std::cmp::Reverse(reported_outcomes.failed),
-                reported_outcomes.engine,
-            )
-        });
+        let mut suspects: Vec<ReportedOutcomes> =
+            outcomes.filter(|outcomes| outcomes.ended > 0).collect();
+        suspects
+            .sort_unstable_by_key(|outcomes| (std::cmp::Reverse(outcomes.failed), outcomes.engine));
         suspects.truncate(MAX_SUSPECTS);
         suspects
     }
 
     /// Replaces a gateway's report.
-    pub fn on_report(&mut self, gateway: &str, reported_outcomes: GatewayReport, now: Duration) {
+    pub fn on_report(&mut self, gateway: &str, report: GatewayReport, now: Duration) {
         self.expire(now);
         if let Some(last) = self.reports.get(gateway) {
             let interval_ms = now.saturating_sub(last.at).as_secs_f64() * MS_PER_S;
             self.interval_ms += INTERVAL_WEIGHT * (interval_ms - self.interval_ms);
         }
         self.remove_report(gateway);
-        for (key, count) in &reported_outcomes.open {
+        for (key, count) in &report.open {
             let load = self.engines.entry(*key).or_default();
             load.reported_open = load.reported_open.saturating_add(*count);
         }
-        for suspect in &reported_outcomes.suspects {
+        for suspect in &report.suspects {
             let load = self.engines.entry(EngineKey(suspect.engine)).or_default();
             load.reported_outcomes.add(suspect);
         }
         self.arrivals.push_back((now, gateway.to_owned()));
-        let report = ReceivedReport {
-            at: now,
-            reported_outcomes,
-        };
-        self.reports.insert(gateway.to_owned(), report);
+        let received = ReceivedReport { at: now, report };
+        self.reports.insert(gateway.to_owned(), received);
     }
 
     /// Drops reports that are too old.
@@ -317,12 +309,12 @@
         let Some(report) = self.reports.remove(gateway) else {
             return;
         };
-        for (key, count) in report.reported_outcomes.open {
+        for (key, count) in report.report.open {
             if let Some(load) = self.engines.get_mut(&key) {
                 load.reported_open = load.reported_open.saturating_sub(count);
             }
         }
-        for suspect in &report.reported_outcomes.suspects {
+        for suspect in &report.report.suspects {
             if let Some(load) = self.engines.get_mut(&EngineKey(suspect.engine)) {
                 load.reported_outcomes.subtract(suspect);
             }
--- a/crates/routing/src/placement.rs
+++ b/crates/routing/src/placement.rs
@@ -155,25 +155,25 @@
     pub fn choose<'a>(
         &mut self,
         table: &'a EngineTable,
-        demand: &PlacementRequest<'a>,
+        request: &PlacementRequest<'a>,
         now: Duration,
     ) -> Option<Choice<'a>> {
         self.loads.expire(now);
-        let costs = self.costs(demand.service);
-        let session = xxh3_64(demand.key.as_bytes());
-        let candidates = candidates(table, demand, session);
+        let costs = self.costs(request.service);
+        let session = xxh3_64(request.key.as_bytes());
+        let candidates = candidates(table, request, session);
         let fastest_step_ms = self.fastest_step_ms(&candidates);
         let last_engine = self.session_engines.get(&session);
-        let preferred = preferred(&candidates, demand.zone, self.latencies.as_ref());
-        let news = self.report_weight(&candidates, &costs);
+        let preferred = preferred(&candidates, request.zone, self.latencies.as_ref());
+        let reports = self.report_weight(&candidates, &costs);
         let typical_share = self.typical_failed_share(&candidates, now);
         let costed = candidates.iter().map(|candidate| {
-            let open = self.estimated_open(candidate.key, news);
-            let mut cost = self.cost(candidate, demand, &costs, open, now);
+            let open = self.estimated_open(candidate.key, reports);
+            let mut cost = self.cost(candidate, request, &costs, open, now);
             cost += self.slow_step_ms(candidate, &costs, fastest_step_ms);
             cost += self.failure_ms(candidate, &costs, typical_share, now);
             let has_affinity = last_engine == Some(&candidate.key)
-                || self.caches_session_part(candidate.key, demand);
+                || self.caches_session_part(candidate.key, request);
             if !has_affinity && !preferred.contains(&candidate.key) {
                 cost += NON_CANDIDATE_REQUESTS * costs.open_ms(candidate.engine.slots);
             }
@@ -272,8 +272,9 @@
     /// Services whose costs have changed notably since the last call, with the number of samples.
     pub fn news(&mut self) -> Vec<(ServiceKey, ServiceCosts, u32)> {
         let models = self.models.iter_mut();
-        let news = models.filter_map(|(key, model)| Some((*key, model.news()?, model.samples())));
-        news.collect()
+        let changes =
+            models.filter_map(|(key, model)| Some((*key, model.changed_costs()?, model.samples())));
+        changes.collect()
     }
 
     /// Summaries for the other gateways.
@@ -285,9 +286,9 @@
     }
 
     /// An engine prefilled a prompt for another gateway.
-    pub fn on_prefill(&mut self, read: &PrefillRecord) {
-        let load = self.loads.entry(EngineKey(read.engine));
-        for part in &read.parts {
+    pub fn on_prefill(&mut self, record: &PrefillRecord) {
+        let load = self.loads.entry(EngineKey(record.engine));
+        for part in &record.parts {
             load.parts.insert(*part);
         }
     }
@@ -314,20 +315,20 @@
         table: &'a EngineTable,
         now: Duration,
     ) -> Vec<FailureStateChange<'a>> {
-        let mut news = Vec::new();
+        let mut changes = Vec::new();
         for engine in table.engines() {
             let Some(load) = self.loads.get_mut(engine.key()) else {
                 continue;
             };
             if let Some(is_failing) = load.failure_state_changes(now) {
-                news.push(FailureStateChange {
+                changes.push(FailureStateChange {
                     instance: &engine.instance,
                     is_failing,
                     outcomes: load.outcomes(now),
                 });
             }
         }
-        news
+        changes
     }
 
     /// The health of an engine, created if it is new.
@@ -368,15 +369,15 @@
 
     /// Estimated in-flight requests at an engine: this gateway's own, and those of others between the
     /// reported count and the mean of all engines.
-    fn estimated_open(&self, key: EngineKey, news: ReportWeight) -> f64 {
+    fn estimated_open(&self, key: EngineKey, reports: ReportWeight) -> f64 {
         let reported = f64::from(self.loads.reported_open_requests(key));
-        let others = news.mean + news.weight * (reported - news.mean);
+        let others = reports.mean + reports.weight * (reported - reports.mean);
         f64::from(self.loads.own_open_requests(key)) + others
     }
 
     /// Whether the engine has cached the last part of the prompt, which is the session's own.
-    fn caches_session_part(&self, key: EngineKey, demand: &PlacementRequest<'_>) -> bool {
-        let last = demand.parts.last().zip(self.loads.get(key));
+    fn caches_session_part(&self, key: EngineKey, request: &PlacementRequest<'_>) -> bool {
+        let last = request.parts.last().zip(self.loads.get(key));
         last.is_some_and(|(part, load)| load.parts.cached(*part) > 0)
     }
 
@@ -425,7 +426,7 @@
     fn cost(
         &self,
         candidate: &Candidate<'_>,
-        demand: &PlacementRequest<'_>,
+        request: &PlacementRequest<'_>,
         costs: &ServiceCosts,
         open: f64,
         now: Duration,
@@ -435,7 +436,7 @@
         let queued = (open + 1.0 - slots).max(0.0);
         let mut cost = open * costs.open_ms(engine.slots);
         cost += queued * costs.queue_position_ms(engine.slots);
-        if engine.zone != demand.zone {
+        if engine.zone != request.zone {
             cost += OTHER_ZONE_MS;
             cost += self
                 .latencies
@@ -444,12 +445,12 @@
         }
         let known = self.loads.get(candidate.key);
         let missing = known.map_or_else(
-            || prompt_tokens(demand.parts),
-            |load| load.parts.missing(demand.parts),
+            || prompt_tokens(request.parts),
+            |load| load.parts.missing(request.parts),
         );
         // All other requests at the engine wait during the prefill.
         let waiting = 1.0 + open.min(slots);
-        cost += prefill_wait_tokens(demand.parts, missing, waiting) / costs.tokens_per_ms;
+        cost += prefill_wait_tokens(request.parts, missing, waiting) / costs.tokens_per_ms;
         if known.is_some_and(|load| load.health.is_backing_off(now)) {
             cost += BACKOFF_MS;
         }
@@ -484,12 +485,12 @@
 
 fn candidates<'a>(
     table: &'a EngineTable,
-    demand: &PlacementRequest<'a>,
+    request: &PlacementRequest<'a>,
     session: u64,
 ) -> Vec<Candidate<'a>> {
-    let ready = table.ready(demand.service);
-    let allowed = ready.filter(|engine| !demand.excluded.contains(&engine.instance));
-    let allowed = allowed.filter(|engine| first_exclusion(demand.rules, engine).is_none());
+    let ready = table.ready(request.service);
+    let allowed = ready.filter(|engine| !request.excluded.contains(&engine.instance));
+    let allowed = allowed.filter(|engine| first_exclusion(request.rules, engine).is_none());
     let candidates = allowed.map(|engine| {
         let key = engine.key();
         Candidate {
--- a/crates/routing/src/service_model.rs
+++ b/crates/routing/src/service_model.rs
@@ -170,15 +170,15 @@
 
 impl ServiceModel {
     /// An engine has prefilled a prompt.
-    pub fn on_prefill_sample(&mut self, reading: PrefillSample) {
-        let tokens = reading.tokens as f64;
-        if self.prefills.len() < MIN_OWN_SAMPLES as usize && reading.first_ms.is_finite() {
+    pub fn on_prefill_sample(&mut self, sample: PrefillSample) {
+        let tokens = sample.tokens as f64;
+        if self.prefills.len() < MIN_OWN_SAMPLES as usize && sample.first_ms.is_finite() {
             self.first_tokens += tokens;
-            self.first_ms += reading.first_ms.max(0.0);
+            self.first_ms += sample.first_ms.max(0.0);
             self.costs.set(None);
         }
-        if reading.is_certain {
-            self.prefills.push(tokens, reading.first_ms);
+        if sample.is_certain {
+            self.prefills.push(tokens, sample.first_ms);
             self.on_sample();
         }
     }
@@ -239,7 +239,7 @@
     }
 
     /// The costs if they differ enough from those that the last call returned.
-    pub fn news(&mut self) -> Option<ServiceCosts> {
+    pub fn changed_costs(&mut self) -> Option<ServiceCosts> {
         let costs = self.costs();
         if self
             .last_reported
--- a/crates/routing/src/tenants.rs
+++ b/crates/routing/src/tenants.rs
@@ -86,7 +86,10 @@
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::BadName { position } => {
-                write!(formatter, "tenant {position}: the name cannot be told")
+                write!(
+                    formatter,
+                    "tenant {position}: the name is empty or contains a control character"
+                )
             }
             Self::SameName(name) => write!(formatter, "tenant {name:?} stands there twice"),
             Self::EmptyKey { tenant, position } => {
@@ -98,7 +101,7 @@
                 position,
             } => write!(
                 formatter,
-                "tenant {tenant:?}: key {position} is one of tenant {first:?}"
+                "tenant {tenant:?}: key {position} is also a key of tenant {first:?}"
             ),
             Self::BadLimit(tenant) => {
                 write!(
--- a/crates/routing/src/warm_up.rs
+++ b/crates/routing/src/warm_up.rs
@@ -311,14 +311,14 @@
 
     /// Engines that have started to warm up or have become warm since the last call.
     pub fn news(&mut self, now: Duration) -> Vec<WarmUpChange> {
-        let mut news = Vec::new();
+        let mut changes = Vec::new();
         for run in self.runs.values_mut() {
             let left = run.end().checked_sub(now).filter(|left| !left.is_zero());
             if left.is_some() == run.is_reported_warming {
                 continue;
             }
             run.is_reported_warming = left.is_some();
-            news.push(WarmUpChange {
+            changes.push(WarmUpChange {
                 instance: run.instance.clone(),
                 service: run.service.clone(),
                 born_ms: run.born_ms,
@@ -326,6 +326,6 @@
                 source: run.source,
             });
         }
-        news
+        changes
     }
 }
