--- a/crates/quota/tests/simulation.rs
+++ b/crates/quota/tests/simulation.rs
@@ -1,4 +1,5 @@
-//! Limits of tenants over many gateways: the bound itself over every window, and what is refused below the limit.
+//! Simulation of tenants' limits over many gateways: no window may exceed its bound, and few requests are
+//! refused below the limit.
 
 mod support;
 
@@ -11,10 +12,10 @@
     ProgramProgress,
 };
 use ridgeworks_routing::RateLimit;
-use support::ways::{OneKeeper, Shares, ToldCounts, share};
-use support::{BOUNDS, MakeWay, Trouble, play};
+use support::algorithms::{GossipedCounts, Shares, SingleLimiter, share};
+use support::{BOUNDS, Conditions, MakeAlgorithm, run_schedule};
 
-/// Schedules of a plain test run; more by the environment (`make simulate`).
+/// Schedules in a plain test run; the environment variable raises the number (`make simulate`).
 const SCHEDULES: u64 = 1_500;
 const SCHEDULES_VARIABLE: &str = "RIDGEWORKS_SIMULATION_SCHEDULES";
 
@@ -23,9 +24,9 @@
     text.and_then(|text| text.parse().ok()).unwrap_or(SCHEDULES)
 }
 
-/// What many schedules showed.
+/// Totals over many schedules.
 #[derive(Debug, Default)]
-struct Shown {
+struct Totals {
     asked: usize,
     refused: usize,
     unknown: usize,
@@ -33,74 +34,81 @@
     broken: usize,
 }
 
-fn show(make: MakeWay, schedules: u64, trouble: Trouble) -> Shown {
-    let mut shown = Shown::default();
+fn run_schedules(make: MakeAlgorithm, schedules: u64, conditions: Conditions) -> Totals {
+    let mut totals = Totals::default();
     for seed in 0..schedules {
-        for seen in play(make, seed, trouble) {
-            shown.asked += seen.asked;
-            shown.refused += seen.refused;
-            shown.unknown += seen.unknown;
-            shown.fullest = shown.fullest.max(seen.fullest);
-            shown.broken += usize::from(seen.fullest > 1.0);
+        for seen in run_schedule(make, seed, conditions) {
+            totals.asked += seen.asked;
+            totals.refused += seen.refused;
+            totals.unknown += seen.unknown;
+            totals.fullest = totals.fullest.max(seen.fullest);
+            totals.broken += usize::from(seen.fullest > 1.0);
         }
     }
-    shown
+    totals
 }
 
-const OVER: Trouble = Trouble {
+const OVERLOAD: Conditions = Conditions {
     faults: true,
     load: 4.0,
     unused: 0.05,
 };
-/// Many times the limit, so that buckets are empty again within a moment.
-const FAR_OVER: Trouble = Trouble { load: 20.0, ..OVER };
-/// As much as a tenant makes where its limit was set for 1.6 times that.
-const BELOW: Trouble = Trouble {
+/// Many times the limit, so that buckets are always nearly empty.
+const FAR_OVERLOAD: Conditions = Conditions {
+    load: 20.0,
+    ..OVERLOAD
+};
+/// Load of a tenant whose limit is 1.6 times its usage.
+const BELOW_LIMIT: Conditions = Conditions {
     faults: false,
     load: 0.625,
     unused: 0.01,
 };
 
 #[test]
-fn no_window_holds_more_than_the_limit_allows_whatever_is_cut_or_lost() {
-    for (schedules, trouble) in [(schedules(), OVER), (schedules() / 5, FAR_OVER)] {
-        let shown = show(Shares::make, schedules, trouble);
-        println!("shares, {schedules} schedules, {trouble:?}: {shown:?}");
-        assert_eq!(shown.broken, 0, "{shown:?}");
+fn no_window_exceeds_its_bound_under_partitions_and_restarts() {
+    for (schedules, conditions) in [(schedules(), OVERLOAD), (schedules() / 5, FAR_OVERLOAD)] {
+        let totals = run_schedules(Shares::make, schedules, conditions);
+        println!("shares, {schedules} schedules, {conditions:?}: {totals:?}");
+        assert_eq!(totals.broken, 0, "{totals:?}");
     }
 }
 
 #[test]
-fn little_is_refused_below_the_limit() {
-    let shown = show(Shares::make, 300, BELOW);
-    println!("shares, below the limit: {shown:?}");
-    assert!(shown.refused * 1_000 < shown.asked, "{shown:?}");
-    assert_eq!(shown.unknown, 0);
+fn few_requests_are_refused_below_the_limit() {
+    let totals = run_schedules(Shares::make, 300, BELOW_LIMIT);
+    println!("shares, below the limit: {totals:?}");
+    assert!(totals.refused * 1_000 < totals.asked, "{totals:?}");
+    assert_eq!(totals.unknown, 0);
 }
 
 #[test]
-fn most_of_a_limit_is_given_out_where_more_is_asked_for() {
-    let trouble = Trouble {
+fn most_of_the_limit_is_granted_under_overload() {
+    let conditions = Conditions {
         faults: false,
-        ..OVER
+        ..OVERLOAD
     };
-    let shown = show(Shares::make, 100, trouble);
-    let granted = (shown.asked - shown.refused) as f64;
-    let limit = shown.asked as f64 / trouble.load;
+    let totals = run_schedules(Shares::make, 100, conditions);
+    let granted = (totals.asked - totals.refused) as f64;
+    let limit = totals.asked as f64 / conditions.load;
     println!("shares, granted of the limit: {:.3}", granted / limit);
-    assert!(granted > limit * 0.98, "{shown:?}");
+    assert!(granted > limit * 0.98, "{totals:?}");
 }
 
 #[test]
-fn what_was_not_taken_breaks_the_bound() {
+fn alternative_algorithms_break_the_bound() {
     for (name, make, schedules) in [
-        ("one keeper", OneKeeper::make as MakeWay, 100),
-        ("told counts", ToldCounts::make, 10),
-        ("limiters that start full", Shares::make_forgetful, 200),
+        ("one keeper", SingleLimiter::make as MakeAlgorithm, 100),
+        ("told counts", GossipedCounts::make, 10),
+        (
+            "limiters that start full",
+            Shares::make_full_after_restart,
+            200,
+        ),
     ] {
-        let shown = show(make, schedules, FAR_OVER);
-        println!("{name}: {shown:?}");
-        assert!(shown.broken > 0, "{name}: {shown:?}");
+        let totals = run_schedules(make, schedules, FAR_OVERLOAD);
+        println!("{name}: {totals:?}");
+        assert!(totals.broken > 0, "{name}: {totals:?}");
     }
 }
 
@@ -112,20 +120,20 @@
 }
 
 fn granted(limiter: &mut Limiter, limit: RateLimit, version: u64, now: Duration) -> usize {
-    let verdicts =
+    let decisions =
         (0..10_000).map(|_| limiter.admit("a", ProgramProgress::UnderWay, limit, version, now));
-    verdicts
-        .take_while(|verdict| *verdict == LimiterDecision::Granted)
+    decisions
+        .take_while(|decision| *decision == LimiterDecision::Granted)
         .count()
 }
 
 #[test]
-fn a_lower_limit_counts_at_once_and_an_earlier_version_changes_nothing() {
+fn a_lower_limit_applies_at_once_and_an_earlier_version_is_ignored() {
     let mut limiter = Limiter::new(BOUNDS, 1, Duration::ZERO);
     let later = Duration::from_secs(60);
     let full = share(limit(5), &BOUNDS, 1).capacity as usize;
     assert_eq!(granted(&mut limiter, limit(5), 2, later), full);
-    // Whoever has not heard of it yet asks with the limit of before.
+    // A gateway with the earlier configuration still asks with the earlier limit.
     assert_eq!(granted(&mut limiter, limit(500), 1, later), 0);
     assert_eq!(
         granted(&mut limiter, limit(500), 3, later),
@@ -137,19 +145,19 @@
 }
 
 #[test]
-fn a_lower_limit_is_known_also_after_the_tenant_was_quiet() {
+fn a_lower_limit_is_kept_while_the_tenant_is_idle() {
     let mut limiter = Limiter::new(BOUNDS, 1, Duration::ZERO);
     granted(&mut limiter, limit(5), 2, Duration::from_secs(10));
     let later = Duration::from_secs(60);
     limiter.clean_up(later);
     assert!(limiter.is_empty(), "nothing was taken lately");
-    // A gateway that has not heard of the lower limit.
+    // A gateway that does not know the lower limit.
     let full = share(limit(5), &BOUNDS, 1).capacity as usize;
     assert_eq!(granted(&mut limiter, limit(500), 1, later), full);
 }
 
 #[test]
-fn a_limiter_keeps_few_limits_and_takes_no_earlier_one_for_those_that_it_let_go() {
+fn discarded_limits_are_not_replaced_by_earlier_versions() {
     let mut limiter = Limiter::new(BOUNDS, 1, Duration::ZERO);
     let once = |limiter: &mut Limiter, tenant: u64, version: u64, now: Duration| {
         let tenant = format!("tenant-{tenant}");
@@ -166,13 +174,13 @@
     limiter.clean_up(later);
     assert!(limiter.is_empty());
     assert!(limiter.retained() <= 5_000, "{}", limiter.retained());
-    // Of the first tenant nothing is known, and its limit may have been lowered.
+    // The first tenant's limit was discarded and may have been lowered.
     assert_ne!(once(&mut limiter, 0, 1, later), LimiterDecision::Granted);
     assert_eq!(
         once(&mut limiter, 0, 20_000, later),
         LimiterDecision::Granted
     );
-    // Those that asked last by the newest versions are known.
+    // The limits of the newest versions are known.
     assert_eq!(
         once(&mut limiter, 19_999, 1, later),
         LimiterDecision::Granted
@@ -180,7 +188,7 @@
 }
 
 #[test]
-fn those_that_are_turned_away_come_back_one_after_the_other() {
+fn refused_requests_get_increasing_retry_delays() {
     let mut limiter = Limiter::new(BOUNDS, 1, Duration::ZERO);
     let now = Duration::from_secs(60);
     granted(&mut limiter, limit(10), 1, now);
@@ -197,7 +205,7 @@
     }
 }
 
-/// A limiter; the second one is late.
+/// A limiter; the second one is unresponsive.
 fn candidate(key: u64) -> LimiterCandidate {
     LimiterCandidate {
         key: LimiterKey(key),
@@ -206,7 +214,7 @@
 }
 
 #[test]
-fn a_gate_asks_no_limiter_that_has_nothing_and_late_ones_last() {
+fn exhausted_limiters_are_not_asked_and_unresponsive_ones_are_asked_last() {
     let keys: Vec<LimiterCandidate> = (0..3).map(candidate).collect();
     let mut selector = LimiterSelector::default();
     let mut random = rand::rng();
@@ -230,7 +238,7 @@
         selector.next("a", ProgramProgress::UnderWay, &keys, later, &mut random),
         LimiterSelection::Ask(vec![keys[0].key])
     );
-    // Another tenant is not concerned.
+    // Another tenant is not affected.
     assert!(matches!(
         selector.next("b", ProgramProgress::UnderWay, &keys, now, &mut random),
         LimiterSelection::Ask(_)
@@ -238,7 +246,7 @@
 }
 
 #[test]
-fn a_grant_that_was_not_used_serves_the_next_request_for_a_moment() {
+fn a_returned_grant_serves_the_next_request_until_it_expires() {
     let keys = [candidate(0)];
     let mut selector = LimiterSelector::default();
     let mut random = rand::rng();
@@ -256,65 +264,73 @@
     ));
 }
 
-/// Programs that begin at a steady rate, each with requests one after the other.
+/// Programs that start at a steady rate, each with requests in sequence.
 struct Programs {
-    /// Requests of each.
+    /// Requests of each program.
     requests: usize,
-    /// Part of the limit that they need together.
+    /// Load of all programs as a fraction of the limit.
     load: f64,
-    /// Whether the limiter is told how far a program has come.
-    is_told: bool,
+    /// Whether the limiter gets the progress of each program.
+    knows_progress: bool,
 }
 
-/// Part of the programs for which there was room that were carried out whole.
-fn carried_out(programs: &Programs) -> f64 {
+/// Completed programs as a fraction of those that the limit allows.
+fn completed_fraction(programs: &Programs) -> f64 {
     const LENGTH_S: f64 = 60.0;
     let mut random = ChaCha8Rng::seed_from_u64(1);
     let limit = limit(20);
     let mut limiter = Limiter::new(BOUNDS, 1, Duration::ZERO);
     let per_s = 20.0 * programs.load / programs.requests as f64;
-    let begun = (LENGTH_S * per_s) as usize;
-    let mut due: Vec<(Duration, usize, usize)> = (0..begun)
+    let started = (LENGTH_S * per_s) as usize;
+    let mut due: Vec<(Duration, usize, usize)> = (0..started)
         .map(|number| (6.0 + random.random_range(0.0..LENGTH_S), number))
         .map(|(at, number)| (Duration::from_secs_f64(at), number, 0))
         .collect();
-    let mut whole = 0;
+    let mut completed = 0;
     while let Some(first) = due.iter().min().copied() {
         due.retain(|next| *next != first);
         let (now, number, request) = first;
-        let progress = if request == 0 && programs.is_told {
+        let progress = if request == 0 && programs.knows_progress {
             ProgramProgress::Beginning
         } else {
             ProgramProgress::UnderWay
         };
         match limiter.admit("a", progress, limit, 1, now) {
-            LimiterDecision::Granted if request + 1 == programs.requests => whole += 1,
+            LimiterDecision::Granted if request + 1 == programs.requests => completed += 1,
             LimiterDecision::Granted => {
                 let step = Duration::from_millis(random.random_range(50..600));
                 due.push((now + step, number, request + 1));
             }
-            // Its client gives the program up.
+            // The client aborts the program.
             LimiterDecision::Exhausted { .. } => {}
         }
     }
-    whole as f64 / (begun as f64 / programs.load)
+    completed as f64 / (started as f64 / programs.load)
 }
 
 #[test]
-fn where_more_programs_begin_than_there_is_room_for_most_that_are_let_in_are_carried_out() {
-    let programs = |is_told| Programs {
+fn most_admitted_programs_complete_under_overload() {
+    let programs = |knows_progress| Programs {
         requests: 15,
         load: 2.0,
-        is_told,
+        knows_progress,
     };
-    let (told, untold) = (carried_out(&programs(true)), carried_out(&programs(false)));
-    println!("carried out of what there is room for: {told:.3} told, {untold:.3} not told");
-    assert!(told > 0.85, "{told}");
-    assert!(told > untold + 0.3, "{told} {untold}");
+    let (with_progress, without_progress) = (
+        completed_fraction(&programs(true)),
+        completed_fraction(&programs(false)),
+    );
+    println!(
+        "carried out of what there is room for: {with_progress:.3} told, {without_progress:.3} not told"
+    );
+    assert!(with_progress > 0.85, "{with_progress}");
+    assert!(
+        with_progress > without_progress + 0.3,
+        "{with_progress} {without_progress}"
+    );
 }
 
 #[test]
-fn a_bucket_that_is_full_serves_whoever_comes_however_small_it_is() {
+fn a_full_bucket_grants_any_request_however_small_it_is() {
     let small = RateLimit {
         per_ks: 300,
         burst: 1,
@@ -325,12 +341,12 @@
         ..BOUNDS
     };
     let mut limiter = Limiter::new(bounds, 1, Duration::ZERO);
-    let verdict = limiter.admit(
+    let decision = limiter.admit(
         "a",
         ProgramProgress::Beginning,
         small,
         1,
         Duration::from_secs(60),
     );
-    assert_eq!(verdict, LimiterDecision::Granted);
+    assert_eq!(decision, LimiterDecision::Granted);
 }
--- a/crates/quota/tests/support/mod.rs
+++ b/crates/quota/tests/support/mod.rs
@@ -1,9 +1,9 @@
-//! Gateways, limiters and tenants under virtual time, with what goes wrong between them drawn from a seed.
+//! Simulation of gateways, limiters and tenants in virtual time, with faults drawn from a seed.
 #![allow(dead_code, reason = "each test file uses its own part of the support")]
 
-pub mod warm_ups;
-pub mod warm_ways;
-pub mod ways;
+pub mod algorithms;
+pub mod warm_up_algorithms;
+pub mod warm_up_schedule;
 
 use std::time::Duration;
 
@@ -19,71 +19,71 @@
     slack: 20.0,
 };
 
-/// When traffic begins: limiters have run for longer than a window.
+/// Start of traffic; limiters have run for longer than a window by then.
 const BEGIN: Duration = Duration::from_secs(6);
 const END: Duration = Duration::from_secs(20);
 
-/// How a way answers for one request.
+/// Answer of an algorithm to one request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Answer {
     Granted,
     Refused,
-    /// Nobody who may tell was reached.
+    /// No limiter was reached.
     Unknown,
 }
 
-/// What a way may see of the world at one moment.
-pub struct Moment<'a> {
+/// State of the simulation that an algorithm can see.
+pub struct Context<'a> {
     pub now: Duration,
-    /// Gateways and limiters between which nothing passes.
+    /// Pairs of a gateway and a limiter that cannot reach each other.
     pub cut: &'a [(usize, usize)],
-    /// Limiters that do not run.
+    /// Limiters that are down.
     pub down: &'a [bool],
     pub random: &'a mut ChaCha8Rng,
 }
 
-impl Moment<'_> {
-    /// Whether a question of a gateway reaches a limiter.
+impl Context<'_> {
+    /// Whether a request of the gateway reaches the limiter.
     pub fn reaches(&self, gateway: usize, limiter: usize) -> bool {
         !self.cut.contains(&(gateway, limiter)) && !self.down[limiter]
     }
 
-    /// Whether a gateway is cut off from any node.
+    /// Whether the gateway is cut off from any limiter.
     pub fn is_cut(&self, gateway: usize) -> bool {
         self.cut.iter().any(|(cut, _)| *cut == gateway)
     }
 }
 
-/// A way of holding limits over all gateways.
-pub trait Way {
-    fn admit(&mut self, gateway: usize, tenant: usize, moment: &mut Moment<'_>) -> Answer;
+/// An algorithm for limits over all gateways.
+pub trait Algorithm {
+    fn admit(&mut self, gateway: usize, tenant: usize, context: &mut Context<'_>) -> Answer;
     /// A grant reached no engine.
     fn return_grant(&mut self, gateway: usize, tenant: usize, now: Duration);
-    /// A limiter has lost its memory.
+    /// A limiter restarts without its memory.
     fn restart(&mut self, limiter: usize, now: Duration);
 }
 
-/// Makes a way for these gateways, limiters and tenants.
-pub type MakeWay = fn(usize, usize, &[RateLimit]) -> Box<dyn Way>;
+/// Creates an algorithm for a number of gateways, a number of limiters, and the limits of tenants.
+pub type MakeAlgorithm = fn(usize, usize, &[RateLimit]) -> Box<dyn Algorithm>;
 
-/// What is drawn for one schedule.
+/// Conditions of a schedule.
 #[derive(Debug, Clone, Copy)]
-pub struct Trouble {
-    /// Whether gateways are cut off and limiters restart.
+pub struct Conditions {
+    /// Whether there are partitions and restarts.
     pub faults: bool,
-    /// Requests against the limit.
+    /// Load as a multiple of the limit.
     pub load: f64,
-    /// Part of the grants that reach no engine.
+    /// Fraction of the grants that reach no engine.
     pub unused: f64,
 }
 
-/// What one schedule showed of one tenant.
+/// Results of one schedule for one tenant.
 #[derive(Debug, Clone, Copy)]
-pub struct Seen {
+pub struct TenantResults {
     pub asked: usize,
     pub refused: usize,
     pub unknown: usize,
-    /// The fullest window against what it may hold.
+    /// Requests in the fullest window as a fraction of its bound.
     pub fullest: f64,
 }
 
@@ -92,53 +92,53 @@
     ran: Duration,
 }
 
-/// Plays a schedule; says what it showed of each tenant.
-pub fn play(make: MakeWay, seed: u64, trouble: Trouble) -> Vec<Seen> {
+/// Runs a schedule and returns the results for each tenant.
+pub fn run_schedule(make: MakeAlgorithm, seed: u64, conditions: Conditions) -> Vec<TenantResults> {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let gateways = random.random_range(3..40);
     let limiters = if random.random_bool(0.5) { 3 } else { 5 };
     let limits: Vec<RateLimit> = (0..3).map(|_| draw_limit(&mut random)).collect();
-    let mut way = make(gateways, limiters, &limits);
-    let faults = Faults::draw(&mut random, gateways, limiters, trouble.faults);
+    let mut algorithm = make(gateways, limiters, &limits);
+    let faults = Faults::draw(&mut random, gateways, limiters, conditions.faults);
     let mut seen = Vec::new();
-    let mut arrivals = draw_arrivals(&mut random, &limits, trouble.load);
+    let mut arrivals = draw_arrivals(&mut random, &limits, conditions.load);
     arrivals.sort_unstable();
     let mut ran: Vec<Vec<Ran>> = limits.iter().map(|_| Vec::new()).collect();
     let mut counts = vec![(0, 0, 0); limits.len()];
     let mut restarts = faults.restarts().into_iter().peekable();
     for (now, tenant) in arrivals {
         while let Some((_, limiter)) = restarts.next_if(|(at, _)| *at <= now) {
-            way.restart(limiter, now);
+            algorithm.restart(limiter, now);
         }
         let down = faults.down(now, limiters);
         let gateway = random.random_range(0..gateways);
-        let mut moment = Moment {
+        let mut context = Context {
             now,
             cut: faults.cut(now),
             down: &down,
             random: &mut random,
         };
-        let answer = way.admit(gateway, tenant, &mut moment);
+        let answer = algorithm.admit(gateway, tenant, &mut context);
         let (asked, refused, unknown) = &mut counts[tenant];
         *asked += 1;
         match answer {
             Answer::Refused => *refused += 1,
             Answer::Unknown => *unknown += 1,
-            Answer::Granted if random.random_bool(trouble.unused) => {
-                way.return_grant(gateway, tenant, now);
+            Answer::Granted if random.random_bool(conditions.unused) => {
+                algorithm.return_grant(gateway, tenant, now);
             }
             Answer::Granted => {
-                let on_way = Duration::from_millis(random.random_range(0..20));
+                let message_delay = Duration::from_millis(random.random_range(0..20));
                 ran[tenant].push(Ran {
                     sent: now,
-                    ran: now + on_way,
+                    ran: now + message_delay,
                 });
             }
         }
     }
     for (tenant, limit) in limits.iter().enumerate() {
         let (asked, refused, unknown) = counts[tenant];
-        seen.push(Seen {
+        seen.push(TenantResults {
             asked,
             refused,
             unknown,
@@ -148,7 +148,7 @@
     seen
 }
 
-/// From a request in two seconds to some tens a second, in equal parts of each size.
+/// Log-uniform from one request in two seconds to some tens per second.
 fn draw_limit(random: &mut ChaCha8Rng) -> RateLimit {
     let exponent = random.random_range(-0.3..1.6);
     let per_s = 10_f64.powf(exponent);
@@ -179,7 +179,7 @@
     arrivals
 }
 
-/// The most requests that were sent and ran in one window.
+/// Most requests that were sent and ran within one window.
 fn fullest(ran: &[Ran]) -> usize {
     let windows = ran.iter().enumerate().map(|(first, begin)| {
         let end = begin.sent + BOUNDS.window;
@@ -204,7 +204,7 @@
 
 #[derive(Debug)]
 struct Faults {
-    /// Gateways and limiters between which nothing passes, and when.
+    /// Pairs of a gateway and a limiter that cannot reach each other during the partition.
     cut: Vec<(usize, usize)>,
     cut_from: Duration,
     cut_to: Duration,
@@ -231,7 +231,8 @@
                 .cut
                 .extend(cut.into_iter().map(|limiter| (gateway, limiter)));
         }
-        // As many as the deployment may lose, all of them at once, and all once more within a window.
+        // First the minority that a deployment may lose, then all limiters at once, then all again within a
+        // window.
         let mut begin = BEGIN + Duration::from_millis(random.random_range(1_000..6_000));
         for lost in [(limiters - 1) / 2, limiters, limiters] {
             let first = random.random_range(0..limiters);
@@ -262,7 +263,7 @@
         (0..limiters).map(is_down).collect()
     }
 
-    /// When which limiter is back without its memory.
+    /// Times at which limiters are up again without their memory.
     fn restarts(&self) -> Vec<(Duration, usize)> {
         let ends = self.downs.iter();
         let mut restarts: Vec<(Duration, usize)> = ends
--- a/crates/quota/tests/support/warm_ups.rs
+++ b/crates/quota/tests/support/warm_up_schedule.rs
@@ -1,4 +1,5 @@
-//! An engine that warms up, and gateways that want it for their requests, with the limiters and the troubles of [`super`].
+//! Simulation of an engine that is warming up, with gateways that choose it for requests and with the
+//! limiters and faults of [`super`].
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -9,31 +10,36 @@
 use ridgeworks_quota::{GrantDelay, LimiterDecision, LimiterKey, WarmUpBounds};
 use ridgeworks_routing::WarmUpLimit;
 
-use super::{BEGIN, END, Faults, Moment};
+use super::{BEGIN, Context, END, Faults};
 
 pub const WARM_UP_BOUNDS: WarmUpBounds = WarmUpBounds {
     factor: 1.5,
     slack: 5.0,
 };
-/// How long gateways take to hear that another one is gone.
-pub const DEATH_NOTICED: Duration = Duration::from_secs(3);
-/// How long a gateway waits for an answer of a limiter.
-const PATIENCE: Duration = Duration::from_millis(40);
+/// Time until the other gateways detect that a gateway is gone.
+pub const DEATH_DETECTION_TIME: Duration = Duration::from_secs(3);
+/// Time that a gateway waits for an answer of a limiter.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(40);
 const WINDOW: Duration = Duration::from_secs(1);
 
-/// What a gateway does with a request that would go to the engine.
+/// Decision on a request for which the engine was chosen.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Decision {
     Send,
     PassOver,
-    /// Asks these limiters one after the other.
+    /// Ask these limiters in sequence.
     Ask(Vec<LimiterKey>),
 }
 
-/// A way of holding what all gateways together send to the engine.
-pub trait WarmWay {
-    fn decide(&mut self, gateway: usize, world: &World, moment: &mut Moment<'_>) -> Decision;
-    /// A limiter is asked.
+/// An algorithm for limiting the requests of all gateways to the engine.
+pub trait WarmUpAlgorithm {
+    fn decide(
+        &mut self,
+        gateway: usize,
+        deployment: &Deployment,
+        context: &mut Context<'_>,
+    ) -> Decision;
+    /// Answer of a limiter.
     fn grant(&mut self, _limiter: usize, _now: Duration) -> LimiterDecision {
         unreachable!("this way asks nobody")
     }
@@ -46,48 +52,49 @@
     ) {
     }
     fn on_silent(&mut self, _gateway: usize, _from: LimiterKey, _now: Duration) {}
-    /// Whether a request may go out now whose turn came when it asked.
+    /// Whether a request may still be sent now if its grant was requested at `_asked`.
     fn may_send(&self, _asked: Duration, _now: Duration) -> bool {
         true
     }
-    /// A limiter has lost its memory; the last one is in the place of the one before and knows nothing either.
+    /// A limiter restarts without its memory; the last one replaces the first one and starts without memory
+    /// as well.
     fn restart(&mut self, _limiter: usize, _now: Duration) {}
 }
 
-/// What the deployment is like.
-pub struct World {
+/// Size and faults of the deployment.
+pub struct Deployment {
     pub gateways: usize,
     pub limiters: usize,
     pub limit: WarmUpLimit,
-    /// When gateways die.
-    deaths: Vec<Option<Duration>>,
-    /// When gateways stand still.
+    /// Times at which gateways crash.
+    crashes: Vec<Option<Duration>>,
+    /// Spans in which gateways are frozen.
     freezes: Vec<Option<(Duration, Duration)>>,
-    /// From when on the first limiter is replaced, and by which gateways that is not heard.
+    /// Time at which the first limiter is replaced, and which gateways do not learn of it.
     replaced: Option<(Duration, Vec<bool>)>,
-    /// When all limiters lose their memory and run on, again and again within a second.
+    /// Times at which all limiters restart, several times within a second.
     restarts: Vec<Duration>,
-    /// Part of the messages that are lost.
+    /// Fraction of the messages that are lost.
     lost: f64,
-    /// Part of the messages that take long.
+    /// Fraction of the messages that are slow.
     late: f64,
-    /// Part of the requests whose tokens are reserved late.
+    /// Fraction of the requests whose preparation is slow.
     slow: f64,
 }
 
-impl World {
+impl Deployment {
     fn draw(random: &mut ChaCha8Rng, faults: bool) -> Self {
         let gateways = random.random_range(40..400);
         let limiters = if random.random_bool(0.5) { 3 } else { 5 };
         let per_s: f64 = random.random_range(8.0..40.0);
-        let mut world = Self {
+        let mut deployment = Self {
             gateways,
             limiters,
             limit: WarmUpLimit {
                 per_ks: (per_s * 1_000.0) as u64,
                 duration_ms: 14_000,
             },
-            deaths: vec![None; gateways],
+            crashes: vec![None; gateways],
             freezes: vec![None; gateways],
             replaced: None,
             restarts: Vec::new(),
@@ -96,9 +103,9 @@
             slow: 0.0,
         };
         if faults {
-            world.draw_faults(random);
+            deployment.draw_faults(random);
         }
-        world
+        deployment
     }
 
     fn draw_faults(&mut self, random: &mut ChaCha8Rng) {
@@ -107,11 +114,11 @@
         };
         for gateway in 0..self.gateways {
             if random.random_bool(0.1) {
-                self.deaths[gateway] = Some(at(random));
+                self.crashes[gateway] = Some(at(random));
             }
             if random.random_bool(0.8) {
                 let from = at(random);
-                // They wake at the same moment, as those of a machine or a zone do.
+                // All resume at the same moment, like those of one machine or zone.
                 let to = BEGIN + Duration::from_secs(10);
                 self.freezes[gateway] = (from < to).then_some((from, to));
             }
@@ -129,16 +136,16 @@
         self.slow = if random.random_bool(0.5) { 0.9 } else { 0.02 };
     }
 
-    /// Whether a gateway is known to be gone.
+    /// Whether the gateway is known to be gone.
     pub fn is_gone(&self, gateway: usize, now: Duration) -> bool {
-        self.deaths[gateway].is_some_and(|death| death + DEATH_NOTICED < now)
+        self.crashes[gateway].is_some_and(|crash| crash + DEATH_DETECTION_TIME < now)
     }
 
-    fn is_dead(&self, gateway: usize, now: Duration) -> bool {
-        self.deaths[gateway].is_some_and(|death| death <= now)
+    fn is_crashed(&self, gateway: usize, now: Duration) -> bool {
+        self.crashes[gateway].is_some_and(|crash| crash <= now)
     }
 
-    /// When a gateway does what is due now: later where it stands still.
+    /// When a gateway processes an event that is due now: later if it is frozen.
     fn runs_at(&self, gateway: usize, now: Duration) -> Duration {
         match self.freezes[gateway] {
             Some((from, to)) if from <= now && now < to => to,
@@ -146,7 +153,7 @@
         }
     }
 
-    /// Who answers for a limiter: the one in its place where the gateway has heard of it.
+    /// The limiter that answers: the replacement if the gateway knows of it.
     fn answers(&self, gateway: usize, key: LimiterKey, now: Duration) -> usize {
         let limiter = key.0 as usize;
         let replaced = self.replaced.as_ref().filter(|(from, _)| *from <= now);
@@ -158,8 +165,8 @@
         }
     }
 
-    /// How long after a request came it is ready for an engine.
-    fn prepares(&self, random: &mut ChaCha8Rng) -> Duration {
+    /// Time from the arrival of a request until it is ready for an engine.
+    fn preparation_time(&self, random: &mut ChaCha8Rng) -> Duration {
         let longest = if random.random_bool(self.slow) {
             1_500
         } else {
@@ -168,7 +175,7 @@
         Duration::from_millis(random.random_range(2..longest))
     }
 
-    fn on_way(&self, random: &mut ChaCha8Rng) -> Option<Duration> {
+    fn message_delay(&self, random: &mut ChaCha8Rng) -> Option<Duration> {
         if random.random_bool(self.lost) {
             return None;
         }
@@ -183,22 +190,22 @@
     }
 }
 
-/// What one schedule showed.
+/// Results of one schedule.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct WarmSeen {
+pub struct WarmUpResults {
     pub wanted: usize,
     pub sent: usize,
     pub messages: usize,
-    /// What requests waited that were sent, in milliseconds, all together.
+    /// Sum of the waits of requests that were sent, in milliseconds.
     pub waited_ms: f64,
-    /// The fullest second against what it may hold.
+    /// Requests in the fullest second as a fraction of the bound.
     pub fullest: f64,
-    /// What was sent against what the engine bears.
+    /// Requests sent as a fraction of the engine's limit.
     pub used: f64,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-enum Step {
+enum Event {
     Restart(usize),
     Wanted(usize),
     Question(Ask),
@@ -207,133 +214,146 @@
     Sends(usize, Duration),
 }
 
-/// A request that asks for a grant.
+/// A request that asks limiters for a grant.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 struct Ask {
     gateway: usize,
     asked: Duration,
-    /// Limiters that are left, the next one last.
+    /// Remaining limiters, the next one last.
     order: Vec<LimiterKey>,
 }
 
-pub type MakeWarmWay = fn(&World) -> Box<dyn WarmWay>;
+pub type MakeWarmUpAlgorithm = fn(&Deployment) -> Box<dyn WarmUpAlgorithm>;
 
-struct Play {
-    world: World,
+struct Simulation {
+    deployment: Deployment,
     faults: Faults,
-    way: Box<dyn WarmWay>,
+    algorithm: Box<dyn WarmUpAlgorithm>,
     random: ChaCha8Rng,
-    steps: BinaryHeap<Reverse<(Duration, Step)>>,
-    seen: WarmSeen,
+    events: BinaryHeap<Reverse<(Duration, Event)>>,
+    seen: WarmUpResults,
     sends: Vec<(Duration, Duration)>,
 }
 
-/// Plays a schedule in which so many times what the engine bears is wanted.
-pub fn play_warm_up(make: MakeWarmWay, seed: u64, load: f64, faults: bool) -> WarmSeen {
+/// Runs a schedule with a load given as a multiple of the engine's limit.
+pub fn run_warm_up_schedule(
+    make: MakeWarmUpAlgorithm,
+    seed: u64,
+    load: f64,
+    faults: bool,
+) -> WarmUpResults {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
-    let world = World::draw(&mut random, faults);
-    let drawn = Faults::draw(&mut random, world.gateways, world.limiters, faults);
-    let way = make(&world);
-    let mut play = Play {
-        world,
+    let deployment = Deployment::draw(&mut random, faults);
+    let drawn = Faults::draw(
+        &mut random,
+        deployment.gateways,
+        deployment.limiters,
+        faults,
+    );
+    let algorithm = make(&deployment);
+    let mut simulation = Simulation {
+        deployment,
         faults: drawn,
-        way,
+        algorithm,
         random,
-        steps: BinaryHeap::new(),
-        seen: WarmSeen::default(),
+        events: BinaryHeap::new(),
+        seen: WarmUpResults::default(),
         sends: Vec::new(),
     };
-    play.draw_steps(load);
-    while let Some(Reverse((now, step))) = play.steps.pop() {
-        play.take(now, step);
+    simulation.draw_events(load);
+    while let Some(Reverse((now, event))) = simulation.events.pop() {
+        simulation.take(now, event);
     }
-    let Play {
+    let Simulation {
         mut seen,
         sends,
-        world,
+        deployment,
         ..
-    } = play;
-    let per_s = world.limit.per_ks as f64 / 1_000.0;
-    seen.fullest = fullest_second(sends) as f64 / WARM_UP_BOUNDS.most(world.limit);
+    } = simulation;
+    let per_s = deployment.limit.per_ks as f64 / 1_000.0;
+    seen.fullest = fullest_second(sends) as f64 / WARM_UP_BOUNDS.most(deployment.limit);
     seen.used = seen.sent as f64 / (per_s * (END - BEGIN).as_secs_f64());
     seen
 }
 
-impl Play {
-    fn push(&mut self, at: Duration, step: Step) {
-        self.steps.push(Reverse((at, step)));
+impl Simulation {
+    fn push(&mut self, at: Duration, event: Event) {
+        self.events.push(Reverse((at, event)));
     }
 
-    fn draw_steps(&mut self, load: f64) {
+    fn draw_events(&mut self, load: f64) {
         for (at, limiter) in self.faults.restarts() {
-            self.push(at, Step::Restart(limiter));
+            self.push(at, Event::Restart(limiter));
         }
-        if let Some((from, _)) = self.world.replaced {
-            let limiter = self.world.limiters;
-            self.push(from, Step::Restart(limiter));
+        if let Some((from, _)) = self.deployment.replaced {
+            let limiter = self.deployment.limiters;
+            self.push(from, Event::Restart(limiter));
         }
-        for at in self.world.restarts.clone() {
-            for limiter in 0..self.world.limiters {
-                self.push(at, Step::Restart(limiter));
+        for at in self.deployment.restarts.clone() {
+            for limiter in 0..self.deployment.limiters {
+                self.push(at, Event::Restart(limiter));
             }
         }
-        let per_s = self.world.limit.per_ks as f64 / 1_000.0 * load;
+        let per_s = self.deployment.limit.per_ks as f64 / 1_000.0 * load;
         let mut at = BEGIN.as_secs_f64();
         while at < END.as_secs_f64() {
-            let gateway = self.random.random_range(0..self.world.gateways);
-            self.push(Duration::from_secs_f64(at), Step::Wanted(gateway));
+            let gateway = self.random.random_range(0..self.deployment.gateways);
+            self.push(Duration::from_secs_f64(at), Event::Wanted(gateway));
             let drawn: f64 = self.random.random_range(f64::EPSILON..1.0);
             at -= drawn.ln() / per_s;
         }
     }
 
-    fn gateway_of(step: &Step) -> Option<usize> {
-        match step {
-            Step::Wanted(gateway) | Step::Sends(gateway, _) => Some(*gateway),
-            Step::Answered(ask, ..) | Step::Unanswered(ask) => Some(ask.gateway),
-            Step::Restart(_) | Step::Question(_) => None,
+    fn gateway_of_event(event: &Event) -> Option<usize> {
+        match event {
+            Event::Wanted(gateway) | Event::Sends(gateway, _) => Some(*gateway),
+            Event::Answered(ask, ..) | Event::Unanswered(ask) => Some(ask.gateway),
+            Event::Restart(_) | Event::Question(_) => None,
         }
     }
 
-    fn take(&mut self, now: Duration, step: Step) {
-        if let Some(gateway) = Self::gateway_of(&step) {
-            let runs_at = self.world.runs_at(gateway, now);
-            if self.world.is_dead(gateway, now) {
+    fn take(&mut self, now: Duration, event: Event) {
+        if let Some(gateway) = Self::gateway_of_event(&event) {
+            let runs_at = self.deployment.runs_at(gateway, now);
+            if self.deployment.is_crashed(gateway, now) {
                 return;
             }
             if runs_at > now {
-                self.push(runs_at, step);
+                self.push(runs_at, event);
                 return;
             }
         }
-        match step {
-            Step::Restart(limiter) => self.way.restart(limiter, now),
-            Step::Wanted(gateway) => self.want(gateway, now),
-            Step::Question(ask) => self.question(ask, now),
-            Step::Answered(ask, denial) => self.answered(ask, denial, now),
-            Step::Unanswered(mut ask) => {
+        match event {
+            Event::Restart(limiter) => self.algorithm.restart(limiter, now),
+            Event::Wanted(gateway) => self.want(gateway, now),
+            Event::Question(ask) => self.question(ask, now),
+            Event::Answered(ask, denial) => self.answered(ask, denial, now),
+            Event::Unanswered(mut ask) => {
                 if let Some(silent) = ask.order.pop() {
-                    self.way.on_silent(ask.gateway, silent, now);
+                    self.algorithm.on_silent(ask.gateway, silent, now);
                 }
-                // It has waited long enough: another engine gets it.
+                // The request has waited long enough, so another engine gets it.
             }
-            Step::Sends(gateway, asked) => self.send(gateway, asked, now),
+            Event::Sends(gateway, asked) => self.send(gateway, asked, now),
         }
     }
 
     fn want(&mut self, gateway: usize, now: Duration) {
         self.seen.wanted += 1;
-        let down = self.faults.down(now, self.world.limiters);
-        let mut moment = Moment {
+        let down = self.faults.down(now, self.deployment.limiters);
+        let mut context = Context {
             now,
             cut: self.faults.cut(now),
             down: &down,
             random: &mut self.random,
         };
-        match self.way.decide(gateway, &self.world, &mut moment) {
+        match self
+            .algorithm
+            .decide(gateway, &self.deployment, &mut context)
+        {
             Decision::PassOver => {}
             Decision::Send => {
-                self.push(now + Duration::from_micros(100), Step::Sends(gateway, now))
+                self.push(now + Duration::from_micros(100), Event::Sends(gateway, now))
             }
             Decision::Ask(mut order) => {
                 order.reverse();
@@ -354,9 +374,9 @@
             return;
         }
         self.seen.messages += 2;
-        match self.world.on_way(&mut self.random) {
-            Some(on_way) => self.push(now + on_way, Step::Question(ask)),
-            None => self.push(now + PATIENCE, Step::Unanswered(ask)),
+        match self.deployment.message_delay(&mut self.random) {
+            Some(message_delay) => self.push(now + message_delay, Event::Question(ask)),
+            None => self.push(now + ANSWER_TIMEOUT, Event::Unanswered(ask)),
         }
     }
 
@@ -364,22 +384,22 @@
         let Some(key) = ask.order.last().copied() else {
             return;
         };
-        let limiter = self.world.answers(ask.gateway, key, now);
-        let mut down = self.faults.down(now, self.world.limiters);
+        let limiter = self.deployment.answers(ask.gateway, key, now);
+        let mut down = self.faults.down(now, self.deployment.limiters);
         down.push(false);
         let place = key.0 as usize;
         let is_cut = self.faults.cut(now).contains(&(ask.gateway, place));
         if is_cut || down[limiter] {
-            self.push(now + PATIENCE, Step::Unanswered(ask));
+            self.push(now + ANSWER_TIMEOUT, Event::Unanswered(ask));
             return;
         }
-        let denial = match self.way.grant(limiter, now) {
+        let denial = match self.algorithm.grant(limiter, now) {
             LimiterDecision::Granted => None,
             LimiterDecision::Exhausted { next, retry } => Some(GrantDelay { next, retry }),
         };
-        match self.world.on_way(&mut self.random) {
-            Some(on_way) => self.push(now + on_way, Step::Answered(ask, denial)),
-            None => self.push(now + PATIENCE, Step::Unanswered(ask)),
+        match self.deployment.message_delay(&mut self.random) {
+            Some(message_delay) => self.push(now + message_delay, Event::Answered(ask, denial)),
+            None => self.push(now + ANSWER_TIMEOUT, Event::Unanswered(ask)),
         }
     }
 
@@ -388,29 +408,29 @@
             return;
         };
         let Some(wait) = denial else {
-            let prepared = ask.asked + self.world.prepares(&mut self.random);
-            self.push(now.max(prepared), Step::Sends(ask.gateway, ask.asked));
+            let prepared = ask.asked + self.deployment.preparation_time(&mut self.random);
+            self.push(now.max(prepared), Event::Sends(ask.gateway, ask.asked));
             return;
         };
-        self.way.on_exhausted(ask.gateway, key, wait, now);
-        if now < ask.asked + PATIENCE {
+        self.algorithm.on_exhausted(ask.gateway, key, wait, now);
+        if now < ask.asked + ANSWER_TIMEOUT {
             self.ask(ask, now);
         }
     }
 
     fn send(&mut self, gateway: usize, asked: Duration, now: Duration) {
-        if !self.way.may_send(asked, now) {
+        if !self.algorithm.may_send(asked, now) {
             return;
         }
-        debug_assert!(gateway < self.world.gateways);
+        debug_assert!(gateway < self.deployment.gateways);
         self.seen.sent += 1;
         self.seen.waited_ms += (now - asked).as_secs_f64() * 1_000.0;
-        let on_way = Duration::from_micros(self.random.random_range(100..3_000));
-        self.sends.push((now, now + on_way));
+        let message_delay = Duration::from_micros(self.random.random_range(100..3_000));
+        self.sends.push((now, now + message_delay));
     }
 }
 
-/// The most requests that were sent and arrived within one second.
+/// Most requests that were sent and arrived within one second.
 fn fullest_second(mut sends: Vec<(Duration, Duration)>) -> usize {
     sends.sort_unstable();
     let windows = sends.iter().enumerate().map(|(first, (begin, _))| {
--- a/crates/routing/examples/choice_cost.rs
+++ b/crates/routing/examples/choice_cost.rs
@@ -37,13 +37,13 @@
     ZoneRegions::new(zones.collect())
 }
 
-fn measure(
+fn time_choices(
     name: &str,
     table: &EngineTable,
     placement: &mut Placement,
     rules: &[&dyn EligibilityRule],
 ) {
-    let began = Instant::now();
+    let started_at = Instant::now();
     for number in 0..ROUNDS {
         let key = format!("session-{number}");
         let demand = PlacementRequest {
@@ -56,7 +56,7 @@
         };
         black_box(placement.choose(table, &demand, Duration::from_secs(1)));
     }
-    let each = began.elapsed() / ROUNDS;
+    let each = started_at.elapsed() / ROUNDS;
     println!("{name}: {:.1} us a choice", each.as_secs_f64() * 1e6);
 }
 
@@ -76,13 +76,13 @@
         regions: &regions,
     };
     for _ in 0..3 {
-        measure("one region", &table, &mut Placement::default(), &[]);
+        time_choices("one region", &table, &mut Placement::default(), &[]);
         let latencies = || RegionLatencies::new(&regions, "zone-0");
-        let mut several = Placement::with_region_latencies(latencies());
+        let mut six_regions = Placement::with_region_latencies(latencies());
         for number in 0..ZONES {
-            several.on_connected(&engine(number), Duration::from_millis(40));
+            six_regions.on_connected(&engine(number), Duration::from_millis(40));
         }
-        measure("six regions", &table, &mut several, &[]);
-        measure("two of six regions", &table, &mut several, &[&rule]);
+        time_choices("six regions", &table, &mut six_regions, &[]);
+        time_choices("two of six regions", &table, &mut six_regions, &[&rule]);
     }
 }
--- a/crates/routing/examples/tenant_lookup.rs
+++ b/crates/routing/examples/tenant_lookup.rs
@@ -9,7 +9,7 @@
 use ridgeworks_routing::{KeyDigest, Tenant, TenantTable};
 
 const LOOKUPS: usize = 200_000;
-const KEYS_OF_ONE: usize = 2;
+const KEYS_PER_TENANT: usize = 2;
 
 fn key(tenant: usize, number: usize) -> String {
     format!("key-{number}-of-tenant-{tenant:06}")
@@ -18,7 +18,7 @@
 fn tenants(count: usize) -> Vec<Tenant> {
     let tenants = (0..count).map(|tenant| Tenant {
         name: format!("tenant-{tenant}"),
-        keys: (0..KEYS_OF_ONE)
+        keys: (0..KEYS_PER_TENANT)
             .filter_map(|number| KeyDigest::of(key(tenant, number).as_bytes()))
             .collect(),
         priority: None,
@@ -49,20 +49,20 @@
         let keys: Vec<String> = (0..LOOKUPS)
             .map(|number| key(number * 7_919 % count, 1))
             .collect();
-        let began = Instant::now();
+        let started_at = Instant::now();
         let digests: Vec<KeyDigest> = keys
             .iter()
             .filter_map(|key| KeyDigest::of(black_box(key.as_bytes())))
             .collect();
-        let digest_us = began.elapsed().as_secs_f64() * 1e6 / LOOKUPS as f64;
-        let began = Instant::now();
+        let digest_us = started_at.elapsed().as_secs_f64() * 1e6 / LOOKUPS as f64;
+        let started_at = Instant::now();
         let found = digests
             .iter()
             .filter(|digest| table.holder(**digest).is_some())
             .count();
-        let lookup_us = began.elapsed().as_secs_f64() * 1e6 / LOOKUPS as f64;
+        let lookup_us = started_at.elapsed().as_secs_f64() * 1e6 / LOOKUPS as f64;
         assert_eq!(found, LOOKUPS);
-        let bytes_a_key = bytes as f64 / (count * KEYS_OF_ONE) as f64;
-        println!("{count:>7}  {digest_us:>9.3}  {lookup_us:>9.3}  {bytes_a_key:>11.0}");
+        let bytes_per_key = bytes as f64 / (count * KEYS_PER_TENANT) as f64;
+        println!("{count:>7}  {digest_us:>9.3}  {lookup_us:>9.3}  {bytes_per_key:>11.0}");
     }
 }
--- a/crates/routing/tests/engine_health.rs
+++ b/crates/routing/tests/engine_health.rs
@@ -1,4 +1,4 @@
-//! What outcomes of requests say of an engine.
+//! Health of an engine after outcomes of requests.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn an_engine_that_was_repaired_is_trusted_again_in_time() {
+fn failures_decay_so_that_a_recovered_engine_is_used_again() {
     let mut health = EngineHealth::default();
     for _ in 0..20 {
         health.on_outcome(Outcome::Failed, seconds(1));
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn few_failures_say_little() {
+fn one_failure_keeps_the_failed_share_low() {
     let mut health = EngineHealth::default();
     health.on_outcome(Outcome::Failed, seconds(1));
     let share = health.outcomes(seconds(1)).failed_share(3.0, 0.0);
@@ -29,8 +29,8 @@
 }
 
 quickcheck! {
-    /// Clocks may jump, and prior shares come from sums that other nodes tell.
-    fn shares_are_shares(outcomes: Vec<(u8, u32)>, prior: u8, share: u8, read_at: u32) -> bool {
+    /// Clocks may jump, and prior shares come from reports of other nodes.
+    fn failed_share_stays_between_zero_and_one(outcomes: Vec<(u8, u32)>, prior: u8, share: u8, read_at: u32) -> bool {
         let mut health = EngineHealth::default();
         for (kind, at_ms) in outcomes {
             let kinds = [Outcome::Served, Outcome::Failed, Outcome::Unreachable];
--- a/crates/routing/tests/engine_restarts.rs
+++ b/crates/routing/tests/engine_restarts.rs
@@ -1,4 +1,4 @@
-//! Engines that start again under the identifier that they had.
+//! Engines that restart under the same instance name.
 
 use std::time::Duration;
 
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn a_later_run_holds_and_has_nothing_of_the_earlier_one() {
+fn a_restarted_engine_has_no_cached_parts_or_requests_of_its_earlier_run() {
     let mut placement = Placement::default();
     let (earlier, later) = (engine(1), engine(2));
     placement.on_sent("session", &earlier, &parts());
@@ -49,9 +49,9 @@
     assert_eq!(again.missing, 0);
 }
 
-/// Whatever way it comes by: a gateway's report, a directory node, an answer to a request that was sent before.
+/// Late messages: a gateway's report, a directory record, and the answer to an earlier request.
 #[test]
-fn what_comes_late_of_an_earlier_run_changes_nothing() {
+fn late_messages_about_an_earlier_run_do_not_affect_the_later_one() {
     let mut placement = Placement::default();
     let (earlier, later) = (engine(1), engine(2));
     let forecast = placement.on_sent("old", &earlier, &parts());
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn an_earlier_run_is_forgotten_once_a_later_one_is_listed() {
+fn state_of_an_earlier_run_is_dropped_once_a_later_one_is_listed() {
     let mut placement = Placement::default();
     let earlier = engine(1);
     placement.on_sent("session", &earlier, &parts());
@@ -87,9 +87,9 @@
     );
 }
 
-/// Clocks jump: of two entries the one with the later revision counts, whatever the start that it tells.
+/// Since clocks jump, the revision decides which run is the later one, not the start time.
 #[test]
-fn the_revision_says_which_run_is_the_later_one() {
+fn the_entry_with_the_later_revision_wins_whatever_its_start_time() {
     let mut table = table(2_000, 5);
     let entry = |born_ms, revision| EngineEntry {
         engine: engine(born_ms),
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn engines_that_do_not_say_when_they_started_are_told_apart_by_their_identifiers() {
+fn engines_without_a_start_time_are_distinguished_by_instance() {
     assert_eq!(engine(0).key(), EngineKey::of("i-1"));
     assert_ne!(engine(0).key(), EngineKey::of("i-2"));
 }
--- a/crates/routing/tests/engine_table.rs
+++ b/crates/routing/tests/engine_table.rs
@@ -1,4 +1,4 @@
-//! The list of engines, from several sources that lag differently.
+//! Tables of engines that are merged from several sources with different lags.
 
 mod support;
 
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn an_older_report_changes_nothing() {
+fn an_older_entry_changes_nothing() {
     let mut table = EngineTable::default();
     assert!(table.apply(entry("i-1", 5)));
     assert!(!table.apply(entry("i-1", 4)));
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn a_complete_list_removes_what_it_does_not_name_unless_that_is_newer() {
+fn a_complete_list_removes_unlisted_engines_unless_they_are_newer() {
     let mut table = EngineTable::default();
     table.apply(entry("i-old", 3));
     table.apply(entry("i-new", 12));
@@ -45,14 +45,14 @@
     assert_eq!(names(&table), ["i-1", "i-new"]);
 }
 
-/// A table that was listed at 10 and has seen changes up to 40 since.
+/// A table that was listed at revision 10 and has seen changes up to 40.
 fn changed_table() -> EngineTable {
     let mut table = EngineTable::default();
     let listed = ["i-1", "i-2", "i-3"].map(|instance| entry(instance, 5));
     table.replace(listed.to_vec(), 10);
     table.apply(entry("i-4", 20));
     table.advance(20);
-    // The removal is told with the revision of the last change before it.
+    // The removal is reported with the revision of the last change before it.
     table.remove("i-1", 5, 30);
     table.advance(30);
     table.apply(entry("i-2", 40));
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn changes_since_any_revision_make_another_table_the_same() {
+fn changes_since_any_revision_make_another_table_equal() {
     let source = changed_table();
     for known in [0, 9, 10, 19, 20, 29, 30, 39, 40] {
         let mut other = EngineTable::default();
@@ -88,21 +88,21 @@
 }
 
 #[test]
-fn only_what_is_newer_is_passed_on() {
+fn only_newer_changes_are_sent() {
     let source = changed_table();
     let changes = source.changes_since(29);
     assert_eq!(changes.entries, [entry("i-2", 40)]);
     assert_eq!(changes.removals.len(), 1);
     let none = source.changes_since(40);
     assert!(none.entries.is_empty() && none.removals.is_empty());
-    // A table that is complete further, without a newer change, has nothing to fetch.
+    // A table that is complete up to a later revision, without a newer change, has nothing to send.
     let mut source = source;
     source.advance(90);
     assert_eq!((source.at(), source.newest()), (90, 40));
 }
 
 #[test]
-fn changes_that_come_late_bring_nothing_back() {
+fn late_changes_do_not_add_a_removed_engine_again() {
     let source = changed_table();
     let late = source.changes_since(0);
     let mut other = changed_table();
--- a/crates/routing/tests/event_stream.rs
+++ b/crates/routing/tests/event_stream.rs
@@ -5,12 +5,12 @@
 
 const STREAM: &str = "id: 1\ndata: a\n\n: comment\n\nid:2\r\ndata: b\r\ndata: c\r\n\r\nversions: 3\nid: 3\ndata:\n\n";
 
-fn split_in(pieces: &[usize]) -> (Vec<u8>, Vec<Option<u64>>, Vec<Option<String>>) {
+fn split_in_chunks(chunks: &[usize]) -> (Vec<u8>, Vec<Option<u64>>, Vec<Option<String>>) {
     let mut splitter = EventSplitter::default();
     let mut events = Vec::new();
     let mut rest = STREAM.as_bytes();
-    for piece in pieces.iter().copied().chain([usize::MAX]) {
-        let (now, later) = rest.split_at(piece.min(rest.len()));
+    for chunk in chunks.iter().copied().chain([usize::MAX]) {
+        let (now, later) = rest.split_at(chunk.min(rest.len()));
         events.extend(splitter.push(now).expect("no event is too long"));
         rest = later;
     }
@@ -25,8 +25,8 @@
 }
 
 #[test]
-fn events_have_their_numbers_and_data() {
-    let (raw, ids, data) = split_in(&[]);
+fn events_have_their_ids_and_data() {
+    let (raw, ids, data) = split_in_chunks(&[]);
     assert_eq!(raw, STREAM.as_bytes());
     assert_eq!(ids, [Some(1), None, Some(2), Some(3)]);
     let data: Vec<Option<&str>> = data.iter().map(Option::as_deref).collect();
@@ -34,21 +34,21 @@
 }
 
 quickcheck! {
-    fn pieces_make_no_difference(pieces: Vec<u8>) -> bool {
-        let pieces: Vec<usize> = pieces.into_iter().map(usize::from).collect();
-        split_in(&pieces) == split_in(&[])
+    fn events_do_not_depend_on_the_chunks(chunks: Vec<u8>) -> bool {
+        let chunks: Vec<usize> = chunks.into_iter().map(usize::from).collect();
+        split_in_chunks(&chunks) == split_in_chunks(&[])
     }
 }
 
 #[test]
-fn the_start_of_an_event_is_left_over() {
+fn an_incomplete_event_is_buffered() {
     let mut splitter = EventSplitter::default();
     assert!(splitter.push(b"id: 1\ndata").expect("short").is_empty());
     assert_eq!(splitter.rest(), b"id: 1\ndata");
 }
 
 #[test]
-fn an_endless_event_is_refused() {
+fn an_event_over_the_maximum_length_is_an_error() {
     let mut splitter = EventSplitter::default();
     let result = (0..40).find_map(|_| splitter.push(&[b'x'; 64 * 1024]).err());
     assert!(result.is_some());
--- a/crates/routing/tests/failing_engines.rs
+++ b/crates/routing/tests/failing_engines.rs
@@ -1,28 +1,28 @@
-//! What failures of requests say of engines, and what gateways tell each other of it.
+//! Placement with engines that fail requests, and the reports of gateways about them.
 
 mod support;
 
 use std::time::Duration;
 
 use ridgeworks_routing::{EngineKey, GatewayReport, Outcome, Placement};
-use support::{NOW, choose, demand, engine, part, send, table};
+use support::{NOW, choose, engine, part, request, send, table};
 
-/// An engine that fails at once has the fewest open requests and the quickest steps of all.
+/// An engine that fails at once has the fewest in-flight requests, so it would attract the most requests.
 #[test]
 fn an_engine_that_fails_part_of_its_requests_gets_few_of_them() {
     const REQUESTS: usize = 400;
     let names = ["i-1", "i-2", "i-3", "i-4"];
     let table = table(names.map(|name| engine(name, "zone-a")));
     let mut placement = Placement::default();
-    let mut grey = 0;
+    let mut sent_to_failing = 0;
     for number in 0..REQUESTS {
         let now = NOW + Duration::from_millis(10 * number as u64);
         let key = format!("request-{number}");
-        let instance = choose(&mut placement, &table, &demand(&key, &[], &[]), now);
+        let instance = choose(&mut placement, &table, &request(&key, &[], &[]), now);
         let instance = instance.expect("an engine");
-        let is_grey = instance == "i-1";
-        grey += usize::from(is_grey);
-        let is_failed = is_grey && number % 2 == 0;
+        let is_failing_engine = instance == "i-1";
+        sent_to_failing += usize::from(is_failing_engine);
+        let is_failed = is_failing_engine && number % 2 == 0;
         let outcome = if is_failed {
             Outcome::Failed
         } else {
@@ -30,11 +30,14 @@
         };
         placement.on_outcome(EngineKey::of(&instance), outcome, now);
     }
-    assert!(grey < REQUESTS / 16, "{grey} of {REQUESTS}");
+    assert!(
+        sent_to_failing < REQUESTS / 16,
+        "{sent_to_failing} of {REQUESTS}"
+    );
 }
 
 #[test]
-fn where_all_engines_fail_alike_none_is_left_alone() {
+fn engines_that_all_fail_alike_are_all_used() {
     let names = ["i-1", "i-2", "i-3"];
     let table = table(names.map(|name| engine(name, "zone-a")));
     let mut placement = Placement::default();
@@ -50,7 +53,7 @@
     let mut chosen: Vec<String> = (0..64)
         .filter_map(|number| {
             let key = format!("session-{number}");
-            choose(&mut placement, &table, &demand(&key, &[], &[]), later)
+            choose(&mut placement, &table, &request(&key, &[], &[]), later)
         })
         .collect();
     chosen.sort();
@@ -58,9 +61,9 @@
     assert_eq!(chosen.len(), 3);
 }
 
-/// Each of many gateways sends the failing engine a request or two, which tells none of them much.
+/// Each of many gateways sends the failing engine only one or two requests, too few to decide alone.
 #[test]
-fn a_gateway_that_sent_it_nothing_hears_of_an_engine_that_fails() {
+fn reports_make_a_gateway_avoid_a_failing_engine_that_it_never_used() {
     let names = ["i-1", "i-2", "i-3", "i-4"];
     let table = table(names.map(|name| engine(name, "zone-a")));
     let mut other = Placement::default();
@@ -71,7 +74,7 @@
     let share = |placement: &mut Placement| {
         let keys = (0..64).map(|number| format!("session-{number}"));
         let chosen = keys.filter(|key| {
-            let instance = choose(placement, &table, &demand(key, &[], &[]), NOW);
+            let instance = choose(placement, &table, &request(key, &[], &[]), NOW);
             instance.as_deref() == Some("i-1")
         });
         chosen.count()
@@ -84,49 +87,52 @@
     assert_eq!(share(&mut placement), 0);
 }
 
-/// Whoever saw the one failure tells of it; the others tell that they saw none.
+/// The gateway that saw the failure reports it; the others report that they saw none.
 #[test]
-fn one_failure_among_many_requests_of_all_gateways_is_no_reason() {
-    let mut unlucky = Placement::default();
-    unlucky.on_outcome(EngineKey::of("i-1"), Outcome::Failed, NOW);
-    let mut lucky = Placement::default();
+fn gateways_report_their_successes_at_an_engine_for_which_another_reports_a_failure() {
+    let mut failed_once = Placement::default();
+    failed_once.on_outcome(EngineKey::of("i-1"), Outcome::Failed, NOW);
+    let mut succeeded = Placement::default();
     for _ in 0..30 {
-        lucky.on_outcome(EngineKey::of("i-1"), Outcome::Served, NOW);
-        lucky.on_outcome(EngineKey::of("i-2"), Outcome::Served, NOW);
+        succeeded.on_outcome(EngineKey::of("i-1"), Outcome::Served, NOW);
+        succeeded.on_outcome(EngineKey::of("i-2"), Outcome::Served, NOW);
     }
-    assert!(lucky.report(NOW).suspects.is_empty());
-    lucky.on_report("unlucky", unlucky.report(NOW), NOW);
-    let told = lucky.report(NOW).suspects;
-    assert_eq!(told.len(), 1);
-    assert_eq!((told[0].ended, told[0].failed), (300, 0));
-    // Reports that are too old count no longer, and the failure is forgotten.
+    assert!(succeeded.report(NOW).suspects.is_empty());
+    succeeded.on_report("unlucky", failed_once.report(NOW), NOW);
+    let reported = succeeded.report(NOW).suspects;
+    assert_eq!(reported.len(), 1);
+    assert_eq!((reported[0].ended, reported[0].failed), (300, 0));
+    // Reports expire, and with them the suspicion.
     let later = NOW + Duration::from_secs(3);
-    lucky.on_report("other", GatewayReport::default(), later);
-    assert!(lucky.report(later).suspects.is_empty());
+    succeeded.on_report("other", GatewayReport::default(), later);
+    assert!(succeeded.report(later).suspects.is_empty());
 }
 
 #[test]
-fn an_engine_that_begins_or_ceases_to_fail_is_told_once() {
+fn a_change_of_the_failure_state_is_returned_once() {
     let table = table([engine("i-1", "zone-a")]);
     let mut placement = Placement::default();
-    let told = |placement: &mut Placement, now| {
-        let news = placement.failure_state_changes(&table, now);
-        news.iter().map(|it| it.is_failing).collect::<Vec<bool>>()
+    let reported = |placement: &mut Placement, now| {
+        let changes = placement.failure_state_changes(&table, now);
+        changes
+            .iter()
+            .map(|change| change.is_failing)
+            .collect::<Vec<bool>>()
     };
     placement.on_outcome(EngineKey::of("i-1"), Outcome::Served, NOW);
-    assert!(told(&mut placement, NOW).is_empty());
+    assert!(reported(&mut placement, NOW).is_empty());
     for _ in 0..4 {
         placement.on_outcome(EngineKey::of("i-1"), Outcome::Failed, NOW);
     }
-    assert_eq!(told(&mut placement, NOW), [true]);
-    assert!(told(&mut placement, NOW).is_empty());
+    assert_eq!(reported(&mut placement, NOW), [true]);
+    assert!(reported(&mut placement, NOW).is_empty());
     let later = NOW + Duration::from_secs(20);
-    assert_eq!(told(&mut placement, later), [false]);
+    assert_eq!(reported(&mut placement, later), [false]);
 }
 
-/// A fault that strikes the callers of one zone says nothing to those whom the engine serves.
+/// A fault that affects the callers of one zone must not affect the others.
 #[test]
-fn a_gateway_that_an_engine_serves_goes_on_with_it_whatever_others_tell() {
+fn a_gateway_keeps_an_engine_that_fails_only_for_other_gateways() {
     let names = ["i-1", "i-2", "i-3", "i-4"];
     let table = table(names.map(|name| engine(name, "zone-a")));
     let mut placement = Placement::default();
@@ -143,6 +149,6 @@
     let parts = [part(1, 12_000), part(2, 2_000)];
     let forecast = send(&mut placement, "i-1", &parts);
     placement.on_ended(EngineKey::of("i-1"), forecast.missing);
-    let chosen = choose(&mut placement, &table, &demand("s", &parts, &[]), NOW);
+    let chosen = choose(&mut placement, &table, &request("s", &parts, &[]), NOW);
     assert_eq!(chosen.expect("an engine"), "i-1");
 }
--- a/crates/routing/tests/placement.rs
+++ b/crates/routing/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Which engine a request goes to.
+//! Choice of the engine for a request.
 
 mod support;
 
@@ -8,26 +8,26 @@
 use ridgeworks_routing::{
     EngineKey, Forecast, GatewayReport, Outcome, Placement, PrefillRecord, PromptPart,
 };
-use support::{NOW, choose, demand, engine, part, send, table};
+use support::{NOW, choose, engine, part, request, send, table};
 
 #[test]
-fn gateways_agree_on_a_session_s_engine_without_talking() {
+fn gateways_choose_the_same_engine_for_a_session_without_communication() {
     let table = table(["i-1", "i-2", "i-3", "i-4"].map(|name| engine(name, "zone-a")));
     let chosen = || {
         let mut placement = Placement::default();
-        choose(&mut placement, &table, &demand("session-7", &[], &[]), NOW).expect("an engine")
+        choose(&mut placement, &table, &request("session-7", &[], &[]), NOW).expect("an engine")
     };
     assert_eq!(chosen(), chosen());
 }
 
 #[test]
-fn sessions_spread_over_the_engines() {
+fn sessions_spread_over_all_engines() {
     let table = table(["i-1", "i-2", "i-3", "i-4"].map(|name| engine(name, "zone-a")));
     let mut placement = Placement::default();
     let mut chosen: Vec<String> = (0..64)
         .filter_map(|number| {
             let key = format!("session-{number}");
-            choose(&mut placement, &table, &demand(&key, &[], &[]), NOW)
+            choose(&mut placement, &table, &request(&key, &[], &[]), NOW)
         })
         .collect();
     chosen.sort();
@@ -36,100 +36,100 @@
 }
 
 #[test]
-fn a_session_stays_where_its_prompt_is_until_that_engine_is_much_busier() {
+fn a_session_stays_where_its_prompt_is_cached_until_that_engine_is_much_busier() {
     let table = table(["i-1", "i-2"].map(|name| engine(name, "zone-a")));
     let mut placement = Placement::default();
     let parts = [part(1, 12_000), part(2, 2_000)];
     let forecast = send(&mut placement, "i-1", &parts);
     placement.on_ended(EngineKey::of("i-1"), forecast.missing);
-    let chosen = choose(&mut placement, &table, &demand("s", &parts, &[]), NOW);
+    let chosen = choose(&mut placement, &table, &request("s", &parts, &[]), NOW);
     assert_eq!(chosen.expect("an engine"), "i-1");
     for _ in 0..30 {
         send(&mut placement, "i-1", &[]);
     }
-    let chosen = choose(&mut placement, &table, &demand("s", &parts, &[]), NOW);
+    let chosen = choose(&mut placement, &table, &request("s", &parts, &[]), NOW);
     assert_eq!(chosen.expect("an engine"), "i-2");
 }
 
 #[test]
-fn a_part_counts_only_when_all_before_it_are_held() {
+fn a_part_counts_as_cached_only_if_all_parts_before_it_are() {
     let table = table(["i-1", "i-2"].map(|name| engine(name, "zone-a")));
     let mut placement = Placement::default();
     send(&mut placement, "i-1", &[part(2, 12_000)]);
     send(&mut placement, "i-2", &[part(1, 100)]);
     let parts = [part(1, 100), part(2, 12_000)];
-    let chosen = choose(&mut placement, &table, &demand("s", &parts, &[]), NOW);
+    let chosen = choose(&mut placement, &table, &request("s", &parts, &[]), NOW);
     assert_eq!(chosen.expect("an engine"), "i-2");
 }
 
 #[test]
-fn the_own_zone_goes_first_while_it_is_no_busier() {
+fn the_gateway_s_zone_is_preferred_until_it_is_busier() {
     let table = table([engine("i-far", "zone-b"), engine("i-near", "zone-a")]);
     let mut placement = Placement::default();
     for number in 0..20 {
         let key = format!("session-{number}");
-        let chosen = choose(&mut placement, &table, &demand(&key, &[], &[]), NOW);
+        let chosen = choose(&mut placement, &table, &request(&key, &[], &[]), NOW);
         assert_eq!(chosen.expect("an engine"), "i-near");
     }
     for _ in 0..4 {
         send(&mut placement, "i-near", &[]);
     }
-    let chosen = choose(&mut placement, &table, &demand("s", &[], &[]), NOW);
+    let chosen = choose(&mut placement, &table, &request("s", &[], &[]), NOW);
     assert_eq!(chosen.expect("an engine"), "i-far");
 }
 
 #[test]
-fn excluded_draining_and_failing_engines_are_passed_over() {
+fn excluded_engines_are_never_chosen_and_failing_ones_only_as_a_last_resort() {
     let table = table(["i-1", "i-2", "i-3"].map(|name| engine(name, "zone-a")));
     let mut placement = Placement::default();
     placement.on_outcome(EngineKey::of("i-1"), Outcome::Failed, NOW);
     let excluded = ["i-2".to_owned()];
-    let chosen = choose(&mut placement, &table, &demand("s", &[], &excluded), NOW);
+    let chosen = choose(&mut placement, &table, &request("s", &[], &excluded), NOW);
     assert_eq!(chosen.expect("an engine"), "i-3");
     let excluded = ["i-2".to_owned(), "i-3".to_owned()];
-    let chosen = choose(&mut placement, &table, &demand("s", &[], &excluded), NOW);
+    let chosen = choose(&mut placement, &table, &request("s", &[], &excluded), NOW);
     assert_eq!(chosen.expect("a resting engine is better than none"), "i-1");
     let all = ["i-1".to_owned(), "i-2".to_owned(), "i-3".to_owned()];
     assert!(
         placement
-            .choose(&table, &demand("s", &[], &all), NOW)
+            .choose(&table, &request("s", &[], &all), NOW)
             .is_none()
     );
 }
 
 #[test]
-fn what_other_gateways_sent_counts_for_a_while() {
+fn requests_of_other_gateways_count_until_their_report_expires() {
     let table = table(["i-1", "i-2"].map(|name| engine(name, "zone-a")));
     let mut other = Placement::default();
     let mut alone = Placement::default();
-    let chosen = choose(&mut alone, &table, &demand("s", &[], &[]), NOW).expect("an engine");
+    let chosen = choose(&mut alone, &table, &request("s", &[], &[]), NOW).expect("an engine");
     for _ in 0..5 {
         send(&mut other, &chosen, &[]);
     }
     let mut placement = Placement::default();
     placement.on_report("gateway-2", other.report(NOW), NOW);
-    let now = choose(&mut placement, &table, &demand("s", &[], &[]), NOW).expect("an engine");
+    let now = choose(&mut placement, &table, &request("s", &[], &[]), NOW).expect("an engine");
     assert_ne!(now, chosen);
     let later = NOW + Duration::from_secs(5);
-    let later = choose(&mut placement, &table, &demand("s", &[], &[]), later).expect("an engine");
+    let later = choose(&mut placement, &table, &request("s", &[], &[]), later).expect("an engine");
     assert_eq!(later, chosen);
 }
 
 #[test]
-fn a_slow_engine_gets_less() {
+fn an_engine_with_slow_steps_is_avoided() {
     let table = table(["i-1", "i-2"].map(|name| engine(name, "zone-a")));
     let mut placement = Placement::default();
     placement.health(EngineKey::of("i-1")).on_step_time(10.0);
     placement.health(EngineKey::of("i-2")).on_step_time(50.0);
     for number in 0..20 {
         let key = format!("session-{number}");
-        let chosen = choose(&mut placement, &table, &demand(&key, &[], &[]), NOW);
+        let chosen = choose(&mut placement, &table, &request(&key, &[], &[]), NOW);
         assert_eq!(chosen.expect("an engine"), "i-1");
     }
 }
 
 #[test]
-fn a_report_replaces_the_one_before_it_and_expires() {
+fn a_report_replaces_the_gateway_s_earlier_one_and_expires() {
     let mut other = Placement::default();
     send(&mut other, "i-1", &[]);
     let mut placement = Placement::default();
@@ -143,7 +143,7 @@
     let later = NOW + Duration::from_millis(1_500);
     placement.on_report("gateway-2", other.report(later), later);
     assert_eq!(placement.open_at(EngineKey::of("i-1"), later), 4);
-    // The report of gateway-1 is too old by now, that of gateway-2 is not.
+    // The report of gateway-1 has expired, that of gateway-2 has not.
     let expired = NOW + Duration::from_millis(2_100);
     assert_eq!(placement.open_at(EngineKey::of("i-1"), expired), 3);
     placement.on_report("gateway-2", GatewayReport::default(), expired);
@@ -151,26 +151,27 @@
 }
 
 quickcheck! {
-    /// Heads that lie about their prompts end neither in a panic nor in an engine without work.
-    fn absurd_prompts_are_placed(prompts: Vec<Vec<(u64, u64)>>) -> bool {
+    /// Wrong token counts in request headers must neither cause a panic nor leave a request without an
+    /// engine.
+    fn prompts_with_absurd_token_counts_are_placed(prompts: Vec<Vec<(u64, u64)>>) -> bool {
         let table = table(["i-1", "i-2"].map(|name| engine(name, "zone-a")));
         let mut placement = Placement::default();
         let mut is_placed = true;
         for prompt in prompts {
             let parts: Vec<PromptPart> = prompt.into_iter().map(|(hash, tokens)| part(hash % 8, tokens)).collect();
-            let chosen = choose(&mut placement, &table, &demand("s", &parts, &[]), NOW);
+            let chosen = choose(&mut placement, &table, &request("s", &parts, &[]), NOW);
             is_placed &= chosen.is_some();
             let forecast = send(&mut placement, "i-1", &parts);
             placement.on_first_event(&engine("i-1", "zone-a"), forecast, Duration::from_millis(forecast.missing % 9));
             placement.on_ended(EngineKey::of("i-1"), 0);
         }
-        is_placed && choose(&mut placement, &table, &demand("s", &[], &[]), NOW).is_some()
+        is_placed && choose(&mut placement, &table, &request("s", &[], &[]), NOW).is_some()
     }
 }
 
-/// Teaches a placement how fast the service's engines read.
-fn teach(placement: &mut Placement, tokens_per_ms: u64) {
-    let teacher = engine("i-teacher", "zone-a");
+/// Trains a placement with prefills at this rate.
+fn train(placement: &mut Placement, tokens_per_ms: u64) {
+    let trained_engine = engine("i-teacher", "zone-a");
     for index in 0..40 {
         let tokens = 400 + 100 * (index % 20);
         let forecast = Forecast {
@@ -179,30 +180,30 @@
             ..Forecast::default()
         };
         let taken = Duration::from_micros(5_000 + tokens * 1_000 / tokens_per_ms);
-        placement.on_first_event(&teacher, forecast, taken);
+        placement.on_first_event(&trained_engine, forecast, taken);
     }
 }
 
 #[test]
-fn where_engines_read_slowly_a_session_stays_at_a_busier_one() {
+fn slow_prefill_keeps_a_session_at_a_busier_engine() {
     let table = table(["i-1", "i-2"].map(|name| engine(name, "zone-a")));
     let parts = [part(1, 2_500), part(2, 1_000)];
     let chosen = |tokens_per_ms| {
         let mut placement = Placement::default();
-        teach(&mut placement, tokens_per_ms);
+        train(&mut placement, tokens_per_ms);
         let forecast = send(&mut placement, "i-1", &parts);
         placement.on_ended(EngineKey::of("i-1"), forecast.missing);
         for _ in 0..3 {
             send(&mut placement, "i-1", &[]);
         }
-        choose(&mut placement, &table, &demand("other", &parts, &[]), NOW).expect("an engine")
+        choose(&mut placement, &table, &request("other", &parts, &[]), NOW).expect("an engine")
     };
     assert_eq!(chosen(38), "i-1");
     assert_eq!(chosen(1_000), "i-2");
 }
 
 #[test]
-fn a_session_s_part_that_has_grown_is_missing_by_its_growth() {
+fn only_the_growth_of_a_cached_part_is_missing() {
     let mut placement = Placement::default();
     send(&mut placement, "i-1", &[part(1, 2_500), part(2, 1_000)]);
     let forecast = send(&mut placement, "i-1", &[part(1, 2_500), part(2, 1_800)]);
@@ -210,7 +211,7 @@
 }
 
 #[test]
-fn a_reading_under_way_counts_until_its_first_event() {
+fn a_pending_prefill_counts_until_its_first_event() {
     let mut placement = Placement::default();
     let first = send(&mut placement, "i-1", &[part(1, 2_500)]);
     let second = send(&mut placement, "i-1", &[part(2, 100)]);
@@ -223,7 +224,7 @@
 }
 
 #[test]
-fn a_session_is_found_again_by_a_gateway_that_never_saw_it() {
+fn a_gateway_finds_a_session_s_engine_by_a_prefill_of_another_gateway() {
     let names = ["i-1", "i-2", "i-3", "i-4", "i-5", "i-6"];
     let table = table(names.map(|name| engine(name, "zone-a")));
     for session in 0..12 {
@@ -234,22 +235,22 @@
             parts: parts.to_vec(),
         });
         let key = format!("session-{session}");
-        let chosen = choose(&mut placement, &table, &demand(&key, &parts, &[]), NOW);
+        let chosen = choose(&mut placement, &table, &request(&key, &parts, &[]), NOW);
         assert_eq!(chosen.expect("an engine"), "i-4");
     }
 }
 
 #[test]
-fn many_services_do_not_push_each_other_s_costs_out_for_ever() {
+fn a_service_keeps_its_costs_when_the_maximum_of_services_is_reached() {
     let mut placement = Placement::default();
-    teach(&mut placement, 38);
+    train(&mut placement, 38);
     let learned = placement.costs("models");
     for number in 0..255 {
         let mut other = engine("i-other", "zone-a");
         other.service = format!("service-{number}");
         placement.on_first_event(&other, certain(500), Duration::from_millis(20));
     }
-    // As many as are remembered: what is known of one is not lost by using it.
+    // The maximum number of services is reached: a known one is not evicted when it is used.
     placement.on_first_event(
         &engine("i-1", "zone-a"),
         certain(500),
--- a/crates/routing/tests/region_latencies.rs
+++ b/crates/routing/tests/region_latencies.rs
@@ -1,4 +1,4 @@
-//! Which engine a request goes to where engines stand in several regions.
+//! Placement with engines in several regions.
 
 mod support;
 
@@ -8,9 +8,9 @@
 use ridgeworks_routing::{
     EngineKey, Placement, PlacementRequest, RegionLatencies, Residency, ResidencyRule, ZoneRegions,
 };
-use support::{NOW, choose, demand, engine, part, send, table};
+use support::{NOW, choose, engine, part, request, send, table};
 
-/// The gateway stands in zone-a, in the north like zone-b; zone-c is in the south.
+/// The gateway is in zone-a, in the north like zone-b; zone-c is in the south.
 fn regions() -> ZoneRegions {
     ZoneRegions::from([
         ("zone-a", "north"),
@@ -19,8 +19,8 @@
     ])
 }
 
-/// A placement that has connected to both regions, the other one so many milliseconds away.
-fn measured(round_trip_ms: u64) -> Placement {
+/// A placement that has measured both regions, the other one this many milliseconds away.
+fn placement_with_latency(round_trip_ms: u64) -> Placement {
     let mut placement =
         Placement::with_region_latencies(RegionLatencies::new(&regions(), "zone-a"));
     for _ in 0..20 {
@@ -34,7 +34,7 @@
 fn chosen(
     placement: &mut Placement,
     engines: &[(&str, &str)],
-    demand: &PlacementRequest<'_>,
+    request: &PlacementRequest<'_>,
 ) -> String {
     let mut list = table([]);
     for (instance, zone) in engines {
@@ -43,25 +43,29 @@
             revision: 1,
         });
     }
-    choose(placement, &list, demand, NOW).expect("an engine")
+    choose(placement, &list, request, NOW).expect("an engine")
 }
 
 #[test]
-fn an_engine_of_the_own_region_goes_before_one_beyond() {
+fn an_engine_in_the_gateway_s_region_is_preferred_to_a_remote_one() {
     let engines = [("i-beyond", "zone-c"), ("i-near", "zone-b")];
     for number in 0..20 {
         let key = format!("session-{number}");
-        let first = chosen(&mut measured(40), &engines, &demand(&key, &[], &[]));
+        let first = chosen(
+            &mut placement_with_latency(40),
+            &engines,
+            &request(&key, &[], &[]),
+        );
         assert_eq!(first, "i-near");
     }
 }
 
-/// Requests at the near engine from which on the one beyond is chosen.
-fn borne_first(round_trip_ms: u64) -> usize {
+/// Requests at the near engine after which the remote one is chosen.
+fn requests_before_leaving(round_trip_ms: u64) -> usize {
     let engines = [("i-beyond", "zone-c"), ("i-near", "zone-a")];
-    let mut placement = measured(round_trip_ms);
+    let mut placement = placement_with_latency(round_trip_ms);
     let mut sent = 0;
-    while chosen(&mut placement, &engines, &demand("s", &[], &[])) == "i-near" {
+    while chosen(&mut placement, &engines, &request("s", &[], &[])) == "i-near" {
         send(&mut placement, "i-near", &[]);
         sent += 1;
         assert!(sent < 1_000, "a full region is never left");
@@ -70,27 +74,28 @@
 }
 
 #[test]
-fn a_full_region_is_left_the_later_the_longer_the_way() {
-    let (near, far) = (borne_first(5), borne_first(200));
+fn a_full_region_is_left_later_if_the_other_one_is_farther() {
+    let (near, far) = (requests_before_leaving(5), requests_before_leaving(200));
     assert!(near > 0 && near < far, "{near} {far}");
 }
 
 #[test]
-fn a_prompt_beyond_is_worth_what_it_saves() {
+fn a_prompt_cached_in_another_region_is_used_if_it_saves_more_than_the_latency() {
     let engines = [("i-beyond", "zone-c"), ("i-near", "zone-a")];
     for (tokens, expected) in [(20, "i-near"), (30_000, "i-beyond")] {
-        let mut placement = measured(40);
+        let mut placement = placement_with_latency(40);
         let parts = [part(1, tokens), part(2, tokens)];
         let forecast = send(&mut placement, "i-beyond", &parts);
         placement.on_ended(EngineKey::of("i-beyond"), forecast.missing);
-        let first = chosen(&mut placement, &engines, &demand("s", &parts, &[]));
+        let first = chosen(&mut placement, &engines, &request("s", &parts, &[]));
         assert_eq!(first, expected, "{tokens}");
     }
 }
 
-/// The own region is none of the request's: its sessions still spread by rank, the same at all gateways.
+/// The request may not be served in the gateway's region: sessions still spread by rank, the same at all
+/// gateways.
 #[test]
-fn sessions_without_a_region_near_them_stay_at_their_engines() {
+fn sessions_that_may_not_run_in_the_gateway_s_region_spread_over_the_engines() {
     let south = Residency::within(["south".to_owned()]);
     let regions = regions();
     let rule = ResidencyRule {
@@ -101,17 +106,17 @@
     let mut seen = std::collections::BTreeSet::new();
     for number in 0..40 {
         let key = format!("session-{number}");
-        let demand = PlacementRequest {
+        let request = PlacementRequest {
             rules: &[&rule],
-            ..demand(&key, &[], &[])
+            ..request(&key, &[], &[])
         };
-        seen.insert(chosen(&mut measured(40), &engines, &demand));
+        seen.insert(chosen(&mut placement_with_latency(40), &engines, &request));
     }
     assert_eq!(seen.len(), engines.len());
 }
 
 #[test]
-fn a_slow_connection_says_little_of_the_way_and_a_quick_one_much() {
+fn fast_connections_count_more_than_slow_ones() {
     let mut latencies = RegionLatencies::new(&regions(), "zone-a").expect("several regions");
     assert!(
         latencies.extra_ms("zone-c") > 0.0,
@@ -129,12 +134,12 @@
     assert!(latencies.changes().is_empty(), "nothing has changed since");
 }
 
-/// One engine for each number: its zone and the requests that are open there.
-fn same_choice_in_one_region(engines: Vec<(u8, u8)>, key: String, reads: Vec<u8>) -> bool {
+/// Each engine is given by its zone and its number of in-flight requests.
+fn same_choice_in_one_region(engines: Vec<(u8, u8)>, key: String, prefills: Vec<u8>) -> bool {
     let zones = ["zone-a", "zone-b", "zone-c"];
-    let of_one = zones.map(|zone| (zone, "north"));
-    let latencies = RegionLatencies::new(&ZoneRegions::from(of_one), "zone-a");
-    let is_unpaid = latencies.is_none();
+    let in_one_region = zones.map(|zone| (zone, "north"));
+    let latencies = RegionLatencies::new(&ZoneRegions::from(in_one_region), "zone-a");
+    let has_no_latencies = latencies.is_none();
     let mut placements = [
         Placement::default(),
         Placement::with_region_latencies(latencies),
@@ -154,9 +159,9 @@
                 send(placement, name, &[]);
             }
         }
-        for read in &reads {
-            let parts = [part(u64::from(*read), 2_000)];
-            if let Some(name) = names.get(usize::from(*read) % names.len().max(1)) {
+        for prefill in &prefills {
+            let parts = [part(u64::from(*prefill), 2_000)];
+            if let Some(name) = names.get(usize::from(*prefill) % names.len().max(1)) {
                 send(placement, name, &parts);
             }
         }
@@ -164,37 +169,37 @@
             choices.push(chosen(
                 placement,
                 &list,
-                &demand(&key, &[part(1, 2_000)], &[]),
+                &request(&key, &[part(1, 2_000)], &[]),
             ));
         }
     }
     choices.dedup();
-    is_unpaid && choices.len() <= 1
+    has_no_latencies && choices.len() <= 1
 }
 
 quickcheck! {
-    fn a_deployment_in_one_region_chooses_as_without_regions(engines: Vec<(u8, u8)>, key: String, reads: Vec<u8>) -> bool {
-        same_choice_in_one_region(engines, key, reads)
+    fn a_deployment_in_one_region_chooses_as_without_regions(engines: Vec<(u8, u8)>, key: String, prefills: Vec<u8>) -> bool {
+        same_choice_in_one_region(engines, key, prefills)
     }
 }
 
-/// Most engines stand beyond, so that those are the first by rank of all.
+/// With most engines in another region, the first by rank of all regions would be remote.
 #[test]
-fn few_engines_near_are_preferred_to_many_beyond() {
-    let beyond: Vec<String> = (0..30).map(|number| format!("i-beyond-{number}")).collect();
-    let mut engines: Vec<(&str, &str)> = beyond
+fn few_engines_in_the_gateway_s_region_are_preferred_to_many_remote_ones() {
+    let remote: Vec<String> = (0..30).map(|number| format!("i-beyond-{number}")).collect();
+    let mut engines: Vec<(&str, &str)> = remote
         .iter()
         .map(|name| (name.as_str(), "zone-c"))
         .collect();
     engines.push(("i-near", "zone-b"));
     for number in 0..20 {
-        let mut placement = measured(5);
+        let mut placement = placement_with_latency(5);
         for _ in 0..3 {
             send(&mut placement, "i-near", &[]);
         }
         let key = format!("session-{number}");
         assert_eq!(
-            chosen(&mut placement, &engines, &demand(&key, &[], &[])),
+            chosen(&mut placement, &engines, &request(&key, &[], &[])),
             "i-near"
         );
     }
--- a/crates/routing/tests/residency.rs
+++ b/crates/routing/tests/residency.rs
@@ -1,4 +1,4 @@
-//! Where requests may be served: over any regions, zones and engines.
+//! Residency of requests with arbitrary regions, zones and engines.
 
 mod support;
 
@@ -8,19 +8,19 @@
     ResidencyFaults, ResidencyRule, Route, RouteTable, Tenant, ZoneRegions, service_exclusion,
 };
 
-use support::{NOW, configuration, demand, engine, route, table};
+use support::{NOW, configuration, engine, request, route, table};
 
 const ZONES: [&str; 4] = ["zone-a", "zone-b", "zone-c", "zone-of-nobody"];
 const REGIONS: [&str; 4] = ["north", "south", "east", "unknown"];
 
-/// One deployment, and who may be served where.
+/// A deployment with the residencies of a route and a tenant.
 #[derive(Debug, Clone)]
 struct Case {
-    /// Regions of the zones that the settings name.
+    /// Regions of the zones in the settings.
     regions: [usize; 3],
     /// Zones of the engines.
     engines: Vec<usize>,
-    /// Regions of the route and of the tenant, if they have some.
+    /// Regions of the route and of the tenant; `None` for no restriction.
     route: Option<Vec<usize>>,
     tenant: Option<Vec<usize>>,
 }
@@ -62,7 +62,7 @@
         table
     }
 
-    /// Whether the engine's region is one of these, told without the code under test.
+    /// Whether the engine's region is allowed, computed without the code under test.
     fn is_allowed(&self, allowed: Option<&Vec<usize>>, engine: &Engine) -> bool {
         let Some(allowed) = allowed else {
             return true;
@@ -72,7 +72,7 @@
         region.is_some_and(|region| allowed.contains(region))
     }
 
-    fn may_serve(&self, engine: &Engine) -> bool {
+    fn is_eligible(&self, engine: &Engine) -> bool {
         self.is_allowed(self.route.as_ref(), engine)
             && self.is_allowed(self.tenant.as_ref(), engine)
     }
@@ -84,8 +84,9 @@
     })
 }
 
-/// A request goes to an engine that both route and tenant allow, whatever it costs there, and to none only where there is none.
-fn goes_where_it_may(case: Case) -> bool {
+/// A request goes to an engine that both route and tenant allow, at any cost, and to none only if no engine
+/// is allowed.
+fn chooses_an_eligible_engine(case: Case) -> bool {
     let regions = case.zone_regions();
     let residency = residency(case.route.as_ref()).and(&residency(case.tenant.as_ref()));
     let rule = ResidencyRule {
@@ -94,16 +95,16 @@
     };
     let table = case.table();
     let mut placement = Placement::default();
-    let demand = PlacementRequest {
+    let request = PlacementRequest {
         rules: &[&rule],
-        ..demand("session", &[], &[])
+        ..request("session", &[], &[])
     };
-    let chosen = placement.choose(&table, &demand, NOW);
-    let allows_any = table.engines().any(|engine| case.may_serve(engine));
+    let chosen = placement.choose(&table, &request, NOW);
+    let allows_any = table.engines().any(|engine| case.is_eligible(engine));
     let exclusion = service_exclusion(&table, "models", &[&rule]);
     let is_empty = case.engines.is_empty();
     match chosen {
-        Some(choice) => case.may_serve(choice.engine) && exclusion.is_none(),
+        Some(choice) => case.is_eligible(choice.engine) && exclusion.is_none(),
         None => !allows_any && (is_empty || exclusion == Some(Exclusion::Residency)),
     }
 }
@@ -112,24 +113,24 @@
 fn requests_go_only_where_route_and_tenant_allow() {
     QuickCheck::new()
         .tests(3_000)
-        .quickcheck(goes_where_it_may as fn(Case) -> bool);
+        .quickcheck(chooses_an_eligible_engine as fn(Case) -> bool);
 }
 
-/// Whether a region of the deployment may serve it, and whether all may.
-fn is_told_at_entry(case: Case) -> bool {
+/// Compares the checks of the regions with the eligibility of an engine in each zone.
+fn regions_agree_with_eligibility(case: Case) -> bool {
     let regions = case.zone_regions();
     let residency = residency(case.route.as_ref()).and(&residency(case.tenant.as_ref()));
-    let serves = |zone: &usize| case.may_serve(&engine("i", ZONES[*zone]));
+    let serves = |zone: &usize| case.is_eligible(&engine("i", ZONES[*zone]));
     let named: Vec<usize> = (0..case.regions.len()).collect();
     regions.allows_any(&residency) == named.iter().any(serves)
         && regions.allows_all(&residency) == named.iter().all(serves)
 }
 
 #[test]
-fn what_no_region_may_serve_is_known_before_any_engine_is_asked() {
+fn requests_that_no_region_may_serve_are_detected_without_engines() {
     QuickCheck::new()
         .tests(3_000)
-        .quickcheck(is_told_at_entry as fn(Case) -> bool);
+        .quickcheck(regions_agree_with_eligibility as fn(Case) -> bool);
 }
 
 #[test]
@@ -142,7 +143,7 @@
 }
 
 #[test]
-fn a_zone_that_nobody_names_is_allowed_only_where_any_region_is() {
+fn an_unknown_zone_is_allowed_only_if_any_region_is() {
     let regions = ZoneRegions::from([("zone-a", "north")]);
     let north = Residency::within(["north".to_owned()]);
     assert!(regions.allows(&north, "zone-a"));
@@ -157,14 +158,14 @@
         service_exclusion(&table, "models", &[&rule]),
         Some(Exclusion::Residency)
     );
-    let nothing_named = ZoneRegions::default();
-    assert!(!nothing_named.allows_any(&north));
-    assert!(!nothing_named.allows_all(&north));
-    assert!(nothing_named.allows_all(&Residency::anywhere()));
+    let no_zones = ZoneRegions::default();
+    assert!(!no_zones.allows_any(&north));
+    assert!(!no_zones.allows_all(&north));
+    assert!(no_zones.allows_all(&Residency::anywhere()));
 }
 
 #[test]
-fn what_the_deployment_cannot_give_is_told_by_name() {
+fn unsatisfiable_residencies_are_listed_by_name() {
     let regions = ZoneRegions::from([("zone-a", "north"), ("zone-b", "south")]);
     let within = |names: &[&str]| Residency::within(names.iter().map(|name| (*name).to_owned()));
     let named = |name: &str, residency: Residency, keeps_turns: bool| Route {
--- a/crates/routing/tests/routes.rs
+++ b/crates/routing/tests/routes.rs
@@ -1,4 +1,4 @@
-//! Which route and service a request belongs to.
+//! Matching of routes, and the split of requests among services.
 
 mod support;
 
@@ -29,8 +29,8 @@
     assert_eq!(found("three.example", "/a/"), None);
 }
 
-/// How far any service is off its weight after so many requests.
-fn worst_share_error(weights: &[u32], requests: usize) -> f64 {
+/// Largest deviation of a service from its weight after this many requests.
+fn max_share_error(weights: &[u32], requests: usize) -> f64 {
     let mut split = route("split", "one.example", "/a/");
     split.services = weights
         .iter()
@@ -49,8 +49,8 @@
     }
     let total: u32 = weights.iter().sum();
     let errors = weights.iter().zip(&counts).map(|(weight, count)| {
-        let wanted = f64::from(*weight) / f64::from(total) * requests as f64;
-        (f64::from(*count) - wanted).abs()
+        let expected = f64::from(*weight) / f64::from(total) * requests as f64;
+        (f64::from(*count) - expected).abs()
     });
     errors.fold(0.0, f64::max)
 }
@@ -58,31 +58,31 @@
 #[test]
 fn shares_follow_the_weights_in_any_run_of_requests() {
     for requests in 1..200 {
-        assert!(worst_share_error(&[90, 10], requests) <= 1.0);
-        assert!(worst_share_error(&[1, 1, 1], requests) <= 1.0);
+        assert!(max_share_error(&[90, 10], requests) <= 1.0);
+        assert!(max_share_error(&[1, 1, 1], requests) <= 1.0);
     }
 }
 
 #[test]
-fn a_service_without_weight_gets_nothing() {
-    assert!(worst_share_error(&[5, 0], 100) < f64::EPSILON);
+fn a_service_without_weight_gets_no_requests() {
+    assert!(max_share_error(&[5, 0], 100) < f64::EPSILON);
     let mut none = route("none", "one.example", "/a/");
     none.services.clear();
     assert_eq!(WeightedSplit::new(7).next(&none), None);
 }
 
 quickcheck! {
-    fn no_share_is_ever_far_off(weights: Vec<u8>, requests: u8) -> bool {
+    fn every_share_stays_near_its_weight(weights: Vec<u8>, requests: u8) -> bool {
         let weights: Vec<u32> = weights.into_iter().take(6).map(u32::from).collect();
         if weights.iter().sum::<u32>() == 0 {
             return true;
         }
-        worst_share_error(&weights, usize::from(requests)) <= weights.len() as f64
+        max_share_error(&weights, usize::from(requests)) <= weights.len() as f64
     }
 }
 
 #[test]
-fn shares_hold_over_many_gateways_that_see_a_few_requests_each() {
+fn weights_hold_over_many_gateways_with_few_requests_each() {
     const GATEWAYS: u64 = 300;
     const REQUESTS: u64 = 3;
     let mut split = route("split", "one.example", "/a/");
--- a/crates/routing/tests/service_model.rs
+++ b/crates/routing/tests/service_model.rs
@@ -1,14 +1,14 @@
-//! What is learned of a service's engines, from measurements as noisy as real ones.
+//! Estimates of a service's costs from noisy samples.
 
 use quickcheck::{TestResult, quickcheck};
 use ridgeworks_routing::{
     PrefillSample, SampleWindow, ServiceCosts, ServiceKey, ServiceModel, ServiceSummary, Turn,
 };
 
-/// A small linear congruential generator: the same numbers on each run.
-struct Draws(u64);
+/// A linear congruential generator with the same sequence in each run.
+struct Random(u64);
 
-impl Draws {
+impl Random {
     fn next(&mut self) -> f64 {
         self.0 = self
             .0
@@ -18,7 +18,7 @@
     }
 }
 
-/// An engine as its emulators on the users' bench describe it.
+/// A simulated engine.
 struct Engine {
     tokens_per_ms: f64,
     first_ms: f64,
@@ -28,33 +28,43 @@
 
 const EVENTS: u64 = 11;
 
-/// Readings of an engine that is busy at times, with some beliefs about its memory wrong.
-fn read(model: &mut ServiceModel, engine: &Engine, wrong: f64, draws: &mut Draws) {
-    let tokens = (200.0 + draws.next() * 4_000.0).floor();
-    let read = if draws.next() < wrong { 100.0 } else { tokens };
-    let queue_ms = draws.next().powi(2) * 1_000.0 / engine.tokens_per_ms;
+/// Samples a prefill at an engine that is busy at times, with wrong assumptions about its cache in some
+/// samples.
+fn sample_prefill(
+    model: &mut ServiceModel,
+    engine: &Engine,
+    wrong_fraction: f64,
+    random: &mut Random,
+) {
+    let tokens = (200.0 + random.next() * 4_000.0).floor();
+    let sample_prefill = if random.next() < wrong_fraction {
+        100.0
+    } else {
+        tokens
+    };
+    let queue_ms = random.next().powi(2) * 1_000.0 / engine.tokens_per_ms;
     model.on_prefill_sample(PrefillSample {
         tokens: tokens as u64,
-        first_ms: engine.first_ms + queue_ms + read / engine.tokens_per_ms,
+        first_ms: engine.first_ms + queue_ms + sample_prefill / engine.tokens_per_ms,
         is_certain: true,
     });
 }
 
-fn turn(model: &mut ServiceModel, engine: &Engine, draws: &mut Draws) {
-    let open = (draws.next() * 16.0).floor();
+fn sample_turn(model: &mut ServiceModel, engine: &Engine, random: &mut Random) {
+    let open = (random.next() * 16.0).floor();
     let step_ms = engine.step_ms + engine.growth_ms * open;
     model.on_turn(Turn {
-        turn_ms: step_ms * EVENTS as f64 + draws.next() * 100.0,
-        step_ms: Some(step_ms * (1.0 + draws.next() * 0.1)),
+        turn_ms: step_ms * EVENTS as f64 + random.next() * 100.0,
+        step_ms: Some(step_ms * (1.0 + random.next() * 0.1)),
         events: EVENTS,
         open: open as u32,
     });
 }
 
 #[test]
-fn reading_rates_are_learned_whatever_the_engines_are() {
+fn prefill_rates_of_slow_and_fast_engines_are_estimated() {
     for (seed, tokens_per_ms) in [20.0, 37.9, 90.0, 270.0, 400.0].into_iter().enumerate() {
-        let mut draws = Draws(seed as u64);
+        let mut random = Random(seed as u64);
         let engine = Engine {
             tokens_per_ms,
             first_ms: 5.0,
@@ -63,7 +73,7 @@
         };
         let mut model = ServiceModel::default();
         for _ in 0..200 {
-            read(&mut model, &engine, 0.15, &mut draws);
+            sample_prefill(&mut model, &engine, 0.15, &mut random);
         }
         let ratio = model.costs().tokens_per_ms / tokens_per_ms;
         assert!((0.7..1.4).contains(&ratio), "{tokens_per_ms}: {ratio}");
@@ -71,7 +81,7 @@
 }
 
 #[test]
-fn a_few_readings_tell_slow_engines_from_quick_ones() {
+fn two_prefills_distinguish_slow_engines_from_fast_ones() {
     let mut rates = Vec::new();
     for tokens_per_ms in [38.0, 270.0] {
         let mut model = ServiceModel::default();
@@ -90,8 +100,8 @@
 }
 
 #[test]
-fn the_rate_follows_engines_that_change() {
-    let mut draws = Draws(7);
+fn the_prefill_rate_follows_a_change_of_the_engines() {
+    let mut random = Random(7);
     let mut model = ServiceModel::default();
     for tokens_per_ms in [270.0, 38.0] {
         let engine = Engine {
@@ -101,7 +111,7 @@
             growth_ms: 0.1,
         };
         for _ in 0..300 {
-            read(&mut model, &engine, 0.1, &mut draws);
+            sample_prefill(&mut model, &engine, 0.1, &mut random);
         }
     }
     let rate = model.costs().tokens_per_ms;
@@ -109,17 +119,17 @@
 }
 
 #[test]
-fn the_growth_of_a_batch_s_steps_is_learned() {
+fn the_slowdown_of_a_batch_is_estimated() {
     let engine = Engine {
         tokens_per_ms: 38.0,
         first_ms: 5.0,
         step_ms: 14.0,
         growth_ms: 0.46,
     };
-    let mut draws = Draws(3);
+    let mut random = Random(3);
     let mut model = ServiceModel::default();
     for _ in 0..200 {
-        turn(&mut model, &engine, &mut draws);
+        sample_turn(&mut model, &engine, &mut random);
     }
     let share = model.costs().share_ms;
     let exact = engine.growth_ms * EVENTS as f64;
@@ -130,27 +140,27 @@
 }
 
 #[test]
-fn a_gateway_that_starts_takes_over_what_others_tell() {
+fn a_gateway_without_samples_uses_received_summaries_and_sends_none() {
     let mut model = ServiceModel::default();
-    let heard = ServiceSummary {
+    let received = ServiceSummary {
         service: 1,
         tokens_per_s: 38_000,
         share_us: 5_000,
         turn_us: 700_000,
     };
-    model.on_summary(heard);
+    model.on_summary(received);
     let expected = ServiceCosts {
         tokens_per_ms: 38.0,
         share_ms: 5.0,
         turn_ms: 700.0,
     };
     assert_eq!(model.costs(), expected);
-    // It has measured nothing itself, so it confirms nothing to others.
+    // The gateway has no samples of its own, so it sends no summary.
     assert_eq!(model.summary(ServiceKey(1)), None);
 }
 
 #[test]
-fn a_slope_needs_pairs_that_differ() {
+fn a_slope_needs_a_spread_of_x() {
     let mut window = SampleWindow::default();
     for _ in 0..50 {
         window.push(100.0, 7.0);
@@ -164,17 +174,17 @@
 }
 
 quickcheck! {
-    /// Whatever is measured or told, costs stay numbers that a choice can be made with.
-    fn costs_stay_finite(readings: Vec<(u64, f64)>, turns: Vec<(f64, f64, u64)>, told: Vec<(u32, u32, u32)>) -> TestResult {
+    /// Costs are finite and usable for any samples and summaries.
+    fn costs_stay_finite(prefills: Vec<(u64, f64)>, turns: Vec<(f64, f64, u64)>, summaries: Vec<(u32, u32, u32)>) -> TestResult {
         let mut model = ServiceModel::default();
-        for (tokens, first_ms) in readings {
+        for (tokens, first_ms) in prefills {
             model.on_prefill_sample(PrefillSample { tokens, first_ms, is_certain: true });
         }
         for (turn_ms, step_ms, events) in turns {
             let step_ms = Some(step_ms);
             model.on_turn(Turn { turn_ms, step_ms, events, open: 3 });
         }
-        for (tokens_per_s, share_us, turn_us) in told {
+        for (tokens_per_s, share_us, turn_us) in summaries {
             model.on_summary(ServiceSummary { service: 1, tokens_per_s, share_us, turn_us });
         }
         let costs = model.costs();
--- a/crates/routing/tests/support/mod.rs
+++ b/crates/routing/tests/support/mod.rs
@@ -80,7 +80,7 @@
 
 pub const NOW: Duration = Duration::from_secs(1);
 
-pub fn demand<'a>(
+pub fn request<'a>(
     key: &'a str,
     parts: &'a [PromptPart],
     excluded: &'a [String],
@@ -99,10 +99,10 @@
 pub fn choose(
     placement: &mut Placement,
     table: &EngineTable,
-    demand: &PlacementRequest<'_>,
+    request: &PlacementRequest<'_>,
     now: Duration,
 ) -> Option<String> {
-    let choice = placement.choose(table, demand, now)?;
+    let choice = placement.choose(table, request, now)?;
     Some(choice.engine.instance.clone())
 }
 
--- a/crates/routing/tests/warm_up.rs
+++ b/crates/routing/tests/warm_up.rs
@@ -1,4 +1,4 @@
-//! Which engines warm up, by whatever says so.
+//! Detection of engines that are warming up.
 
 mod support;
 
@@ -22,7 +22,7 @@
 }
 
 /// An engine whose first entry says that it is warm.
-fn listed(born_ms: u64) -> Engine {
+fn warm_engine(born_ms: u64) -> Engine {
     Engine {
         born_ms,
         ..engine("i-1", "zone-a")
@@ -39,22 +39,22 @@
     }
 }
 
-struct Known {
+struct Tracker {
     engines: WarmUps,
 }
 
-impl Known {
+impl Tracker {
     fn list(&mut self, entries: &[EngineEntry], now: u64) {
         self.engines.on_list(entries.iter(), &limits(), at(now));
     }
 
-    /// Whose first list holds one engine that is warm.
-    fn with(engine: &Engine) -> Self {
-        let mut known = Self {
+    /// A tracker whose first list contains one warm engine.
+    fn with_first_list(engine: &Engine) -> Self {
+        let mut tracker = Self {
             engines: WarmUps::default(),
         };
-        known.list(&[entry(engine, 1, 0)], 0);
-        known
+        tracker.list(&[entry(engine, 1, 0)], 0);
+        tracker
     }
 
     fn is_warming(&self, engine: &Engine, now: u64) -> bool {
@@ -67,124 +67,131 @@
 }
 
 #[test]
-fn an_engine_of_the_first_list_warms_up_for_as_long_as_its_entry_says() {
-    let (warm, fresh) = (listed(1), engine("i-2", "zone-a"));
-    let mut known = Known::with(&warm);
-    assert!(!known.is_warming(&warm, 1));
-    known.list(&[entry(&warm, 1, 0), entry(&fresh, 2, 1_000)], 100);
-    assert!(known.is_warming(&fresh, 1_099));
-    assert!(!known.is_warming(&warm, 1_099));
-    assert!(!known.is_warming(&fresh, 1_101));
-    // The same entry once more is no news.
-    known.list(&[entry(&fresh, 2, 1_000)], 3_000);
-    assert!(!known.is_warming(&fresh, 3_001));
+fn an_engine_warms_up_for_as_long_as_its_entry_says() {
+    let (warm, cold) = (warm_engine(1), engine("i-2", "zone-a"));
+    let mut tracker = Tracker::with_first_list(&warm);
+    assert!(!tracker.is_warming(&warm, 1));
+    tracker.list(&[entry(&warm, 1, 0), entry(&cold, 2, 1_000)], 100);
+    assert!(tracker.is_warming(&cold, 1_099));
+    assert!(!tracker.is_warming(&warm, 1_099));
+    assert!(!tracker.is_warming(&cold, 1_101));
+    // The same entry again changes nothing.
+    tracker.list(&[entry(&cold, 2, 1_000)], 3_000);
+    assert!(!tracker.is_warming(&cold, 3_001));
 }
 
 #[test]
-fn an_engine_that_appears_is_presumed_to_warm_up_until_it_says_otherwise() {
-    let (first, new) = (listed(1), engine("i-2", "zone-a"));
-    let mut known = Known::with(&first);
-    known.list(&[entry(&first, 1, 0), entry(&new, 2, 0)], 100);
-    assert!(known.is_warming(&new, 4_099));
-    assert!(!known.is_warming(&new, 4_101));
-
-    let mut known = Known::with(&first);
-    known.list(&[entry(&new, 2, 0)], 100);
-    known.list(&[entry(&new, 3, 0)], 200);
-    assert!(!known.is_warming(&new, 300), "its later entry says so");
-
-    let mut known = Known::with(&first);
-    known.list(&[entry(&new, 2, 0)], 100);
-    known
+fn a_newly_listed_engine_is_presumed_to_warm_up_until_an_entry_or_answer_says_otherwise() {
+    let (first, new) = (warm_engine(1), engine("i-2", "zone-a"));
+    let mut tracker = Tracker::with_first_list(&first);
+    tracker.list(&[entry(&first, 1, 0), entry(&new, 2, 0)], 100);
+    assert!(tracker.is_warming(&new, 4_099));
+    assert!(!tracker.is_warming(&new, 4_101));
+
+    let mut tracker = Tracker::with_first_list(&first);
+    tracker.list(&[entry(&new, 2, 0)], 100);
+    tracker.list(&[entry(&new, 3, 0)], 200);
+    assert!(!tracker.is_warming(&new, 300), "its later entry says so");
+
+    let mut tracker = Tracker::with_first_list(&first);
+    tracker.list(&[entry(&new, 2, 0)], 100);
+    tracker
         .engines
         .on_answer(&new, LIMIT, Duration::ZERO, at(200));
-    assert!(!known.is_warming(&new, 300), "its answer says so");
+    assert!(!tracker.is_warming(&new, 300), "its answer says so");
 }
 
 #[test]
-fn a_run_that_was_listed_before_does_not_appear_and_another_run_does() {
-    let first = listed(1);
-    let mut known = Known::with(&first);
-    // The store lost the entry and has it again.
-    known.list(&[], 1_000);
-    known.list(&[entry(&first, 7, 0)], 2_000);
-    assert!(!known.is_warming(&first, 2_001));
-    let second = listed(2);
-    known.list(&[entry(&second, 8, 0)], 3_000);
-    assert!(known.is_warming(&second, 3_001));
-    assert!(!known.is_warming(&first, 3_001), "what ended with its run");
+fn a_run_that_is_listed_again_is_not_new_but_another_run_is() {
+    let first = warm_engine(1);
+    let mut tracker = Tracker::with_first_list(&first);
+    // The store lost the entry and listed it again.
+    tracker.list(&[], 1_000);
+    tracker.list(&[entry(&first, 7, 0)], 2_000);
+    assert!(!tracker.is_warming(&first, 2_001));
+    let second = warm_engine(2);
+    tracker.list(&[entry(&second, 8, 0)], 3_000);
+    assert!(tracker.is_warming(&second, 3_001));
+    assert!(
+        !tracker.is_warming(&first, 3_001),
+        "what ended with its run"
+    );
 }
 
 #[test]
-fn an_answer_counts_also_where_an_entry_that_was_written_before_says_nothing() {
-    let engine = listed(1);
-    let mut known = Known::with(&engine);
-    known.engines.on_answer(&engine, LIMIT, at(2_000), at(100));
-    known.list(&[entry(&engine, 2, 0)], 200);
-    assert!(known.is_warming(&engine, 2_099));
-    known
+fn an_entry_without_a_warm_up_does_not_override_an_answer() {
+    let engine = warm_engine(1);
+    let mut tracker = Tracker::with_first_list(&engine);
+    tracker
+        .engines
+        .on_answer(&engine, LIMIT, at(2_000), at(100));
+    tracker.list(&[entry(&engine, 2, 0)], 200);
+    assert!(tracker.is_warming(&engine, 2_099));
+    tracker
         .engines
         .on_answer(&engine, LIMIT, Duration::ZERO, at(300));
-    assert!(!known.is_warming(&engine, 301));
+    assert!(!tracker.is_warming(&engine, 301));
 }
 
 #[test]
-fn an_engine_that_was_found_away_or_whose_zone_is_taken_back_is_presumed_to_warm_up() {
-    let engine = listed(1);
-    let mut known = Known::with(&engine);
-    known.engines.on_unreachable(&engine, LIMIT, at(100));
-    // An entry that was written before says nothing of it.
-    known.list(&[entry(&engine, 2, 0)], 200);
-    assert!(known.is_warming(&engine, 9_000));
-    known.engines.on_reached(engine.key(), at(9_000));
-    assert!(known.is_warming(&engine, 12_999));
-    assert!(!known.is_warming(&engine, 13_001));
-    // It may be gone for good, or gone for this gateway alone.
-    known.engines.on_unreachable(&engine, LIMIT, at(20_000));
-    assert!(known.is_warming(&engine, 34_999));
-    assert!(!known.is_warming(&engine, 35_001));
-
-    let mut known = Known::with(&engine);
+fn an_engine_is_presumed_to_warm_up_after_it_was_unreachable_or_its_zone_drained() {
+    let engine = warm_engine(1);
+    let mut tracker = Tracker::with_first_list(&engine);
+    tracker.engines.on_unreachable(&engine, LIMIT, at(100));
+    // The entry was written before and does not mention a restart.
+    tracker.list(&[entry(&engine, 2, 0)], 200);
+    assert!(tracker.is_warming(&engine, 9_000));
+    tracker.engines.on_reached(engine.key(), at(9_000));
+    assert!(tracker.is_warming(&engine, 12_999));
+    assert!(!tracker.is_warming(&engine, 13_001));
+    // The engine may be gone, or unreachable only for this gateway.
+    tracker.engines.on_unreachable(&engine, LIMIT, at(20_000));
+    assert!(tracker.is_warming(&engine, 34_999));
+    assert!(!tracker.is_warming(&engine, 35_001));
+
+    let mut tracker = Tracker::with_first_list(&engine);
     let own = [engine.clone()];
-    known.engines.on_drain_ended(own.iter(), &limits(), at(100));
-    assert!(known.is_warming(&engine, 4_099));
-    let news = known.engines.news(at(200));
+    tracker
+        .engines
+        .on_drain_ended(own.iter(), &limits(), at(100));
+    assert!(tracker.is_warming(&engine, 4_099));
+    let news = tracker.engines.news(at(200));
     assert_eq!(news[0].source, WarmUpSource::DrainEnded);
     assert_eq!(news[0].left, Some(at(3_900)));
-    assert!(known.engines.news(at(300)).is_empty(), "told once");
-    assert_eq!(known.engines.news(at(4_200))[0].left, None);
+    assert!(tracker.engines.news(at(300)).is_empty(), "told once");
+    assert_eq!(tracker.engines.news(at(4_200))[0].left, None);
 }
 
 #[test]
-fn its_share_grows_without_a_step_once_it_is_warm() {
-    let engine = listed(1);
-    let mut known = Known::with(&engine);
-    known.list(&[entry(&engine, 2, 1_000)], 0);
+fn the_share_of_a_warm_engine_ramps_up_gradually() {
+    let engine = warm_engine(1);
+    let mut tracker = Tracker::with_first_list(&engine);
+    tracker.list(&[entry(&engine, 2, 1_000)], 0);
     let shares: Vec<f64> = (1_000..=3_000)
         .step_by(100)
-        .map(|now| known.share(&engine, now))
+        .map(|now| tracker.share(&engine, now))
         .collect();
     assert_eq!(shares[0], 0.0);
     assert_eq!(shares.last(), Some(&1.0));
     let steps = shares.windows(2).map(|pair| pair[1] - pair[0]);
     steps.for_each(|step| assert!((0.0..0.06).contains(&step), "{step}"));
-    assert!(known.engines.has_limited_engines("models", at(2_900)));
-    assert!(!known.engines.has_limited_engines("models", at(3_001)));
-    // So it does where its entry ends the warm-up early.
-    known.list(&[entry(&engine, 3, 9_000)], 4_000);
-    known.list(&[entry(&engine, 4, 0)], 5_000);
-    assert!(known.share(&engine, 5_100) < 0.1);
+    assert!(tracker.engines.has_limited_engines("models", at(2_900)));
+    assert!(!tracker.engines.has_limited_engines("models", at(3_001)));
+    // The share also ramps up if an entry ends the warm-up early.
+    tracker.list(&[entry(&engine, 3, 9_000)], 4_000);
+    tracker.list(&[entry(&engine, 4, 0)], 5_000);
+    assert!(tracker.share(&engine, 5_100) < 0.1);
 }
 
 #[test]
-fn a_service_that_needs_no_care_has_no_engine_that_warms_up() {
-    let engine = listed(1);
+fn a_service_without_a_limit_has_no_engine_that_warms_up() {
+    let engine = warm_engine(1);
     let mut engines = WarmUps::default();
     let entries = [entry(&engine, 1, 5_000)];
     engines.on_list(entries.iter(), &HashMap::new(), at(0));
     assert_eq!(engines.share(engine.key(), at(1)), 1.0);
     assert!(!engines.has_limited_engines("models", at(1)));
-    // Those that are there when it begins to need care have run for long.
+    // Engines that are listed when the limit is introduced may have run for long.
     engines.on_list([entry(&engine, 2, 0)].iter(), &limits(), at(10));
     assert_eq!(engines.share(engine.key(), at(11)), 1.0);
 }
--- a/crates/routing/tests/zone_drains.rs
+++ b/crates/routing/tests/zone_drains.rs
@@ -1,4 +1,4 @@
-//! Tables of drained zones, as they come from the store and from other nodes.
+//! Tables of drained zones from the store and from other nodes.
 
 mod support;
 
@@ -22,68 +22,69 @@
     (zone.to_owned(), Some(revision))
 }
 
-fn end(zone: &str) -> (String, Option<u64>) {
+fn removed(zone: &str) -> (String, Option<u64>) {
     (zone.to_owned(), None)
 }
 
-fn ordered(zone: &str, revision: u64) -> DrainChange {
+fn started(zone: &str, revision: u64) -> DrainChange {
     let zone = zone.to_owned();
     DrainChange::Started { zone, revision }
 }
 
-fn taken_back(zone: &str) -> DrainChange {
+fn ended(zone: &str) -> DrainChange {
     let zone = zone.to_owned();
     DrainChange::Ended { zone }
 }
 
 #[test]
-fn the_table_of_the_later_revision_is_in_force() {
+fn the_table_with_the_later_revision_replaces_the_other() {
     let mut table = ZoneDrains::default();
-    assert_eq!(table.take(listed(&[("a", 5)], 9)), [ordered("a", 5)]);
+    assert_eq!(table.take(listed(&[("a", 5)], 9)), [started("a", 5)]);
     assert_eq!(table.take(listed(&[], 8)), [], "an older one");
     assert!(table.is_drained("a"));
     let changes = table.take(listed(&[("a", 12), ("b", 11)], 13));
-    let repeated = DrainChange::Rewritten {
+    let rewritten = DrainChange::Rewritten {
         zone: "a".to_owned(),
         revision: 12,
     };
-    assert_eq!(changes, [repeated, ordered("b", 11)]);
-    assert_eq!(table.take(listed(&[("b", 11)], 20)), [taken_back("a")]);
+    assert_eq!(changes, [rewritten, started("b", 11)]);
+    assert_eq!(table.take(listed(&[("b", 11)], 20)), [ended("a")]);
 }
 
-/// A node that took the table from another one in the meantime hears of the same changes once more from the store.
+/// A node that took the table from another node receives the same changes again from the store.
 #[test]
-fn changes_that_are_in_the_table_already_do_no_harm() {
+fn applying_a_change_again_has_no_effect() {
     let table = listed(&[("b", 7)], 9);
-    let changes = [order("a", 4), end("a"), order("b", 7), order("c", 10)];
+    let changes = [order("a", 4), removed("a"), order("b", 7), order("c", 10)];
     let next = table.after(&changes, 10);
     let orders: Vec<_> = next.orders().collect();
     assert_eq!(orders, [("b", 7), ("c", 10)]);
     assert_eq!((next.at(), next.newest()), (10, 10));
 }
 
-/// A list that names no order says nothing of the orders that there were: whoever knows one from before must not take it for confirmed.
+/// A list without an order does not show whether there was one before, so a node that knows one must not take
+/// it as confirmed.
 #[test]
-fn a_list_proves_nothing_of_the_time_before() {
+fn a_list_does_not_confirm_orders_from_before_it() {
     let before = listed(&[("a", 50)], 60);
     let fresh = listed(&[], 100);
     assert!(fresh.newest() > before.at());
 }
 
 #[test]
-fn a_table_that_goes_on_from_the_known_one_keeps_since_when_it_has_not_changed() {
+fn an_equal_table_that_overlaps_in_time_keeps_the_revision_of_the_last_change() {
     let mut table = listed(&[("a", 5)], 9).after(&[], 40);
     assert_eq!((table.at(), table.newest()), (40, 9));
-    // Another node listed the same at 30, so nothing came between.
+    // Another node listed the same orders at 30, so there was no change in between.
     assert_eq!(table.take(listed(&[("a", 5)], 30).after(&[], 50)), []);
     assert_eq!((table.at(), table.newest()), (50, 9));
-    // What was there between 50 and 70 nobody knows.
+    // There may have been changes between 50 and 70.
     assert_eq!(table.take(listed(&[("a", 5)], 70)), []);
     assert_eq!((table.at(), table.newest()), (70, 70));
 }
 
 #[test]
-fn a_service_is_barred_only_where_all_its_engines_stand_in_drained_zones() {
+fn a_service_is_excluded_only_if_all_its_engines_are_in_drained_zones() {
     let (first, second) = (engine("i-1", "a"), engine("i-2", "b"));
     let engines = table([first.clone(), second.clone()]);
     let one = listed(&[("a", 1)], 1);
@@ -98,7 +99,7 @@
 const GATEWAYS: usize = 20;
 const SESSIONS: usize = 12;
 
-/// The engines that get the next turns of all sessions of all gateways, none of which knows the others' load.
+/// Counts the next turns of all sessions by engine; no gateway knows the load of the others.
 fn next_turns(
     gateways: &mut [Placement],
     engines: &EngineTable,
@@ -110,7 +111,7 @@
             let key = format!("session-{number}-{session}");
             let hash = (number * SESSIONS + session) as u64 + 1;
             let parts = [PromptPart { hash, tokens: 500 }];
-            let demand = PlacementRequest {
+            let request = PlacementRequest {
                 service: "models",
                 key: &key,
                 parts: &parts,
@@ -118,7 +119,7 @@
                 excluded: &[],
                 rules,
             };
-            let chosen = placement.choose(engines, &demand, Duration::ZERO);
+            let chosen = placement.choose(engines, &request, Duration::ZERO);
             let chosen = chosen.expect("an engine").engine.clone();
             placement.on_sent(&key, &chosen, &parts);
             *turns.entry(chosen.instance).or_default() += 1;
@@ -136,8 +137,9 @@
     }))
 }
 
-/// The engines that get the turns after a zone was drained, of gateways that have heard of these open requests.
-fn after_a_drain(open: &[(EngineKey, u32)]) -> BTreeMap<String, usize> {
+/// Counts the turns by engine after a zone was drained; all gateways received a report of these in-flight
+/// requests.
+fn turns_after_a_drain(open: &[(EngineKey, u32)]) -> BTreeMap<String, usize> {
     let engines = three_zones();
     let mut gateways: Vec<Placement> = (0..GATEWAYS).map(|_| Placement::default()).collect();
     next_turns(&mut gateways, &engines, &[]);
@@ -154,10 +156,10 @@
     turns
 }
 
-/// Sessions whose engines are drained all at one moment go to all others, not to the same ones.
+/// Sessions that lose their engines all at once must not flock to the same engines.
 #[test]
-fn sessions_of_a_drained_zone_are_spread_over_the_others() {
-    let turns = after_a_drain(&[]);
+fn sessions_of_a_drained_zone_spread_over_the_other_engines() {
+    let turns = turns_after_a_drain(&[]);
     assert_eq!(turns.len(), 12);
     let mean = GATEWAYS * SESSIONS / turns.len();
     for (instance, turns) in &turns {
@@ -166,10 +168,10 @@
 }
 
 #[test]
-fn sessions_of_a_drained_zone_go_where_there_is_room() {
+fn sessions_of_a_drained_zone_avoid_a_loaded_engine() {
     const FULL: &str = "b-1";
     let full = [(engine(FULL, "b").key(), 40)];
-    let turns = after_a_drain(&full);
+    let turns = turns_after_a_drain(&full);
     let there = turns.get(FULL).copied().unwrap_or_default();
     let mean = GATEWAYS * SESSIONS / 12;
     assert!(there < mean / 2, "{there} for {mean}");
