--- a/crates/quota/src/limiter_selector.rs
+++ b/crates/quota/src/limiter_selector.rs
@@ -42,11 +42,11 @@
 impl TenantState {
     /// When the first limiter has a token again; `None` if none is known to be exhausted.
     fn next_available_at(&self, progress: ProgramProgress) -> Option<Duration> {
-        let exhausted_until = self
+        let exhausted = self
             .exhausted_until
             .iter()
             .filter(|((_, of), _)| *of == progress);
-        exhausted_until.map(|(_, until)| *until).min()
+        exhausted.map(|(_, until)| *until).min()
     }
 }
 
@@ -114,11 +114,11 @@
         retry: Duration,
         now: Duration,
     ) {
-        let exhausted_until = next.max(retry.mul_f64(EXHAUSTED_FRACTION));
+        let exhausted_for = next.max(retry.mul_f64(EXHAUSTED_FRACTION));
         if let Some(state) = self.tenants.get_mut(tenant) {
             state
                 .exhausted_until
-                .insert((limiter, progress), now + exhausted_until);
+                .insert((limiter, progress), now + exhausted_for);
         }
     }
 
--- a/crates/quota/src/share.rs
+++ b/crates/quota/src/share.rs
@@ -11,8 +11,8 @@
 /// twice within a window while the tenant uses its whole limit.
 const INITIAL_FRACTION: f64 = 0.15;
 
-/// Guarantee for the limits of tenants: in every window a tenant makes at most `(rate × window + burst) × (1
-/// + overshoot) + slack` requests.
+/// Guarantee for the limits of tenants: in every window a tenant makes at most
+/// `(rate × window + burst) × (1 + overshoot) + slack` requests.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct QuotaBounds {
     /// Length of a sliding window.
--- a/crates/quota/tests/simulation.rs
+++ b/crates/quota/tests/simulation.rs
@@ -37,12 +37,12 @@
 fn run_schedules(make: MakeAlgorithm, schedules: u64, conditions: Conditions) -> Totals {
     let mut totals = Totals::default();
     for seed in 0..schedules {
-        for seen in run_schedule(make, seed, conditions) {
-            totals.asked += seen.asked;
-            totals.refused += seen.refused;
-            totals.unknown += seen.unknown;
-            totals.fullest = totals.fullest.max(seen.fullest);
-            totals.broken += usize::from(seen.fullest > 1.0);
+        for results in run_schedule(make, seed, conditions) {
+            totals.asked += results.asked;
+            totals.refused += results.refused;
+            totals.unknown += results.unknown;
+            totals.fullest = totals.fullest.max(results.fullest);
+            totals.broken += usize::from(results.fullest > 1.0);
         }
     }
     totals
@@ -98,8 +98,12 @@
 #[test]
 fn alternative_algorithms_break_the_bound() {
     for (name, make, schedules) in [
-        ("one keeper", SingleLimiter::make as MakeAlgorithm, 100),
-        ("told counts", GossipedCounts::make, 10),
+        (
+            "one limiter for each tenant",
+            SingleLimiter::make as MakeAlgorithm,
+            100,
+        ),
+        ("gossiped counts", GossipedCounts::make, 10),
         (
             "limiters that start full",
             Shares::make_full_after_restart,
@@ -138,7 +142,7 @@
     assert_eq!(
         granted(&mut limiter, limit(500), 3, later),
         0,
-        "raised, and still empty"
+        "a raised limit does not fill the bucket"
     );
     let filled = later + Duration::from_secs(1);
     assert!(granted(&mut limiter, limit(500), 3, filled) >= 499);
@@ -150,7 +154,7 @@
     granted(&mut limiter, limit(5), 2, Duration::from_secs(10));
     let later = Duration::from_secs(60);
     limiter.clean_up(later);
-    assert!(limiter.is_empty(), "nothing was taken lately");
+    assert!(limiter.is_empty(), "the bucket is full again");
     // A gateway that does not know the lower limit.
     let full = share(limit(5), &BOUNDS, 1).capacity as usize;
     assert_eq!(granted(&mut limiter, limit(500), 1, later), full);
@@ -197,7 +201,7 @@
         let LimiterDecision::Exhausted { next, retry } =
             limiter.admit("a", ProgramProgress::UnderWay, limit(10), 1, now)
         else {
-            panic!("nothing is left");
+            panic!("a request was granted from an empty bucket");
         };
         assert!(next <= Duration::from_millis(100));
         assert!(retry > earlier && retry <= BOUNDS.window, "{retry:?}");
@@ -223,7 +227,7 @@
         let LimiterSelection::Ask(order) =
             selector.next("a", ProgramProgress::UnderWay, &keys, now, &mut random)
         else {
-            panic!("all are open");
+            panic!("no limiter was selected although all are available");
         };
         assert_eq!(order.last(), Some(&keys[1].key));
     }
@@ -320,7 +324,7 @@
         completed_fraction(&programs(false)),
     );
     println!(
-        "carried out of what there is room for: {with_progress:.3} told, {without_progress:.3} not told"
+        "completed of what the limit allows: {with_progress:.3} with progress, {without_progress:.3} without"
     );
     assert!(with_progress > 0.85, "{with_progress}");
     assert!(
--- a/crates/quota/tests/support/mod.rs
+++ b/crates/quota/tests/support/mod.rs
@@ -100,7 +100,7 @@
     let limits: Vec<RateLimit> = (0..3).map(|_| draw_limit(&mut random)).collect();
     let mut algorithm = make(gateways, limiters, &limits);
     let faults = Faults::draw(&mut random, gateways, limiters, conditions.faults);
-    let mut seen = Vec::new();
+    let mut results = Vec::new();
     let mut arrivals = draw_arrivals(&mut random, &limits, conditions.load);
     arrivals.sort_unstable();
     let mut ran: Vec<Vec<Ran>> = limits.iter().map(|_| Vec::new()).collect();
@@ -138,14 +138,14 @@
     }
     for (tenant, limit) in limits.iter().enumerate() {
         let (asked, refused, unknown) = counts[tenant];
-        seen.push(TenantResults {
+        results.push(TenantResults {
             asked,
             refused,
             unknown,
             fullest: fullest(&ran[tenant]) as f64 / BOUNDS.most(*limit),
         });
     }
-    seen
+    results
 }
 
 /// Log-uniform from one request in two seconds to some tens per second.
--- a/crates/quota/tests/support/warm_up_algorithms.rs
+++ b/crates/quota/tests/support/warm_up_algorithms.rs
@@ -21,19 +21,19 @@
 
 /// A safeguard that is disabled.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Without {
+enum DisabledSafeguard {
     Nothing,
     /// Grants do not expire.
     Lifetime,
     /// A limiter grants requests right after its start.
-    SilentStart,
+    StartDelay,
     /// Each limiter has the engine's whole limit.
     Split,
 }
 
 /// The implemented algorithm: limiters make grants.
 pub struct Grants {
-    without: Without,
+    disabled: DisabledSafeguard,
     pools: Vec<GrantPool>,
     /// The limiters, and the replacement of the first one.
     limiters: Vec<GrantLimiter>,
@@ -44,29 +44,29 @@
 
 impl Grants {
     pub fn make(deployment: &Deployment) -> Box<dyn WarmUpAlgorithm> {
-        Box::new(Self::new(deployment, Without::Nothing))
+        Box::new(Self::new(deployment, DisabledSafeguard::Nothing))
     }
 
     pub fn without_lifetime(deployment: &Deployment) -> Box<dyn WarmUpAlgorithm> {
-        Box::new(Self::new(deployment, Without::Lifetime))
+        Box::new(Self::new(deployment, DisabledSafeguard::Lifetime))
     }
 
-    pub fn without_silent_start(deployment: &Deployment) -> Box<dyn WarmUpAlgorithm> {
-        Box::new(Self::new(deployment, Without::SilentStart))
+    pub fn without_start_delay(deployment: &Deployment) -> Box<dyn WarmUpAlgorithm> {
+        Box::new(Self::new(deployment, DisabledSafeguard::StartDelay))
     }
 
     pub fn without_split(deployment: &Deployment) -> Box<dyn WarmUpAlgorithm> {
-        Box::new(Self::new(deployment, Without::Split))
+        Box::new(Self::new(deployment, DisabledSafeguard::Split))
     }
 
-    fn new(deployment: &Deployment, without: Without) -> Self {
-        let split = match without {
-            Without::Split => 1,
+    fn new(deployment: &Deployment, disabled: DisabledSafeguard) -> Self {
+        let split = match disabled {
+            DisabledSafeguard::Split => 1,
             _ => deployment.limiters,
         };
         let fresh = || GrantLimiter::new(WARM_UP_BOUNDS, split, Duration::ZERO);
         Self {
-            without,
+            disabled,
             pools: (0..deployment.gateways)
                 .map(|_| GrantPool::default())
                 .collect(),
@@ -93,7 +93,7 @@
         let pool = &mut self.pools[gateway];
         match pool.next(KEY, ENGINE, &candidates, now, context.random) {
             GrantState::Available => Decision::Send,
-            GrantState::Closed(_) => Decision::PassOver,
+            GrantState::Closed(_) => Decision::Skip,
             GrantState::Ask(order) => Decision::Ask(order),
         }
     }
@@ -106,16 +106,16 @@
         self.pools[gateway].on_exhausted(KEY, ENGINE, from, wait, now);
     }
 
-    fn on_silent(&mut self, gateway: usize, from: LimiterKey, now: Duration) {
+    fn on_unresponsive(&mut self, gateway: usize, from: LimiterKey, now: Duration) {
         self.unresponsive_until[gateway][from.0 as usize] = now + UNRESPONSIVE_TIME;
     }
 
     fn may_send(&self, asked: Duration, now: Duration) -> bool {
-        self.without == Without::Lifetime || now < asked + GRANT_LIFETIME
+        self.disabled == DisabledSafeguard::Lifetime || now < asked + GRANT_LIFETIME
     }
 
     fn restart(&mut self, limiter: usize, now: Duration) {
-        let since = if self.without == Without::SilentStart {
+        let since = if self.disabled == DisabledSafeguard::StartDelay {
             now.saturating_sub(Duration::from_secs(5))
         } else {
             now
@@ -164,7 +164,7 @@
         *level = (*level + (context.now - *at).as_secs_f64() * per_s).min(1.0);
         *at = context.now;
         if *level < 1.0 {
-            return Decision::PassOver;
+            return Decision::Skip;
         }
         *level -= 1.0;
         Decision::Send
@@ -197,19 +197,19 @@
         context: &mut Context<'_>,
     ) -> Decision {
         let before = (0..deployment.gateways).filter(|other| {
-            let is_heard = !context.is_cut(gateway) && !context.is_cut(*other);
-            let is_believed = is_heard && !deployment.is_gone(*other, context.now);
-            is_believed && self.ranks[*other] > self.ranks[gateway]
+            let is_reachable = !context.is_cut(gateway) && !context.is_cut(*other);
+            let is_believed_running = is_reachable && !deployment.is_gone(*other, context.now);
+            is_believed_running && self.ranks[*other] > self.ranks[gateway]
         });
         if before.count() >= Self::COUNT {
-            return Decision::PassOver;
+            return Decision::Skip;
         }
         let per_s = deployment.limit.per_ks as f64 / 1_000.0 / Self::COUNT as f64;
         let (level, at) = &mut self.levels[gateway];
         *level = (*level + (context.now - *at).as_secs_f64() * per_s).min(2.0);
         *at = context.now;
         if *level < 1.0 {
-            return Decision::PassOver;
+            return Decision::Skip;
         }
         *level -= 1.0;
         Decision::Send
--- a/crates/quota/tests/support/warm_up_schedule.rs
+++ b/crates/quota/tests/support/warm_up_schedule.rs
@@ -17,7 +17,7 @@
     slack: 5.0,
 };
 /// Time until the other gateways detect that a gateway is gone.
-pub const DEATH_DETECTION_TIME: Duration = Duration::from_secs(3);
+pub const CRASH_DETECTION_TIME: Duration = Duration::from_secs(3);
 /// Time that a gateway waits for an answer of a limiter.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(40);
 const WINDOW: Duration = Duration::from_secs(1);
@@ -26,7 +26,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Decision {
     Send,
-    PassOver,
+    Skip,
     /// Ask these limiters in sequence.
     Ask(Vec<LimiterKey>),
 }
@@ -41,7 +41,7 @@
     ) -> Decision;
     /// Answer of a limiter.
     fn grant(&mut self, _limiter: usize, _now: Duration) -> LimiterDecision {
-        unreachable!("this way asks nobody")
+        unreachable!("this algorithm asks no limiter")
     }
     fn on_exhausted(
         &mut self,
@@ -51,7 +51,7 @@
         _now: Duration,
     ) {
     }
-    fn on_silent(&mut self, _gateway: usize, _from: LimiterKey, _now: Duration) {}
+    fn on_unresponsive(&mut self, _gateway: usize, _from: LimiterKey, _now: Duration) {}
     /// Whether a request may still be sent now if its grant was requested at `_asked`.
     fn may_send(&self, _asked: Duration, _now: Duration) -> bool {
         true
@@ -123,9 +123,9 @@
                 self.freezes[gateway] = (from < to).then_some((from, to));
             }
         }
-        let unheard = (0..self.gateways).map(|_| random.random_bool(0.5));
-        let unheard = unheard.collect();
-        self.replaced = Some((at(random), unheard));
+        let unaware = (0..self.gateways).map(|_| random.random_bool(0.5));
+        let unaware = unaware.collect();
+        self.replaced = Some((at(random), unaware));
         let first = at(random);
         let restarts = (0..8).map(|number| first + Duration::from_millis(120) * number);
         if random.random_bool(0.4) {
@@ -138,7 +138,7 @@
 
     /// Whether the gateway is known to be gone.
     pub fn is_gone(&self, gateway: usize, now: Duration) -> bool {
-        self.crashes[gateway].is_some_and(|crash| crash + DEATH_DETECTION_TIME < now)
+        self.crashes[gateway].is_some_and(|crash| crash + CRASH_DETECTION_TIME < now)
     }
 
     fn is_crashed(&self, gateway: usize, now: Duration) -> bool {
@@ -154,11 +154,11 @@
     }
 
     /// The limiter that answers: the replacement if the gateway knows of it.
-    fn answers(&self, gateway: usize, key: LimiterKey, now: Duration) -> usize {
+    fn answering_limiter(&self, gateway: usize, key: LimiterKey, now: Duration) -> usize {
         let limiter = key.0 as usize;
         let replaced = self.replaced.as_ref().filter(|(from, _)| *from <= now);
-        let is_heard = replaced.is_some_and(|(_, unheard)| !unheard[gateway]);
-        if limiter == 0 && is_heard {
+        let is_aware = replaced.is_some_and(|(_, unaware)| !unaware[gateway]);
+        if limiter == 0 && is_aware {
             self.limiters
         } else {
             limiter
@@ -211,7 +211,7 @@
     Question(Ask),
     Answered(Ask, Option<GrantDelay>),
     Unanswered(Ask),
-    Sends(usize, Duration),
+    Dispatch(usize, Duration),
 }
 
 /// A request that asks limiters for a grant.
@@ -231,7 +231,7 @@
     algorithm: Box<dyn WarmUpAlgorithm>,
     random: ChaCha8Rng,
     events: BinaryHeap<Reverse<(Duration, Event)>>,
-    seen: WarmUpResults,
+    results: WarmUpResults,
     sends: Vec<(Duration, Duration)>,
 }
 
@@ -257,23 +257,23 @@
         algorithm,
         random,
         events: BinaryHeap::new(),
-        seen: WarmUpResults::default(),
+        results: WarmUpResults::default(),
         sends: Vec::new(),
     };
     simulation.draw_events(load);
     while let Some(Reverse((now, event))) = simulation.events.pop() {
-        simulation.take(now, event);
+        simulation.handle(now, event);
     }
     let Simulation {
-        mut seen,
+        mut results,
         sends,
         deployment,
         ..
     } = simulation;
     let per_s = deployment.limit.per_ks as f64 / 1_000.0;
-    seen.fullest = fullest_second(sends) as f64 / WARM_UP_BOUNDS.most(deployment.limit);
-    seen.used = seen.sent as f64 / (per_s * (END - BEGIN).as_secs_f64());
-    seen
+    results.fullest = fullest_second(sends) as f64 / WARM_UP_BOUNDS.most(deployment.limit);
+    results.used = results.sent as f64 / (per_s * (END - BEGIN).as_secs_f64());
+    results
 }
 
 impl Simulation {
@@ -306,13 +306,13 @@
 
     fn gateway_of_event(event: &Event) -> Option<usize> {
         match event {
-            Event::Wanted(gateway) | Event::Sends(gateway, _) => Some(*gateway),
+            Event::Wanted(gateway) | Event::Dispatch(gateway, _) => Some(*gateway),
             Event::Answered(ask, ..) | Event::Unanswered(ask) => Some(ask.gateway),
             Event::Restart(_) | Event::Question(_) => None,
         }
     }
 
-    fn take(&mut self, now: Duration, event: Event) {
+    fn handle(&mut self, now: Duration, event: Event) {
         if let Some(gateway) = Self::gateway_of_event(&event) {
             let runs_at = self.deployment.runs_at(gateway, now);
             if self.deployment.is_crashed(gateway, now) {
@@ -329,17 +329,18 @@
             Event::Question(ask) => self.question(ask, now),
             Event::Answered(ask, denial) => self.answered(ask, denial, now),
             Event::Unanswered(mut ask) => {
-                if let Some(silent) = ask.order.pop() {
-                    self.algorithm.on_silent(ask.gateway, silent, now);
+                if let Some(unresponsive) = ask.order.pop() {
+                    self.algorithm
+                        .on_unresponsive(ask.gateway, unresponsive, now);
                 }
                 // The request has waited long enough, so another engine gets it.
             }
-            Event::Sends(gateway, asked) => self.send(gateway, asked, now),
+            Event::Dispatch(gateway, asked) => self.send(gateway, asked, now),
         }
     }
 
     fn want(&mut self, gateway: usize, now: Duration) {
-        self.seen.wanted += 1;
+        self.results.wanted += 1;
         let down = self.faults.down(now, self.deployment.limiters);
         let mut context = Context {
             now,
@@ -351,10 +352,11 @@
             .algorithm
             .decide(gateway, &self.deployment, &mut context)
         {
-            Decision::PassOver => {}
-            Decision::Send => {
-                self.push(now + Duration::from_micros(100), Event::Sends(gateway, now))
-            }
+            Decision::Skip => {}
+            Decision::Send => self.push(
+                now + Duration::from_micros(100),
+                Event::Dispatch(gateway, now),
+            ),
             Decision::Ask(mut order) => {
                 order.reverse();
                 self.ask(
@@ -373,7 +375,7 @@
         if ask.order.is_empty() {
             return;
         }
-        self.seen.messages += 2;
+        self.results.messages += 2;
         match self.deployment.message_delay(&mut self.random) {
             Some(message_delay) => self.push(now + message_delay, Event::Question(ask)),
             None => self.push(now + ANSWER_TIMEOUT, Event::Unanswered(ask)),
@@ -384,11 +386,11 @@
         let Some(key) = ask.order.last().copied() else {
             return;
         };
-        let limiter = self.deployment.answers(ask.gateway, key, now);
+        let limiter = self.deployment.answering_limiter(ask.gateway, key, now);
         let mut down = self.faults.down(now, self.deployment.limiters);
         down.push(false);
-        let place = key.0 as usize;
-        let is_cut = self.faults.cut(now).contains(&(ask.gateway, place));
+        let index = key.0 as usize;
+        let is_cut = self.faults.cut(now).contains(&(ask.gateway, index));
         if is_cut || down[limiter] {
             self.push(now + ANSWER_TIMEOUT, Event::Unanswered(ask));
             return;
@@ -409,7 +411,7 @@
         };
         let Some(wait) = denial else {
             let prepared = ask.asked + self.deployment.preparation_time(&mut self.random);
-            self.push(now.max(prepared), Event::Sends(ask.gateway, ask.asked));
+            self.push(now.max(prepared), Event::Dispatch(ask.gateway, ask.asked));
             return;
         };
         self.algorithm.on_exhausted(ask.gateway, key, wait, now);
@@ -423,8 +425,8 @@
             return;
         }
         debug_assert!(gateway < self.deployment.gateways);
-        self.seen.sent += 1;
-        self.seen.waited_ms += (now - asked).as_secs_f64() * 1_000.0;
+        self.results.sent += 1;
+        self.results.waited_ms += (now - asked).as_secs_f64() * 1_000.0;
         let message_delay = Duration::from_micros(self.random.random_range(100..3_000));
         self.sends.push((now, now + message_delay));
     }
--- a/crates/quota/tests/warm_up.rs
+++ b/crates/quota/tests/warm_up.rs
@@ -38,16 +38,30 @@
 }
 
 fn run_schedules(make: MakeWarmUpAlgorithm, schedules: u64, load: f64, faults: bool) -> Totals {
-    let seen: Vec<WarmUpResults> = (0..schedules)
+    let results: Vec<WarmUpResults> = (0..schedules)
         .map(|seed| run_warm_up_schedule(make, seed, load, faults))
         .collect();
-    let sent = seen.iter().map(|seen| seen.sent).sum::<usize>().max(1) as f64;
+    let sent = results
+        .iter()
+        .map(|results| results.sent)
+        .sum::<usize>()
+        .max(1) as f64;
     Totals {
-        fullest: seen.iter().map(|seen| seen.fullest).fold(0.0, f64::max),
-        broken: seen.iter().filter(|seen| seen.fullest > 1.0).count(),
-        used: seen.iter().map(|seen| seen.used).sum::<f64>() / schedules as f64,
-        wait_ms: seen.iter().map(|seen| seen.waited_ms).sum::<f64>() / sent,
-        messages: seen.iter().map(|seen| seen.messages).sum::<usize>() as f64 / sent,
+        fullest: results
+            .iter()
+            .map(|results| results.fullest)
+            .fold(0.0, f64::max),
+        broken: results
+            .iter()
+            .filter(|results| results.fullest > 1.0)
+            .count(),
+        used: results.iter().map(|results| results.used).sum::<f64>() / schedules as f64,
+        wait_ms: results.iter().map(|results| results.waited_ms).sum::<f64>() / sent,
+        messages: results
+            .iter()
+            .map(|results| results.messages)
+            .sum::<usize>() as f64
+            / sent,
     }
 }
 
@@ -74,11 +88,11 @@
 fn each_safeguard_is_needed() {
     for (name, make) in [
         (
-            "a grant lapses",
+            "lifetime of a grant",
             Grants::without_lifetime as MakeWarmUpAlgorithm,
         ),
-        ("a limiter is silent at first", Grants::without_silent_start),
-        ("limiters share what an engine bears", Grants::without_split),
+        ("delay after a limiter's start", Grants::without_start_delay),
+        ("split of the limit among limiters", Grants::without_split),
     ] {
         let totals = run_schedules(make, 100, LOADS[1], true);
         println!("without: {name}: {totals:?}");
@@ -89,8 +103,11 @@
 #[test]
 fn alternative_algorithms_break_the_bound_or_use_little_of_the_limit() {
     for (name, make) in [
-        ("own shares", BelievedShares::make as MakeWarmUpAlgorithm),
-        ("feeders", DesignatedGateways::make),
+        (
+            "shares by believed gateways",
+            BelievedShares::make as MakeWarmUpAlgorithm,
+        ),
+        ("designated gateways", DesignatedGateways::make),
     ] {
         for load in LOADS {
             let calm = run_schedules(make, 40, load, false);
@@ -113,7 +130,7 @@
     let mut limiter = GrantLimiter::new(WARM_UP_BOUNDS, 5, start);
     let refused = limiter.grant("a", LIMIT, 1, start + Duration::from_millis(1_100));
     let LimiterDecision::Exhausted { next, .. } = refused else {
-        panic!("it does not know what was given out");
+        panic!("granted before earlier grants have expired");
     };
     let open = start + Duration::from_millis(1_100) + next;
     assert!(open >= start + Duration::from_secs(1) + GRANT_LIFETIME);
--- a/crates/routing/src/placement.rs
+++ b/crates/routing/src/placement.rs
@@ -28,7 +28,7 @@
 
 /// Margin by which an engine that is not a candidate of the session has to be better, in in-flight requests.
 /// Counts lag by a heartbeat, in which each engine gets a few requests.
-const NON_CANDIDATE_REQUESTS: f64 = 4.0;
+const NON_CANDIDATE_MARGIN_REQUESTS: f64 = 4.0;
 /// Candidates of a session in the gateway's region, and in its zone.
 const CANDIDATES_PER_SESSION: usize = 2;
 /// Sessions whose last engine is remembered.
@@ -37,7 +37,7 @@
 /// another region is measured ([`RegionLatencies`]).
 const OTHER_ZONE_MS: f64 = 20.0;
 /// Extra cost of an engine that is backing off after a failure, in milliseconds.
-const BACKOFF_MS: f64 = 10_000.0;
+const BACKOFF_COST_MS: f64 = 10_000.0;
 /// Cost of a failed request, in durations of a request: its own duration, the client's pause before a retry,
 /// and the risk that the program ends with the third failure.
 const FAILURE_COST_TURNS: f64 = 4.0;
@@ -47,7 +47,7 @@
 /// Weight of a shared prompt prefix in the wait of the batch. With 0 it is prefilled once for all requests;
 /// with 1 it counts as memory that other prompts lose (`docs/design/decisions.md`, "Ablation").
 const SHARED_PREFILL_WEIGHT: f64 = 0.25;
-/// Services with a cost model.
+/// Most services with a cost model.
 const MAX_SERVICES: usize = 256;
 const MS_PER_S: f64 = 1_000.0;
 
@@ -175,7 +175,7 @@
             let has_affinity = last_engine == Some(&candidate.key)
                 || self.caches_session_part(candidate.key, request);
             if !has_affinity && !preferred.contains(&candidate.key) {
-                cost += NON_CANDIDATE_REQUESTS * costs.open_ms(candidate.engine.slots);
+                cost += NON_CANDIDATE_MARGIN_REQUESTS * costs.open_ms(candidate.engine.slots);
             }
             (cost, candidate)
         });
@@ -452,7 +452,7 @@
         let waiting = 1.0 + open.min(slots);
         cost += prefill_wait_tokens(request.parts, missing, waiting) / costs.tokens_per_ms;
         if known.is_some_and(|load| load.health.is_backing_off(now)) {
-            cost += BACKOFF_MS;
+            cost += BACKOFF_COST_MS;
         }
         cost
     }
--- a/crates/routing/src/service_model.rs
+++ b/crates/routing/src/service_model.rs
@@ -214,7 +214,7 @@
             return None;
         }
         let costs = self.costs();
-        // Leaves out received rates, or gateways would confirm each other forever.
+        // The own rate alone: with received rates gateways would confirm each other forever.
         let rate = self.own_rate().unwrap_or(costs.tokens_per_ms);
         Some(ServiceSummary {
             service: key.0,
@@ -265,7 +265,7 @@
         self.samples_since_refresh = 0;
         let ms_per_token = self.prefills.slope(LOW_QUANTILE, MIN_TOKEN_SPREAD);
         if let Some(ms_per_token) = ms_per_token {
-            // Negative slopes from noise count too, or the mean would be biased upwards.
+            // Slopes that are only noise count too, or the mean would be biased upwards.
             self.ms_per_token = Some(smoothed(self.ms_per_token, ms_per_token));
         }
         self.turn_ms = self.turns.y_quantile(LOW_QUANTILE);
--- a/crates/routing/src/warm_up.rs
+++ b/crates/routing/src/warm_up.rs
@@ -163,7 +163,7 @@
         };
     }
 
-    /// Fraction of the requests that the engine gets without a grant: 0 while it warms up, then rising to 1.
+    /// Fraction of the engine's usual requests that need no grant: 0 while it warms up, then rising to 1.
     fn share(&self, now: Duration) -> f64 {
         let end = self.end();
         if now < end {
@@ -225,7 +225,7 @@
     ) {
         let engine = &entry.engine;
         let known = self.runs.contains_key(&engine.key());
-        let run = self.run(engine, limit);
+        let run = self.run_mut(engine, limit);
         run.limit = limit;
         run.last_listed = now;
         if entry.revision <= run.revision {
@@ -249,12 +249,12 @@
         if warm_up.is_zero() && !self.runs.contains_key(&engine.key()) {
             return;
         }
-        self.run(engine, limit).on_answer(warm_up, now);
+        self.run_mut(engine, limit).on_answer(warm_up, now);
     }
 
     /// A connection to the engine failed.
     pub fn on_unreachable(&mut self, engine: &Engine, limit: WarmUpLimit, now: Duration) {
-        let run = self.run(engine, limit);
+        let run = self.run_mut(engine, limit);
         run.unreachable_until = now + UNREACHABLE_PERIOD;
         run.source = WarmUpSource::Unreachable;
     }
@@ -275,19 +275,19 @@
     ) {
         for engine in engines {
             if let Some(limit) = limits.get(engine.service.as_str()) {
-                self.run(engine, *limit)
+                self.run_mut(engine, *limit)
                     .presume(WarmUpSource::DrainEnded, drain_ended);
             }
         }
     }
 
-    fn run(&mut self, engine: &Engine, limit: WarmUpLimit) -> &mut RunWarmUp {
-        let runs = self.runs.entry(engine.key());
-        runs.or_insert_with(|| RunWarmUp::new(engine, limit))
+    fn run_mut(&mut self, engine: &Engine, limit: WarmUpLimit) -> &mut RunWarmUp {
+        let entry = self.runs.entry(engine.key());
+        entry.or_insert_with(|| RunWarmUp::new(engine, limit))
     }
 
-    /// Fraction of the requests that the engine gets without a grant: 0 while it warms up, then rising to 1,
-    /// so that its load grows gradually.
+    /// Fraction of the engine's usual requests that need no grant: 0 while it warms up, then rising to 1, so
+    /// that its load grows gradually.
     pub fn share(&self, engine: EngineKey, now: Duration) -> f64 {
         let run = self.runs.get(&engine);
         run.map_or(1.0, |run| run.share(now))
--- a/crates/routing/tests/engine_table.rs
+++ b/crates/routing/tests/engine_table.rs
@@ -21,7 +21,7 @@
     assert!(table.remove("i-1", 6, 6));
     assert!(
         !table.apply(entry("i-1", 5)),
-        "a late report brings an engine back"
+        "a late entry adds a removed engine again"
     );
     assert!(table.apply(entry("i-1", 7)));
 }
@@ -41,7 +41,7 @@
     table.apply(entry("i-new", 12));
     table.replace(vec![entry("i-1", 8)], 10);
     assert_eq!(names(&table), ["i-1", "i-new"]);
-    assert!(!table.replace(vec![], 9), "an older list counts");
+    assert!(!table.replace(vec![], 9), "an older list was applied");
     assert_eq!(names(&table), ["i-1", "i-new"]);
 }
 
--- a/crates/routing/tests/placement.rs
+++ b/crates/routing/tests/placement.rs
@@ -88,7 +88,10 @@
     assert_eq!(chosen.expect("an engine"), "i-3");
     let excluded = ["i-2".to_owned(), "i-3".to_owned()];
     let chosen = choose(&mut placement, &table, &request("s", &[], &excluded), NOW);
-    assert_eq!(chosen.expect("a resting engine is better than none"), "i-1");
+    assert_eq!(
+        chosen.expect("an engine that is backing off is better than none"),
+        "i-1"
+    );
     let all = ["i-1".to_owned(), "i-2".to_owned(), "i-3".to_owned()];
     assert!(
         placement
--- a/crates/routing/tests/region_latencies.rs
+++ b/crates/routing/tests/region_latencies.rs
@@ -68,7 +68,7 @@
     while chosen(&mut placement, &engines, &request("s", &[], &[])) == "i-near" {
         send(&mut placement, "i-near", &[]);
         sent += 1;
-        assert!(sent < 1_000, "a full region is never left");
+        assert!(sent < 1_000, "the near engine is chosen under any load");
     }
     sent
 }
@@ -120,7 +120,7 @@
     let mut latencies = RegionLatencies::new(&regions(), "zone-a").expect("several regions");
     assert!(
         latencies.extra_ms("zone-c") > 0.0,
-        "before anything is measured"
+        "no extra cost before the first measurement"
     );
     assert!(latencies.extra_ms("zone-b") == 0.0);
     latencies.on_connected("zone-c", Duration::from_millis(240));
@@ -131,7 +131,10 @@
     let extra = latencies.extra_ms("zone-c");
     assert!((35.0..55.0).contains(&extra), "{extra}");
     assert_eq!(latencies.changes().len(), 1);
-    assert!(latencies.changes().is_empty(), "nothing has changed since");
+    assert!(
+        latencies.changes().is_empty(),
+        "returned again without a change"
+    );
 }
 
 /// Each engine is given by its zone and its number of in-flight requests.
--- a/crates/routing/tests/warm_up.rs
+++ b/crates/routing/tests/warm_up.rs
@@ -91,14 +91,14 @@
     let mut tracker = Tracker::with_first_list(&first);
     tracker.list(&[entry(&new, 2, 0)], 100);
     tracker.list(&[entry(&new, 3, 0)], 200);
-    assert!(!tracker.is_warming(&new, 300), "its later entry says so");
+    assert!(!tracker.is_warming(&new, 300), "warm by its later entry");
 
     let mut tracker = Tracker::with_first_list(&first);
     tracker.list(&[entry(&new, 2, 0)], 100);
     tracker
         .engines
         .on_answer(&new, LIMIT, Duration::ZERO, at(200));
-    assert!(!tracker.is_warming(&new, 300), "its answer says so");
+    assert!(!tracker.is_warming(&new, 300), "warm by its answer");
 }
 
 #[test]
@@ -114,7 +114,7 @@
     assert!(tracker.is_warming(&second, 3_001));
     assert!(
         !tracker.is_warming(&first, 3_001),
-        "what ended with its run"
+        "the earlier run does not warm up"
     );
 }
 
@@ -158,7 +158,7 @@
     let news = tracker.engines.news(at(200));
     assert_eq!(news[0].source, WarmUpSource::DrainEnded);
     assert_eq!(news[0].left, Some(at(3_900)));
-    assert!(tracker.engines.news(at(300)).is_empty(), "told once");
+    assert!(tracker.engines.news(at(300)).is_empty(), "returned once");
     assert_eq!(tracker.engines.news(at(4_200))[0].left, None);
 }
 
--- a/crates/routing/tests/zone_drains.rs
+++ b/crates/routing/tests/zone_drains.rs
@@ -40,7 +40,7 @@
 fn the_table_with_the_later_revision_replaces_the_other() {
     let mut table = ZoneDrains::default();
     assert_eq!(table.take(listed(&[("a", 5)], 9)), [started("a", 5)]);
-    assert_eq!(table.take(listed(&[], 8)), [], "an older one");
+    assert_eq!(table.take(listed(&[], 8)), [], "an older table was applied");
     assert!(table.is_drained("a"));
     let changes = table.take(listed(&[("a", 12), ("b", 11)], 13));
     let rewritten = DrainChange::Rewritten {
