--- a/crates/routing/tests/engine_restarts.rs
+++ b/crates/routing/tests/engine_restarts.rs
@@ -70,8 +70,8 @@
     assert_eq!(placement.open_at(later.key(), NOW), 0);
     assert_eq!(placement.on_sent("new", &later, &parts()).missing, 1_000);
     let listed = table(2, 5);
-    let news = placement.failure_state_changes(&listed, NOW);
-    assert!(news.is_empty(), "{news:?}");
+    let changes = placement.failure_state_changes(&listed, NOW);
+    assert!(changes.is_empty(), "{changes:?}");
 }
 
 #[test]
