--- a/crates/routing/src/engine_load.rs
+++ b/crates/routing/src/engine_load.rs
@@ -1,6 +1,6 @@
-//! What one gateway knows of the engines' load and contents: its own requests, and what other gateways
-//! reported. Sums are kept up to date as reports come and go, so that a choice costs no more in a large
-//! fleet (`docs/design/platform.md`, "Load of engines in a large fleet").
+//! Load and cached prompts of the engines as known to one gateway, from its own requests and the reports of
+//! other gateways. Sums are updated as reports arrive and expire, so that the cost of a choice does not grow
+//! with the number of gateways (`docs/design/platform.md`, "Load of engines in a large fleet").
 
 use std::collections::hash_map::Entry;
 use std::collections::{HashMap, VecDeque};
@@ -9,140 +9,147 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use crate::engine_health::{EngineHealth, OutcomeCounts};
+use crate::reported_outcomes::{MAX_SUSPECTS, ReportedOutcomes, ReportedSums};
 use crate::request::PromptPart;
-use crate::told_outcomes::{MAX_SUSPECTS, ReportedOutcomes, ToldSums};
 
-/// How long a report of another gateway counts.
+/// Reports that are older are dropped.
 const REPORT_LIFETIME: Duration = Duration::from_secs(2);
-/// Weight of the newest time between two reports in their mean.
+/// Weight of the newest interval between two reports in the moving average.
 const INTERVAL_WEIGHT: f64 = 0.05;
-/// Requests like those of the service's other engines that every engine is taken to have ended beside the ones
-/// that were seen.
+/// Weight, in requests, of the prior assumption that an engine fails as many requests as the service's other
+/// engines.
 pub const PRIOR_OUTCOMES: f64 = 3.0;
-/// Share of failures above which an engine is said to fail requests, and below which it is said to serve again.
+/// Share of failures above which an engine is reported as failing, and below which it is reported as serving
+/// again.
 const FAILING_SHARE: f64 = 0.25;
 const SERVING_SHARE: f64 = 0.1;
-/// Failures from which on an engine is a suspect. One that faded to less says nothing any more.
-const LEAST_FAILED: f64 = 0.5;
+/// Decayed failures from which on an engine is a suspect.
+const MIN_SUSPECT_FAILURES: f64 = 0.5;
 const MS_PER_S: f64 = 1_000.0;
-/// Parts of prompts remembered for one engine. With about 45 bytes each this is the larger part of a
-/// gateway's memory in a large fleet: 4.4 MB for 190 engines. An engine's own memory holds fewer.
-const MAX_PARTS: usize = 512;
+/// Prompt parts remembered for each engine, at about 45 bytes each. They are the larger part of a gateway's
+/// memory in a large fleet: 4.4 MB for 190 engines. An engine's prompt cache holds fewer.
+const MAX_CACHED_PARTS: usize = 512;
 
-/// The key of one run of an engine, in tables and in reports between gateways.
+/// Key of one run of an engine, in tables and in reports between gateways.
 ///
-/// What dies with a run is kept under it: what the engine holds, what is open there, how requests ended. An engine that starts again under its
-/// identifier is another run, and whatever comes late of the earlier one changes nothing of it.
+/// State that ends with the run is stored under this key: cached prompt parts, in-flight requests, outcomes.
+/// An engine that restarts under its identifier is another run, so late messages about the earlier run do not
+/// affect it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct EngineKey(pub u64);
 
 impl EngineKey {
-    /// The key of an engine that does not say when it started.
+    /// The key of an engine that does not report its start time.
     pub fn of(instance: &str) -> Self {
         Self::of_run(instance, 0)
     }
 
-    /// The key of the run of an engine that started at this time.
+    /// The key of the run that started at this time, in milliseconds since 1970.
     pub fn of_run(instance: &str, born_ms: u64) -> Self {
         Self(xxh3_64_with_seed(instance.as_bytes(), born_ms))
     }
 }
 
-/// Parts of prompts that an engine is believed to hold.
+/// Prompt parts that an engine is believed to have cached.
 #[derive(Debug, Clone, Default)]
-pub struct HeldParts {
+pub struct CachedParts {
     tokens: HashMap<u64, u64>,
     order: VecDeque<u64>,
 }
 
-impl HeldParts {
-    /// Notes that a part was read; the oldest give way. A part that belongs to a session grows from turn
-    /// to turn.
+impl CachedParts {
+    /// Records that a part was prefilled, and evicts the oldest parts over the limit. A session's own part
+    /// keeps its hash and grows with each turn.
     pub fn insert(&mut self, part: PromptPart) {
         match self.tokens.entry(part.hash) {
-            Entry::Occupied(mut held) => {
-                let tokens = part.tokens.max(*held.get());
-                held.insert(tokens);
+            Entry::Occupied(mut cached) => {
+                let tokens = part.tokens.max(*cached.get());
+                cached.insert(tokens);
             }
             Entry::Vacant(place) => {
                 place.insert(part.tokens);
                 self.order.push_back(part.hash);
             }
         }
-        while self.order.len() > MAX_PARTS {
+        while self.order.len() > MAX_CACHED_PARTS {
             if let Some(oldest) = self.order.pop_front() {
                 self.tokens.remove(&oldest);
             }
         }
     }
 
-    /// Tokens of a prompt that are not held: all from the first one on that is missing.
+    /// Tokens of a prompt that are not cached: all from the first gap on.
     pub fn missing(&self, parts: &[PromptPart]) -> u64 {
-        let mut held = 0_u64;
+        let mut cached = 0_u64;
         for part in parts {
-            let held_of_part = self.held(*part);
-            held = held.saturating_add(held_of_part);
-            if held_of_part < part.tokens {
+            let cached_of_part = self.cached(*part);
+            cached = cached.saturating_add(cached_of_part);
+            if cached_of_part < part.tokens {
                 break;
             }
         }
-        prompt_tokens(parts).saturating_sub(held)
+        prompt_tokens(parts).saturating_sub(cached)
     }
 
-    /// Whether a part is held whole.
-    pub fn holds(&self, part: PromptPart) -> bool {
-        self.held(part) == part.tokens
+    /// Whether all tokens of the part are cached.
+    pub fn is_cached(&self, part: PromptPart) -> bool {
+        self.cached(part) == part.tokens
     }
 
-    /// Tokens of a part that are held; of one that has grown, those that it had before.
-    pub fn held(&self, part: PromptPart) -> u64 {
-        let held = self.tokens.get(&part.hash).copied().unwrap_or(0);
-        held.min(part.tokens)
+    /// Cached tokens of a part; for a part that has grown, those of its earlier length.
+    pub fn cached(&self, part: PromptPart) -> u64 {
+        let cached = self.tokens.get(&part.hash).copied().unwrap_or(0);
+        cached.min(part.tokens)
     }
 }
 
-/// Tokens of a whole prompt; the heads that tell them are the clients' and may be absurd.
+/// Tokens of a whole prompt. The counts come from request headers, so the sum saturates.
 pub fn prompt_tokens(parts: &[PromptPart]) -> u64 {
     parts
         .iter()
         .fold(0, |sum, part| sum.saturating_add(part.tokens))
 }
 
-/// One engine, as this gateway knows it.
+/// State of one engine as known to this gateway.
 #[derive(Debug, Clone, Default)]
 pub struct EngineLoad {
-    /// Open requests of this gateway.
-    pub own: u32,
-    /// Tokens that open requests of this gateway have there to be read.
-    pub unread: u64,
-    /// Open requests of other gateways, by their reports.
-    reported: u32,
-    /// Parts of prompts that it is believed to hold.
-    pub parts: HeldParts,
-    /// What its answers say of it.
+    /// In-flight requests of this gateway.
+    pub own_open: u32,
+    /// Prompt tokens of this gateway's in-flight requests that the engine has yet to prefill.
+    pub pending_prefill_tokens: u64,
+    /// In-flight requests of other gateways, as reported.
+    reported_open: u32,
+    /// Prompt parts that the engine is believed to have cached.
+    pub parts: CachedParts,
+    /// Health as seen by this gateway.
     pub health: EngineHealth,
-    /// What its answers to other gateways say of it, by their reports.
-    told: ToldSums,
-    /// Whether it was last said to fail requests.
+    /// Outcomes at suspects as seen by other gateways.
+    reported_outcomes: ReportedSums,
+    /// The state that [`EngineLoad::failure_state_changes`] returned last.
     is_failing: bool,
 }
 
 impl EngineLoad {
-    /// How requests ended there lately, as far as this gateway knows.
+    /// Recent outcomes of this gateway's requests and of the reports.
     pub fn outcomes(&self, now: Duration) -> OutcomeCounts {
-        self.health.outcomes(now).plus(self.told.counts())
+        self.health
+            .outcomes(now)
+            .plus(self.reported_outcomes.counts())
     }
 
-    /// Share of the requests that failed there. Where other gateways saw little the engine is taken to be typical,
-    /// and where this one saw little, to be as the others say: an engine may fail some callers alone.
-    pub fn failed_share(&self, typical: f64, now: Duration) -> f64 {
-        let told = self.told.counts().failed_share(PRIOR_OUTCOMES, typical);
-        let own = self.health.outcomes(now);
-        own.failed_share(PRIOR_OUTCOMES, told)
+    /// Share of failed requests. The prior is `typical_share` for the reports, and the reported share for
+    /// this gateway's own requests: an engine may fail for some callers only.
+    pub fn failed_share(&self, typical_share: f64, now: Duration) -> f64 {
+        let reported_outcomes = self
+            .reported_outcomes
+            .counts()
+            .failed_share(PRIOR_OUTCOMES, typical_share);
+        let own_open = self.health.outcomes(now);
+        own_open.failed_share(PRIOR_OUTCOMES, reported_outcomes)
     }
 
-    /// Whether it fails requests, if that is new. Between the two shares nothing is, so that it does not change with
-    /// each request.
+    /// The new state if the engine has started or ceased to fail requests. The two thresholds give
+    /// hysteresis, so that the state does not flip with each request.
     pub fn failure_state_changes(&mut self, now: Duration) -> Option<bool> {
         let share = self.failed_share(0.0, now);
         let limit = if self.is_failing {
@@ -157,71 +164,69 @@
     }
 }
 
-/// What one gateway tells the others of the engines.
+/// What one gateway reports about the engines to the others.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct GatewayReport {
-    /// Its open requests by engine.
+    /// In-flight requests of the gateway by engine.
     pub open: Vec<(EngineKey, u32)>,
-    /// How its requests ended at engines of which somebody has told a failure.
+    /// Outcomes of the gateway's requests at suspects.
     pub suspects: Vec<ReportedOutcomes>,
 }
 
-/// A report that still counts.
+/// The latest report of a gateway.
 #[derive(Debug, Clone)]
-struct Report {
+struct ReceivedReport {
     at: Duration,
-    told: GatewayReport,
+    report: GatewayReport,
 }
 
 /// Loads of all engines. Times are since the start of the process.
 #[derive(Debug, Clone, Default)]
 pub struct EngineLoads {
     engines: HashMap<EngineKey, EngineLoad>,
-    reports: HashMap<String, Report>,
-    /// When reports came, oldest first; some have been replaced since.
-    came: VecDeque<(Duration, String)>,
-    /// Mean time between two reports of one gateway, in milliseconds.
+    reports: HashMap<String, ReceivedReport>,
+    /// Arrival times of reports, oldest first; some reports have been replaced since.
+    arrivals: VecDeque<(Duration, String)>,
+    /// Moving average of the interval between two reports of a gateway, in milliseconds.
     interval_ms: f64,
 }
 
 impl EngineLoads {
-    /// What is known of an engine.
     pub fn get(&self, key: EngineKey) -> Option<&EngineLoad> {
         self.engines.get(&key)
     }
 
-    /// What is known of an engine, to be changed; `None` when nothing is.
     pub fn get_mut(&mut self, key: EngineKey) -> Option<&mut EngineLoad> {
         self.engines.get_mut(&key)
     }
 
-    /// What is known of an engine, to be changed.
+    /// The state of an engine, created if it is new.
     pub fn entry(&mut self, key: EngineKey) -> &mut EngineLoad {
         self.engines.entry(key).or_default()
     }
 
-    /// Open requests at an engine, of this gateway and of those that reported lately.
+    /// In-flight requests of this gateway and of the reports.
     pub fn open_at(&self, key: EngineKey) -> u32 {
         let load = self.engines.get(&key);
-        load.map_or(0, |load| load.own + load.reported)
+        load.map_or(0, |load| load.own_open + load.reported_open)
     }
 
-    /// How long ago other gateways have reported, in the mean and in milliseconds.
+    /// Mean age of the reports, in milliseconds.
     pub fn report_age_ms(&self) -> f64 {
         self.interval_ms / 2.0
     }
 
-    /// Open requests of other gateways at an engine, by their reports.
-    pub fn reported_at(&self, key: EngineKey) -> u32 {
-        self.engines.get(&key).map_or(0, |load| load.reported)
+    /// In-flight requests of other gateways, as reported.
+    pub fn reported_open_requests(&self, key: EngineKey) -> u32 {
+        self.engines.get(&key).map_or(0, |load| load.reported_open)
     }
 
-    /// Open requests of this gateway at an engine.
+    /// In-flight requests of this gateway.
     pub fn own_open_requests(&self, key: EngineKey) -> u32 {
-        self.engines.get(&key).map_or(0, |load| load.own)
+        self.engines.get(&key).map_or(0, |load| load.own_open)
     }
 
-    /// What this gateway tells the others.
+    /// The report for the other gateways.
     pub fn report(&self, now: Duration) -> GatewayReport {
         GatewayReport {
             open: self.open(),
@@ -229,54 +234,56 @@
         }
     }
 
-    /// Open requests of this gateway by engine, the most loaded engines first.
+    /// In-flight requests of this gateway by engine, the most loaded engines first.
     fn open(&self) -> Vec<(EngineKey, u32)> {
-        let busy = self.engines.iter().filter(|(_, load)| load.own > 0);
-        let mut open: Vec<(EngineKey, u32)> = busy.map(|(key, load)| (*key, load.own)).collect();
-        open.sort_unstable_by_key(|(key, own)| (std::cmp::Reverse(*own), *key));
+        let loaded = self.engines.iter().filter(|(_, load)| load.own_open > 0);
+        let mut open: Vec<(EngineKey, u32)> =
+            loaded.map(|(key, load)| (*key, load.own_open)).collect();
+        open.sort_unstable_by_key(|(key, own_open)| (std::cmp::Reverse(*own_open), *key));
         open
     }
 
-    /// How this gateway's requests ended at engines of which it or another one tells a failure, those that failed
-    /// most first.
+    /// Outcomes of this gateway's requests at suspects, those with the most failures first.
     fn suspects(&self, now: Duration) -> Vec<ReportedOutcomes> {
         let known = self.engines.iter();
-        let suspected = known.filter(|(_, load)| load.outcomes(now).failed >= LEAST_FAILED);
-        let told =
+        let suspected = known.filter(|(_, load)| load.outcomes(now).failed >= MIN_SUSPECT_FAILURES);
+        let outcomes =
             suspected.map(|(key, load)| ReportedOutcomes::new(key.0, load.health.outcomes(now)));
-        let mut suspects: Vec<ReportedOutcomes> = told.filter(|told| told.ended > 0).collect();
-        suspects.sort_unstable_by_key(|told| (std::cmp::Reverse(told.failed), told.engine));
+        let mut suspects: Vec<ReportedOutcomes> =
+            outcomes.filter(|outcomes| outcomes.ended > 0).collect();
+        suspects
+            .sort_unstable_by_key(|outcomes| (std::cmp::Reverse(outcomes.failed), outcomes.engine));
         suspects.truncate(MAX_SUSPECTS);
         suspects
     }
 
-    /// Takes in another gateway's report in place of its last one.
-    pub fn on_report(&mut self, gateway: &str, told: GatewayReport, now: Duration) {
+    /// Replaces a gateway's report.
+    pub fn on_report(&mut self, gateway: &str, report: GatewayReport, now: Duration) {
         self.expire(now);
         if let Some(last) = self.reports.get(gateway) {
             let interval_ms = now.saturating_sub(last.at).as_secs_f64() * MS_PER_S;
             self.interval_ms += INTERVAL_WEIGHT * (interval_ms - self.interval_ms);
         }
-        self.forget_report(gateway);
-        for (key, count) in &told.open {
+        self.remove_report(gateway);
+        for (key, count) in &report.open {
             let load = self.engines.entry(*key).or_default();
-            load.reported = load.reported.saturating_add(*count);
+            load.reported_open = load.reported_open.saturating_add(*count);
         }
-        for suspect in &told.suspects {
+        for suspect in &report.suspects {
             let load = self.engines.entry(EngineKey(suspect.engine)).or_default();
-            load.told.add(suspect);
+            load.reported_outcomes.add(suspect);
         }
-        self.came.push_back((now, gateway.to_owned()));
-        let report = Report { at: now, told };
-        self.reports.insert(gateway.to_owned(), report);
+        self.arrivals.push_back((now, gateway.to_owned()));
+        let received = ReceivedReport { at: now, report };
+        self.reports.insert(gateway.to_owned(), received);
     }
 
-    /// Lets go of reports that are too old to count.
+    /// Drops reports that are too old.
     pub fn expire(&mut self, now: Duration) {
-        while let Some((at, _)) = self.came.front()
+        while let Some((at, _)) = self.arrivals.front()
             && now.saturating_sub(*at) >= REPORT_LIFETIME
         {
-            let Some((at, gateway)) = self.came.pop_front() else {
+            let Some((at, gateway)) = self.arrivals.pop_front() else {
                 return;
             };
             if self
@@ -284,31 +291,32 @@
                 .get(&gateway)
                 .is_some_and(|report| report.at == at)
             {
-                self.forget_report(&gateway);
+                self.remove_report(&gateway);
             }
         }
     }
 
-    /// Forgets engines that nobody uses and that are not kept.
+    /// Drops engines without load or reports that `is_kept` does not name.
     pub fn retain(&mut self, is_kept: impl Fn(EngineKey) -> bool) {
         self.engines.retain(|key, load| {
-            let is_used = load.own > 0 || load.reported > 0 || !load.told.is_empty();
+            let is_used =
+                load.own_open > 0 || load.reported_open > 0 || !load.reported_outcomes.is_empty();
             is_used || is_kept(*key)
         });
     }
 
-    fn forget_report(&mut self, gateway: &str) {
+    fn remove_report(&mut self, gateway: &str) {
         let Some(report) = self.reports.remove(gateway) else {
             return;
         };
-        for (key, count) in report.told.open {
+        for (key, count) in report.report.open {
             if let Some(load) = self.engines.get_mut(&key) {
-                load.reported = load.reported.saturating_sub(count);
+                load.reported_open = load.reported_open.saturating_sub(count);
             }
         }
-        for suspect in &report.told.suspects {
+        for suspect in &report.report.suspects {
             if let Some(load) = self.engines.get_mut(&EngineKey(suspect.engine)) {
-                load.told.subtract(suspect);
+                load.reported_outcomes.subtract(suspect);
             }
         }
     }
--- a/crates/routing/src/event_stream.rs
+++ b/crates/routing/src/event_stream.rs
@@ -1,24 +1,24 @@
-//! Splits the bytes of an engine's event stream into whole events, without changing a byte.
+//! Splits the bytes of an engine's event stream into complete events, without changing a byte.
 //!
-//! Source: the `text/event-stream` format of the HTML standard. Only `id` and `data` fields are read.
+//! Source: the `text/event-stream` format of the HTML standard. Only `id` and `data` fields are parsed.
 
 use std::fmt;
 
-/// Bytes of one event at most; an engine that sends more is at fault.
+/// Longest event, in bytes; a longer one is an engine's fault.
 const MAX_EVENT_BYTES: usize = 1024 * 1024;
 
 /// One event.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Event {
-    /// Its bytes as they came, with the blank line that ends it.
+    /// Its bytes as received, including the blank line at its end.
     pub raw: Vec<u8>,
-    /// Its number, where it has one.
+    /// The `id` field if it is a number.
     pub id: Option<u64>,
-    /// Its data, lines joined by line feeds; `None` for a comment.
+    /// The `data` fields, joined by line feeds; `None` for a comment.
     pub data: Option<Vec<u8>>,
 }
 
-/// An event is longer than any engine may send.
+/// An event is longer than an engine may send.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct EventTooLong;
 
@@ -30,16 +30,16 @@
 
 impl std::error::Error for EventTooLong {}
 
-/// Collects bytes until an event is whole.
+/// Buffers bytes until an event is complete.
 #[derive(Debug, Clone, Default)]
 pub struct EventSplitter {
     buffer: Vec<u8>,
-    /// Bytes of the buffer that hold no end of an event.
+    /// Number of bytes at the start of the buffer that contain no end of an event.
     searched: usize,
 }
 
 impl EventSplitter {
-    /// Takes in bytes and returns the events that they complete.
+    /// Adds bytes and returns the events that they complete.
     pub fn push(&mut self, bytes: &[u8]) -> Result<Vec<Event>, EventTooLong> {
         self.buffer.extend_from_slice(bytes);
         let mut events = Vec::new();
@@ -55,20 +55,20 @@
         Ok(events)
     }
 
-    /// Bytes of an event that is not whole yet.
+    /// Bytes of an incomplete event.
     pub fn rest(&self) -> &[u8] {
         &self.buffer
     }
 
     fn find_end(&self) -> Option<usize> {
         let from = self.searched.min(self.buffer.len());
-        let tail = &self.buffer[from..];
-        let plain = tail.windows(2).position(|two| two == b"\n\n");
-        let carriage = tail.windows(4).position(|four| four == b"\r\n\r\n");
-        match (plain, carriage) {
-            (Some(plain), Some(carriage)) if carriage < plain => Some(from + carriage + 4),
-            (Some(plain), _) => Some(from + plain + 2),
-            (None, Some(carriage)) => Some(from + carriage + 4),
+        let unsearched = &self.buffer[from..];
+        let lf = unsearched.windows(2).position(|two| two == b"\n\n");
+        let crlf = unsearched.windows(4).position(|four| four == b"\r\n\r\n");
+        match (lf, crlf) {
+            (Some(lf), Some(crlf)) if crlf < lf => Some(from + crlf + 4),
+            (Some(lf), _) => Some(from + lf + 2),
+            (None, Some(crlf)) => Some(from + crlf + 4),
             (None, None) => None,
         }
     }
--- a/crates/routing/src/sample_window.rs
+++ b/crates/routing/src/sample_window.rs
@@ -1,21 +1,20 @@
-//! How one measured quantity grows with another, from the newest noisy pairs.
+//! Estimates how one measured quantity grows with another, from the newest noisy pairs.
 //!
-//! The slope is taken between quantiles of the pairs with the smallest and of those with the largest `x`.
-//! A quantile of a third of the pairs stays near its place while some of them are outliers, which a
-//! least-squares fit would not. Where noise only adds, as waits do, a low quantile is the best
-//! (`docs/design/decisions.md`, "What is learned of engines").
+//! The slope is taken between quantiles of the third of the pairs with the smallest `x` and the third with
+//! the largest. Unlike a least-squares fit, quantiles tolerate outliers. Where noise only adds, as waits do,
+//! a low quantile is the best (`docs/design/decisions.md`, "What is learned of engines").
 
 use std::collections::VecDeque;
 
-/// Pairs that are remembered; older ones give way, so that the slope follows a change.
+/// Pairs kept. Bounded so that the slope follows changes.
 const CAPACITY: usize = 192;
-/// Fewest pairs that tell a slope: three for each quantile.
+/// Fewest pairs for a slope: three in each group.
 const MIN_PAIRS: usize = 9;
-/// Parts into which the pairs are divided by `x`; the middle ones are left out.
+/// Groups into which the pairs are divided by `x`; the middle one is not used.
 const GROUPS: usize = 3;
 const MEDIAN: f64 = 0.5;
-/// Smaller values of `y` are taken for this one in ratios.
-const LEAST_Y: f32 = 0.01;
+/// Lower bound of `y` in ratios, against division by zero.
+const MIN_Y: f32 = 0.01;
 
 /// The newest pairs of two quantities.
 #[derive(Debug, Clone, Default)]
@@ -24,7 +23,7 @@
 }
 
 impl SampleWindow {
-    /// Takes a pair in. Pairs that are no finite numbers, or negative, are left out.
+    /// Adds a pair unless one of its values is negative or not finite.
     pub fn push(&mut self, x: f64, y: f64) {
         let is_valid =
             |value: f64| value.is_finite() && (0.0..=f64::from(f32::MAX)).contains(&value);
@@ -37,41 +36,40 @@
         self.pairs.push_back((x as f32, y as f32));
     }
 
-    /// Number of pairs.
     pub fn len(&self) -> usize {
         self.pairs.len()
     }
 
-    /// Whether there are none.
     pub fn is_empty(&self) -> bool {
         self.pairs.is_empty()
     }
 
-    /// How much the `part` quantile of `y` grows with each unit of `x`; `None` while there are few pairs,
-    /// or where the groups lie closer together than `least_spread`.
-    pub fn slope(&self, part: f64, least_spread: f64) -> Option<f64> {
+    /// How much the `q` quantile of `y` grows with each unit of `x`; `None` with too few pairs or if the
+    /// medians of `x` in the groups differ by less than `min_spread`.
+    pub fn slope(&self, q: f64, min_spread: f64) -> Option<f64> {
         let sorted = self.sorted()?;
         let group = sorted.len() / GROUPS;
         let (low, high) = (&sorted[..group], &sorted[sorted.len() - group..]);
         let spread = quantile(high, MEDIAN, |pair| pair.0) - quantile(low, MEDIAN, |pair| pair.0);
-        if spread < least_spread || spread <= 0.0 {
+        if spread < min_spread || spread <= 0.0 {
             return None;
         }
-        let rise = quantile(high, part, |pair| pair.1) - quantile(low, part, |pair| pair.1);
+        let rise = quantile(high, q, |pair| pair.1) - quantile(low, q, |pair| pair.1);
         Some(rise / spread)
     }
 
-    /// The `part` quantile of `x / y` where `x` is largest; `None` while there are few pairs.
-    pub fn ratio(&self, part: f64) -> Option<f64> {
+    /// The `q` quantile of `x / y` over the third of the pairs with the largest `x`; `None` with too few
+    /// pairs.
+    pub fn ratio_quantile(&self, q: f64) -> Option<f64> {
         let sorted = self.sorted()?;
         let high = &sorted[sorted.len() - sorted.len() / GROUPS..];
-        Some(quantile(high, part, |pair| pair.0 / pair.1.max(LEAST_Y)))
+        Some(quantile(high, q, |pair| pair.0 / pair.1.max(MIN_Y)))
     }
 
-    /// The `part` quantile of `y`; `None` without pairs.
-    pub fn level(&self, part: f64) -> Option<f64> {
+    /// The `q` quantile of `y`; `None` without pairs.
+    pub fn y_quantile(&self, q: f64) -> Option<f64> {
         let pairs: Vec<(f32, f32)> = self.pairs.iter().copied().collect();
-        (!pairs.is_empty()).then(|| quantile(&pairs, part, |pair| pair.1))
+        (!pairs.is_empty()).then(|| quantile(&pairs, q, |pair| pair.1))
     }
 
     fn sorted(&self) -> Option<Vec<(f32, f32)>> {
@@ -84,10 +82,10 @@
     }
 }
 
-fn quantile(pairs: &[(f32, f32)], part: f64, value: impl Fn(&(f32, f32)) -> f32) -> f64 {
+fn quantile(pairs: &[(f32, f32)], q: f64, value: impl Fn(&(f32, f32)) -> f32) -> f64 {
     let mut values: Vec<f32> = pairs.iter().map(value).collect();
-    let place = (values.len() as f64 * part) as usize;
-    let place = place.min(values.len() - 1);
-    let (_, quantile, _) = values.select_nth_unstable_by(place, f32::total_cmp);
+    let index = (values.len() as f64 * q) as usize;
+    let index = index.min(values.len() - 1);
+    let (_, quantile, _) = values.select_nth_unstable_by(index, f32::total_cmp);
     f64::from(*quantile)
 }
--- a/crates/routing/src/warm_up.rs
+++ b/crates/routing/src/warm_up.rs
@@ -1,4 +1,4 @@
-//! Engines that have just started bear less than others until they are warm.
+//! Tracks which engines are warming up. After a start an engine takes fewer requests until it is warm.
 
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
@@ -9,102 +9,101 @@
 use crate::engine_table::{Engine, EngineEntry};
 
 const MS_PER_KS: u64 = 1_000_000;
-/// Part of the usual time of a warm-up over which an engine that is warm gets its share back.
-const GROWTH_SHARE: f64 = 0.5;
-/// How long an engine counts as away that was not reached.
-const AWAY_TIME: Duration = Duration::from_secs(15);
-/// How long a run is remembered that is not listed any more: a store that lost its entries lists it again.
-const REMEMBERED: Duration = Duration::from_secs(60);
+/// Fraction of the usual warm-up time over which the share of a warm engine ramps up.
+const RAMP_FRACTION: f64 = 0.5;
+/// How long an engine counts as unreachable after a failed connection.
+const UNREACHABLE_PERIOD: Duration = Duration::from_secs(15);
+/// How long an unlisted run is remembered, since a store that lost its entries lists the same run again.
+const UNLISTED_RETENTION: Duration = Duration::from_secs(60);
 
-/// What the engines of a service bear while they warm up.
+/// Rate limit of each engine of a service while it warms up.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct WarmUpLimit {
-    /// Requests in a thousand seconds.
+    /// Requests in 1000 seconds.
     pub per_ks: u64,
-    /// How long an engine warms up after its start, in milliseconds, where it does not say.
+    /// Duration of a warm-up that no entry or answer limits, in milliseconds.
     pub duration_ms: u64,
 }
 
 impl WarmUpLimit {
-    /// How long an engine warms up where it does not say.
-    pub fn lasts(&self) -> Duration {
+    /// Duration of a warm-up that no entry or answer limits.
+    pub fn duration(&self) -> Duration {
         Duration::from_millis(self.duration_ms)
     }
 
-    /// The time after which one more request may reach an engine that got all that it bears.
+    /// Interval between requests at the limit.
     pub fn min_interval(&self) -> Duration {
         Duration::from_millis(MS_PER_KS / self.per_ks.max(1))
     }
 }
 
-/// Who says that an engine warms up.
+/// Why an engine is taken to be warming up.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WarmUpSource {
-    /// Its entry.
+    /// Its entry says so.
     Entry,
-    /// One of its answers.
+    /// One of its answers says so.
     Answer,
     /// It was not listed before.
-    Appeared,
-    /// It was found away: it may have started again, and looks idle.
-    FoundAway,
-    /// Its zone was taken back from a drain.
-    ZoneReturned,
+    NewlyListed,
+    /// A connection to it failed, so it may have restarted and would look idle.
+    Unreachable,
+    /// The drain of its zone ended.
+    DrainEnded,
 }
 
 impl WarmUpSource {
-    /// Name for logs.
+    /// Name in logs.
     pub fn name(self) -> &'static str {
         match self {
             Self::Entry => "entry",
             Self::Answer => "answer",
-            Self::Appeared => "appeared",
-            Self::FoundAway => "found_away",
-            Self::ZoneReturned => "zone_returned",
+            Self::NewlyListed => "appeared",
+            Self::Unreachable => "found_away",
+            Self::DrainEnded => "zone_returned",
         }
     }
 }
 
-/// An engine has begun to warm up, or is warm.
+/// An engine has started to warm up or has become warm.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct WarmUpNews {
-    /// The engine's instance.
+pub struct WarmUpChange {
     pub instance: String,
-    /// Its service.
     pub service: String,
-    /// When it started.
+    /// Start of the engine's run, in milliseconds since 1970.
     pub born_ms: u64,
-    /// For how long it warms up yet; `None` when it is warm.
+    /// Remaining time of the warm-up; `None` if the engine is warm.
     pub left: Option<Duration>,
-    /// Who said so last.
+    /// The latest source of the warm-up.
     pub source: WarmUpSource,
 }
 
-/// How one run of an engine warms up.
+/// The warm-up of one run of an engine.
 #[derive(Debug)]
-struct Course {
+struct RunWarmUp {
     instance: String,
     service: String,
     born_ms: u64,
     limit: WarmUpLimit,
-    /// Revision of the newest entry that is known.
+    /// Revision of the newest known entry.
     revision: u64,
-    /// By its entry.
+    /// End according to the entry.
     entry_end: Duration,
-    /// By its answers.
+    /// End according to the answers.
     answer_end: Duration,
-    /// By what nobody says but is to be feared.
+    /// Presumed end where a warm-up is likely but neither entry nor answer says so.
     presumed_end: Duration,
-    /// Until when it counts as away, unless it is reached before: whoever is the first to reach it may find it just started.
-    away_until: Duration,
+    /// Until when the engine counts as unreachable, unless it answers before. It may have restarted and be
+    /// cold for the first gateway that reaches it.
+    unreachable_until: Duration,
     source: WarmUpSource,
-    /// Whether it was last said to warm up.
-    is_told: bool,
-    /// When it was last listed.
-    listed: Duration,
+    /// Whether the last change returned by [`WarmUps::news`] was the start of a warm-up.
+    is_reported_warming: bool,
+    /// When the run was last listed.
+    last_listed: Duration,
 }
 
-impl Course {
+impl RunWarmUp {
     fn new(engine: &Engine, limit: WarmUpLimit) -> Self {
         Self {
             instance: engine.instance.clone(),
@@ -115,24 +114,24 @@
             entry_end: Duration::ZERO,
             answer_end: Duration::ZERO,
             presumed_end: Duration::ZERO,
-            away_until: Duration::ZERO,
+            unreachable_until: Duration::ZERO,
             source: WarmUpSource::Entry,
-            is_told: false,
-            listed: Duration::ZERO,
+            is_reported_warming: false,
+            last_listed: Duration::ZERO,
         }
     }
 
     fn end(&self) -> Duration {
-        let presumed = self.presumed_end.max(self.away_until);
+        let presumed = self.presumed_end.max(self.unreachable_until);
         self.entry_end.max(self.answer_end).max(presumed)
     }
 
     fn presume(&mut self, source: WarmUpSource, now: Duration) {
-        self.presumed_end = self.presumed_end.max(now + self.limit.lasts());
+        self.presumed_end = self.presumed_end.max(now + self.limit.duration());
         self.source = source;
     }
 
-    /// An entry that is newer than what is known. Where it ends a warm-up the engine's share grows from now on.
+    /// Applies a newer entry. If it ends the warm-up, the share ramps up from now on.
     fn on_entry(&mut self, warm_up: Duration, now: Duration) {
         if warm_up.is_zero() {
             self.entry_end = self.entry_end.min(now);
@@ -143,11 +142,12 @@
         self.source = WarmUpSource::Entry;
     }
 
-    /// It has answered. Where it was away it may have started anew; an entry that tells of it is on its way.
+    /// The engine answered. If it was unreachable, it may have restarted, and its new entry may not have
+    /// arrived yet.
     fn on_reached(&mut self, now: Duration) {
-        if now < self.away_until {
-            self.away_until = Duration::ZERO;
-            self.presume(WarmUpSource::FoundAway, now);
+        if now < self.unreachable_until {
+            self.unreachable_until = Duration::ZERO;
+            self.presume(WarmUpSource::Unreachable, now);
         }
     }
 
@@ -163,7 +163,7 @@
         };
     }
 
-    /// Part of the requests that would go there if it were warm that it may get without being counted.
+    /// Fraction of the engine's usual requests that need no grant: 0 while it warms up, then rising to 1.
     fn share(&self, now: Duration) -> f64 {
         let end = self.end();
         if now < end {
@@ -172,28 +172,29 @@
         if end.is_zero() {
             return 1.0;
         }
-        let grows = self.limit.lasts().mul_f64(GROWTH_SHARE);
+        let ramp = self.limit.duration().mul_f64(RAMP_FRACTION);
         let since = now - end;
-        if since >= grows {
+        if since >= ramp {
             return 1.0;
         }
-        since.as_secs_f64() / grows.as_secs_f64()
+        since.as_secs_f64() / ramp.as_secs_f64()
     }
 }
 
-/// Which engines warm up, as one node knows it. Times are since the start of the process.
+/// Engines that are warming up, as known to one node. Times are since the start of the process.
 ///
-/// Each run of an engine has a course of its own. The latest of the ends by different sources counts: one that knows nothing of
-/// a warm-up says nothing against it.
+/// Each run of an engine has its own state. The latest end from any source counts, since a source that does
+/// not know of a warm-up does not refute it.
 #[derive(Debug, Default)]
 pub struct WarmUps {
-    courses: HashMap<EngineKey, Course>,
-    /// Services of which a list of engines was seen: those of the first one may have run for long.
+    runs: HashMap<EngineKey, RunWarmUp>,
+    /// Services whose engines were listed before. Engines in the first list of a service may have run for
+    /// long, so they are not presumed to warm up.
     services: HashSet<String>,
 }
 
 impl WarmUps {
-    /// Takes the engines in that are listed now, those of services whose engines warm up.
+    /// Takes the list of engines; those of services without a limit are ignored.
     pub fn on_list<'a>(
         &mut self,
         entries: impl Iterator<Item = &'a EngineEntry>,
@@ -203,35 +204,41 @@
         for entry in entries {
             let service = entry.engine.service.as_str();
             if let Some(limit) = limits.get(service) {
-                let is_first = !self.services.contains(service);
-                self.on_entry(entry, *limit, is_first, now);
+                let is_first_list = !self.services.contains(service);
+                self.on_entry(entry, *limit, is_first_list, now);
             }
         }
         self.services = limits.keys().map(|name| (*name).to_owned()).collect();
-        self.courses.retain(|_, course| {
-            // Those of services whose engines need no care any more go with them.
-            let is_due = now.saturating_sub(course.listed) < REMEMBERED;
-            is_due && limits.contains_key(course.service.as_str())
+        self.runs.retain(|_, run| {
+            // Runs of services that no longer have a limit are dropped as well.
+            let is_retained = now.saturating_sub(run.last_listed) < UNLISTED_RETENTION;
+            is_retained && limits.contains_key(run.service.as_str())
         });
     }
 
-    fn on_entry(&mut self, entry: &EngineEntry, limit: WarmUpLimit, is_first: bool, now: Duration) {
+    fn on_entry(
+        &mut self,
+        entry: &EngineEntry,
+        limit: WarmUpLimit,
+        is_first_list: bool,
+        now: Duration,
+    ) {
         let engine = &entry.engine;
-        let known = self.courses.contains_key(&engine.key());
-        let course = self.course(engine, limit);
-        course.limit = limit;
-        course.listed = now;
-        if entry.revision <= course.revision {
+        let known = self.runs.contains_key(&engine.key());
+        let run = self.run_mut(engine, limit);
+        run.limit = limit;
+        run.last_listed = now;
+        if entry.revision <= run.revision {
             return;
         }
-        course.revision = entry.revision;
-        course.on_entry(Duration::from_millis(engine.warm_up_ms), now);
-        if !known && !is_first && engine.warm_up_ms == 0 {
-            course.presume(WarmUpSource::Appeared, now);
+        run.revision = entry.revision;
+        run.on_entry(Duration::from_millis(engine.warm_up_ms), now);
+        if !known && !is_first_list && engine.warm_up_ms == 0 {
+            run.presume(WarmUpSource::NewlyListed, now);
         }
     }
 
-    /// An answer of an engine says for how long it warms up.
+    /// Takes the remaining warm-up time that an answer of the engine gives; zero if it is warm.
     pub fn on_answer(
         &mut self,
         engine: &Engine,
@@ -239,86 +246,86 @@
         warm_up: Duration,
         now: Duration,
     ) {
-        if warm_up.is_zero() && !self.courses.contains_key(&engine.key()) {
+        if warm_up.is_zero() && !self.runs.contains_key(&engine.key()) {
             return;
         }
-        self.course(engine, limit).on_answer(warm_up, now);
+        self.run_mut(engine, limit).on_answer(warm_up, now);
     }
 
-    /// No connection to an engine came about.
+    /// A connection to the engine failed.
     pub fn on_unreachable(&mut self, engine: &Engine, limit: WarmUpLimit, now: Duration) {
-        let course = self.course(engine, limit);
-        course.away_until = now + AWAY_TIME;
-        course.source = WarmUpSource::FoundAway;
+        let run = self.run_mut(engine, limit);
+        run.unreachable_until = now + UNREACHABLE_PERIOD;
+        run.source = WarmUpSource::Unreachable;
     }
 
-    /// An engine has answered, whatever it says of its warm-up.
+    /// The engine answered, whether or not the answer mentions a warm-up.
     pub fn on_reached(&mut self, engine: EngineKey, now: Duration) {
-        if let Some(course) = self.courses.get_mut(&engine) {
-            course.on_reached(now);
+        if let Some(run) = self.runs.get_mut(&engine) {
+            run.on_reached(now);
         }
     }
 
-    /// The drain of a zone ended at this time; its engines may warm up again.
+    /// The drain of the engines' zone ended at this time, so they may warm up again.
     pub fn on_drain_ended<'a>(
         &mut self,
         engines: impl Iterator<Item = &'a Engine>,
         limits: &HashMap<&str, WarmUpLimit>,
-        returned: Duration,
+        drain_ended: Duration,
     ) {
         for engine in engines {
             if let Some(limit) = limits.get(engine.service.as_str()) {
-                self.course(engine, *limit)
-                    .presume(WarmUpSource::ZoneReturned, returned);
+                self.run_mut(engine, *limit)
+                    .presume(WarmUpSource::DrainEnded, drain_ended);
             }
         }
     }
 
-    fn course(&mut self, engine: &Engine, limit: WarmUpLimit) -> &mut Course {
-        let courses = self.courses.entry(engine.key());
-        courses.or_insert_with(|| Course::new(engine, limit))
+    fn run_mut(&mut self, engine: &Engine, limit: WarmUpLimit) -> &mut RunWarmUp {
+        let entry = self.runs.entry(engine.key());
+        entry.or_insert_with(|| RunWarmUp::new(engine, limit))
     }
 
-    /// Part of the requests that would go to an engine if it were warm that it may get without being counted: none while it warms up,
-    /// then more and more, so that its load grows without a step.
+    /// Fraction of the engine's usual requests that need no grant: 0 while it warms up, then rising to 1, so
+    /// that its load grows gradually.
     pub fn share(&self, engine: EngineKey, now: Duration) -> f64 {
-        let course = self.courses.get(&engine);
-        course.map_or(1.0, |course| course.share(now))
+        let run = self.runs.get(&engine);
+        run.map_or(1.0, |run| run.share(now))
     }
 
-    /// Whether requests to any engine of a service are counted now.
+    /// Whether requests to any engine of the service need grants now.
     pub fn has_limited_engines(&self, service: &str, now: Duration) -> bool {
-        let mut courses = self.courses.values();
-        courses.any(|course| course.service == service && course.share(now) < 1.0)
+        let mut runs = self.runs.values();
+        runs.any(|run| run.service == service && run.share(now) < 1.0)
     }
 
-    /// Engines that warm up, by service.
+    /// Number of engines that are warming up, by service.
     pub fn warming(&self, now: Duration) -> HashMap<&str, u64> {
         let mut warming = HashMap::new();
-        for course in self.courses.values() {
-            let count: &mut u64 = warming.entry(course.service.as_str()).or_default();
-            *count += u64::from(now < course.end());
+        for run in self.runs.values() {
+            let count: &mut u64 = warming.entry(run.service.as_str()).or_default();
+            *count += u64::from(now < run.end());
         }
         warming
     }
 
-    /// Engines that have begun to warm up, or are warm, since this was last asked.
-    pub fn news(&mut self, now: Duration) -> Vec<WarmUpNews> {
-        let mut news = Vec::new();
-        for course in self.courses.values_mut() {
-            let left = course.end().checked_sub(now).filter(|left| !left.is_zero());
-            if left.is_some() == course.is_told {
+    /// Engines that have started to warm up or have become warm since the last call.
+    pub fn news(&mut self, now: Duration) -> Vec<WarmUpChange> {
+        let mut changes = Vec::new();
+        for run in self.runs.values_mut() {
+            let left = run.end().checked_sub(now).filter(|left| !left.is_zero());
+            if left.is_some() == run.is_reported_warming {
                 continue;
             }
-            course.is_told = left.is_some();
-            news.push(WarmUpNews {
-                instance: course.instance.clone(),
-                service: course.service.clone(),
-                born_ms: course.born_ms,
+            run.is_reported_warming = left.is_some();
+            changes.push(WarmUpChange {
+                instance: run.instance.clone(),
+                service: run.service.clone(),
+                born_ms: run.born_ms,
                 left,
-                source: course.source,
+                source: run.source,
             });
         }
-        news
+        changes
     }
 }
