--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt at one engine, up to the head of its answer.
+//! Sends a request to one engine and reads the head of its response.
 
 use std::fmt;
 use std::rc::Rc;
@@ -16,61 +16,66 @@
 use ridgeworks_routing::{Engine, Exclusion, Outcome};
 use tokio::time::Instant;
 
-use crate::at_engine::AtEngine;
 use crate::call::Call;
 use crate::engine_rules::EngineRules;
 use crate::gateway::Gateway;
+use crate::in_flight::InFlightRequest;
 
-/// Why an attempt did not succeed.
+/// Why an attempt failed.
 #[derive(Debug)]
 pub enum AttemptFailure {
-    /// Since it was chosen, the engine may get nothing any more; it never saw the request.
-    Barred(Exclusion),
-    /// No connection; the engine never saw the request.
+    /// The engine was excluded after it was chosen; it never saw the request.
+    Excluded(Exclusion),
+    /// The connection could not be opened; the engine never saw the request.
     NotSent(ConnectError),
-    /// The engine closed the new connection before the request went out.
-    Unsent,
-    /// The engine says that it did not run the request.
+    /// The engine closed the new connection before the request was sent.
+    ClosedBeforeSend,
+    /// The engine reported that it did not run the request.
     Rejected(StatusCode),
-    /// The connection broke; the engine may have run the request.
-    Lost,
-    /// What came was no answer to this request; the engine may have run it.
-    Garbled,
-    /// The answer broke off; the engine may have run the request.
-    BrokenOff,
-    /// The engine was silent for too long.
-    Silent,
+    /// The connection failed; the engine may have run the request.
+    ConnectionLost,
+    /// The response does not belong to this request or is malformed; the engine may have run the
+    /// request.
+    InvalidResponse,
+    /// The response ended early; the engine may have run the request.
+    Truncated,
+    /// The first event did not arrive in time; the engine may have run the request.
+    ResponseTimeout,
 }
 
 impl AttemptFailure {
     /// Whether the engine certainly did not run the request.
-    pub fn is_not_run(&self) -> bool {
+    pub fn did_not_run(&self) -> bool {
         matches!(
             self,
-            Self::Barred(_) | Self::NotSent(_) | Self::Unsent | Self::Rejected(_)
+            Self::Excluded(_) | Self::NotSent(_) | Self::ClosedBeforeSend | Self::Rejected(_)
         )
     }
 
-    /// What it says of the engine; a full one says nothing, nor one that was not asked.
+    /// How the failure counts for the engine's health; `None` if it is no evidence, as for a full
+    /// engine.
     pub fn outcome(&self) -> Option<Outcome> {
         match self {
-            Self::Barred(_) | Self::Rejected(_) => None,
-            Self::NotSent(_) | Self::Unsent => Some(Outcome::Unreachable),
-            Self::Lost | Self::Garbled | Self::BrokenOff | Self::Silent => Some(Outcome::Failed),
+            Self::Excluded(_) | Self::Rejected(_) => None,
+            Self::NotSent(_) | Self::ClosedBeforeSend => Some(Outcome::Unreachable),
+            Self::ConnectionLost
+            | Self::InvalidResponse
+            | Self::Truncated
+            | Self::ResponseTimeout => Some(Outcome::Failed),
         }
     }
 
-    /// Name for logs and metrics.
+    /// Stable name in logs and metrics.
     pub fn name(&self) -> &'static str {
         match self {
-            Self::Barred(exclusion) => exclusion.name(),
+            Self::Excluded(exclusion) => exclusion.name(),
             Self::NotSent(error) => error.name(),
-            Self::Unsent => "unsent",
+            Self::ClosedBeforeSend => "unsent",
             Self::Rejected(_) => "rejected",
-            Self::Lost => "lost",
-            Self::Garbled => "garbled",
-            Self::BrokenOff => "broken_off",
-            Self::Silent => "silent",
+            Self::ConnectionLost => "lost",
+            Self::InvalidResponse => "garbled",
+            Self::Truncated => "broken_off",
+            Self::ResponseTimeout => "silent",
         }
     }
 }
@@ -87,106 +92,109 @@
 
 impl std::error::Error for AttemptFailure {}
 
-/// An engine's answer whose head is read. Dropping it cancels the request at the engine.
-pub struct Answered {
-    /// Status of the answer.
+/// An engine's response of which only the head has been read. Dropping it cancels the request at
+/// the engine.
+pub struct EngineResponse {
     pub status: StatusCode,
-    /// Headers of the answer.
     pub headers: HeaderMap,
-    /// What the head says.
+    /// Protocol fields of the head.
     pub head: EngineResponseHead,
-    /// The body, not read yet.
+    /// The unread body.
     pub body: Incoming,
-    /// The request's stay at the engine.
-    pub at_engine: AtEngine,
+    /// Tracks the request while it is at the engine.
+    pub in_flight: InFlightRequest,
     connection: Connection,
 }
 
-impl Answered {
-    /// Gives the connection back; the body must have been read whole.
+impl EngineResponse {
+    /// Returns the connection to the pool. The body must have been read to its end.
     pub fn finish(self, gateway: &Gateway) {
         let rest = self.head.keep_alive;
-        let engine = self.at_engine.engine();
-        gateway.pool.give_back(engine, self.connection, rest);
+        let engine = self.in_flight.engine();
+        gateway.pool.put_idle(engine, self.connection, rest);
     }
 }
 
-/// What an attempt sends.
-pub struct Sending<'a> {
-    /// The call.
+/// A request as it is sent to an engine.
+pub struct AttemptRequest<'a> {
     pub call: &'a Call,
-    /// The body for the engine.
+    /// Earlier turns and the client's body.
     pub body: &'a Bytes,
-    /// Last event that was passed on, when a stream is taken up.
+    /// Last forwarded event, when a stream is resumed.
     pub last_event_id: Option<u64>,
-    /// Drawn for the request: decides whether an engine that is hardly warm gets it.
+    /// Random number from 0 to 1 that decides whether the request may go to an engine that has
+    /// barely warmed up.
     pub draw: f64,
-    /// For an engine that warms up.
+    /// Grant for an engine that is warming up.
     pub grant: Option<Grant>,
 }
 
-/// Sends a request to an engine and waits for the head of its answer.
+/// Sends a request to an engine and waits for the head of its response. An idle connection that
+/// turns out to be closed is replaced.
 pub async fn send(
     gateway: &Rc<Gateway>,
     engine: &Engine,
-    at_engine: AtEngine,
-    sending: Sending<'_>,
-) -> Result<Answered, AttemptFailure> {
+    in_flight: InFlightRequest,
+    outgoing: AttemptRequest<'_>,
+) -> Result<EngineResponse, AttemptFailure> {
     let mut reused = gateway.pool.take_idle(engine.key());
     loop {
         let is_reused = reused.is_some();
         let mut connection = match reused.take() {
             Some(connection) => connection,
             None => {
-                check(gateway, sending.call, engine)?;
+                check(gateway, outgoing.call, engine)?;
                 new_connection(gateway, engine).await?
             }
         };
-        // What keeps it from the engine may have come while the connection was made.
-        if let Err(barred) = check(gateway, sending.call, engine) {
-            gateway.pool.give_back(engine.key(), connection, None);
-            return Err(barred);
+        // The rules may have changed while the connection was opened.
+        if let Err(excluded) = check(gateway, outgoing.call, engine) {
+            gateway.pool.put_idle(engine.key(), connection, None);
+            return Err(excluded);
         }
-        let request = build_request(engine, &sending);
-        if let Err(exclusion) = gateway.warm_ups.admit(engine, sending.draw, sending.grant) {
-            gateway.pool.give_back(engine.key(), connection, None);
-            return Err(AttemptFailure::Barred(exclusion));
+        let request = build_request(engine, &outgoing);
+        if let Err(exclusion) = gateway
+            .warm_ups
+            .admit(engine, outgoing.draw, outgoing.grant)
+        {
+            gateway.pool.put_idle(engine.key(), connection, None);
+            return Err(AttemptFailure::Excluded(exclusion));
         }
         match connection.try_send_request(request).await {
             Ok(response) => {
-                at_engine.on_sent(sending.body.len());
+                in_flight.on_sent(outgoing.body.len());
                 let (parts, body) = response.into_parts();
                 let head = read_engine_response_head(parts.status.as_u16(), &parts.headers);
                 gateway.warm_ups.on_answer(engine, head.warm_up);
-                let answered = Answered {
+                let engine_response = EngineResponse {
                     status: parts.status,
                     headers: parts.headers,
                     head,
                     body,
-                    at_engine,
+                    in_flight,
                     connection,
                 };
-                return judge(gateway, answered, sending.call).await;
+                return check_response(gateway, engine_response, outgoing.call).await;
             }
             Err(mut error) => {
-                // The library still has the request when not a byte of it went out.
+                // The HTTP library returns the request if it sent no byte of it.
                 let is_unsent = error.take_message().is_some();
                 if !is_unsent {
-                    at_engine.on_sent(sending.body.len());
-                    return Err(AttemptFailure::Lost);
+                    in_flight.on_sent(outgoing.body.len());
+                    return Err(AttemptFailure::ConnectionLost);
                 }
                 if !is_reused {
-                    return Err(AttemptFailure::Unsent);
+                    return Err(AttemptFailure::ClosedBeforeSend);
                 }
             }
         }
     }
 }
 
-/// Whether the engine may still get what was meant for it when it was chosen.
+/// Checks that the engine may still get the request.
 fn check(gateway: &Gateway, call: &Call, engine: &Engine) -> Result<(), AttemptFailure> {
-    let exclusion = EngineRules::now(gateway, call).exclusion(engine);
-    exclusion.map_or(Ok(()), |exclusion| Err(AttemptFailure::Barred(exclusion)))
+    let exclusion = EngineRules::current(gateway, call).exclusion(engine);
+    exclusion.map_or(Ok(()), |exclusion| Err(AttemptFailure::Excluded(exclusion)))
 }
 
 async fn new_connection(gateway: &Gateway, engine: &Engine) -> Result<Connection, AttemptFailure> {
@@ -201,51 +209,51 @@
     Ok(connection)
 }
 
-fn build_request(engine: &Engine, sending: &Sending<'_>) -> Request<Full<Bytes>> {
-    let call = sending.call;
-    let remaining = call.limit.saturating_duration_since(Instant::now());
-    let order = EngineRequestMetadata {
+fn build_request(engine: &Engine, outgoing: &AttemptRequest<'_>) -> Request<Full<Bytes>> {
+    let call = outgoing.call;
+    let remaining = call.deadline.saturating_duration_since(Instant::now());
+    let request_metadata = EngineRequestMetadata {
         remaining: remaining.max(Duration::from_millis(1)),
         instance: &engine.instance,
         priority: call.priority(),
-        last_event_id: sending.last_event_id,
+        last_event_id: outgoing.last_event_id,
         tenant: call.owner(),
     };
-    let mut request = Request::new(Full::new(sending.body.clone()));
+    let mut request = Request::new(Full::new(outgoing.body.clone()));
     *request.method_mut() = call.method.clone();
     if let Ok(uri) = call.path.parse() {
         *request.uri_mut() = uri;
     }
-    *request.headers_mut() = engine_headers(&call.headers, &order);
+    *request.headers_mut() = engine_headers(&call.headers, &request_metadata);
     request
 }
 
-/// Tells an answer to this request from a rejection and from bytes that answer something else.
-async fn judge(
+/// Distinguishes a response to this request from a rejection and from unrelated bytes.
+async fn check_response(
     gateway: &Gateway,
-    answered: Answered,
+    engine_response: EngineResponse,
     call: &Call,
-) -> Result<Answered, AttemptFailure> {
-    if answered.head.not_executed {
-        let status = answered.status;
-        keep_after_rejection(gateway, answered).await;
+) -> Result<EngineResponse, AttemptFailure> {
+    if engine_response.head.not_executed {
+        let status = engine_response.status;
+        keep_after_rejection(gateway, engine_response).await;
         return Err(AttemptFailure::Rejected(status));
     }
-    let echoed = answered.head.request_id.as_deref();
+    let echoed = engine_response.head.request_id.as_deref();
     let is_ours = echoed.is_none_or(|id| id == call.metadata.request_id);
-    if is_ours && answered.head.is_signed {
-        Ok(answered)
+    if is_ours && engine_response.head.is_signed {
+        Ok(engine_response)
     } else {
-        Err(AttemptFailure::Garbled)
+        Err(AttemptFailure::InvalidResponse)
     }
 }
 
-/// An engine that rejected a request goes on with its connection, once the short body is read.
-async fn keep_after_rejection(gateway: &Gateway, mut answered: Answered) {
+/// Reads the short body of a rejection, so that the connection can be reused.
+async fn keep_after_rejection(gateway: &Gateway, mut engine_response: EngineResponse) {
     const MAX_REJECTION_BYTES: usize = 16 * 1024;
-    const PATIENCE: Duration = Duration::from_millis(20);
-    let reading = Limited::new(&mut answered.body, MAX_REJECTION_BYTES).collect();
-    if let Ok(Ok(_)) = tokio::time::timeout(PATIENCE, reading).await {
-        answered.finish(gateway);
+    const BODY_TIMEOUT: Duration = Duration::from_millis(20);
+    let reading = Limited::new(&mut engine_response.body, MAX_REJECTION_BYTES).collect();
+    if let Ok(Ok(_)) = tokio::time::timeout(BODY_TIMEOUT, reading).await {
+        engine_response.finish(gateway);
     }
 }
--- a/crates/gateway/src/call.rs
+++ b/crates/gateway/src/call.rs
@@ -1,4 +1,4 @@
-//! A client's request as it was read, ready to be carried out.
+//! A client's request after parsing and routing.
 
 use std::sync::Arc;
 
@@ -8,70 +8,64 @@
 use ridgeworks_routing::{CallMetadata, RequestKind, Residency, Route, Tenant};
 use tokio::time::Instant;
 
-use crate::gateway::{BodyRoom, OpenRequest};
+use crate::gateway::{BodyReservation, OpenRequestGuard};
 
-/// Rank of turns of programs that are late.
+/// Priority of turns of programs that are already late.
 const LATE_PRIORITY: u8 = 8;
 
-/// One attempt of a client, ready to be carried out.
+/// One request of a client, ready to be executed. A retry by the client is another call.
 pub struct Call {
-    /// Its method.
     pub method: Method,
-    /// The host that it names.
+    /// Host name, without a port if it came in the request's URI.
     pub host: String,
-    /// Its path and query, as they came.
+    /// Path and query, unchanged.
     pub path: String,
-    /// Its headers.
     pub headers: HeaderMap,
-    /// Its body.
     pub body: Bytes,
-    /// What its headers say.
+    /// Protocol fields of the headers.
     pub metadata: CallMetadata,
-    /// Its route.
     pub route: Arc<Route>,
-    /// Who it belongs to; `None` where no key is asked for.
+    /// `None` if the route requires no key.
     pub tenant: Option<Arc<Tenant>>,
-    /// Where it may be served, by the configuration that decided.
+    /// Where the call may be served according to the configuration at its entry.
     pub residency: Residency,
-    /// The service that is to run it.
     pub service: String,
-    /// Version of the configuration that decided.
+    /// Version of the configuration that selected route and service.
     pub version: u64,
-    /// When its head came.
+    /// When the request's head was received.
     pub received: Instant,
-    /// When it has to be answered.
-    pub limit: Instant,
-    /// Held for as long as the request is.
-    pub _room: BodyRoom,
-    /// Held for as long as the request is.
-    pub _open: OpenRequest,
+    /// When the response has to be complete.
+    pub deadline: Instant,
+    /// Keeps the memory of the body reserved.
+    pub _body_reservation: BodyReservation,
+    /// Keeps the request counted as open.
+    pub _open_request: OpenRequestGuard,
 }
 
 impl Call {
-    /// Name of the tenant that turns and ledgers of the request belong to.
+    /// Name of the tenant that owns the request's turns and ledgers.
     pub fn owner(&self) -> Option<&str> {
         self.tenant.as_ref().map(|tenant| tenant.name.as_str())
     }
 
-    /// The request as a turn.
     pub fn turn(&self) -> TurnId {
         TurnId::of(self.owner(), &self.metadata.request_id)
     }
 
-    /// The turn that it goes on from.
+    /// The turn that this one continues.
     pub fn previous_turn(&self) -> Option<TurnId> {
         let previous = self.metadata.previous_turn.as_deref()?;
         Some(TurnId::of(self.owner(), previous))
     }
 
-    /// The program that it belongs to.
     pub fn program(&self) -> Option<ProgramId> {
         let program = self.metadata.program.as_deref()?;
         Some(ProgramId::of(self.owner(), program))
     }
 
-    /// Rank of the request at engines, 0 first: the tenant's or the route's, and the last one for a turn of a program that
-    /// is late already, so that others still come in time.
+    /// Priority at engines, 0 being the highest: the tenant's, or else the route's. A turn of a
+    /// program that is already late gets the lowest one, so that other programs can still finish in
+    /// time.
     pub fn priority(&self) -> u8 {
         let is_turn = self.route.kind == RequestKind::Stream;
         if is_turn && self.metadata.is_late() {
--- a/crates/gateway/src/caller.rs
+++ b/crates/gateway/src/caller.rs
@@ -1,4 +1,4 @@
-//! The client's side of one request: the head and body of its answer, and whether it still waits.
+//! The client's side of one exchange: sends the response and detects disconnection.
 
 use std::convert::Infallible;
 use std::fmt;
@@ -10,35 +10,35 @@
 use http_body::{Body, Frame, SizeHint};
 use tokio::sync::{mpsc, oneshot};
 
-/// Pieces of an answer that may wait for a slow client.
+/// Chunks of a response that may be queued for a slow client.
 const MAX_WAITING_PIECES: usize = 32;
 
-/// The answer was broken off; the connection is closed without its end.
+/// The response was aborted; its connection is closed without a proper end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct BrokenOff;
+pub struct ResponseAborted;
 
-impl fmt::Display for BrokenOff {
+impl fmt::Display for ResponseAborted {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str("the answer was broken off")
     }
 }
 
-impl std::error::Error for BrokenOff {}
+impl std::error::Error for ResponseAborted {}
 
-/// The client has gone away.
+/// The client disconnected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct CallerGone;
+pub struct CallerDisconnected;
 
-/// Body of an answer to a client.
+/// Body of a response to a client.
 #[derive(Debug)]
 pub enum CallerBody {
-    /// All of it.
+    /// The whole body; `None` once it has been taken.
     Whole(Option<Bytes>),
-    /// Pieces as they come.
-    Stream(mpsc::Receiver<Result<Bytes, BrokenOff>>),
+    /// Chunks as they arrive.
+    Stream(mpsc::Receiver<Result<Bytes, ResponseAborted>>),
 }
 
-impl From<Infallible> for BrokenOff {
+impl From<Infallible> for ResponseAborted {
     fn from(never: Infallible) -> Self {
         match never {}
     }
@@ -46,12 +46,12 @@
 
 impl Body for CallerBody {
     type Data = Bytes;
-    type Error = BrokenOff;
+    type Error = ResponseAborted;
 
     fn poll_frame(
         self: Pin<&mut Self>,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, BrokenOff>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, ResponseAborted>>> {
         match self.get_mut() {
             Self::Whole(bytes) => {
                 let bytes = bytes.take().filter(|bytes| !bytes.is_empty());
@@ -81,60 +81,63 @@
     }
 }
 
-/// A client that waits for the head of its answer.
+/// A client that waits for the head of its response.
 #[derive(Debug)]
 pub struct Caller {
     head: oneshot::Sender<Response<CallerBody>>,
 }
 
 impl Caller {
-    /// A caller and where its answer comes out.
+    /// Creates a caller and the receiver of its response.
     pub fn new() -> (Self, oneshot::Receiver<Response<CallerBody>>) {
         let (head, receiver) = oneshot::channel();
         (Self { head }, receiver)
     }
 
-    /// Ends when the client has gone away.
-    pub async fn gone(&mut self) {
+    /// Completes when the client has disconnected.
+    pub async fn disconnected(&mut self) {
         self.head.closed().await;
     }
 
-    /// Gives a whole answer.
+    /// Sends a whole response.
     pub fn answer(self, response: Response<Bytes>) {
         let response = response.map(|bytes| CallerBody::Whole(Some(bytes)));
-        // A client that has gone away needs no answer.
+        // Fails only if the client has disconnected.
         let _ = self.head.send(response);
     }
 
-    /// Gives the head of a streamed answer.
-    pub fn begin(self, head: Response<()>) -> Result<StreamingCaller, CallerGone> {
+    /// Sends the head of a streamed response.
+    pub fn start_stream(self, head: Response<()>) -> Result<StreamingCaller, CallerDisconnected> {
         let (pieces, receiver) = mpsc::channel(MAX_WAITING_PIECES);
         let response = head.map(|()| CallerBody::Stream(receiver));
-        self.head.send(response).map_err(|_| CallerGone)?;
+        self.head.send(response).map_err(|_| CallerDisconnected)?;
         Ok(StreamingCaller { pieces })
     }
 }
 
-/// A client in the middle of a streamed answer. Dropping it ends the answer as complete.
+/// A client that receives a streamed response. Dropping it ends the response as complete.
 #[derive(Debug)]
 pub struct StreamingCaller {
-    pieces: mpsc::Sender<Result<Bytes, BrokenOff>>,
+    pieces: mpsc::Sender<Result<Bytes, ResponseAborted>>,
 }
 
 impl StreamingCaller {
-    /// Ends when the client has gone away.
-    pub async fn gone(&self) {
+    /// Completes when the client has disconnected.
+    pub async fn disconnected(&self) {
         self.pieces.closed().await;
     }
 
-    /// Passes bytes on; waits while the client reads too slowly.
-    pub async fn send(&self, bytes: Bytes) -> Result<(), CallerGone> {
-        self.pieces.send(Ok(bytes)).await.map_err(|_| CallerGone)
+    /// Queues bytes for the client; waits while the queue is full.
+    pub async fn send(&self, bytes: Bytes) -> Result<(), CallerDisconnected> {
+        self.pieces
+            .send(Ok(bytes))
+            .await
+            .map_err(|_| CallerDisconnected)
     }
 
-    /// Breaks the answer off.
-    pub async fn break_off(self) {
-        // A client that has gone away has noticed by itself.
-        let _ = self.pieces.send(Err(BrokenOff)).await;
+    /// Aborts the response, so that the client sees that it is incomplete.
+    pub async fn abort(self) {
+        // Fails only if the client has disconnected.
+        let _ = self.pieces.send(Err(ResponseAborted)).await;
     }
 }
--- a/crates/gateway/src/engine_pool.rs
+++ b/crates/gateway/src/engine_pool.rs
@@ -1,4 +1,4 @@
-//! Connections to engines that are used again.
+//! Pool of idle connections to engines.
 
 use std::cell::RefCell;
 use std::collections::{HashMap, HashSet};
@@ -7,13 +7,14 @@
 use ridgeworks_resident::http_client::{ConnectError, Connection, connect};
 use ridgeworks_routing::{Engine, EngineKey, EngineTable};
 
-/// Engines answer a new connection within their network's delay, unless they are gone or full.
+/// An engine accepts a connection within its network's delay unless it is gone or full.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
-/// How long a connection may rest where the engine does not say.
+/// Idle time of a connection if the engine states none.
 const DEFAULT_IDLE: Duration = Duration::from_secs(4);
-/// Part of the engine's own idle time after which a connection is no longer used.
-const IDLE_SHARE: f64 = 0.7;
-/// Connections kept for one engine.
+/// Fraction of the engine's stated idle time for which a connection is reused, so that the engine
+/// does not close it first.
+const KEEP_ALIVE_FRACTION: f64 = 0.7;
+/// Most idle connections per engine.
 const MAX_IDLE: usize = 24;
 
 struct IdleConnection {
@@ -21,14 +22,15 @@
     until: Instant,
 }
 
-/// Idle connections by the run of the engine: one to an earlier run leads nowhere.
+/// Idle connections by engine process. A restarted engine has a new key, because connections to its
+/// old process are dead.
 #[derive(Default)]
 pub struct EnginePool {
     idle: RefCell<HashMap<EngineKey, Vec<IdleConnection>>>,
 }
 
 impl EnginePool {
-    /// A connection that rested here, if one is fit.
+    /// Takes a usable idle connection.
     pub fn take_idle(&self, engine: EngineKey) -> Option<Connection> {
         let mut idle = self.idle.borrow_mut();
         let of_engine = idle.get_mut(&engine)?;
@@ -41,26 +43,33 @@
         None
     }
 
-    /// A new connection.
+    /// Opens a new connection.
     pub async fn connect(&self, engine: &Engine) -> Result<Connection, ConnectError> {
         connect(engine.address, CONNECT_TIMEOUT).await
     }
 
-    /// Keeps a connection whose answer was read whole.
-    pub fn give_back(&self, engine: EngineKey, connection: Connection, rest: Option<Duration>) {
+    /// Returns a connection to the pool. Its last response must have been read to the end.
+    pub fn put_idle(
+        &self,
+        engine: EngineKey,
+        connection: Connection,
+        keep_alive: Option<Duration>,
+    ) {
         if connection.is_closed() {
             return;
         }
-        let rest = rest.map_or(DEFAULT_IDLE, |rest| rest.mul_f64(IDLE_SHARE));
+        let keep_alive = keep_alive.map_or(DEFAULT_IDLE, |keep_alive| {
+            keep_alive.mul_f64(KEEP_ALIVE_FRACTION)
+        });
         let mut idle = self.idle.borrow_mut();
         let of_engine = idle.entry(engine).or_default();
         if of_engine.len() < MAX_IDLE {
-            let until = Instant::now() + rest;
+            let until = Instant::now() + keep_alive;
             of_engine.push(IdleConnection { connection, until });
         }
     }
 
-    /// Drops connections to engines that are gone, and those that rested too long.
+    /// Drops connections that are closed, expired, or to engines that are no longer listed.
     pub fn prune(&self, table: &EngineTable) {
         let now = Instant::now();
         let listed: HashSet<EngineKey> = table.engines().map(Engine::key).collect();
--- a/crates/gateway/src/engine_rules.rs
+++ b/crates/gateway/src/engine_rules.rs
@@ -1,4 +1,5 @@
-//! Why engines are passed over for a request, judged anew at each send: what is in force may have changed since.
+//! Rules that exclude engines from a request. Evaluated again before each send, because the
+//! configuration and zone drains may have changed.
 
 use std::borrow::Cow;
 use std::rc::Rc;
@@ -11,26 +12,25 @@
 use crate::entry::residency_of;
 use crate::gateway::Gateway;
 
-/// What keeps a request from engines at this moment.
+/// The rules in force for a request.
 pub struct EngineRules<'a> {
     gateway: &'a Gateway,
-    /// Where the request may be served.
     residency: Cow<'a, Residency>,
-    /// Zones whose engines get nothing.
+    /// Zone drains in force.
     drains: Option<Rc<ZoneDrains>>,
 }
 
 impl<'a> EngineRules<'a> {
-    /// What keeps a call from engines now.
-    pub fn now(gateway: &'a Gateway, call: &'a Call) -> Self {
+    /// The rules that apply to a call now.
+    pub fn current(gateway: &'a Gateway, call: &'a Call) -> Self {
         Self {
             gateway,
-            residency: residency_now(gateway, call),
+            residency: current_residency(gateway, call),
             drains: gateway.node.view.drains.in_force(),
         }
     }
 
-    /// Calls with the rules, and with another one behind them.
+    /// Calls `apply` with the rules, followed by `last`.
     pub fn apply<R>(
         &self,
         last: Option<&dyn EligibilityRule>,
@@ -49,15 +49,15 @@
         apply(&rules)
     }
 
-    /// Why an engine does not get the request; `None` if it may.
+    /// Why the engine is excluded; `None` if it may get the request.
     pub fn exclusion(&self, engine: &Engine) -> Option<Exclusion> {
         self.apply(None, |rules| first_exclusion(rules, engine))
     }
 }
 
-/// Where a call may be served and what it carries be sent. Both what was in force at its entry and what is now have to allow it:
-/// whichever of the two an operator or a tenant looks at is kept.
-pub fn residency_now<'a>(gateway: &Gateway, call: &'a Call) -> Cow<'a, Residency> {
+/// Where a call may be served and its data sent. Both the configuration at its entry and the
+/// current one must allow a region, so that neither is violated.
+pub fn current_residency<'a>(gateway: &Gateway, call: &'a Call) -> Cow<'a, Residency> {
     let routes = gateway.node.view.routes();
     let Some(routes) = routes.filter(|routes| routes.version() != call.version) else {
         return Cow::Borrowed(&call.residency);
@@ -65,7 +65,7 @@
     let Some(route) = routes.find(&call.host, &call.path) else {
         return Cow::Borrowed(&call.residency);
     };
-    // A key that was taken away is refused for that.
+    // A removed key is refused elsewhere.
     let tenant = routes.tenant(route, call.metadata.key).ok().flatten();
     let newest = residency_of(route, tenant.map(AsRef::as_ref));
     Cow::Owned(call.residency.and(&newest))
--- a/crates/gateway/src/entry.rs
+++ b/crates/gateway/src/entry.rs
@@ -1,4 +1,4 @@
-//! Reads a client's request and finds its route.
+//! Reads a client's request, finds its route and tenant, and starts its exchange.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -19,14 +19,14 @@
 use crate::call::Call;
 use crate::caller::{Caller, CallerBody};
 use crate::exchange;
-use crate::gateway::{BodyRoom, Gateway, OpenRequest};
-use crate::refusal::{COME_BACK, COME_BACK_RECONFIGURED, refusal_response};
+use crate::gateway::{BodyReservation, Gateway, OpenRequestGuard};
+use crate::refusal::{RETRY_AFTER, RETRY_AFTER_RECONFIGURATION, refusal_response};
 
-/// Requests that are open at once.
+/// Most requests that may be open at once.
 const MAX_OPEN_REQUESTS: usize = 4_000;
-/// How long a body may take.
+/// How long reading a request body may take.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
-/// Bounds before any configuration is known.
+/// Limits before any configuration is known.
 const DEFAULT_LIMITS: CallerLimits = CallerLimits {
     max_header_bytes: 16 * 1024,
     max_body_bytes: 4 * 1024 * 1024,
@@ -34,21 +34,21 @@
     idle_timeout_ms: 15_000,
 };
 
-/// The bounds for clients in force.
+/// The client limits of the current configuration.
 pub fn caller_limits(gateway: &Gateway) -> CallerLimits {
     let routes = gateway.node.view.routes();
     routes.map_or(DEFAULT_LIMITS, |routes| routes.limits())
 }
 
-/// Answers one request. Dropping the future means that the client has gone away.
+/// Answers one request. The future is dropped when the client disconnects.
 pub async fn answer(gateway: Rc<Gateway>, request: Request<Incoming>) -> Response<CallerBody> {
     let received = Instant::now();
-    let open = gateway.open();
+    let open = gateway.track_request();
     let (parts, body) = request.into_parts();
     wait_for_configuration(&gateway).await;
-    gateway.keys.wait_for_proof().await;
+    gateway.keys.wait_until_fresh().await;
     let taken = match read_body(&gateway, body).await {
-        Ok((body, room)) => take(&gateway, &parts, body, room, open, received),
+        Ok((body, room)) => build_call(&gateway, &parts, body, room, open, received),
         Err(refusal) => Err(refusal),
     };
     let call = match taken {
@@ -59,7 +59,7 @@
     tokio::task::spawn_local(exchange::run(Rc::clone(&gateway), call, caller));
     match head.await {
         Ok(response) => response,
-        // The exchange ended without an answer, which only a fault of this program does.
+        // The exchange task ended without a response, which only a bug can cause.
         Err(_) => refuse(
             &gateway,
             &parts,
@@ -68,13 +68,13 @@
     }
 }
 
-/// A gateway that has just started hears of the configuration in a moment.
+/// Waits for the configuration, which a gateway that has just started receives shortly.
 async fn wait_for_configuration(gateway: &Gateway) {
-    const PATIENCE: Duration = Duration::from_millis(400);
+    const MAX_WAIT: Duration = Duration::from_millis(400);
     let mut changes = gateway.node.view.changes();
-    let known = async { while !gateway.knows_traffic() && changes.changed().await.is_ok() {} };
-    // Without one the request is refused.
-    let _ = tokio::time::timeout(PATIENCE, known).await;
+    let known = async { while !gateway.has_routing_state() && changes.changed().await.is_ok() {} };
+    // The request is refused later if none has arrived.
+    let _ = tokio::time::timeout(MAX_WAIT, known).await;
 }
 
 fn refuse(gateway: &Gateway, parts: &Parts, refusal: &Refusal) -> Response<CallerBody> {
@@ -93,13 +93,16 @@
     refusal_response(refusal).map(|body| CallerBody::Whole(Some(body)))
 }
 
-async fn read_body(gateway: &Rc<Gateway>, body: Incoming) -> Result<(Bytes, BodyRoom), Refusal> {
+async fn read_body(
+    gateway: &Rc<Gateway>,
+    body: Incoming,
+) -> Result<(Bytes, BodyReservation), Refusal> {
     let max_bytes = caller_limits(gateway).max_body_bytes;
     let announced = hyper::body::Body::size_hint(&body).lower();
     if announced > max_bytes {
         return Err(Refusal::last(RefusalReason::BodyTooLarge));
     }
-    let overloaded = Refusal::retry_later(RefusalReason::Overloaded, COME_BACK);
+    let overloaded = Refusal::retry_later(RefusalReason::Overloaded, RETRY_AFTER);
     if gateway.open_requests() > MAX_OPEN_REQUESTS {
         return Err(overloaded);
     }
@@ -112,16 +115,16 @@
         }
         Ok(Err(_)) | Err(_) => return Err(Refusal::last(RefusalReason::BadRequest)),
     };
-    let room = gateway.body_room(collected.len()).ok_or(overloaded)?;
+    let room = gateway.reserve_body(collected.len()).ok_or(overloaded)?;
     Ok((collected, room))
 }
 
-fn take(
+fn build_call(
     gateway: &Rc<Gateway>,
     parts: &Parts,
     body: Bytes,
-    room: BodyRoom,
-    open: OpenRequest,
+    room: BodyReservation,
+    open: OpenRequestGuard,
     received: Instant,
 ) -> Result<Call, Refusal> {
     let bad_request = Refusal::last(RefusalReason::BadRequest);
@@ -133,14 +136,14 @@
     let routes = gateway.node.view.routes();
     let routes = routes.ok_or(Refusal::retry_later(
         RefusalReason::NoConfiguration,
-        COME_BACK,
+        RETRY_AFTER,
     ))?;
     let route = routes.find(&host, parts.uri.path());
-    let route = route.ok_or_else(|| unless_stale(gateway, RefusalReason::NoRoute))?;
+    let route = route.ok_or_else(|| refusal_unless_stale(gateway, RefusalReason::NoRoute))?;
     let tenant = find_tenant(gateway, &routes, route, &metadata)?;
     let residency = residency_of(route, tenant.as_deref());
-    refuse_where_nowhere(gateway, &residency)?;
-    let no_engine = Refusal::retry_later(RefusalReason::NoEngine, COME_BACK);
+    require_allowed_region(gateway, &residency)?;
+    let no_engine = Refusal::retry_later(RefusalReason::NoEngine, RETRY_AFTER);
     let service = gateway.next_service(route).ok_or(no_engine)?;
     let wait = metadata.deadline.unwrap_or(route.timeout());
     let path = parts.uri.path_and_query();
@@ -157,9 +160,9 @@
         service,
         version: routes.version(),
         received,
-        limit: received + wait.min(route.timeout()),
-        _room: room,
-        _open: open,
+        deadline: received + wait.min(route.timeout()),
+        _body_reservation: room,
+        _open_request: open,
     })
 }
 
@@ -171,7 +174,7 @@
     header.to_str().ok().map(str::to_owned)
 }
 
-/// Who a request belongs to, if that has to be known.
+/// The tenant of a request; `None` if the route requires no key.
 fn find_tenant(
     gateway: &Gateway,
     routes: &RouteTable,
@@ -179,15 +182,15 @@
     metadata: &CallMetadata,
 ) -> Result<Option<Arc<Tenant>>, Refusal> {
     let tenant = routes.tenant(route, metadata.key);
-    let tenant = tenant.map_err(|_| unless_stale(gateway, RefusalReason::UnknownKey))?;
-    if tenant.is_some() && !gateway.keys.are_proven() {
-        let after = gateway.keys.retry_later();
+    let tenant = tenant.map_err(|_| refusal_unless_stale(gateway, RefusalReason::UnknownKey))?;
+    if tenant.is_some() && !gateway.keys.is_fresh() {
+        let after = gateway.keys.retry_after();
         return Err(Refusal::retry_later(RefusalReason::KeyStateStale, after));
     }
     Ok(tenant.cloned())
 }
 
-/// Where requests of a route may be served for a tenant: where both allow it.
+/// Where requests of a route may be served for a tenant: in the regions that both allow.
 pub fn residency_of(route: &Route, tenant: Option<&Tenant>) -> Residency {
     match tenant {
         Some(tenant) => route.residency.and(&tenant.residency),
@@ -195,23 +198,24 @@
     }
 }
 
-/// Refuses what may be served in no region of the deployment. It has not run, and a newer configuration may allow it.
-fn refuse_where_nowhere(gateway: &Gateway, residency: &Residency) -> Result<(), Refusal> {
+/// Refuses a request that no region of the deployment may serve. The client may retry, because a
+/// newer configuration may allow it.
+fn require_allowed_region(gateway: &Gateway, residency: &Residency) -> Result<(), Refusal> {
     if gateway.node.regions.allows_any(residency) {
         return Ok(());
     }
     let reason = RefusalReason::NoAllowedRegion;
-    Err(Refusal::retry_later(reason, COME_BACK_RECONFIGURED))
+    Err(Refusal::retry_later(reason, RETRY_AFTER_RECONFIGURATION))
 }
 
-/// A gateway that nobody has confirmed the configuration to within its bound cannot be certain: the route or the key may have been
-/// added meanwhile, and a client does not come back after being told that there is none.
-fn unless_stale(gateway: &Gateway, reason: RefusalReason) -> Refusal {
+/// Refuses finally only while the configuration is known to be recent. Otherwise the route or key
+/// may have been added since, and the client is told to retry.
+fn refusal_unless_stale(gateway: &Gateway, reason: RefusalReason) -> Refusal {
     let bound = gateway.node.settings.bounds.configuration();
     let age = gateway.node.view.confirmation_age();
     if age.is_some_and(|age| age < bound) {
         Refusal::last(reason)
     } else {
-        Refusal::retry_later(RefusalReason::ConfigurationStale, COME_BACK)
+        Refusal::retry_later(RefusalReason::ConfigurationStale, RETRY_AFTER)
     }
 }
--- a/crates/gateway/src/exchange.rs
+++ b/crates/gateway/src/exchange.rs
@@ -1,4 +1,4 @@
-//! Carries one request out, from the reservation of its tokens to the end of its answer.
+//! Executes one request, from the reservation of its tokens to the end of its response.
 
 mod engine_choice;
 mod preparation;
@@ -15,25 +15,25 @@
 use ridgeworks_routing::{Engine, Outcome, Refusal, RefusalReason, RequestKind};
 use tokio::time::Instant;
 
-use self::engine_choice::Tried;
+use self::engine_choice::AttemptHistory;
 use self::report::Ending;
-use crate::at_engine::AtEngine;
-use crate::attempt::{self, Answered, AttemptFailure, Sending};
+use crate::attempt::{self, AttemptFailure, AttemptRequest, EngineResponse};
+use crate::buffered_response;
 use crate::call::Call;
 use crate::caller::Caller;
-use crate::engine_rules::residency_now;
+use crate::engine_rules::current_residency;
 use crate::gateway::Gateway;
+use crate::in_flight::InFlightRequest;
 use crate::refusal::refusal_response;
-use crate::streaming::{ClientSide, Passed, StreamEnd, pass_on};
-use crate::whole_answer;
+use crate::streaming::{ClientSide, ForwardedEvents, StreamEnd, forward_events};
 
-/// Pause before engines that were full or out of reach are asked again.
-const ROOM_PAUSE: Duration = Duration::from_millis(40);
+/// Mean delay before engines that were full or unreachable are tried again.
+const CAPACITY_RETRY_DELAY: Duration = Duration::from_millis(40);
 
-/// Why an attempt ended without a failure of the engine.
-enum Interrupted {
-    ClientGone,
-    TimeUp,
+/// Why an attempt ended before the engine's response began.
+enum SendFailure {
+    ClientDisconnected,
+    DeadlineExceeded,
     Failed(AttemptFailure),
 }
 
@@ -41,38 +41,40 @@
     gateway: Rc<Gateway>,
     call: Call,
     prompt: Bytes,
-    tried: Tried,
-    passed: Passed,
+    history: AttemptHistory,
+    forwarded: ForwardedEvents,
     reserved: Option<Duration>,
-    /// Whether replicas were asked to reserve tokens, so that some may hold the turn in its program's ledger.
+    /// Whether a reservation was sent to replicas, so that some may hold the turn in its program's
+    /// ledger.
     is_charged: Cell<bool>,
-    /// Whether the ledger tells of earlier turns of the program.
-    is_under_way: bool,
-    /// Whether the request has a grant of its tenant's limit.
+    /// Whether the program's ledger has earlier turns.
+    has_earlier_turns: bool,
+    /// Whether the request holds a grant of its tenant's rate limit.
     is_granted: bool,
-    /// Drawn for the request: decides whether an engine that is hardly warm gets it.
+    /// Random number from 0 to 1 that decides whether the request may go to an engine that has
+    /// barely warmed up.
     draw: f64,
 }
 
-/// Carries a request out and gives its answer to the caller.
+/// Executes a request and sends its response to the caller.
 pub async fn run(gateway: Rc<Gateway>, call: Call, caller: Caller) {
-    let passed = Passed {
+    let forwarded = ForwardedEvents {
         last_event_id: call.metadata.last_event_id,
-        ..Passed::default()
+        ..ForwardedEvents::default()
     };
     let mut exchange = Exchange {
         gateway,
         prompt: call.body.clone(),
         call,
-        tried: Tried::default(),
-        passed,
+        history: AttemptHistory::default(),
+        forwarded,
         reserved: None,
         is_charged: Cell::new(false),
-        is_under_way: false,
+        has_earlier_turns: false,
         is_granted: false,
         draw: rand::random(),
     };
-    let ending = exchange.carry_out(caller).await;
+    let ending = exchange.execute(caller).await;
     let is_own_account = !matches!(
         ending,
         Ending::Refused(refusal) if refusal.reason == RefusalReason::DuplicateRequestId
@@ -80,17 +82,17 @@
     if is_own_account {
         exchange.settle();
     }
-    if matches!(ending, Ending::Refused(_) | Ending::ClientGone) {
-        exchange.give_back_grant();
+    if matches!(ending, Ending::Refused(_) | Ending::ClientDisconnected) {
+        exchange.return_unused_grant();
     }
     exchange.report(ending);
 }
 
 impl Exchange {
-    async fn carry_out(&mut self, mut caller: Caller) -> Ending {
+    async fn execute(&mut self, mut caller: Caller) -> Ending {
         let prepared = tokio::select! {
             prepared = self.prepare() => prepared,
-            () = caller.gone() => return Ending::ClientGone,
+            () = caller.disconnected() => return Ending::ClientDisconnected,
         };
         if let Err(refusal) = prepared {
             return self.refuse(caller, refusal);
@@ -101,25 +103,25 @@
     async fn try_engines(&mut self, client: ClientSide) -> Ending {
         let mut client = client;
         loop {
-            if let Some(refusal) = self.refusal_of_key() {
+            if let Some(refusal) = self.key_refusal() {
                 return self.give_up(client, refusal).await;
             }
             let Some(engine) = self.next_engine() else {
-                if let Some(refusal) = self.refusal_of_warm_ups() {
+                if let Some(refusal) = self.warm_up_refusal() {
                     return self.give_up(client, refusal).await;
                 }
-                let exclusion = self.lasting_bar();
-                if exclusion.is_some() || !self.may_wait_for_room() {
-                    let refusal = self.failure(exclusion);
+                let exclusion = self.permanent_exclusion();
+                if exclusion.is_some() || !self.may_wait_for_capacity() {
+                    let refusal = self.final_refusal(exclusion);
                     return self.give_up(client, refusal).await;
                 }
                 tokio::select! {
-                    () = client.gone() => return Ending::ClientGone,
-                    () = tokio::time::sleep(room_pause()) => self.tried.ask_all_again(),
+                    () = client.disconnected() => return Ending::ClientDisconnected,
+                    () = tokio::time::sleep(capacity_retry_delay()) => self.history.reset(),
                 }
                 continue;
             };
-            if !self.is_secured(&engine).await {
+            if !self.try_acquire_grant(&engine).await {
                 continue;
             }
             match self.attempt(&engine, client).await {
@@ -129,61 +131,62 @@
         }
     }
 
-    /// One attempt; gives the client back when another one may follow.
+    /// Makes one attempt. Returns the client as `Err` when another attempt may follow.
     async fn attempt(
         &mut self,
         engine: &Engine,
         mut client: ClientSide,
     ) -> Result<Ending, ClientSide> {
         let began = Instant::now();
-        let at_engine = AtEngine::new(&self.gateway, engine, &self.call.metadata);
-        self.tried.forecast = at_engine.forecast();
-        let answered = match self.send(engine, at_engine, &mut client).await {
-            Ok(answered) => answered,
-            Err(Interrupted::ClientGone) => {
+        let in_flight = InFlightRequest::new(&self.gateway, engine, &self.call.metadata);
+        self.history.forecast = in_flight.forecast();
+        let engine_response = match self.send(engine, in_flight, &mut client).await {
+            Ok(engine_response) => engine_response,
+            Err(SendFailure::ClientDisconnected) => {
                 self.on_maybe_run(engine);
-                return Ok(Ending::ClientGone);
+                return Ok(Ending::ClientDisconnected);
             }
-            Err(Interrupted::TimeUp) => {
+            Err(SendFailure::DeadlineExceeded) => {
                 self.on_maybe_run(engine);
-                return Ok(self.time_up(client).await);
+                return Ok(self.deadline_exceeded(client).await);
             }
-            Err(Interrupted::Failed(failure)) => {
+            Err(SendFailure::Failed(failure)) => {
                 self.on_failure(engine, &failure, began);
                 return Err(client);
             }
         };
         let is_stream = self.call.route.kind == RequestKind::Stream;
-        if is_stream && answered.status.is_success() {
-            self.stream(engine, answered, client, began).await
+        if is_stream && engine_response.status.is_success() {
+            self.stream(engine, engine_response, client, began).await
         } else {
-            self.answer_whole(engine, answered, client, began).await
+            self.send_buffered(engine, engine_response, client, began)
+                .await
         }
     }
 
     async fn send(
         &self,
         engine: &Engine,
-        at_engine: AtEngine,
+        in_flight: InFlightRequest,
         client: &mut ClientSide,
-    ) -> Result<Answered, Interrupted> {
-        let is_taken_up = self.passed.events > 0;
-        let sending = Sending {
+    ) -> Result<EngineResponse, SendFailure> {
+        let is_resumed = self.forwarded.events > 0;
+        let outgoing = AttemptRequest {
             call: &self.call,
             body: &self.prompt,
-            last_event_id: self.passed.last_event_id.filter(|_| is_taken_up),
+            last_event_id: self.forwarded.last_event_id.filter(|_| is_resumed),
             draw: self.draw,
-            grant: self.tried.grant,
+            grant: self.history.grant,
         };
-        let first_limit = self.first_event_limit();
+        let first_deadline = self.first_event_deadline();
         tokio::select! {
-            answered = attempt::send(&self.gateway, engine, at_engine, sending) => {
-                answered.map_err(Interrupted::Failed)
+            engine_response = attempt::send(&self.gateway, engine, in_flight, outgoing) => {
+                engine_response.map_err(SendFailure::Failed)
             }
-            () = client.gone() => Err(Interrupted::ClientGone),
-            () = tokio::time::sleep_until(self.call.limit) => Err(Interrupted::TimeUp),
-            () = tokio::time::sleep_until(first_limit), if first_limit < self.call.limit => {
-                Err(Interrupted::Failed(AttemptFailure::Silent))
+            () = client.disconnected() => Err(SendFailure::ClientDisconnected),
+            () = tokio::time::sleep_until(self.call.deadline) => Err(SendFailure::DeadlineExceeded),
+            () = tokio::time::sleep_until(first_deadline), if first_deadline < self.call.deadline => {
+                Err(SendFailure::Failed(AttemptFailure::ResponseTimeout))
             }
         }
     }
@@ -191,38 +194,46 @@
     async fn stream(
         &mut self,
         engine: &Engine,
-        mut answered: Answered,
+        mut engine_response: EngineResponse,
         client: ClientSide,
         began: Instant,
     ) -> Result<Ending, ClientSide> {
-        let first_limit = self.first_event_limit();
-        let limit = self.call.limit;
-        let end = pass_on(&mut answered, client, &mut self.passed, limit, first_limit).await;
-        let status = answered.status.as_u16();
+        let first_deadline = self.first_event_deadline();
+        let deadline = self.call.deadline;
+        let end = forward_events(
+            &mut engine_response,
+            client,
+            &mut self.forwarded,
+            deadline,
+            first_deadline,
+        )
+        .await;
+        let status = engine_response.status.as_u16();
         match end {
             StreamEnd::Complete(client) => {
-                answered.at_engine.on_whole();
-                answered.finish(&self.gateway);
+                engine_response.in_flight.on_complete();
+                engine_response.finish(&self.gateway);
                 self.on_outcome(engine, Outcome::Served);
                 Ok(self.complete(client, status).await)
             }
             StreamEnd::Failed(client, failure) => {
-                drop(answered);
+                drop(engine_response);
                 self.on_failure(engine, &failure, began);
                 Err(client)
             }
-            StreamEnd::ClientGone => {
+            StreamEnd::ClientDisconnected => {
                 self.on_maybe_run(engine);
-                Ok(Ending::ClientGone)
+                Ok(Ending::ClientDisconnected)
             }
-            StreamEnd::TimeUp(client) => {
+            StreamEnd::DeadlineExceeded(client) => {
                 self.on_maybe_run(engine);
-                Ok(self.time_up(client).await)
+                Ok(self.deadline_exceeded(client).await)
             }
         }
     }
 
-    /// Makes the turn durable where the route keeps turns, then lets the end of the answer go out.
+    /// Makes the turn durable if the route keeps turns. The client sees the end of the response
+    /// only after that.
     async fn complete(&mut self, client: ClientSide, status: u16) -> Ending {
         let ClientSide::Streaming(caller) = client else {
             return Ending::Answered(status);
@@ -234,46 +245,46 @@
             turn: self.call.turn(),
             previous: self.call.previous_turn(),
             input: self.call.body.to_vec(),
-            output: std::mem::take(&mut self.passed.output),
+            output: std::mem::take(&mut self.forwarded.output),
         };
         let began = Instant::now();
         let retention = self.call.route.retention();
         let records = &self.gateway.records;
         let program = self.call.program();
-        let residency = residency_now(&self.gateway, &self.call);
-        let limit = self.call.limit;
-        let appending = records.append(program.as_ref(), &record, retention, &residency, limit);
+        let residency = current_residency(&self.gateway, &self.call);
+        let deadline = self.call.deadline;
+        let appending = records.append(program.as_ref(), &record, retention, &residency, deadline);
         let appended = tokio::select! {
             appended = appending => appended,
-            () = caller.gone() => return Ending::ClientGone,
+            () = caller.disconnected() => return Ending::ClientDisconnected,
         };
         let taken = began.elapsed().as_secs_f64();
         self.gateway.metrics.append_seconds.observe(taken);
         if appended.is_err() {
-            caller.break_off().await;
-            return Ending::BrokenOff("turn_not_recorded");
+            caller.abort().await;
+            return Ending::Aborted("turn_not_recorded");
         }
         self.cache(record);
         Ending::Answered(status)
     }
 
-    async fn answer_whole(
+    async fn send_buffered(
         &mut self,
         engine: &Engine,
-        answered: Answered,
+        engine_response: EngineResponse,
         mut client: ClientSide,
         began: Instant,
     ) -> Result<Ending, ClientSide> {
-        let status = answered.status;
+        let status = engine_response.status;
         let response = tokio::select! {
-            response = whole_answer::read(&self.gateway, answered) => response,
-            () = client.gone() => {
+            response = buffered_response::read(&self.gateway, engine_response) => response,
+            () = client.disconnected() => {
                 self.on_maybe_run(engine);
-                return Ok(Ending::ClientGone);
+                return Ok(Ending::ClientDisconnected);
             }
-            () = tokio::time::sleep_until(self.call.limit) => {
+            () = tokio::time::sleep_until(self.call.deadline) => {
                 self.on_maybe_run(engine);
-                return Ok(self.time_up(client).await);
+                return Ok(self.deadline_exceeded(client).await);
             }
         };
         match (response, client) {
@@ -282,9 +293,9 @@
                 caller.answer(response);
                 Ok(Ending::Answered(status.as_u16()))
             }
-            // The engine that was to take a stream up answered with something else.
+            // The engine that should have resumed the stream sent something else.
             (Ok(_), client) => {
-                self.on_failure(engine, &AttemptFailure::Garbled, began);
+                self.on_failure(engine, &AttemptFailure::InvalidResponse, began);
                 Err(client)
             }
             (Err(failure), client) => {
@@ -294,19 +305,19 @@
         }
     }
 
-    /// No further engine may be asked.
+    /// Ends the request when no further engine may be tried.
     async fn give_up(&self, client: ClientSide, refusal: Refusal) -> Ending {
         match client {
             ClientSide::Waiting(caller) => self.refuse(caller, refusal),
             ClientSide::Streaming(caller) => {
-                caller.break_off().await;
-                Ending::BrokenOff("engine_failed")
+                caller.abort().await;
+                Ending::Aborted("engine_failed")
             }
         }
     }
 
-    async fn time_up(&self, client: ClientSide) -> Ending {
-        let reason = if self.tried.ran_on.is_empty() {
+    async fn deadline_exceeded(&self, client: ClientSide) -> Ending {
+        let reason = if self.history.maybe_ran_on.is_empty() {
             RefusalReason::TimedOutUnsent
         } else {
             RefusalReason::TimedOut
@@ -314,8 +325,8 @@
         match client {
             ClientSide::Waiting(caller) => self.refuse(caller, Refusal::last(reason)),
             ClientSide::Streaming(caller) => {
-                caller.break_off().await;
-                Ending::BrokenOff(reason.name())
+                caller.abort().await;
+                Ending::Aborted(reason.name())
             }
         }
     }
@@ -327,7 +338,8 @@
     }
 }
 
-/// What an engine's own answer says of it. A deadline that has passed is not the engine's doing.
+/// How an engine's response counts for its health. A deadline that has passed is not the engine's
+/// failure.
 fn outcome_of(status: StatusCode) -> Outcome {
     if status.is_server_error() && status != StatusCode::GATEWAY_TIMEOUT {
         Outcome::Failed
@@ -336,7 +348,7 @@
     }
 }
 
-/// Drawn at random, so that requests that wait do not come back together.
-fn room_pause() -> Duration {
-    ROOM_PAUSE.mul_f64(rand::rng().random_range(0.5..1.5))
+/// Jittered, so that waiting requests do not retry at the same moment.
+fn capacity_retry_delay() -> Duration {
+    CAPACITY_RETRY_DELAY.mul_f64(rand::rng().random_range(0.5..1.5))
 }
--- a/crates/gateway/src/exchange/preparation.rs
+++ b/crates/gateway/src/exchange/preparation.rs
@@ -1,4 +1,5 @@
-//! Before and after the engines: the earlier turns, and the account of the turn's tokens.
+//! Work before and after the attempts: reads earlier turns, reserves tokens and settles the
+//! reservation.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -10,63 +11,64 @@
 use tokio::time::Instant;
 
 use super::Exchange;
-use crate::engine_rules::residency_now;
+use crate::engine_rules::current_residency;
 use crate::records_client::ttl_ms;
-use crate::refusal::{COME_BACK, COME_BACK_RECONFIGURED};
+use crate::refusal::{RETRY_AFTER, RETRY_AFTER_RECONFIGURATION};
 
-/// How long a turn waits for the replicas before it is refused.
-const RECORDS_PATIENCE: Duration = Duration::from_millis(700);
+/// How long a turn waits for replicas before it is refused.
+const RECORDS_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// The account of a turn in its program's ledger.
+/// Identifies a turn's entry in its program's ledger.
 struct Account {
     program: ProgramId,
     turn: TurnId,
     retention: Duration,
 }
 
-/// What the ledger says of a turn whose tokens are reserved.
+/// State of the ledger after a successful reservation.
 struct Reserved {
-    /// Whether the program has made turns before.
-    has_earlier: bool,
+    /// Whether the ledger has other turns of the program.
+    has_earlier_turns: bool,
 }
 
 impl Exchange {
-    /// Reads the earlier turns, reserves tokens, asks for a grant of the tenant's limit, and learns where the prompt was read, all at
-    /// once.
+    /// Concurrently reads earlier turns, reserves tokens, acquires a grant of the tenant's rate
+    /// limit and looks up where the prompt was prefilled last.
     pub(super) async fn prepare(&mut self) -> Result<(), Refusal> {
-        if let Some(refusal) = self.refusal_without_majority() {
+        if let Some(refusal) = self.quorum_refusal() {
             return Err(refusal);
         }
-        // Before it waits for anything that it cannot use.
-        let barred = self.refusal_of_drains();
-        if let Some(refusal) = barred.or_else(|| self.refusal_of_keeping()) {
+        // Checked first, so that a request that cannot be served does not wait.
+        let drained = self.drain_refusal();
+        if let Some(refusal) = drained.or_else(|| self.turn_storage_refusal()) {
             return Err(refusal);
         }
         let began = Instant::now();
-        let (prompt, reserved, granted, failed_last, ()) = tokio::join!(
+        let (prompt, reserved, granted, failed_previous_try, ()) = tokio::join!(
             self.read_prompt(),
             self.reserve(),
-            self.take_grant(),
-            self.learn_reads(),
-            self.foresee_grant()
+            self.acquire_rate_grant(),
+            self.look_up_prefills(),
+            self.prefetch_grant()
         );
         self.is_granted = granted.is_ok();
-        self.tried.failed_last = failed_last.and_then(|failed| self.failed_engine(failed));
-        // First: whoever used this identifier before has an account that this request must not touch.
+        self.history.failed_previous_try =
+            failed_previous_try.and_then(|failed| self.failed_engine(failed));
+        // Checked before the other results: a request with a used identifier must not touch the
+        // entry of the turn that used it.
         if let Some(reserved) = reserved? {
             self.reserved = Some(began.elapsed());
-            self.is_under_way = reserved.has_earlier;
+            self.has_earlier_turns = reserved.has_earlier_turns;
         }
         self.prompt = prompt?;
         if let Err(refusal) = granted {
-            self.take_grant_under_way(refusal).await?;
+            self.retry_rate_grant(refusal).await?;
         }
         Ok(())
     }
 
-    /// A request that needs a majority of the replicas while none answers cannot be served here: its client
-    /// is told at once.
-    fn refusal_without_majority(&self) -> Option<Refusal> {
+    /// Refuses at once a request that needs a quorum of replicas while none is reachable.
+    fn quorum_refusal(&self) -> Option<Refusal> {
         let records = &self.gateway.records;
         let group = records.group_of(self.call.program().as_ref());
         if !records.health.is_lost(group) {
@@ -77,68 +79,74 @@
             return None;
         }
         let reason = RefusalReason::LedgerUnavailable;
-        Some(Refusal::retry_later(reason, records.retry_later(group)))
+        Some(Refusal::retry_later(reason, records.retry_after(group)))
     }
 
-    /// A turn that must not be kept where its program's records are is not served: an answer without its record would leave the next
-    /// turn without what went before.
-    fn refusal_of_keeping(&self) -> Option<Refusal> {
+    /// Refuses a turn whose record must not be stored in its program's replica group. Without the
+    /// record, the next turn would lack its context.
+    fn turn_storage_refusal(&self) -> Option<Refusal> {
         if !self.call.route.keeps_turns {
             return None;
         }
-        let residency = residency_now(&self.gateway, &self.call);
+        let residency = current_residency(&self.gateway, &self.call);
         let program = self.call.program();
         let records = &self.gateway.records;
-        if records.may_keep(program.as_ref(), &residency) {
+        if records.may_store(program.as_ref(), &residency) {
             return None;
         }
         let reason = RefusalReason::ReplicasOutsideResidency;
-        Some(Refusal::retry_later(reason, COME_BACK_RECONFIGURED))
+        Some(Refusal::retry_later(reason, RETRY_AFTER_RECONFIGURATION))
     }
 
-    /// Asks for a grant before it is known whether the program is under way: that of a turn that goes on from no other one may be new.
-    async fn take_grant(&self) -> Result<(), Refusal> {
+    /// Acquires a grant of the tenant's rate limit before the ledger has been read. A turn with no
+    /// previous turn counts as the first of its program.
+    async fn acquire_rate_grant(&self) -> Result<(), Refusal> {
         let may_begin = self.account().is_some() && self.call.metadata.previous_turn.is_none();
         let progress = if may_begin {
             ProgramProgress::Beginning
         } else {
             ProgramProgress::UnderWay
         };
-        self.take_grant_as(progress).await
+        self.acquire_rate_grant_as(progress).await
     }
 
-    /// Asks once more for a turn that was refused as if it began its program, now that the ledger has told of earlier ones.
-    async fn take_grant_under_way(&mut self, refusal: Refusal) -> Result<(), Refusal> {
-        if refusal.reason != RefusalReason::RateExceeded || !self.is_under_way {
+    /// Retries a grant that was denied to the first turn of a program, if the ledger shows earlier
+    /// turns.
+    async fn retry_rate_grant(&mut self, refusal: Refusal) -> Result<(), Refusal> {
+        if refusal.reason != RefusalReason::RateExceeded || !self.has_earlier_turns {
             return Err(refusal);
         }
-        self.take_grant_as(ProgramProgress::UnderWay).await?;
+        self.acquire_rate_grant_as(ProgramProgress::UnderWay)
+            .await?;
         self.is_granted = true;
         Ok(())
     }
 
-    async fn take_grant_as(&self, progress: ProgramProgress) -> Result<(), Refusal> {
+    async fn acquire_rate_grant_as(&self, progress: ProgramProgress) -> Result<(), Refusal> {
         let Some(tenant) = &self.call.tenant else {
             return Ok(());
         };
         let request = &self.call.metadata.request_id;
         let limits = &self.gateway.limits;
-        let until = self.records_limit();
+        let until = self.records_deadline();
         let version = self.call.version;
-        limits.take(request, tenant, progress, version, until).await
+        limits
+            .acquire(request, tenant, progress, version, until)
+            .await
     }
 
-    /// A request that no engine has run gives back what it took of its tenant's limit.
-    pub(super) fn give_back_grant(&self) {
+    /// Returns the grant if no engine may have run the request.
+    pub(super) fn return_unused_grant(&self) {
         let tenant = self.call.tenant.as_ref().filter(|_| self.is_granted);
-        if let Some(tenant) = tenant.filter(|_| self.tried.ran_on.is_empty()) {
+        if let Some(tenant) = tenant.filter(|_| self.history.maybe_ran_on.is_empty()) {
             self.gateway.limits.return_grant(tenant);
         }
     }
 
-    /// What this gateway saw of the line's last turn is the newest there is, but for a try of this one that failed elsewhere. Gives back
-    /// the engine that failed it.
-    async fn learn_reads(&self) -> Option<EngineKey> {
+    /// Looks up where the prompt was prefilled last. If this gateway has the previous turn cached,
+    /// it only checks whether an earlier try of this turn failed elsewhere. Returns the engine that
+    /// failed it.
+    async fn look_up_prefills(&self) -> Option<EngineKey> {
         let previous = self.call.previous_turn();
         let is_ours = previous.is_some_and(|previous| {
             let turns = self.gateway.turns.borrow();
@@ -146,8 +154,8 @@
         });
         let parts = &self.call.metadata.prompt_parts;
         match parts.as_slice() {
-            [_, .., own] if is_ours => self.gateway.learn_read(own.hash).await,
-            parts => self.gateway.learn_reads(parts).await,
+            [_, .., own] if is_ours => self.gateway.look_up_prefill(own.hash).await,
+            parts => self.gateway.look_up_prefills(parts).await,
         }
     }
 
@@ -161,11 +169,12 @@
         })
     }
 
-    fn records_limit(&self) -> Instant {
-        self.call.limit.min(Instant::now() + RECORDS_PATIENCE)
+    fn records_deadline(&self) -> Instant {
+        self.call.deadline.min(Instant::now() + RECORDS_TIMEOUT)
     }
 
-    /// Reserves the most that the turn may generate; `None` where there is nothing to reserve.
+    /// Reserves the maximum number of tokens that the turn may generate; `None` if the request has
+    /// no budget.
     async fn reserve(&self) -> Result<Option<Reserved>, Refusal> {
         let (Some(account), Some(budget)) = (self.account(), self.call.metadata.token_budget)
         else {
@@ -183,30 +192,30 @@
             &account.turn,
             entry,
             account.retention,
-            self.records_limit(),
+            self.records_deadline(),
         );
         let ledger = charging.await.map_err(|failure| {
             let records = &self.gateway.records;
             let group = records.group_of(Some(&account.program));
-            let after = records.come_back_after(group, failure);
+            let after = records.retry_after_failure(group, failure);
             Refusal::retry_later(RefusalReason::LedgerUnavailable, after)
         })?;
         let taken = began.elapsed().as_secs_f64();
         self.gateway.metrics.reserve_seconds.observe(taken);
         if ledger.is_settled(&account.turn) {
-            // An identifier that was used before: its account must not be opened anew.
+            // The identifier was used before, and its settled entry must not be reopened.
             return Err(Refusal::last(RefusalReason::DuplicateRequestId));
         }
         if ledger.admits(&account.turn, reserved_tokens, budget) {
-            let has_earlier = ledger.entries.keys().any(|turn| *turn != account.turn);
-            return Ok(Some(Reserved { has_earlier }));
+            let has_earlier_turns = ledger.entries.keys().any(|turn| *turn != account.turn);
+            return Ok(Some(Reserved { has_earlier_turns }));
         }
         log::info!(
             target: "request",
             request = account.turn.request(),
             program = self.call.metadata.program.as_deref().unwrap_or_default(),
             budget = budget,
-            most = reserved_tokens,
+            reserved_tokens = reserved_tokens,
             charged_to_others = ledger.charged_by_others(&account.turn),
             turns_in_ledger = ledger.entries.len(),
             epoch = self.gateway.node.view.epoch().0;
@@ -215,7 +224,7 @@
         Err(Refusal::last(RefusalReason::BudgetSpent))
     }
 
-    /// The body for the engine: all earlier turns, then what the client sent.
+    /// The body for the engine: all earlier turns, then the client's body.
     async fn read_prompt(&self) -> Result<Bytes, Refusal> {
         let previous = self.call.previous_turn();
         let Some(previous) = previous.filter(|_| self.call.route.keeps_turns) else {
@@ -231,9 +240,10 @@
         let records = &self.gateway.records;
         let request = &self.call.metadata.request_id;
         let program = self.call.program();
-        let limit = self.records_limit();
-        let residency = residency_now(&self.gateway, &self.call);
-        let reading = records.read_chain(program.as_ref(), &previous, request, &residency, limit);
+        let deadline = self.records_deadline();
+        let residency = current_residency(&self.gateway, &self.call);
+        let reading =
+            records.read_chain(program.as_ref(), &previous, request, &residency, deadline);
         let outcome = reading.await;
         let taken = began.elapsed().as_secs_f64();
         self.gateway.metrics.chain_read_seconds.observe(taken);
@@ -246,7 +256,8 @@
             Ok(ChainOutcome::NoSuchTurn(missing)) if missing == previous => {
                 Err(Refusal::last(RefusalReason::NoSuchTurn))
             }
-            // The turn is there and one before it is not: never say that the turn does not exist.
+            // An earlier turn is missing, while the previous turn exists, so the client must not be
+            // told that the turn does not exist.
             Ok(ChainOutcome::NoSuchTurn(missing)) => {
                 log::error!(
                     target: "request",
@@ -256,12 +267,12 @@
                 );
                 Err(Refusal::retry_later(
                     RefusalReason::TurnsUnavailable,
-                    COME_BACK,
+                    RETRY_AFTER,
                 ))
             }
             Err(failure) => {
                 let group = records.group_of(program.as_ref());
-                let after = records.come_back_after(group, failure);
+                let after = records.retry_after_failure(group, failure);
                 Err(Refusal::retry_later(RefusalReason::TurnsUnavailable, after))
             }
         }
@@ -273,8 +284,8 @@
         self.gateway.turns.borrow_mut().insert(record, until, now);
     }
 
-    /// Puts what was generated in place of what was reserved, without making anybody wait. Where nothing was asked to be reserved, it would
-    /// be work for replicas that have just come back, and use the identifier up.
+    /// Queues the replacement of the reservation by the number of generated tokens. Without a
+    /// reservation, this would burden replicas that have just recovered and use up the identifier.
     pub(super) fn settle(&self) {
         let Some(account) = self.account().filter(|_| self.is_charged.get()) else {
             return;
@@ -284,7 +295,7 @@
             turn: account.turn,
             entry: LedgerEntry {
                 reserved_tokens: self.call.metadata.max_new_tokens,
-                spent: Some(self.passed.events * self.event_tokens()),
+                spent: Some(self.forwarded.events * self.event_tokens()),
             },
             ttl_ms: ttl_ms(account.retention),
         });
@@ -294,7 +305,7 @@
         let routes = self.gateway.node.view.routes();
         let service = routes.and_then(|routes| routes.service(&self.call.service).cloned());
         let model = service.and_then(|service| service.model.clone());
-        // Without a model's word for it, a turn is charged at its most.
+        // Without a model in the configuration, the turn is charged its maximum.
         model.map_or(self.call.metadata.max_new_tokens, |model| {
             model.event_tokens
         })
--- a/crates/gateway/src/exchange/report.rs
+++ b/crates/gateway/src/exchange/report.rs
@@ -1,4 +1,4 @@
-//! How a request ended, for logs and metrics.
+//! Logs and counts the end of a request.
 
 use ridgeworks_resident::clock::whole_ms;
 use ridgeworks_routing::Refusal;
@@ -6,17 +6,16 @@
 
 use super::Exchange;
 
-/// How a request ended.
 #[derive(Debug, Clone, Copy)]
 pub(super) enum Ending {
-    /// An engine's answer with this status was passed on.
+    /// An engine's response with this status was forwarded.
     Answered(u16),
-    /// The client got an answer without an engine's.
+    /// The gateway refused the request.
     Refused(Refusal),
-    /// A stream was broken off, for this reason.
-    BrokenOff(&'static str),
-    /// The client went away.
-    ClientGone,
+    /// A stream was aborted for this reason.
+    Aborted(&'static str),
+    /// The client disconnected.
+    ClientDisconnected,
 }
 
 impl Ending {
@@ -24,16 +23,16 @@
         match self {
             Self::Answered(_) => "answered",
             Self::Refused(_) => "refused",
-            Self::BrokenOff(_) => "broken_off",
-            Self::ClientGone => "client_gone",
+            Self::Aborted(_) => "broken_off",
+            Self::ClientDisconnected => "client_gone",
         }
     }
 
     fn reason(self) -> &'static str {
         match self {
             Self::Refused(refusal) => refusal.reason.name(),
-            Self::BrokenOff(reason) => reason,
-            Self::Answered(_) | Self::ClientGone => "",
+            Self::Aborted(reason) => reason,
+            Self::Answered(_) | Self::ClientDisconnected => "",
         }
     }
 }
@@ -43,7 +42,7 @@
         let call = &self.call;
         let metrics = &self.gateway.metrics;
         metrics.on_ended(ending.name(), call.received.elapsed());
-        let first_event = self.passed.first_at.map(|at| at - call.received);
+        let first_event = self.forwarded.first_at.map(|at| at - call.received);
         if let Some(first_event) = first_event {
             metrics
                 .first_event_seconds
@@ -53,7 +52,11 @@
             Ending::Answered(status) => status,
             _ => 0,
         };
-        let failed_engine = self.tried.ran_on.last().or(self.tried.excluded.last());
+        let failed_engine = self
+            .history
+            .maybe_ran_on
+            .last()
+            .or(self.history.excluded.last());
         log::info!(
             target: "request",
             request = call.metadata.request_id.as_str(),
@@ -69,21 +72,21 @@
             outcome = ending.name(),
             reason = ending.reason(),
             status = status,
-            engines_tried = self.tried.excluded.len(),
-            rejections = self.tried.rejections,
-            passed_over = self.tried.passed_over,
+            engines_tried = self.history.excluded.len(),
+            rejections = self.history.rejections,
+            passed_over = self.history.passed_over,
             failed_engine = failed_engine.map(String::as_str).unwrap_or_default(),
-            engine = self.tried.asked_last.as_str(),
-            expected_ms = self.tried.cost_ms as i64,
-            missing_tokens = self.tried.forecast.missing,
-            ahead_tokens = self.tried.forecast.ahead,
-            open_there = self.tried.forecast.open,
+            engine = self.history.last_chosen.as_str(),
+            expected_ms = self.history.cost_ms as i64,
+            missing_tokens = self.history.forecast.missing,
+            ahead_tokens = self.history.forecast.ahead,
+            open_there = self.history.forecast.open,
             left_of_program_ms = call.metadata.finish_in.map_or(-1, |left| whole_ms(left) as i64),
-            events = self.passed.events,
+            events = self.forwarded.events,
             reserve_ms = self.reserved.map_or(0, whole_ms),
             first_event_ms = first_event.map_or(0, whole_ms),
             took_ms = whole_ms(call.received.elapsed()),
-            left_ms = whole_ms(call.limit.saturating_duration_since(Instant::now()));
+            left_ms = whole_ms(call.deadline.saturating_duration_since(Instant::now()));
             "request ended"
         );
     }
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -1,4 +1,4 @@
-//! What all requests of a gateway share.
+//! State shared by all requests of a gateway.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
@@ -16,78 +16,77 @@
 use tokio::sync::oneshot;
 
 use crate::engine_pool::EnginePool;
-use crate::key_proof::KeyProof;
+use crate::key_freshness::KeyFreshness;
 use crate::metrics::GatewayMetrics;
-use crate::node_network::pass_on;
+use crate::node_network::relay_request;
 use crate::rate_limits::RateLimits;
 use crate::records_client::RecordsClient;
 use crate::turn_cache::TurnCache;
-use crate::warm_ups::WarmUpCare;
+use crate::warm_ups::WarmUpAdmission;
 use crate::zone_drains::ZoneDrainWatch;
 
-/// Part of the process's memory that cached turns may take.
-const CACHE_SHARE: u64 = 8;
-/// Part of the process's memory that bodies of open requests may take.
-const BODY_SHARE: u64 = 4;
-/// Parts of a prompt, from its end, whose reads are asked for.
-const ASKED_PARTS: usize = 2;
-/// Routes and tenants of each kind that one line of the log names.
-const TOLD_NAMES: usize = 5;
+/// Divides the process's memory limit; the quotient bounds the turn cache.
+const TURN_CACHE_MEMORY_DIVISOR: u64 = 8;
+/// Divides the process's memory limit; the quotient bounds the bodies of open requests.
+const BODY_MEMORY_DIVISOR: u64 = 4;
+/// Number of prompt parts, counted from the end, that are looked up at directory nodes.
+const MAX_LOOKUP_PARTS: usize = 2;
+/// Longest list of names in one log line.
+const MAX_LOGGED_NAMES: usize = 5;
 const BYTES_PER_MB: u64 = 1024 * 1024;
-/// How often connections and beliefs that are no longer needed are let go.
-const TIDY_INTERVAL: Duration = Duration::from_secs(1);
+const MAINTENANCE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// State of one gateway.
+/// Shared state of one gateway process.
 pub struct Gateway {
-    /// The node that it runs on.
+    /// The node that this gateway runs on.
     pub node: Rc<Node>,
-    /// Load and contents of the engines.
+    /// Estimated load and prompt caches of the engines.
     pub placement: RefCell<Placement>,
-    /// Where prompts were read whose directory node this gateway is.
+    /// Engines that last prefilled each prompt for which this gateway is the directory node.
     pub directory: RefCell<PrefillDirectory>,
-    /// Splits of routes among services.
+    /// Weighted split of each route's requests among its services.
     pub split: RefCell<WeightedSplit>,
-    /// Connections to engines.
+    /// Idle connections to engines.
     pub pool: EnginePool,
-    /// Replicated records.
+    /// Client of the replicated ledgers and turn records.
     pub records: Rc<RecordsClient>,
-    /// Grants of the limits of tenants.
+    /// Rate limits of tenants.
     pub limits: RateLimits,
-    /// Turns seen lately.
+    /// Recently read and written turns.
     pub turns: RefCell<TurnCache>,
-    /// Whether keys that are known are still in force.
-    pub keys: KeyProof,
-    /// Engines that warm up.
-    pub warm_ups: WarmUpCare,
-    /// Zones whose engines get nothing more.
+    /// Whether the known API keys are recent enough to be trusted.
+    pub keys: KeyFreshness,
+    /// Admission of requests to engines that are warming up.
+    pub warm_ups: WarmUpAdmission,
+    /// Drained zones, whose engines get no new requests.
     pub drains: ZoneDrainWatch,
-    /// Metrics.
+    /// Metrics of this gateway.
     pub metrics: GatewayMetrics,
-    /// Version of the configuration whose residencies were told last.
-    checked_version: Cell<u64>,
+    /// Version of the configuration whose residency faults were logged last.
+    logged_residency_version: Cell<u64>,
     body_bytes: Cell<usize>,
     max_body_bytes: usize,
     open: Cell<usize>,
     draining: Cell<bool>,
 }
 
-/// Room for the body of one request; given back when dropped.
-pub struct BodyRoom {
+/// Memory reserved for the body of one request. Released on drop.
+pub struct BodyReservation {
     gateway: Rc<Gateway>,
     bytes: usize,
 }
 
-impl Drop for BodyRoom {
+impl Drop for BodyReservation {
     fn drop(&mut self) {
         let taken = &self.gateway.body_bytes;
         taken.set(taken.get().saturating_sub(self.bytes));
     }
 }
 
-/// A request that is open; closed when dropped.
-pub struct OpenRequest(Rc<Gateway>);
+/// Counts a request as open until it is dropped.
+pub struct OpenRequestGuard(Rc<Gateway>);
 
-impl Drop for OpenRequest {
+impl Drop for OpenRequestGuard {
     fn drop(&mut self) {
         self.0.open.set(self.0.open.get().saturating_sub(1));
         self.0.metrics.open_requests.dec();
@@ -95,32 +94,34 @@
 }
 
 impl Gateway {
-    /// A gateway on this node.
+    /// Creates a gateway on this node. It serves nothing before [`crate::listen`] is called.
     pub fn new(node: Rc<Node>, metrics: GatewayMetrics) -> Rc<Self> {
         let memory = node.settings.limits.memory_mb * BYTES_PER_MB;
         let records = Rc::new(RecordsClient::new(Rc::clone(&node)));
         let limits = RateLimits::new(Rc::clone(&node), Rc::clone(&records.paths));
         let bound = node.settings.bounds.key_removal();
-        let keys = KeyProof::new(Rc::clone(&node.view), bound);
-        let warm_ups = WarmUpCare::new(Rc::clone(&node), metrics.warm_up.clone());
+        let keys = KeyFreshness::new(Rc::clone(&node.view), bound);
+        let warm_ups = WarmUpAdmission::new(Rc::clone(&node), metrics.warm_up.clone());
         let drains = ZoneDrainWatch::new(Rc::clone(&node));
-        let ways = RegionLatencies::new(&node.regions, &node.settings.zone);
+        let latencies = RegionLatencies::new(&node.regions, &node.settings.zone);
         Rc::new(Self {
             node,
-            placement: RefCell::new(Placement::with_region_latencies(ways)),
+            placement: RefCell::new(Placement::with_region_latencies(latencies)),
             directory: RefCell::default(),
             split: RefCell::new(WeightedSplit::new(rand::random())),
             pool: EnginePool::default(),
             records,
             limits,
-            turns: RefCell::new(TurnCache::new((memory / CACHE_SHARE) as usize)),
+            turns: RefCell::new(TurnCache::new(
+                (memory / TURN_CACHE_MEMORY_DIVISOR) as usize,
+            )),
             keys,
             warm_ups,
             drains,
             metrics,
-            checked_version: Cell::new(0),
+            logged_residency_version: Cell::new(0),
             body_bytes: Cell::new(0),
-            max_body_bytes: (memory / BODY_SHARE) as usize,
+            max_body_bytes: (memory / BODY_MEMORY_DIVISOR) as usize,
             open: Cell::new(0),
             draining: Cell::new(false),
         })
@@ -131,59 +132,60 @@
         self.node.clock.now()
     }
 
-    /// Whether routes and engines are known, and which of these get nothing.
-    pub fn knows_traffic(&self) -> bool {
+    /// Whether routes, engines and zone drains are known.
+    pub fn has_routing_state(&self) -> bool {
         let view = &self.node.view;
         view.version() > 0 && view.engines_known() && self.drains.are_known()
     }
 
-    /// Whether the platform should send new clients here.
+    /// Whether the platform may send new clients here; the readiness endpoint reports it.
     pub fn is_ready(&self) -> bool {
         !self.draining.get()
-            && self.knows_traffic()
-            && !self.records.is_mostly_lost()
-            && !self.keys.are_in_doubt()
+            && self.has_routing_state()
+            && !self.records.lacks_most_quorums()
+            && !self.keys.blocks_requests()
     }
 
-    /// No new clients are wanted from now on.
+    /// Makes the gateway unready for good. Requests are still served.
     pub fn drain(&self) {
         self.draining.set(true);
     }
 
-    /// Requests that are open.
+    /// Number of open requests.
     pub fn open_requests(&self) -> usize {
         self.open.get()
     }
 
-    /// Counts a request as open.
-    pub fn open(self: &Rc<Self>) -> OpenRequest {
+    /// Counts a request as open until the guard is dropped.
+    pub fn track_request(self: &Rc<Self>) -> OpenRequestGuard {
         self.open.set(self.open.get() + 1);
         self.metrics.requests.inc();
         self.metrics.open_requests.inc();
-        OpenRequest(Rc::clone(self))
+        OpenRequestGuard(Rc::clone(self))
     }
 
-    /// Room for a body of so many bytes; `None` when open requests take all there is.
-    pub fn body_room(self: &Rc<Self>, bytes: usize) -> Option<BodyRoom> {
+    /// Reserves memory for a body of `bytes`; `None` when the bodies of open requests leave too
+    /// little.
+    pub fn reserve_body(self: &Rc<Self>, bytes: usize) -> Option<BodyReservation> {
         let taken = self.body_bytes.get() + bytes;
         if taken > self.max_body_bytes {
             return None;
         }
         self.body_bytes.set(taken);
-        Some(BodyRoom {
+        Some(BodyReservation {
             gateway: Rc::clone(self),
             bytes,
         })
     }
 
-    /// The service of a route's next request.
+    /// Selects the service for the route's next request; `None` when the route has no service.
     pub fn next_service(&self, route: &Route) -> Option<String> {
         let index = self.split.borrow_mut().next(route)?;
         route.services.get(index).map(|part| part.service.clone())
     }
 
-    /// The engine that should get a request, and what the request is expected to lose there, in
-    /// milliseconds.
+    /// The engine with the lowest expected cost, and that cost in milliseconds. `None` when no
+    /// engine may get the request.
     pub fn choose_engine(&self, demand: &PlacementRequest<'_>) -> Option<(Engine, f64)> {
         let now = self.now();
         let mut placement = self.placement.borrow_mut();
@@ -193,82 +195,84 @@
         })
     }
 
-    /// Tells the directory node of a prompt that an engine is about to read it.
+    /// Tells the directory node of a prompt that `engine` is about to prefill it.
     pub fn publish_prefill(self: &Rc<Self>, engine: &Engine, parts: &[PromptPart]) {
-        let read = PrefillRecord {
+        let record = PrefillRecord {
             engine: engine.key().0,
             parts: parts.to_vec(),
         };
-        // Parts are named by clients, which must not tell of failures.
-        if !read.is_failure() {
-            self.tell(read);
+        // Clients choose the hashes of parts, and must not be able to report failures with them.
+        if !record.is_failure() {
+            self.publish_record(record);
         }
     }
 
-    /// Tells the directory node of a prompt that an engine has failed it.
-    pub fn tell_failed(self: &Rc<Self>, engine: &Engine, parts: &[PromptPart]) {
+    /// Tells the directory node of a prompt that `engine` failed to process it.
+    pub fn publish_failure(self: &Rc<Self>, engine: &Engine, parts: &[PromptPart]) {
         if let Some(failed) = PrefillRecord::failed(engine.key().0, parts) {
-            self.tell(failed);
+            self.publish_record(failed);
         }
     }
 
-    fn tell(self: &Rc<Self>, read: PrefillRecord) {
-        if read.key().is_none() {
+    fn publish_record(self: &Rc<Self>, record: PrefillRecord) {
+        if record.key().is_none() {
             return;
         }
         let gateway = Rc::clone(self);
         tokio::task::spawn_local(async move {
-            if let Some(own) = gateway.node.gossip.publish_prefill(read).await {
+            if let Some(own) = gateway.node.gossip.publish_prefill(record).await {
                 let now = gateway.now();
                 gateway.directory.borrow_mut().insert(own, now);
             }
         });
     }
 
-    /// Learns from directory nodes where a prompt was read last: the session's own part, and the one that
-    /// it branches off from. Gives back the engine that failed it, if the last one did.
-    pub async fn learn_reads(&self, parts: &[PromptPart]) -> Option<EngineKey> {
-        let from = parts.len().saturating_sub(ASKED_PARTS).max(1);
+    /// Asks directory nodes which engines last prefilled a prompt: for the session's own part, and
+    /// for the part that it branches off from. Returns the engine of the last part if that engine
+    /// failed it.
+    pub async fn look_up_prefills(&self, parts: &[PromptPart]) -> Option<EngineKey> {
+        let from = parts.len().saturating_sub(MAX_LOOKUP_PARTS).max(1);
         let asked = parts
             .iter()
             .skip(from)
-            .map(|part| self.learn_read(part.hash));
+            .map(|part| self.look_up_prefill(part.hash));
         let failed = futures_util::future::join_all(asked).await;
         failed.into_iter().next_back()?
     }
 
-    /// Learns where the prompt with this last part was read last; gives back the engine where that one failed it.
-    pub async fn learn_read(&self, part: u64) -> Option<EngineKey> {
-        let read = match self.node.gossip.directory_node(part) {
+    /// Asks the directory node which engine last prefilled the prompt that ends with `part`.
+    /// Returns that engine if it failed the prompt.
+    pub async fn look_up_prefill(&self, part: u64) -> Option<EngineKey> {
+        let record = match self.node.gossip.directory_node(part) {
             Some(node) => self.node.gossip.query_prefill(node, part).await,
             None => self.find_read(part),
         };
-        let read = read?;
-        if read.is_failure() {
-            return Some(EngineKey(read.engine));
+        let record = record?;
+        if record.is_failure() {
+            return Some(EngineKey(record.engine));
         }
-        self.placement.borrow_mut().on_prefill(&read);
+        self.placement.borrow_mut().on_prefill(&record);
         None
     }
 
-    /// Notes how a request ended at an engine.
+    /// Records how a request ended at an engine.
     pub fn on_outcome(&self, engine: EngineKey, outcome: Outcome) {
         let now = self.now();
         let mut placement = self.placement.borrow_mut();
         placement.on_outcome(engine, outcome, now);
     }
 
-    /// Lets go of what is no longer needed, until the process ends.
-    pub async fn clean_up(self: Rc<Self>) {
-        let mut ticks = tokio::time::interval(TIDY_INTERVAL);
+    /// Runs [`Self::run_maintenance_once`] at a fixed interval until the process ends.
+    pub async fn run_maintenance(self: Rc<Self>) {
+        let mut ticks = tokio::time::interval(MAINTENANCE_INTERVAL);
         loop {
             ticks.tick().await;
-            self.tidy_once();
+            self.run_maintenance_once();
         }
     }
 
-    /// Lets go of what is no longer needed now.
-    pub fn tidy_once(&self) {
+    /// Drops state that is no longer needed, and logs changed estimates.
+    pub fn run_maintenance_once(&self) {
         let now = self.now();
         let mut placement = self.placement.borrow_mut();
         self.node.view.with_engines(|table| {
@@ -296,7 +300,7 @@
                 "costs of a service changed"
             );
         }
-        self.drains.tell_empty(&placement);
+        self.drains.log_emptied_zones(&placement);
         for (region, round_ms) in placement.latency_changes() {
             log::info!(
                 target: "belief",
@@ -306,25 +310,26 @@
             );
         }
         self.turns.borrow_mut().expire(now);
-        self.limits.clean_up();
-        self.warm_ups.clean_up();
+        self.limits.remove_expired();
+        self.warm_ups.update();
         if let Some(routes) = self.node.view.routes() {
             let mut split = self.split.borrow_mut();
             split.retain_routes(|name| routes.has_route(name));
             drop(split);
-            self.check_residencies(&routes);
+            self.log_residency_faults(&routes);
         }
     }
 
-    /// Milliseconds since the configuration was confirmed, -1 when it never was.
+    /// Milliseconds since the configuration was last confirmed to be the newest, -1 when it never
+    /// was.
     pub fn version_age_ms(&self) -> i64 {
         let age = self.node.view.confirmation_age();
         age.map_or(-1, |age| i64::try_from(age.as_millis()).unwrap_or(i64::MAX))
     }
 
-    /// Tells once for each configuration which routes and tenants are refused for their regions.
-    fn check_residencies(&self, routes: &RouteTable) {
-        if self.checked_version.replace(routes.version()) == routes.version() {
+    /// Logs once per configuration version the routes and tenants that no region may serve.
+    fn log_residency_faults(&self, routes: &RouteTable) {
+        if self.logged_residency_version.replace(routes.version()) == routes.version() {
             return;
         }
         let faults = ResidencyFaults::of(routes, &self.node.regions);
@@ -334,7 +339,11 @@
             return;
         }
         let some = |names: &BTreeSet<String>| {
-            let some: Vec<&str> = names.iter().take(TOLD_NAMES).map(String::as_str).collect();
+            let some: Vec<&str> = names
+                .iter()
+                .take(MAX_LOGGED_NAMES)
+                .map(String::as_str)
+                .collect();
             some.join(",")
         };
         log::warn!(
@@ -348,7 +357,7 @@
         );
     }
 
-    /// Brings the gauges up to date.
+    /// Sets the gauges that are computed when metrics are scraped.
     pub fn update_gauges(&self) {
         let view = &self.node.view;
         let metrics = &self.metrics;
@@ -404,12 +413,12 @@
         placement.on_summaries(load.services);
     }
 
-    fn on_prefill(&self, read: PrefillRecord) {
+    fn on_prefill(&self, record: PrefillRecord) {
         let now = self.now();
-        if !read.is_failure() {
-            self.placement.borrow_mut().on_prefill(&read);
+        if !record.is_failure() {
+            self.placement.borrow_mut().on_prefill(&record);
         }
-        self.directory.borrow_mut().insert(read, now);
+        self.directory.borrow_mut().insert(record, now);
     }
 
     fn find_read(&self, part: u64) -> Option<PrefillRecord> {
@@ -420,13 +429,13 @@
 
 impl PeerService for Gateway {
     fn on_request(&self, request: PeerRequest, reply: oneshot::Sender<PeerReply>) {
-        if let PeerRequest::Relay(passed) = request {
-            self.metrics.passed_on.inc();
-            pass_on(&self.node, &self.records.paths, *passed, reply);
+        if let PeerRequest::Relay(relayed) = request {
+            self.metrics.relayed_requests.inc();
+            relay_request(&self.node, &self.records.paths, *relayed, reply);
             return;
         }
         let answer = self.node.answer(&request);
-        // Whoever asked may have given up.
+        // The receiver is gone when the requester has given up.
         let _ = reply.send(answer);
     }
 }
--- a/crates/gateway/src/at_engine.rs
+++ b/crates/gateway/src/in_flight.rs
@@ -1,4 +1,5 @@
-//! A request while it is at an engine: the placement counts it there, and learns from what is seen of it.
+//! Tracks a request in flight at an engine, and updates the placement's estimates from what is
+//! observed.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -9,13 +10,13 @@
 
 use crate::gateway::Gateway;
 
-/// Fewest gaps that tell an engine's step.
-const LEAST_GAPS: usize = 4;
+/// Fewest gaps between events from which an engine's step time is estimated.
+const MIN_GAPS: usize = 4;
 const MS_PER_S: f64 = 1_000.0;
 const US_PER_MS: f64 = 1_000.0;
 
-/// A request that is at an engine; has left it when dropped.
-pub struct AtEngine {
+/// A request in flight at an engine. It ends when dropped.
+pub struct InFlightRequest {
     gateway: Rc<Gateway>,
     engine: Engine,
     forecast: Forecast,
@@ -23,14 +24,14 @@
     first: Cell<Option<Instant>>,
     last: Cell<Option<Instant>>,
     events: Cell<u64>,
-    /// Bytes of the answer's body so far.
+    /// Bytes of the response body so far.
     bytes: Cell<usize>,
-    /// Times between events, in microseconds.
     gaps: RefCell<Vec<u32>>,
 }
 
-impl AtEngine {
-    /// A request goes to an engine.
+impl InFlightRequest {
+    /// Counts a request as in flight at an engine, and publishes that the engine processes its
+    /// prompt.
     pub fn new(gateway: &Rc<Gateway>, engine: &Engine, metadata: &CallMetadata) -> Self {
         let forecast = gateway.placement.borrow_mut().on_sent(
             metadata.placement_key(),
@@ -51,22 +52,22 @@
         }
     }
 
-    /// The engine, in the run that it was asked in.
+    /// Key of the engine process that the request was sent to.
     pub fn engine(&self) -> EngineKey {
         self.engine.key()
     }
 
-    /// What was believed of the engine.
+    /// Estimated state of the engine when the request was sent.
     pub fn forecast(&self) -> Forecast {
         self.forecast
     }
 
-    /// Bytes of the request's body go out.
+    /// Counts bytes of the request's body as sent.
     pub fn on_sent(&self, bytes: usize) {
         self.count(Purpose::EngineRequest, bytes);
     }
 
-    /// Bytes of the answer's body have come.
+    /// Counts received bytes of the response body.
     pub fn on_bytes(&self, bytes: usize) {
         self.bytes.set(self.bytes.get() + bytes);
     }
@@ -77,7 +78,7 @@
         }
     }
 
-    /// An event of the answer has come.
+    /// Records an event of the response; the first one ends the prefill.
     pub fn on_event(&self) {
         let now = Instant::now();
         self.events.set(self.events.get() + 1);
@@ -92,8 +93,8 @@
         }
     }
 
-    /// The answer has come whole.
-    pub fn on_whole(&self) {
+    /// Records that the response is complete.
+    pub fn on_complete(&self) {
         let turn = Turn {
             turn_ms: self.sent.elapsed().as_secs_f64() * MS_PER_S,
             step_ms: self.step_ms(),
@@ -104,11 +105,11 @@
         placement.on_turn(&self.engine, turn);
     }
 
-    /// Gaps in which the engine read no prompt are the short ones; the shortest may be two events that
-    /// came together.
+    /// Time per step in milliseconds. A low quantile of the gaps, because a prefill of another
+    /// prompt lengthens a gap. The shortest gaps may separate events that arrived together.
     fn step_ms(&self) -> Option<f64> {
         let mut gaps = self.gaps.take();
-        if gaps.len() < LEAST_GAPS {
+        if gaps.len() < MIN_GAPS {
             return None;
         }
         let place = gaps.len() / 4;
@@ -117,7 +118,7 @@
     }
 }
 
-impl Drop for AtEngine {
+impl Drop for InFlightRequest {
     fn drop(&mut self) {
         self.count(Purpose::EngineAnswer, self.bytes.get());
         let is_read = self.first.get().is_some();
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,11 +1,12 @@
-//! The gateway: takes requests of clients, chooses engines, passes answers on.
+//! The gateway accepts requests of clients, selects engines and forwards their responses.
 //!
-//! A request comes in through [`listener`], is read by `entry`, and carried out by `exchange`: the earlier
-//! turns are read and the tokens reserved (`records_client`), an engine is chosen and asked (`attempt`), and
-//! its answer is passed on whole (`whole_answer`) or event by event (`streaming`).
+//! Connections are accepted by [`listener`]; `entry` parses a request and `exchange` executes it:
+//! it reads the earlier turns and reserves tokens (`records_client`), sends the request to an
+//! engine (`attempt`), and forwards the response whole (`buffered_response`) or event by event
+//! (`streaming`).
 
-mod at_engine;
 mod attempt;
+mod buffered_response;
 mod call;
 mod caller;
 mod engine_pool;
@@ -13,7 +14,8 @@
 mod entry;
 mod exchange;
 mod gateway;
-mod key_proof;
+mod in_flight;
+mod key_freshness;
 mod listener;
 pub mod metrics;
 mod node_network;
@@ -26,12 +28,11 @@
 mod streaming;
 mod turn_cache;
 mod warm_ups;
-mod whole_answer;
 mod zone_drains;
 
 pub use gateway::Gateway;
 pub use listener::{StopPhase, listen};
 pub use quorum_health::QuorumHealth;
-pub use replica_paths::{Answering, ReplicaNetwork, ReplicaPaths};
+pub use replica_paths::{ReplicaNetwork, ReplicaPaths, ReplyFuture};
 pub use role::run;
 pub use turn_cache::TurnCache;
--- a/crates/gateway/src/listener.rs
+++ b/crates/gateway/src/listener.rs
@@ -1,4 +1,4 @@
-//! Takes connections of clients.
+//! Accepts connections of clients.
 
 use std::convert::Infallible;
 use std::io;
@@ -18,27 +18,29 @@
 use crate::entry;
 use crate::gateway::Gateway;
 
-/// Descriptors that are not for connections of clients: engines, nodes, the store, files.
+/// File descriptors reserved for engines, nodes, the store and files.
 const RESERVED_DESCRIPTORS: u64 = 1_000;
-const LEAST_CONNECTIONS: u64 = 256;
-/// Smallest buffer that the HTTP library takes.
-const LEAST_BUFFER: u64 = 8 * 1024;
-/// Idle connections stay a little longer than clients may use them.
+const MIN_CONNECTIONS: u64 = 256;
+/// Smallest buffer that the HTTP library accepts.
+const MIN_BUFFER_BYTES: u64 = 8 * 1024;
+/// Idle connections stay open slightly longer than clients may reuse them.
 const IDLE_MARGIN: Duration = Duration::from_millis(500);
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// How far a gateway has come with its end.
+/// Progress of a gateway's shutdown.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StopPhase {
-    /// It is not ending.
+    /// No shutdown is in progress.
     Serving,
-    /// Clients still come until the platform has noticed; each is served once and its connection closed.
+    /// New connections are accepted until the platform has noticed the shutdown, and closed after
+    /// one request.
     Draining,
-    /// No client is taken any more; those that were taken get their answers.
+    /// No connection is accepted; open requests are still answered.
     Closed,
 }
 
-/// Listens for clients until the gateway is closed.
+/// Listens for clients until the phase is [`StopPhase::Closed`]. Fails if the address cannot be
+/// bound.
 pub async fn listen(
     gateway: Rc<Gateway>,
     address: SocketAddr,
@@ -47,30 +49,30 @@
     let listener = TcpListener::bind(address).await?;
     let descriptors = gateway.node.settings.limits.descriptors;
     let connections = descriptors.saturating_sub(RESERVED_DESCRIPTORS);
-    let places = connections.max(LEAST_CONNECTIONS);
-    let places = Rc::new(Semaphore::new(
-        usize::try_from(places).unwrap_or(usize::MAX),
+    let permits = connections.max(MIN_CONNECTIONS);
+    let permits = Rc::new(Semaphore::new(
+        usize::try_from(permits).unwrap_or(usize::MAX),
     ));
     tokio::task::spawn_local(async move {
         loop {
-            let Ok(place) = places.acquire().await else {
+            let Ok(permit) = permits.acquire().await else {
                 return;
             };
-            place.forget();
+            permit.forget();
             let accepted = tokio::select! {
                 accepted = listener.accept() => accepted,
                 _ = phase.wait_for(|phase| *phase == StopPhase::Closed) => return,
             };
             let Ok((stream, _)) = accepted else {
-                places.add_permits(1);
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                permits.add_permits(1);
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             };
-            let places = Rc::clone(&places);
+            let permits = Rc::clone(&permits);
             let serving = serve(Rc::clone(&gateway), stream, phase.clone());
             tokio::task::spawn_local(async move {
                 serving.await;
-                places.add_permits(1);
+                permits.add_permits(1);
             });
         }
     });
@@ -83,7 +85,7 @@
     }
     let limits = entry::caller_limits(&gateway);
     let idle = Duration::from_millis(limits.idle_timeout_ms) + IDLE_MARGIN;
-    let buffer = limits.max_header_bytes.max(LEAST_BUFFER);
+    let buffer = limits.max_header_bytes.max(MIN_BUFFER_BYTES);
     let is_kept = *phase.borrow() == StopPhase::Serving;
     let service = service_fn(move |request: Request<Incoming>| {
         let gateway = Rc::clone(&gateway);
@@ -91,9 +93,10 @@
     });
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
-        // An order to close would end a connection that has just come before its request is read.
+        // Disabled from the start while draining: a graceful shutdown would close a new connection
+        // before its request is read.
         .keep_alive(is_kept)
-        // Covers the rest between two requests too, so it cannot be shorter than that.
+        // Also bounds the idle time between two requests, so it must not be shorter than that.
         .header_read_timeout(idle)
         .max_buf_size(usize::try_from(buffer).unwrap_or(usize::MAX))
         .serve_connection(TokioIo::new(stream), service);
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and histograms of a gateway.
+//! Metrics of a gateway.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -11,22 +11,22 @@
 use prometheus_client::registry::Registry;
 use ridgeworks_routing::{Engine, RefusalReason};
 
-/// Upper bounds of the classes of times, in seconds.
+/// Upper bounds of histogram buckets, in seconds.
 const TIME_BOUNDS: [f64; 14] = [
     0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.3, 0.5, 1.0, 2.0, 5.0, 15.0,
 ];
 
-/// Label of counters by reason.
+/// Label of metrics that are counted per reason or outcome.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct ReasonLabel {
-    /// Why.
+    /// Name of a refusal reason, attempt failure or outcome.
     pub reason: &'static str,
 }
 
-/// Label of counters by service.
+/// Label of metrics that are counted per service of the engines.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct ServiceLabel {
-    /// Name of the service.
+    /// Service name, as in the configuration.
     pub service: String,
 }
 
@@ -38,16 +38,16 @@
     }
 }
 
-/// Metrics of engines that warm up.
+/// Metrics of warming engines.
 #[derive(Debug, Clone, Default)]
 pub struct WarmUpMetrics {
-    /// Engines that warm up.
+    /// Engines that are warming up.
     pub warming: Family<ServiceLabel, Gauge>,
-    /// Questions for grants.
+    /// Requests for grants sent to limiters.
     pub asked: Family<ServiceLabel, Counter>,
-    /// Requests that used a grant.
+    /// Requests sent with a grant.
     pub granted: Family<ServiceLabel, Counter>,
-    /// Requests that passed an engine over.
+    /// Requests that passed over an engine for lack of a grant.
     pub withheld: Family<ServiceLabel, Counter>,
 }
 
@@ -77,26 +77,26 @@
         }
     }
 
-    /// Counts a question for a grant.
+    /// Counts one request to a limiter.
     pub fn on_asked(&self, service: &str) {
         self.asked.get_or_create(&ServiceLabel::of(service)).inc();
     }
 
-    /// Counts a request with a grant.
+    /// Counts a request that is sent with a grant.
     pub fn on_granted_send(&self, service: &str) {
         self.granted.get_or_create(&ServiceLabel::of(service)).inc();
     }
 
-    /// Counts a request that got no grant.
+    /// Counts a request that passed over an engine because it got no grant.
     pub fn on_withheld(&self, service: &str) {
         self.withheld
             .get_or_create(&ServiceLabel::of(service))
             .inc();
     }
 
-    /// Sets how many engines of each service warm up.
+    /// Sets the number of warming engines of each service.
     pub fn set_warming(&self, warming: &HashMap<&str, u64>) {
-        // A service may have lost its limit.
+        // Removes services that no longer have a limit.
         self.warming.clear();
         for (service, count) in warming {
             let count = i64::try_from(*count).unwrap_or(i64::MAX);
@@ -106,17 +106,17 @@
     }
 }
 
-/// Label of metrics by zone and service.
+/// Labels of metrics by an engine's zone and service.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct ZoneServiceLabel {
-    /// The engines' zone.
+    /// Zone of the engines.
     pub zone: String,
-    /// The engines' service.
+    /// Service of the engines.
     pub service: String,
 }
 
 impl ZoneServiceLabel {
-    /// Of an engine.
+    /// The labels of an engine.
     pub fn of(engine: &Engine) -> Self {
         Self {
             zone: engine.zone.clone(),
@@ -125,24 +125,24 @@
     }
 }
 
-/// All metrics of a gateway.
+/// Gauges that mirror other state are set by [`crate::Gateway::update_gauges`].
 pub struct GatewayMetrics {
-    /// Requests taken.
+    /// Requests received.
     pub requests: Counter,
-    /// Requests that are open.
+    /// Requests that are currently open.
     pub open_requests: Gauge,
-    /// Requests by how they ended.
+    /// Requests by outcome.
     pub ended: Family<ReasonLabel, Counter>,
-    /// Requests refused, by reason.
+    /// Refused requests by reason.
     pub refused: Family<ReasonLabel, Counter>,
-    /// Attempts at engines that did not succeed, by reason.
+    /// Failed attempts at engines by reason.
     pub failed_attempts: Family<ReasonLabel, Counter>,
-    /// Of engines that warm up.
+    /// Metrics of warming engines.
     pub warm_up: WarmUpMetrics,
-    /// New connections to engines.
+    /// Connections opened to engines.
     pub engine_connections: Counter,
-    /// Requests passed on to replicas for other gateways.
-    pub passed_on: Counter,
+    /// Requests relayed to replicas for other gateways.
+    pub relayed_requests: Counter,
     /// Time to reserve tokens.
     pub reserve_seconds: Histogram,
     /// Time to read earlier turns.
@@ -155,33 +155,33 @@
     pub request_seconds: Histogram,
     /// Time to connect to an engine.
     pub connect_seconds: Histogram,
-    /// Version of the configuration in force.
+    /// Version of the current configuration, 0 when there is none.
     pub configuration_version: Gauge,
-    /// Seconds since the configuration was confirmed as the newest one.
+    /// Seconds since the configuration was confirmed as the newest one, -1 when it never was.
     pub configuration_age_seconds: Gauge,
-    /// Routes and tenants that cannot be served in their regions.
+    /// Routes and tenants that no region may serve.
     pub residency_faults: Gauge,
-    /// Engines that are known.
+    /// Engines in the current engine list.
     pub engines: Gauge,
-    /// Entries of engines that cannot be read, where this gateway watches the store.
+    /// Engine entries that cannot be parsed, where this gateway watches the store.
     pub unreadable_engines: Gauge,
-    /// Zones that are drained.
+    /// Zones with a drain in force.
     pub drained_zones: Gauge,
-    /// Engines that get nothing because their zone is drained.
+    /// Engines excluded because their zone is drained.
     pub drained_engines: Family<ZoneServiceLabel, Gauge>,
-    /// Requests that are open at them.
+    /// Requests of this gateway that are open at these engines.
     pub drained_requests: Family<ZoneServiceLabel, Gauge>,
-    /// Requests whose engine was chosen, and that were not sent since the engine got nothing any more by then, for whatever reason.
+    /// Requests that were not sent because their engine was excluded after it had been chosen.
     pub withheld: Family<ZoneServiceLabel, Counter>,
-    /// Epoch of the replica set.
+    /// Epoch of the replica sets.
     pub replica_set_epoch: Gauge,
     /// Calls to the platform's store.
     pub store_calls: Gauge,
-    /// Calls beside a watch that said nothing.
+    /// Calls to the store that check a silent watch.
     pub store_checks: Gauge,
-    /// Watches that had missed changes.
+    /// Watches that were found to have missed changes.
     pub silent_watches: Gauge,
-    /// Links to other nodes that were replaced because they were silent.
+    /// Links to other nodes that were replaced because no data arrived.
     pub silent_links: Gauge,
 }
 
@@ -190,7 +190,7 @@
 }
 
 impl GatewayMetrics {
-    /// Registers all metrics.
+    /// Creates the metrics and adds them to the registry.
     pub fn register(registry: &mut Registry) -> Self {
         let metrics = Self {
             requests: Counter::default(),
@@ -200,7 +200,7 @@
             failed_attempts: Family::default(),
             warm_up: WarmUpMetrics::default(),
             engine_connections: Counter::default(),
-            passed_on: Counter::default(),
+            relayed_requests: Counter::default(),
             reserve_seconds: times(),
             chain_read_seconds: times(),
             append_seconds: times(),
@@ -225,7 +225,7 @@
         metrics.register_requests(registry);
         metrics.warm_up.register(registry);
         metrics.register_times(registry);
-        metrics.register_beliefs(registry);
+        metrics.register_state_gauges(registry);
         metrics.register_drains(registry);
         metrics
     }
@@ -248,9 +248,9 @@
             "New connections to engines",
             connections,
         );
-        let passed_on = self.passed_on.clone();
+        let relayed_requests = self.relayed_requests.clone();
         let help = "Requests passed on to replicas for other gateways";
-        registry.register("replica_requests_passed_on", help, passed_on);
+        registry.register("replica_requests_passed_on", help, relayed_requests);
     }
 
     fn register_times(&self, registry: &mut Registry) {
@@ -291,7 +291,7 @@
         }
     }
 
-    fn register_beliefs(&self, registry: &mut Registry) {
+    fn register_state_gauges(&self, registry: &mut Registry) {
         let gauges = [
             (
                 "configuration_version",
@@ -359,25 +359,25 @@
         registry.register("sends_withheld", help, withheld);
     }
 
-    /// Counts a request that was not sent to the engine that had been chosen.
+    /// Counts a request withheld from the chosen engine.
     pub fn on_withheld(&self, engine: &Engine) {
         let label = ZoneServiceLabel::of(engine);
         self.withheld.get_or_create(&label).inc();
     }
 
-    /// Counts a refusal.
+    /// Counts a refused request.
     pub fn on_refused(&self, reason: RefusalReason) {
         let reason = reason.name();
         self.refused.get_or_create(&ReasonLabel { reason }).inc();
     }
 
-    /// Counts the end of a request.
+    /// Counts the end of a request and observes its duration.
     pub fn on_ended(&self, reason: &'static str, taken: Duration) {
         self.ended.get_or_create(&ReasonLabel { reason }).inc();
         self.request_seconds.observe(taken.as_secs_f64());
     }
 
-    /// Counts an attempt at an engine that did not succeed.
+    /// Counts a failed attempt at an engine.
     pub fn on_failed_attempt(&self, reason: &'static str) {
         let label = ReasonLabel { reason };
         self.failed_attempts.get_or_create(&label).inc();
--- a/crates/gateway/src/node_network.rs
+++ b/crates/gateway/src/node_network.rs
@@ -1,4 +1,4 @@
-//! Carries requests to replicas over the node's links, and passes on those of other gateways.
+//! Sends requests to replicas over the node's links, and relays those of other gateways.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -11,23 +11,24 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-use crate::replica_paths::{Answering, RELAY_TIMEOUT, ReplicaNetwork, ReplicaPaths};
+use crate::replica_paths::{RELAY_TIMEOUT, ReplicaNetwork, ReplicaPaths, ReplyFuture};
 
-/// A gateway silent for so long is not asked to pass anything on; in a large fleet each is heard every few seconds.
-const RELAY_SILENCE: Duration = Duration::from_secs(10);
+/// A gateway that has not been heard from for this long is not used as a relay. In a large fleet
+/// each one is heard from every few seconds.
+const MAX_RELAY_SILENCE: Duration = Duration::from_secs(10);
 
-/// The links of a node.
+/// Reaches replicas over the links of a node.
 pub struct NodeNetwork(pub Rc<Node>);
 
 impl NodeNetwork {
-    fn call(&self, to: SocketAddr, request: PeerRequest, timeout: Duration) -> Answering {
+    fn call(&self, to: SocketAddr, request: PeerRequest, timeout: Duration) -> ReplyFuture {
         let node = Rc::clone(&self.0);
         Box::pin(async move { read_reply(node.links.call(to, request, timeout).await) })
     }
 }
 
 impl ReplicaNetwork for NodeNetwork {
-    fn ask(&self, replica: &Replica, request: ReplicaRequest, timeout: Duration) -> Answering {
+    fn ask(&self, replica: &Replica, request: ReplicaRequest, timeout: Duration) -> ReplyFuture {
         let Ok(address) = replica.address.parse() else {
             return Box::pin(std::future::ready(Err(LinkError::Unreachable)));
         };
@@ -35,17 +36,22 @@
         self.call(address, PeerRequest::Replica { to, request }, timeout)
     }
 
-    fn ask_by(&self, relay: SocketAddr, replica: &Replica, request: ReplicaRequest) -> Answering {
+    fn ask_via(
+        &self,
+        relay: SocketAddr,
+        replica: &Replica,
+        request: ReplicaRequest,
+    ) -> ReplyFuture {
         let Ok(address) = replica.address.parse() else {
             return Box::pin(std::future::ready(Err(LinkError::Unreachable)));
         };
         let to = replica.id;
-        let passed = RelayedRequest {
+        let relayed = RelayedRequest {
             address,
             to,
             request,
         };
-        let request = PeerRequest::Relay(Box::new(passed));
+        let request = PeerRequest::Relay(Box::new(relayed));
         self.call(relay, request, RELAY_TIMEOUT)
     }
 
@@ -65,7 +71,7 @@
         let now = self.0.clock.now();
         let members = self.0.gossip.members().into_iter();
         let gateways =
-            members.filter(|node| !node.info.is_replica && node.is_alive(now, RELAY_SILENCE));
+            members.filter(|node| !node.info.is_replica && node.is_alive(now, MAX_RELAY_SILENCE));
         let regions = &self.0.regions;
         let gateways = gateways.filter(|node| regions.allows(residency, &node.info.zone));
         gateways.map(|node| node.info.address).collect()
@@ -80,20 +86,20 @@
     }
 }
 
-/// Passes another gateway's request on to a replica, straight only: requests must not go in circles.
-pub fn pass_on(
+/// Relays another gateway's request to a replica, over the direct path only to prevent loops.
+pub fn relay_request(
     node: &Rc<Node>,
     paths: &ReplicaPaths,
-    passed: RelayedRequest,
+    relayed: RelayedRequest,
     reply: oneshot::Sender<PeerReply>,
 ) {
     let RelayedRequest {
         address,
         to,
         request,
-    } = passed;
-    if !paths.can_pass_on(to) {
-        // Whoever asked may have given up.
+    } = relayed;
+    if !paths.can_relay_to(to) {
+        // The receiver is gone when the requester has given up.
         let _ = reply.send(PeerReply::RelayFailed);
         return;
     }
--- a/crates/gateway/src/quorum_health.rs
+++ b/crates/gateway/src/quorum_health.rs
@@ -1,8 +1,8 @@
-//! Whether a majority of each group's replicas answers this gateway.
+//! Tracks whether a majority of each group's replicas is reachable.
 //!
-//! A gateway that has just failed to reach a majority knows that the next request that needs one cannot be
-//! served: it is refused at once, and its client finds another gateway sooner (`docs/design/large-fleets.md`,
-//! "Gateways that are cut off").
+//! While a group's majority is unreachable, requests that need it are refused at once, so that
+//! their clients find another gateway sooner (`docs/design/large-fleets.md`, "Gateways that are cut
+//! off").
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -11,26 +11,28 @@
 use ridgeworks_records::GroupId;
 use tokio::time::Instant;
 
-/// An operation that was given up sooner says nothing of the replicas: its client had no more time.
-const LEAST_WAIT: Duration = Duration::from_millis(300);
+/// An operation that was abandoned earlier is no evidence about the replicas: its client ran out of
+/// time.
+const MIN_WAIT: Duration = Duration::from_millis(300);
 
-/// What the last operations say.
+/// Reachability of one group's majority, judged by the last operations.
 #[derive(Debug, Default)]
 pub struct QuorumHealth {
-    /// Since when no majority answers; `None` while one does.
+    /// When the majority became unreachable; `None` while it is reachable.
     lost_since: Cell<Option<Instant>>,
 }
 
 impl QuorumHealth {
-    /// A majority has answered. Says how long none did before, if that is over now.
+    /// Records that a majority answered. Returns how long it was unreachable if this ends the loss.
     pub fn on_reached(&self) -> Option<Duration> {
         let since = self.lost_since.take()?;
         Some(since.elapsed())
     }
 
-    /// An operation was given up after so long without a majority. Says whether that is news.
+    /// Records an operation that was abandoned after `waited` without a majority. Returns whether
+    /// the majority is newly lost.
     pub fn on_failed(&self, waited: Duration) -> bool {
-        if waited < LEAST_WAIT || self.is_lost() {
+        if waited < MIN_WAIT || self.is_lost() {
             return false;
         }
         let now = Instant::now();
@@ -39,12 +41,12 @@
         true
     }
 
-    /// Whether no majority answers, as far as is known.
+    /// Whether the majority is believed to be unreachable.
     pub fn is_lost(&self) -> bool {
         self.lost_since.get().is_some()
     }
 
-    /// For how long none has answered; zero while one does.
+    /// How long the majority has been unreachable; zero while it is reachable.
     pub fn lost_for(&self) -> Duration {
         self.lost_since
             .get()
@@ -52,36 +54,38 @@
     }
 }
 
-/// What the last operations say of each group.
+/// Reachability of each group's majority. Groups without a recorded failure count as reachable.
 #[derive(Debug, Default)]
 pub struct GroupHealth(RefCell<BTreeMap<GroupId, QuorumHealth>>);
 
 impl GroupHealth {
-    /// A majority of a group has answered. Says how long none did before, if that is over now.
+    /// Records that a majority of a group answered. Returns how long it was unreachable if this
+    /// ends the loss.
     pub fn on_reached(&self, group: GroupId) -> Option<Duration> {
         let groups = self.0.borrow();
         groups.get(&group)?.on_reached()
     }
 
-    /// An operation was given up after so long without a majority of its group. Says whether that is news.
+    /// Records an operation that was abandoned after `waited` without a majority. Returns whether
+    /// the group's majority is newly lost.
     pub fn on_failed(&self, group: GroupId, waited: Duration) -> bool {
         let mut groups = self.0.borrow_mut();
         groups.entry(group).or_default().on_failed(waited)
     }
 
-    /// Whether no majority of a group answers, as far as is known.
+    /// Whether the group's majority is believed to be unreachable.
     pub fn is_lost(&self, group: GroupId) -> bool {
         let groups = self.0.borrow();
         groups.get(&group).is_some_and(QuorumHealth::is_lost)
     }
 
-    /// Groups of which no majority answers.
+    /// Number of groups whose majority is unreachable.
     pub fn lost_count(&self) -> usize {
         let groups = self.0.borrow();
         groups.values().filter(|health| health.is_lost()).count()
     }
 
-    /// For how long no majority of a group has answered; zero while one does.
+    /// How long the group's majority has been unreachable; zero while it is reachable.
     pub fn lost_for(&self, group: GroupId) -> Duration {
         let groups = self.0.borrow();
         groups
--- a/crates/gateway/src/rate_limits.rs
+++ b/crates/gateway/src/rate_limits.rs
@@ -1,4 +1,4 @@
-//! Asks for grants of a tenant's limit before its requests run (`docs/design/quotas.md`).
+//! Acquires grants of tenants' rate limits before their requests run (`docs/design/quotas.md`).
 
 use std::cell::RefCell;
 use std::pin::pin;
@@ -17,58 +17,58 @@
 use ridgeworks_routing::{RateLimit, Refusal, RefusalReason, Tenant};
 use tokio::time::Instant;
 
-use crate::refusal::COME_BACK;
+use crate::refusal::RETRY_AFTER;
 use crate::replica_paths::ReplicaPaths;
 
-/// How long one limiter may take before another one is asked too, at least: its answer comes in a few milliseconds, beside the
-/// reservation of tokens.
-const NEXT_PATIENCE: Duration = Duration::from_millis(80);
-/// How long a request waits where no limiter has answered lately: they are asked, so that they are found again, and nobody is held for
-/// them.
-const LATE_PATIENCE: Duration = Duration::from_millis(150);
-/// How long one limiter may take in all.
+/// Shortest time before a hedged request to the next limiter. A limiter usually answers in a few
+/// milliseconds.
+const MIN_HEDGE_DELAY: Duration = Duration::from_millis(80);
+/// How long a request waits if all limiters are suspected. They are still asked, so that their
+/// recovery is noticed.
+const SUSPECTED_LIMITERS_TIMEOUT: Duration = Duration::from_millis(150);
+/// Timeout of a request to one limiter.
 const LIMITER_TIMEOUT: Duration = Duration::from_millis(700);
 
 type Reply = (LimiterKey, Result<ReplicaReply, LinkError>);
 
-/// Grants of the limits of tenants, at a gateway.
+/// Grants of tenants' rate limits held by a gateway.
 pub struct RateLimits {
     node: Rc<Node>,
     paths: Rc<ReplicaPaths>,
-    gate: RefCell<LimiterSelector>,
+    selector: RefCell<LimiterSelector>,
 }
 
-/// The request of a tenant for which a grant is wanted.
-struct Wanted<'a> {
+/// A tenant's request that needs a grant.
+struct PendingGrant<'a> {
     request: &'a str,
     tenant: &'a Tenant,
     progress: ProgramProgress,
     limit: RateLimit,
-    /// Version of the configuration that sets the limit.
+    /// Version of the configuration with this limit.
     version: u64,
 }
 
-/// What limiters answered that gave nothing.
+/// Replies of limiters that issued no grant.
 #[derive(Default)]
 struct Denials {
-    /// Until the request may come back, by the limiter that has something first.
+    /// Shortest time after which a limiter expects to have a grant.
     retry: Option<Duration>,
     answered: usize,
     silent: usize,
 }
 
 impl RateLimits {
-    /// Grants for requests of a gateway on this node, asked for on these ways.
+    /// Creates the rate limits of a gateway on this node, with limiters reached over `paths`.
     pub fn new(node: Rc<Node>, paths: Rc<ReplicaPaths>) -> Self {
         Self {
             node,
             paths,
-            gate: RefCell::default(),
+            selector: RefCell::default(),
         }
     }
 
-    /// Waits for a grant for a tenant's request, until this time at most.
-    pub async fn take(
+    /// Waits until `until` for a grant for a tenant's request.
+    pub async fn acquire(
         &self,
         request: &str,
         tenant: &Tenant,
@@ -79,7 +79,7 @@
         let Some(limit) = tenant.limit else {
             return Ok(());
         };
-        let wanted = Wanted {
+        let pending = PendingGrant {
             request,
             tenant,
             progress,
@@ -88,7 +88,7 @@
         };
         let group = self.group_of(tenant);
         let limiters = self.limiters(group);
-        let state = self.next(tenant, progress, &limiters);
+        let state = self.select_limiters(tenant, progress, &limiters);
         let order = match state {
             LimiterSelection::Granted => return Ok(()),
             LimiterSelection::Closed(after) => {
@@ -96,7 +96,7 @@
                     retry: Some(after),
                     ..Denials::default()
                 };
-                return Err(self.refuse(&wanted, &denials));
+                return Err(self.refuse(&pending, &denials));
             }
             LimiterSelection::Ask(order) => order,
         };
@@ -109,30 +109,29 @@
             .iter()
             .all(|limiter| self.paths.is_suspected(limiter.id))
         {
-            until.min(Instant::now() + LATE_PATIENCE)
+            until.min(Instant::now() + SUSPECTED_LIMITERS_TIMEOUT)
         } else {
             until
         };
-        let asking = self.ask_in_turn(&wanted, group, &order);
+        let asking = self.ask_in_turn(&pending, group, &order);
         let asked = tokio::time::timeout_at(until, asking).await;
         match asked.unwrap_or_else(|_| Err(Denials::default())) {
             Ok(()) => Ok(()),
-            Err(denials) => Err(self.refuse(&wanted, &denials)),
+            Err(denials) => Err(self.refuse(&pending, &denials)),
         }
     }
 
-    /// A grant was not used: no engine has run the request, and none will.
+    /// Returns an unused grant: no engine has run the request, and none will.
     pub fn return_grant(&self, tenant: &Tenant) {
         if tenant.limit.is_some() {
             let now = self.node.clock.now();
-            self.gate.borrow_mut().return_grant(&tenant.name, now);
+            self.selector.borrow_mut().return_grant(&tenant.name, now);
         }
     }
 
-    /// Lets go of what lies in the past.
-    pub fn clean_up(&self) {
+    pub fn remove_expired(&self) {
         let now = self.node.clock.now();
-        self.gate.borrow_mut().clean_up(now);
+        self.selector.borrow_mut().clean_up(now);
     }
 
     fn group_of(&self, tenant: &Tenant) -> GroupId {
@@ -147,7 +146,7 @@
         set.map(|set| set.voters).unwrap_or_default()
     }
 
-    fn next(
+    fn select_limiters(
         &self,
         tenant: &Tenant,
         progress: ProgramProgress,
@@ -159,63 +158,63 @@
         });
         let candidates: Vec<LimiterCandidate> = candidates.collect();
         let now = self.node.clock.now();
-        let mut gate = self.gate.borrow_mut();
-        gate.next(&tenant.name, progress, &candidates, now, &mut rand::rng())
+        let mut selector = self.selector.borrow_mut();
+        selector.next(&tenant.name, progress, &candidates, now, &mut rand::rng())
     }
 
-    /// Asks the limiters one after the other; the next one also where one takes long.
+    /// Asks the limiters one by one; the next one is also asked if one is slow.
     async fn ask_in_turn(
         &self,
-        wanted: &Wanted<'_>,
+        pending: &PendingGrant<'_>,
         group: GroupId,
         order: &[&Replica],
     ) -> Result<(), Denials> {
         let mut denials = Denials::default();
         let mut order = order.iter();
         let mut asked = FuturesUnordered::new();
-        let mut patience = pin!(tokio::time::sleep(NEXT_PATIENCE));
+        let mut hedge_timer = pin!(tokio::time::sleep(MIN_HEDGE_DELAY));
         let mut next = order.next();
         loop {
             if let Some(limiter) = next.take() {
-                asked.push(self.ask(wanted, group, limiter));
+                asked.push(self.ask(pending, group, limiter));
                 let alone = std::slice::from_ref(*limiter);
-                let wait = self.paths.patience(alone, NEXT_PATIENCE);
-                patience.as_mut().reset(Instant::now() + wait);
+                let wait = self.paths.silence_timeout(alone, MIN_HEDGE_DELAY);
+                hedge_timer.as_mut().reset(Instant::now() + wait);
             }
             let (from, reply) = tokio::select! {
                 answer = asked.next() => match answer {
                     Some(answer) => answer,
                     None => return Err(denials),
                 },
-                () = patience.as_mut(), if order.len() > 0 => {
+                () = hedge_timer.as_mut(), if order.len() > 0 => {
                     next = order.next();
                     continue;
                 }
             };
-            if self.take_reply(wanted, from, reply, &mut denials) {
+            if self.apply_reply(pending, from, reply, &mut denials) {
                 return Ok(());
             }
             next = order.next();
         }
     }
 
-    async fn ask(&self, wanted: &Wanted<'_>, group: GroupId, limiter: &Replica) -> Reply {
+    async fn ask(&self, pending: &PendingGrant<'_>, group: GroupId, limiter: &Replica) -> Reply {
         let request = ReplicaRequest::Admit(Admission {
             group,
-            tenant: wanted.tenant.name.clone(),
-            may_start_program: wanted.progress == ProgramProgress::Beginning,
-            per_ks: wanted.limit.per_ks,
-            burst: wanted.limit.burst,
-            version: wanted.version,
+            tenant: pending.tenant.name.clone(),
+            may_start_program: pending.progress == ProgramProgress::Beginning,
+            per_ks: pending.limit.per_ks,
+            burst: pending.limit.burst,
+            version: pending.version,
         });
         let reply = self.paths.ask(limiter, request, LIMITER_TIMEOUT).await;
         (LimiterKey(limiter.id.0), reply)
     }
 
-    /// Takes an answer in; says whether it is a grant.
-    fn take_reply(
+    /// Applies a reply. Returns whether it is a grant.
+    fn apply_reply(
         &self,
-        wanted: &Wanted<'_>,
+        pending: &PendingGrant<'_>,
         from: LimiterKey,
         reply: Result<ReplicaReply, LinkError>,
         denials: &mut Denials,
@@ -226,11 +225,11 @@
                 let next = Duration::from_millis(next_ms);
                 let retry = Duration::from_millis(retry_ms);
                 let now = self.node.clock.now();
-                let mut gate = self.gate.borrow_mut();
-                let Wanted {
+                let mut selector = self.selector.borrow_mut();
+                let PendingGrant {
                     tenant, progress, ..
-                } = wanted;
-                gate.on_exhausted(&tenant.name, *progress, from, next, retry, now);
+                } = pending;
+                selector.on_exhausted(&tenant.name, *progress, from, next, retry, now);
                 denials.answered += 1;
                 denials.retry = Some(denials.retry.map_or(retry, |known| known.min(retry)));
             }
@@ -239,21 +238,21 @@
         false
     }
 
-    fn refuse(&self, wanted: &Wanted<'_>, denials: &Denials) -> Refusal {
+    fn refuse(&self, pending: &PendingGrant<'_>, denials: &Denials) -> Refusal {
         let reason = match denials.retry {
             Some(_) => RefusalReason::RateExceeded,
             None => RefusalReason::RateUnknown,
         };
-        let after = denials.retry.unwrap_or_default().max(COME_BACK);
+        let after = denials.retry.unwrap_or_default().max(RETRY_AFTER);
         log::info!(
             target: "request",
-            request = wanted.request,
-            tenant = wanted.tenant.name.as_str(),
+            request = pending.request,
+            tenant = pending.tenant.name.as_str(),
             reason = reason.name(),
-            progress:? = wanted.progress,
-            per_ks = wanted.limit.per_ks,
-            burst = wanted.limit.burst,
-            version = wanted.version,
+            progress:? = pending.progress,
+            per_ks = pending.limit.per_ks,
+            burst = pending.limit.burst,
+            version = pending.version,
             exhausted = denials.answered,
             silent = denials.silent,
             retry_ms = whole_ms(after);
--- a/crates/gateway/src/records_client.rs
+++ b/crates/gateway/src/records_client.rs
@@ -1,4 +1,5 @@
-//! Reads and writes of replicated records: sends what the state machines of `ridgeworks-records` ask for.
+//! Reads and writes replicated records, by sending what the state machines of `ridgeworks-records`
+//! request.
 
 mod reading;
 mod settling;
@@ -26,35 +27,36 @@
 use crate::quorum_health::GroupHealth;
 use crate::replica_paths::ReplicaPaths;
 
-/// How long one replica may take before it is asked again.
+/// Timeout of a request to one replica.
 const REPLICA_TIMEOUT: Duration = Duration::from_millis(700);
-/// Pause before a replica that could not answer is asked again.
-const RETRY_PAUSE: Duration = Duration::from_millis(40);
-/// How long ledgers and turns are kept beyond what the operators ask, since clocks differ.
-const KEEP_MARGIN: Duration = Duration::from_secs(30);
-
-/// Bounds of the time after which a client may come back while no majority answers: the least is there so that
-/// those refused together do not return together, and most clients have no more time than the most.
-const LEAST_COME_BACK: Duration = Duration::from_millis(50);
-const MOST_COME_BACK: Duration = Duration::from_millis(800);
-/// When a client may come back while replicas read their disks: that takes them a few seconds.
-const RESTORING_COME_BACK: Duration = Duration::from_millis(700);
-/// How long it counts that another gateway does not reach a replica either.
-const GENERAL_LOSS: Duration = Duration::from_secs(1);
-/// How long one search for a majority that was lost goes on before it starts anew with the newest set.
-const SEARCH_TIME: Duration = Duration::from_secs(2);
-/// How long a group may take at least that is asked because another one does not answer: a gateway that is cut off from all learns so
-/// before a request of each group has failed, and each takes 0.7 s.
-const DOUBT_TIME: Duration = Duration::from_millis(400);
-
-/// Why records could not be read or written in time; a write may have taken effect.
+/// Delay before a replica that could not reply is asked again.
+const RETRY_DELAY: Duration = Duration::from_millis(40);
+/// Added to the configured retention of ledgers and turns, because clocks differ.
+const RETENTION_MARGIN: Duration = Duration::from_secs(30);
+
+/// Bounds of the retry delay while no majority is reachable. The minimum spreads retries of
+/// requests that were refused together; few clients can wait longer than the maximum.
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(50);
+const MAX_RETRY_AFTER: Duration = Duration::from_millis(800);
+/// Retry delay while replicas are reading their disks, which takes a few seconds.
+const RESTORING_RETRY_AFTER: Duration = Duration::from_millis(700);
+/// How long a relay's report that it cannot reach a replica counts.
+const UNREACHABLE_REPORT_LIFETIME: Duration = Duration::from_secs(1);
+/// Timeout of one search for a lost majority. The next search uses the newest replica set.
+const SEARCH_TIMEOUT: Duration = Duration::from_secs(2);
+/// Shortest timeout for a group that is probed because another one lost its majority. A gateway
+/// that is cut off from all groups finds out before a request to each of them has failed, which
+/// would take [`REPLICA_TIMEOUT`] each.
+const MIN_PRECAUTIONARY_SEARCH_TIMEOUT: Duration = Duration::from_millis(400);
+
+/// Why records could not be read or written in time. A write may still have taken effect.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RecordsUnavailable {
-    /// Not enough replicas answered.
+    /// Fewer replicas than a quorum replied.
     NoMajority,
-    /// Replicas answered that they cannot tell yet: they are reading their disks.
+    /// Replicas replied that they are still reading their disks.
     Restoring,
-    /// The turn must not be kept where the program's records are.
+    /// The program's replica group has members in regions where the turn must not be stored.
     ReplicasOutsideResidency,
 }
 
@@ -70,14 +72,14 @@
 
 impl std::error::Error for RecordsUnavailable {}
 
-/// Name in the log of an answer without what was asked for.
+/// Name in the log of a reply without the requested data.
 const UNAVAILABLE: &str = "unavailable";
 
-/// What each replica answered last in one operation, for the log when it fails.
+/// Last reply of each replica in one operation, logged when the operation fails.
 #[derive(Default)]
-struct Answers(RefCell<BTreeMap<String, &'static str>>);
+struct LastReplies(RefCell<BTreeMap<String, &'static str>>);
 
-impl Answers {
+impl LastReplies {
     fn note(&self, replica: &Replica, reply: &Result<ReplicaReply, LinkError>) {
         let answer = match reply {
             Ok(ReplicaReply::Unavailable) => UNAVAILABLE,
@@ -90,7 +92,7 @@
         self.0.borrow_mut().insert(replica.node.clone(), answer);
     }
 
-    /// Whether a replica answered that it cannot tell.
+    /// Whether a replica replied that it is still reading its disk.
     fn has_unavailable(&self) -> bool {
         let answers = self.0.borrow();
         answers.values().any(|answer| *answer == UNAVAILABLE)
@@ -109,101 +111,104 @@
     }
 }
 
-/// What an operation is about.
+/// Parameters of an operation on a replica group.
 #[derive(Debug, Clone, Copy)]
 struct Operation<'a> {
-    /// Its name in the log.
+    /// Name in the log.
     name: &'static str,
-    /// The turn that it is about, for the log.
+    /// Identifier of the turn, for the log.
     subject: &'a str,
-    /// The group whose replicas carry it out.
+    /// Group whose replicas execute the operation.
     group: GroupId,
-    /// The program whose ledger it changes. Ledgers go to as many replicas as a write needs, and to the others
-    /// only if one of them is silent or cannot take it; turns go to all (`docs/design/large-fleets.md`, "What
-    /// replicas are asked").
+    /// The program whose ledger is changed. Ledger writes go to just enough replicas for a
+    /// majority, and to the others only if one of them is silent or unable; turns go to all
+    /// replicas (`docs/design/large-fleets.md`, "What replicas are asked").
     program: Option<&'a ProgramId>,
-    /// How long one replica may take before it is asked again.
+    /// Timeout of a request to one replica.
     timeout: Duration,
-    /// Where it may be sent, if not everywhere.
+    /// Where the data may be sent; `None` means anywhere.
     residency: Option<&'a Residency>,
 }
 
-/// Client of the replicas.
+/// Client of the replica groups.
 pub struct RecordsClient {
     node: Rc<Node>,
-    /// The ways to the replicas.
+    /// Paths to the replicas.
     pub paths: Rc<ReplicaPaths>,
-    /// Whether a majority of each group answers.
+    /// Reachability of each group's majority.
     pub health: GroupHealth,
-    lost: Notify,
-    /// Groups whose majority is being looked for.
+    majority_lost: Notify,
+    /// Groups with a running search for their majority.
     searching: RefCell<BTreeSet<GroupId>>,
     settlements: RefCell<Vec<Settlement>>,
 }
 
-/// So that clients do not return together.
-fn spread(wait: Duration) -> Duration {
+/// Jitters a delay, so that clients do not retry at the same moment.
+fn with_jitter(wait: Duration) -> Duration {
     wait.mul_f64(rand::rng().random_range(0.5..1.5))
 }
 
-/// How long a record is kept that the operators want for this time, in milliseconds.
+/// Storage time in milliseconds of a record with this configured retention.
 pub fn ttl_ms(retention: Duration) -> u64 {
-    u64::try_from((retention + KEEP_MARGIN).as_millis()).unwrap_or(u64::MAX)
+    u64::try_from((retention + RETENTION_MARGIN).as_millis()).unwrap_or(u64::MAX)
 }
 
 impl RecordsClient {
-    /// A client on this node.
+    /// Creates a client that uses the links of this node.
     pub fn new(node: Rc<Node>) -> Self {
         let network = Rc::new(NodeNetwork(Rc::clone(&node)));
         Self {
             node,
             paths: Rc::new(ReplicaPaths::new(network)),
             health: GroupHealth::default(),
-            lost: Notify::new(),
+            majority_lost: Notify::new(),
             searching: RefCell::default(),
             settlements: RefCell::default(),
         }
     }
 
-    /// The group that keeps a program's records; the first one while no sets are known.
+    /// The group that stores a program's records; the first one while no replica sets are known.
     pub fn group_of(&self, program: Option<&ProgramId>) -> GroupId {
         let groups = self.node.view.groups();
         groups.map_or(GroupId::default(), |groups| groups.group_of(program))
     }
 
-    /// Whether so few groups have a majority that this gateway serves few turns.
-    pub fn is_mostly_lost(&self) -> bool {
+    /// Whether more than half of the groups have lost their majority, so that this gateway can
+    /// serve few turns.
+    pub fn lacks_most_quorums(&self) -> bool {
         let groups = self.node.view.groups();
         let groups = groups.map_or(1, |groups| groups.iter().count());
         2 * self.health.lost_count() > groups
     }
 
-    /// When a client may come back whose request needs a majority of a group while none answers. Another gateway may
-    /// well reach one. Where others say that they do not either, it is lost for all, and a loss is taken to
-    /// last for as long again as it has lasted.
-    pub fn retry_later(&self, group: GroupId) -> Duration {
-        let is_general = self.paths.is_unreached_by_others(GENERAL_LOSS);
+    /// Retry delay for a request that needs the unreachable majority of a group. Another gateway
+    /// may reach it, so the delay is short unless relays report the same loss. A general loss is
+    /// expected to last as long again as it has lasted.
+    pub fn retry_after(&self, group: GroupId) -> Duration {
+        let is_general = self
+            .paths
+            .is_reported_unreachable(UNREACHABLE_REPORT_LIFETIME);
         let wait = if is_general {
             let lost_for = self.health.lost_for(group);
-            lost_for.clamp(LEAST_COME_BACK, MOST_COME_BACK)
+            lost_for.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER)
         } else {
-            LEAST_COME_BACK
+            MIN_RETRY_AFTER
         };
-        spread(wait)
+        with_jitter(wait)
     }
 
-    /// When a client may come back whose request could not be carried out for this reason.
-    pub fn come_back_after(&self, group: GroupId, failure: RecordsUnavailable) -> Duration {
+    /// Retry delay for a request that failed for this reason.
+    pub fn retry_after_failure(&self, group: GroupId, failure: RecordsUnavailable) -> Duration {
         match failure {
             RecordsUnavailable::NoMajority | RecordsUnavailable::ReplicasOutsideResidency => {
-                self.retry_later(group)
+                self.retry_after(group)
             }
-            RecordsUnavailable::Restoring => spread(RESTORING_COME_BACK),
+            RecordsUnavailable::Restoring => with_jitter(RESTORING_RETRY_AFTER),
         }
     }
 
-    /// Notes whether an operation reached the quorum of its group, and for how long it was tried.
-    fn note_quorum(&self, group: GroupId, is_reached: bool, waited: Duration) {
+    /// Records whether an operation reached the quorum of its group, and how long it was tried.
+    fn record_quorum_outcome(&self, group: GroupId, is_reached: bool, waited: Duration) {
         if !is_reached {
             if self.health.on_failed(group, waited) {
                 log::warn!(
@@ -213,7 +218,7 @@
                     epoch = self.node.view.epoch().0;
                     "majority of the replicas lost"
                 );
-                self.lost.notify_one();
+                self.majority_lost.notify_one();
             }
             return;
         }
@@ -228,11 +233,12 @@
         }
     }
 
-    /// Looks for a majority whenever one is lost, until the process ends. Requests are refused meanwhile, so
-    /// that nothing else would find it. The other groups are asked once: they may be lost as well.
+    /// Searches for a majority whenever one is lost, until the process ends. Requests to the group
+    /// are refused meanwhile, so nothing else would detect the recovery. The other groups are
+    /// probed once, because they may be lost as well.
     pub async fn run_searches(self: Rc<Self>) {
         loop {
-            self.lost.notified().await;
+            self.majority_lost.notified().await;
             let groups = self.groups().await;
             for (group, _) in groups.iter() {
                 if self.searching.borrow_mut().insert(group) {
@@ -244,15 +250,15 @@
 
     async fn search(self: Rc<Self>, group: GroupId) {
         loop {
-            let make = |epoch: Epoch| ReplicaRequest::Settle {
+            let make_request = |epoch: Epoch| ReplicaRequest::Settle {
                 group,
                 epoch,
                 settlements: Vec::new(),
             };
             let time = if self.health.is_lost(group) {
-                SEARCH_TIME
+                SEARCH_TIMEOUT
             } else {
-                self.doubt_time(group)
+                self.precautionary_search_timeout(group)
             };
             let operation = Operation {
                 name: "search",
@@ -262,8 +268,10 @@
                 timeout: REPLICA_TIMEOUT,
                 residency: None,
             };
-            // The outcome is noted; a search in vain is followed by another one.
-            let _ = self.write(make, operation, Instant::now() + time).await;
+            // The write records its outcome; a failed search is repeated.
+            let _ = self
+                .write(make_request, operation, Instant::now() + time)
+                .await;
             if !self.health.is_lost(group) {
                 break;
             }
@@ -271,25 +279,29 @@
         self.searching.borrow_mut().remove(&group);
     }
 
-    /// How long a group may take that is asked because another one does not answer. Replicas that are late for all are not lost.
-    fn doubt_time(&self, group: GroupId) -> Duration {
+    /// Timeout for probing a group because another one lost its majority. Longer while replies are
+    /// slow, because slow replicas are not lost.
+    fn precautionary_search_timeout(&self, group: GroupId) -> Duration {
         let set = self.node.view.replica_set(group);
         let voters = set.map(|set| set.voters).unwrap_or_default();
-        let patience = self.paths.patience(&voters, DOUBT_TIME);
-        patience.min(SEARCH_TIME)
+        let silence_timeout = self
+            .paths
+            .silence_timeout(&voters, MIN_PRECAUTIONARY_SEARCH_TIMEOUT);
+        silence_timeout.min(SEARCH_TIMEOUT)
     }
 
-    /// Joins an entry into a program's ledger at a majority; the union of what that majority knows.
+    /// Merges an entry into a program's ledger at a majority. Returns the union of the ledgers of
+    /// that majority.
     pub async fn charge(
         &self,
         program: &ProgramId,
         turn: &TurnId,
         entry: LedgerEntry,
         retention: Duration,
-        limit: Instant,
+        deadline: Instant,
     ) -> Result<ProgramLedger, RecordsUnavailable> {
-        let group = self.known_group(Some(program), limit).await?;
-        let make = |epoch: Epoch| ReplicaRequest::Charge {
+        let group = self.wait_for_group(Some(program), deadline).await?;
+        let make_request = |epoch: Epoch| ReplicaRequest::Charge {
             group,
             epoch,
             program: program.clone(),
@@ -305,12 +317,13 @@
             timeout: REPLICA_TIMEOUT,
             residency: None,
         };
-        self.write(make, operation, limit).await
+        self.write(make_request, operation, deadline).await
     }
 
-    /// Whether a program's turns may be kept wherever their records may come to be: at the replicas of its group, at any that may take
-    /// a place there, and in any region in which one may be added. Copies go to all of them (`docs/design/regions.md`).
-    pub fn may_keep(&self, program: Option<&ProgramId>, residency: &Residency) -> bool {
+    /// Whether a program's turns may be stored wherever its records may be: at the replicas of its
+    /// group, at any node that may become one, and in any region to which one may be added. Copies
+    /// go to all of them (`docs/design/regions.md`).
+    pub fn may_store(&self, program: Option<&ProgramId>, residency: &Residency) -> bool {
         if residency.is_anywhere() {
             return true;
         }
@@ -332,13 +345,13 @@
         record: &TurnRecord,
         retention: Duration,
         residency: &Residency,
-        limit: Instant,
+        deadline: Instant,
     ) -> Result<(), RecordsUnavailable> {
-        let group = self.known_group(program, limit).await?;
-        if !self.may_keep(program, residency) {
+        let group = self.wait_for_group(program, deadline).await?;
+        if !self.may_store(program, residency) {
             return Err(RecordsUnavailable::ReplicasOutsideResidency);
         }
-        let make = |epoch: Epoch| ReplicaRequest::Append {
+        let make_request = |epoch: Epoch| ReplicaRequest::Append {
             group,
             epoch,
             record: record.clone(),
@@ -352,34 +365,37 @@
             timeout: REPLICA_TIMEOUT,
             residency: Some(residency),
         };
-        self.write(make, operation, limit).await.map(drop)
+        self.write(make_request, operation, deadline)
+            .await
+            .map(drop)
     }
 
-    /// The sets that are known, if that of this group is newer than this.
+    /// The known replica sets, if that of this group is newer than `epoch`.
     fn newer_than(&self, group: GroupId, epoch: Epoch) -> Option<Rc<ReplicaGroups>> {
         let groups = self.node.view.groups()?;
         let is_newer = groups.set(group).is_some_and(|set| set.epoch > epoch);
         is_newer.then_some(groups)
     }
 
-    fn in_order(&self, replicas: Vec<Replica>, subject: &str) -> Vec<Replica> {
+    fn order_by_preference(&self, replicas: Vec<Replica>, subject: &str) -> Vec<Replica> {
         let zone = &self.node.settings.zone;
         let regions = &self.node.regions;
-        self.paths.in_order(replicas, zone, regions, subject)
+        self.paths
+            .order_by_preference(replicas, zone, regions, subject)
     }
 
-    /// The group that keeps a program's records, once the sets are known.
-    async fn known_group(
+    /// The group that stores a program's records; waits until the replica sets are known.
+    async fn wait_for_group(
         &self,
         program: Option<&ProgramId>,
-        limit: Instant,
+        deadline: Instant,
     ) -> Result<GroupId, RecordsUnavailable> {
-        let groups = tokio::time::timeout_at(limit, self.groups()).await;
+        let groups = tokio::time::timeout_at(deadline, self.groups()).await;
         let groups = groups.map_err(|_| RecordsUnavailable::NoMajority)?;
         Ok(groups.group_of(program))
     }
 
-    /// The replica set of a group; waits until one is known.
+    /// The replica set of a group; waits until it is known.
     async fn replica_set(&self, group: GroupId) -> ReplicaSet {
         let mut changes = self.node.view.changes();
         loop {
--- a/crates/gateway/src/records_client/reading.rs
+++ b/crates/gateway/src/records_client/reading.rs
@@ -1,4 +1,4 @@
-//! Reads of a turn and all before it.
+//! Reads a turn and all turns before it.
 
 use std::time::Duration;
 
@@ -10,25 +10,26 @@
 use ridgeworks_routing::Residency;
 use tokio::time::Instant;
 
-use super::{Answers, RETRY_PAUSE, RecordsClient, RecordsUnavailable};
+use super::{LastReplies, RETRY_DELAY, RecordsClient, RecordsUnavailable};
 
-/// How long the nearest replica may take before the next one is asked too. Where its answers took long lately, it is longer.
+/// Shortest time before the next replica is asked. Longer for a replica whose recent replies were
+/// slow.
 const READ_TIMEOUT: Duration = Duration::from_millis(200);
 
 impl RecordsClient {
-    /// Reads a program's turn and all before it, for this request. That there is no such turn is said only once no group has it: it may have
-    /// been written by a request that named its program differently.
+    /// Reads a program's turn and all before it. The turn is reported as absent only if no group
+    /// has it, because the request that wrote it may have named its program differently.
     pub async fn read_chain(
         &self,
         program: Option<&ProgramId>,
         turn: &TurnId,
         request: &str,
         residency: &Residency,
-        limit: Instant,
+        deadline: Instant,
     ) -> Result<ChainOutcome, RecordsUnavailable> {
-        let own = self.known_group(program, limit).await?;
+        let own = self.wait_for_group(program, deadline).await?;
         let outcome = self
-            .read_chain_in(own, turn, request, residency, limit)
+            .read_chain_in(own, turn, request, residency, deadline)
             .await?;
         if !is_absent(&outcome, turn) {
             return Ok(outcome);
@@ -36,7 +37,7 @@
         let groups = self.groups().await;
         for (group, _) in groups.iter().filter(|(group, _)| *group != own) {
             let found = self
-                .read_chain_in(group, turn, request, residency, limit)
+                .read_chain_in(group, turn, request, residency, deadline)
                 .await?;
             if !is_absent(&found, turn) {
                 return Ok(found);
@@ -51,16 +52,17 @@
         turn: &TurnId,
         request: &str,
         residency: &Residency,
-        limit: Instant,
+        deadline: Instant,
     ) -> Result<ChainOutcome, RecordsUnavailable> {
-        let answers = Answers::default();
+        let answers = LastReplies::default();
         let began = Instant::now();
-        let reading = self.read_chain_patiently(group, turn, residency, &answers);
-        let outcome = tokio::time::timeout_at(limit, reading).await;
-        // Replicas that read their disks can write all the same.
+        let reading = self.read_chain_with_restarts(group, turn, residency, &answers);
+        let outcome = tokio::time::timeout_at(deadline, reading).await;
+        // Replicas that are reading their disks can accept writes, so this is no loss of the
+        // majority.
         let is_restoring = outcome.is_err() && answers.has_unavailable();
         if !is_restoring {
-            self.note_quorum(group, outcome.is_ok(), began.elapsed());
+            self.record_quorum_outcome(group, outcome.is_ok(), began.elapsed());
         }
         outcome.map_err(|_| {
             answers.report("read", request, group, self.node.view.epoch());
@@ -72,38 +74,44 @@
         })
     }
 
-    async fn read_chain_patiently(
+    async fn read_chain_with_restarts(
         &self,
         group: GroupId,
         turn: &TurnId,
         residency: &Residency,
-        answers: &Answers,
+        answers: &LastReplies,
     ) -> ChainOutcome {
         loop {
             let set = self.replica_set(group).await;
             let read = ChainRead::new(set, turn.clone());
-            if let Some(outcome) = self.read_chain_under(group, read, residency, answers).await {
+            if let Some(outcome) = self
+                .read_chain_from_set(group, read, residency, answers)
+                .await
+            {
                 return outcome;
             }
         }
     }
 
-    /// `None` when there is a newer set and the read has to start anew.
-    async fn read_chain_under(
+    /// Returns `None` if there is a newer replica set and the read has to restart.
+    async fn read_chain_from_set(
         &self,
         group: GroupId,
         mut read: ChainRead,
         residency: &Residency,
-        answers: &Answers,
+        answers: &LastReplies,
     ) -> Option<ChainOutcome> {
         loop {
             let epoch = read.set().epoch;
-            for replica in self.in_order(read.candidates(), &read.next_turn().0) {
+            for replica in self.order_by_preference(read.candidates(), &read.next_turn().0) {
                 let turn = read.next_turn().clone();
                 let request = ReplicaRequest::ReadChain { group, epoch, turn };
-                let asking = self
-                    .paths
-                    .ask_patiently(&replica, request, READ_TIMEOUT, residency);
+                let asking = self.paths.ask_with_adaptive_timeout(
+                    &replica,
+                    request,
+                    READ_TIMEOUT,
+                    residency,
+                );
                 let reply = asking.await;
                 answers.note(&replica, &reply);
                 match reply {
@@ -120,7 +128,7 @@
                     Ok(ReplicaReply::Behind) => {
                         let groups = ReplicaGroups::clone(&*self.groups().await);
                         let adopt = ReplicaRequest::Adopt { groups };
-                        // The read goes on at the next replica, and comes back to this one.
+                        // The read continues at the next replica, and returns to this one later.
                         let _ = self.paths.ask(&replica, adopt, READ_TIMEOUT).await;
                     }
                     _ => {}
@@ -129,12 +137,12 @@
             if self.newer_than(group, epoch).is_some() {
                 return None;
             }
-            tokio::time::sleep(RETRY_PAUSE).await;
+            tokio::time::sleep(RETRY_DELAY).await;
         }
     }
 }
 
-/// Whether a read found that there is no such turn.
+/// Whether a read found that the turn itself does not exist.
 fn is_absent(outcome: &ChainOutcome, turn: &TurnId) -> bool {
     matches!(outcome, ChainOutcome::NoSuchTurn(missing) if missing == turn)
 }
--- a/crates/gateway/src/records_client/settling.rs
+++ b/crates/gateway/src/records_client/settling.rs
@@ -1,4 +1,5 @@
-//! What turns generated goes into their programs' ledgers: gathered for a moment, by group, with nobody waiting.
+//! Replaces reservations by the numbers of generated tokens, in batches per group and in the
+//! background.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -10,22 +11,23 @@
 
 use super::{Operation, RecordsClient};
 
-/// How often settlements are sent; the bound on their age is a second, and a busy replica takes a part of it.
-/// Each sending is a request to a majority of the replicas, however many settlements it has.
+/// Interval between batches. A settlement must be sent within a second, part of which a busy
+/// replica takes. Each batch is one request to a majority of the replicas, however many settlements
+/// it has.
 const SETTLE_INTERVAL: Duration = Duration::from_millis(450);
-/// How long one replica may take for settlements before it is asked again. Nobody waits for them, and what is asked again
-/// while it still waits at a busy replica is work for nothing.
+/// Timeout of a batch at one replica. Long, because nothing waits for it and repeating a batch that
+/// is still queued at a busy replica is wasted work.
 const SETTLE_TIMEOUT: Duration = Duration::from_secs(3);
-/// How long settling is tried.
-const SETTLE_PATIENCE: Duration = Duration::from_secs(15);
+/// How long a batch is retried.
+const SETTLE_TOTAL_TIMEOUT: Duration = Duration::from_secs(15);
 
 impl RecordsClient {
-    /// Joins what a turn generated into its program's ledger, soon and without anybody waiting.
+    /// Queues a settlement for the next batch.
     pub fn settle(&self, settlement: Settlement) {
         self.settlements.borrow_mut().push(settlement);
     }
 
-    /// Sends settlements, those of a moment and a group together, until the process ends.
+    /// Sends queued settlements in batches until the process ends.
     pub async fn run_settlements(self: Rc<Self>) {
         let mut ticks = tokio::time::interval(SETTLE_INTERVAL);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -47,8 +49,8 @@
     }
 
     async fn write_settlements(self: Rc<Self>, group: GroupId, settlements: Vec<Settlement>) {
-        let limit = Instant::now() + SETTLE_PATIENCE;
-        let make = |epoch: Epoch| ReplicaRequest::Settle {
+        let deadline = Instant::now() + SETTLE_TOTAL_TIMEOUT;
+        let make_request = |epoch: Epoch| ReplicaRequest::Settle {
             group,
             epoch,
             settlements: settlements.clone(),
@@ -61,7 +63,7 @@
             timeout: SETTLE_TIMEOUT,
             residency: None,
         };
-        if self.write(make, operation, limit).await.is_err() {
+        if self.write(make_request, operation, deadline).await.is_err() {
             for settlement in &settlements {
                 log::warn!(
                     target: "request",
@@ -74,14 +76,14 @@
         }
     }
 
-    /// Waits until everything that was to be settled has been sent, or until the limit.
-    pub async fn finish_settlements(self: &Rc<Self>, limit: Instant) {
+    /// Sends all queued settlements, and waits until they are written or the deadline passes.
+    pub async fn finish_settlements(self: &Rc<Self>, deadline: Instant) {
         let by_group = self.take_settlements().into_iter();
         let writing = by_group.map(|(group, settlements)| {
             let client = Rc::clone(self);
             client.write_settlements(group, settlements)
         });
-        // What is not settled in time counts at its most.
-        let _ = tokio::time::timeout_at(limit, join_all(writing)).await;
+        // A reservation that is not settled in time stays charged in full.
+        let _ = tokio::time::timeout_at(deadline, join_all(writing)).await;
     }
 }
--- a/crates/gateway/src/records_client/writing.rs
+++ b/crates/gateway/src/records_client/writing.rs
@@ -1,4 +1,4 @@
-//! Writes at a majority: who is asked first, who in place of one that is silent, and what is asked again.
+//! Writes at a majority: selects the replicas to ask, replaces silent ones, and retries.
 
 use std::future::Future;
 use std::pin::{Pin, pin};
@@ -15,17 +15,19 @@
 use ridgeworks_resident::view::Source;
 use tokio::time::Instant;
 
-use super::{Answers, Operation, REPLICA_TIMEOUT, RETRY_PAUSE, RecordsClient, RecordsUnavailable};
+use super::{
+    LastReplies, Operation, REPLICA_TIMEOUT, RETRY_DELAY, RecordsClient, RecordsUnavailable,
+};
 
-/// How long a replica may be silent before the others are asked too. Busy replicas take 0.1 s and more, and a gateway of
-/// a large fleet hears each of them a few times a second only: a shorter time would ask all of them for everything
-/// just when they are busy. Where their answers took long lately, it is longer.
-const SPARE_PATIENCE: Duration = Duration::from_millis(250);
+/// Shortest silence of a replica before the others are asked too. A busy replica takes 0.1 s and
+/// more, and in a large fleet a gateway receives messages from it only a few times a second, so a
+/// shorter time would load busy replicas with extra requests. Longer if recent replies were slow.
+const MIN_HEDGE_DELAY: Duration = Duration::from_millis(250);
 
 type Reply = (ReplicaId, Result<ReplicaReply, LinkError>);
 type Asked = FuturesUnordered<Pin<Box<dyn Future<Output = Reply>>>>;
 
-/// How a write under one set ended.
+/// How a write to one replica set ended.
 enum WriteEnd {
     Durable(ProgramLedger),
     Restart(ReplicaGroups),
@@ -34,15 +36,15 @@
 impl RecordsClient {
     pub(super) async fn write(
         &self,
-        make: impl Fn(Epoch) -> ReplicaRequest,
+        make_request: impl Fn(Epoch) -> ReplicaRequest,
         operation: Operation<'_>,
-        limit: Instant,
+        deadline: Instant,
     ) -> Result<ProgramLedger, RecordsUnavailable> {
-        let answers = Answers::default();
+        let answers = LastReplies::default();
         let began = Instant::now();
-        let writing = self.write_patiently(make, operation, &answers);
-        let outcome = tokio::time::timeout_at(limit, writing).await;
-        self.note_quorum(operation.group, outcome.is_ok(), began.elapsed());
+        let writing = self.write_with_restarts(make_request, operation, &answers);
+        let outcome = tokio::time::timeout_at(deadline, writing).await;
+        self.record_quorum_outcome(operation.group, outcome.is_ok(), began.elapsed());
         outcome.map_err(|_| {
             let epoch = self.node.view.epoch();
             answers.report(operation.name, operation.subject, operation.group, epoch);
@@ -50,28 +52,28 @@
         })
     }
 
-    async fn write_patiently(
+    async fn write_with_restarts(
         &self,
-        make: impl Fn(Epoch) -> ReplicaRequest,
+        make_request: impl Fn(Epoch) -> ReplicaRequest,
         operation: Operation<'_>,
-        answers: &Answers,
+        answers: &LastReplies,
     ) -> ProgramLedger {
         loop {
             let set = self.replica_set(operation.group).await;
-            let request = make(set.epoch);
-            match self.write_under(set, request, operation, answers).await {
+            let request = make_request(set.epoch);
+            match self.write_to_set(set, request, operation, answers).await {
                 WriteEnd::Durable(ledger) => return ledger,
                 WriteEnd::Restart(groups) => self.node.view.adopt_groups(groups, Source::Peer),
             }
         }
     }
 
-    async fn write_under(
+    async fn write_to_set(
         &self,
         set: ReplicaSet,
         request: ReplicaRequest,
         operation: Operation<'_>,
-        answers: &Answers,
+        answers: &LastReplies,
     ) -> WriteEnd {
         let mut changes = self.node.view.changes();
         let members: Vec<Replica> = set.members().into_iter().cloned().collect();
@@ -81,21 +83,21 @@
         };
         let mut spare = spare.iter();
         let ask = |member: &Replica| {
-            self.ask_later(member, request.clone(), operation, None, Duration::ZERO)
+            self.ask_after(member, request.clone(), operation, None, Duration::ZERO)
         };
         let mut asked: Asked = first.iter().map(ask).collect();
         let mut write = QuorumWrite::new(operation.group, set);
         let began = Instant::now();
-        let spare_patience = self.paths.patience(&first, SPARE_PATIENCE);
-        let mut patience = pin!(tokio::time::sleep(spare_patience));
+        let hedge_delay = self.paths.silence_timeout(&first, MIN_HEDGE_DELAY);
+        let mut hedge_timer = pin!(tokio::time::sleep(hedge_delay));
         loop {
             let (from, reply) = tokio::select! {
                 Some(reply) = asked.next() => reply,
-                () = patience.as_mut(), if spare.len() > 0 => {
+                () = hedge_timer.as_mut(), if spare.len() > 0 => {
                     if self.paths.suspect_silent(&first, began) {
                         asked.extend(spare.by_ref().map(ask));
                     }
-                    patience.as_mut().reset(Instant::now() + spare_patience);
+                    hedge_timer.as_mut().reset(Instant::now() + hedge_delay);
                     continue;
                 }
                 _ = changes.changed() => match self.newer_than(operation.group, write.set().epoch) {
@@ -117,37 +119,43 @@
                 Ok(reply) => write.on_reply(from, reply),
                 Err(_) => WriteProgress::RetryLater,
             };
-            let teach = match progress {
+            let groups_to_adopt = match progress {
                 WriteProgress::Durable(ledger) => return WriteEnd::Durable(ledger),
                 WriteProgress::Restart(groups) => return WriteEnd::Restart(groups),
                 WriteProgress::Waiting => continue,
                 WriteProgress::SendReplicaSets => Some(ReplicaGroups::clone(&*self.groups().await)),
                 WriteProgress::RetryLater => {
-                    // Another one is asked in its place meanwhile.
+                    // A spare replica is asked meanwhile.
                     asked.extend(spare.next().map(ask));
                     None
                 }
             };
             if let Some(member) = member {
-                let pause = if teach.is_some() {
+                let pause = if groups_to_adopt.is_some() {
                     Duration::ZERO
                 } else {
-                    RETRY_PAUSE
+                    RETRY_DELAY
                 };
-                asked.push(self.ask_later(member, request.clone(), operation, teach, pause));
+                asked.push(self.ask_after(
+                    member,
+                    request.clone(),
+                    operation,
+                    groups_to_adopt,
+                    pause,
+                ));
             }
         }
     }
 
-    /// The members in the order in which a write of this program prefers them: while the set changes, those first that count on both
-    /// sides, unless they did not answer lately.
+    /// Orders members for a write of this program. During a change of the set, members that count
+    /// in both the old and the new one come first, unless they failed to answer recently.
     fn write_order(
         &self,
         set: &ReplicaSet,
         members: Vec<Replica>,
         program: &ProgramId,
     ) -> Vec<Replica> {
-        let mut members = self.in_order(members, &program.0);
+        let mut members = self.order_by_preference(members, &program.0);
         members.sort_by_key(|member| {
             let is_suspected = self.paths.is_suspected(member.id);
             let is_closed = !self.paths.is_open(member.id);
@@ -160,13 +168,14 @@
         members
     }
 
-    /// Asks one replica after a pause, and tells it the sets first where it does not know it.
-    fn ask_later(
+    /// Sends a request to one replica after a delay. A replica that does not know the replica sets
+    /// gets them first.
+    fn ask_after(
         &self,
         member: &Replica,
         request: ReplicaRequest,
         operation: Operation<'_>,
-        teach: Option<ReplicaGroups>,
+        groups_to_adopt: Option<ReplicaGroups>,
         pause: Duration,
     ) -> Pin<Box<dyn Future<Output = Reply>>> {
         let paths = Rc::clone(&self.paths);
@@ -175,7 +184,7 @@
         let residency = operation.residency.cloned().unwrap_or_default();
         if !self.node.regions.allows(&residency, &member.zone) {
             return Box::pin(async move {
-                tokio::time::sleep(RETRY_PAUSE).await;
+                tokio::time::sleep(RETRY_DELAY).await;
                 (member.id, Err(LinkError::Unreachable))
             });
         }
@@ -183,7 +192,7 @@
             if !pause.is_zero() {
                 tokio::time::sleep(pause).await;
             }
-            if let Some(groups) = teach {
+            if let Some(groups) = groups_to_adopt {
                 let adopt = ReplicaRequest::Adopt { groups };
                 let taught = paths.ask(&member, adopt, REPLICA_TIMEOUT).await;
                 if let Err(error) = taught {
@@ -191,7 +200,7 @@
                 }
             }
             let reply = paths
-                .ask_within(&member, request, timeout, &residency)
+                .ask_in_residency(&member, request, timeout, &residency)
                 .await;
             (member.id, reply)
         })
--- a/crates/gateway/src/refusal.rs
+++ b/crates/gateway/src/refusal.rs
@@ -1,4 +1,4 @@
-//! Answers that no engine gave.
+//! Responses that the gateway creates itself.
 
 use std::time::Duration;
 
@@ -8,18 +8,19 @@
 use ridgeworks_platform::{refusal_headers, refusal_status};
 use ridgeworks_routing::Refusal;
 
-/// When a client may come back after a refusal that passes by itself.
-pub const COME_BACK: Duration = Duration::from_millis(150);
-/// When a client may come back whose request may be served nowhere before the configuration changes.
-pub const COME_BACK_RECONFIGURED: Duration = Duration::from_secs(1);
+/// Retry delay after a refusal for a transient reason.
+pub const RETRY_AFTER: Duration = Duration::from_millis(150);
+/// Retry delay when only a new configuration can allow the request.
+pub const RETRY_AFTER_RECONFIGURATION: Duration = Duration::from_secs(1);
 
-/// An answer without an engine's.
+/// The response to a refused request.
 pub fn refusal_response(refusal: &Refusal) -> Response<Bytes> {
     let mut response = Response::new(Bytes::new());
     *response.status_mut() = refusal_status(refusal.reason);
     *response.headers_mut() = refusal_headers(refusal);
     if refusal.reason.is_gateway_local() {
-        // The client's next request comes on a new connection, which the platform gives to another gateway.
+        // Closed, so that the client's next request uses a new connection, which the platform can
+        // route to another gateway.
         let close = HeaderValue::from_static("close");
         response.headers_mut().insert(CONNECTION, close);
     }
