--- a/crates/gateway/src/replica_paths.rs
+++ b/crates/gateway/src/replica_paths.rs
@@ -1,8 +1,8 @@
-//! How a gateway reaches the replicas: straight, or by way of another gateway while the network between is cut.
+//! Reaches replicas directly, or through another gateway while the network between is partitioned.
 //!
-//! A gateway that is cut off from the storage machines mostly still reaches other gateways, and they the
-//! replicas. What is asked of a replica may be asked twice and may come late, so that a detour changes
-//! nothing but the time it takes (`docs/design/large-fleets.md`, "Gateways that are cut off").
+//! A gateway that is cut off from the storage machines can usually still reach other gateways that
+//! are not. Requests to replicas may be duplicated or delayed, so a relay only adds latency
+//! (`docs/design/large-fleets.md`, "Gateways that are cut off").
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -21,107 +21,111 @@
 use tokio::time::Instant;
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-/// How long a request may be open while nothing at all comes from its replica before another gateway is asked
-/// too. A busy replica answers other requests meanwhile, and a turn waits for 0.7 s in all. A replica that was slow lately is
-/// given longer: a detour asks it once more.
-const SILENCE: Duration = Duration::from_millis(400);
-/// How long another gateway may take to pass a request on and its answer back.
+/// Shortest time for which a replica may be completely silent before a relay is tried too. Shorter
+/// than the time that a turn waits for replicas, so that a relay can still answer, and longer than
+/// the silence of a busy replica. A replica that was slow recently is given more time, because
+/// relaying sends it the request again.
+const MIN_RELAY_DELAY: Duration = Duration::from_millis(400);
+/// Timeout of a relayed request.
 pub const RELAY_TIMEOUT: Duration = Duration::from_millis(500);
-/// Other gateways that are asked one after the other for one request, as long as they say that they do not
-/// reach the replica either. One that is silent is not followed by another: replicas that are slow for all
-/// would get each request several times.
-const RELAY_TRIES: usize = 3;
-/// How often a way that is closed is tried again, beside the detour.
+/// Most relays that are tried for one request while they report that they cannot reach the replica
+/// either. A relay that times out is not followed by another, because a replica that is slow for
+/// all would get the request several times.
+const MAX_RELAYS: usize = 3;
+/// How often a closed path is probed while requests are relayed.
 const PROBE_INTERVAL: Duration = Duration::from_millis(250);
-/// How long a way may take on such a try.
+/// Timeout of a probe.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(700);
-/// How long a closed way is remembered; a way that is closed still is found so again.
-const CLOSED_LIFETIME: Duration = Duration::from_secs(60);
-/// How long a replica that did not answer is asked last. Finding it out costs a request a quarter of a second, and
-/// a replica that is gone is replaced within two or three.
-const SUSPICION: Duration = Duration::from_secs(3);
+/// How long a closed path is remembered. One that is still closed is detected again.
+const CLOSED_PATH_LIFETIME: Duration = Duration::from_secs(60);
+/// How long a replica that did not answer is asked last. Long enough for a failed replica to be
+/// replaced.
+const SUSPICION_PERIOD: Duration = Duration::from_secs(3);
 
-/// An answer of a replica that is on its way.
-pub type Answering = Pin<Box<dyn Future<Output = Result<ReplicaReply, LinkError>>>>;
+/// Future reply of a replica.
+pub type ReplyFuture = Pin<Box<dyn Future<Output = Result<ReplicaReply, LinkError>>>>;
 
-/// What carries requests to replicas.
+/// Transport of requests to replicas.
 pub trait ReplicaNetwork {
-    /// Asks a replica straight.
-    fn ask(&self, replica: &Replica, request: ReplicaRequest, timeout: Duration) -> Answering;
-    /// Asks a replica by way of another gateway.
-    fn ask_by(&self, relay: SocketAddr, replica: &Replica, request: ReplicaRequest) -> Answering;
-    /// Whether anything has come straight from a replica since then.
+    /// Sends a request directly to a replica.
+    fn ask(&self, replica: &Replica, request: ReplicaRequest, timeout: Duration) -> ReplyFuture;
+    /// Sends a request to a replica through another gateway.
+    fn ask_via(&self, relay: SocketAddr, replica: &Replica, request: ReplicaRequest)
+    -> ReplyFuture;
+    /// Whether anything has arrived directly from a replica since then.
     fn has_received_since(&self, replica: &Replica, since: Instant) -> bool;
-    /// How long the slowest answer took that came straight from a replica lately.
+    /// Latency of the slowest recent direct reply of a replica.
     fn slowest_reply(&self, replica: &Replica) -> Duration;
-    /// Gateways that were heard lately and stand where this may be sent.
+    /// Gateways that were heard from recently, in regions that the residency allows.
     fn relays(&self, residency: &Residency) -> Vec<SocketAddr>;
 }
 
-/// What is known of the way to one replica.
+/// State of the path to one replica.
 #[derive(Debug, Clone, Copy, Default)]
-struct Way {
-    /// Until when the replica is asked last, after it did not answer.
+struct PathState {
+    /// The replica is asked last until this time, because it did not answer.
     suspected_until: Option<Instant>,
-    /// Since when the straight way is closed, and when it is tried next; `None` while it is open.
-    closed: Option<Closed>,
+    /// `None` while the direct path is open.
+    closed: Option<ClosedPath>,
 }
 
-/// A straight way on which nothing comes back.
+/// A direct path on which no replies arrive.
 #[derive(Debug, Clone, Copy)]
-struct Closed {
+struct ClosedPath {
     since: Instant,
     probe_at: Instant,
 }
 
-/// The ways to all replicas.
+/// Paths to all replicas.
 pub struct ReplicaPaths {
     network: Rc<dyn ReplicaNetwork>,
-    ways: RefCell<HashMap<ReplicaId, Way>>,
-    /// The gateway that passed a request on last.
+    states: RefCell<HashMap<ReplicaId, PathState>>,
+    /// The gateway that last relayed a request successfully.
     relay: Cell<Option<SocketAddr>>,
-    /// When another gateway last said that it does not reach a replica either.
-    unreached_at: Cell<Option<Instant>>,
+    /// When a relay last reported that it cannot reach a replica either.
+    reported_unreachable_at: Cell<Option<Instant>>,
 }
 
 impl ReplicaPaths {
-    /// Ways of which nothing is known yet.
+    /// Creates paths that all count as open.
     pub fn new(network: Rc<dyn ReplicaNetwork>) -> Self {
         Self {
             network,
-            ways: RefCell::default(),
+            states: RefCell::default(),
             relay: Cell::new(None),
-            unreached_at: Cell::new(None),
+            reported_unreachable_at: Cell::new(None),
         }
     }
 
-    /// Whether the straight way to a replica is open, as far as is known.
+    /// Whether the direct path to a replica is believed to be open.
     pub fn is_open(&self, replica: ReplicaId) -> bool {
-        let ways = self.ways.borrow();
-        ways.get(&replica).is_none_or(|way| way.closed.is_none())
+        let states = self.states.borrow();
+        states
+            .get(&replica)
+            .is_none_or(|state| state.closed.is_none())
     }
 
-    /// Whether a replica did not answer lately.
+    /// Whether a replica recently failed to answer.
     pub fn is_suspected(&self, replica: ReplicaId) -> bool {
-        let ways = self.ways.borrow();
-        let until = ways.get(&replica).and_then(|way| way.suspected_until);
+        let states = self.states.borrow();
+        let until = states.get(&replica).and_then(|state| state.suspected_until);
         until.is_some_and(|until| Instant::now() < until)
     }
 
-    /// Whether another gateway's request may be passed on to a replica. Where it did not answer this gateway lately either, whoever asks
-    /// learns at once that it is lost for all and tells callers to stay away longer: with 50 ms in place of up to 0.8 s they used their
-    /// tries up in a loss of 2.6 s, and 807 refusals took the place of 481.
-    pub fn can_pass_on(&self, replica: ReplicaId) -> bool {
+    /// Whether to relay another gateway's request to a replica. If the replica does not answer this
+    /// gateway either, the requester learns at once that the loss is general and tells its clients
+    /// to wait longer, which saves their tries.
+    pub fn can_relay_to(&self, replica: ReplicaId) -> bool {
         self.is_open(replica) && !self.is_suspected(replica)
     }
 
-    /// Whether another gateway has said within this time that it does not reach a replica either.
-    pub fn is_unreached_by_others(&self, within: Duration) -> bool {
-        let at = self.unreached_at.get();
+    /// Whether a relay has reported within this time that it cannot reach a replica either.
+    pub fn is_reported_unreachable(&self, within: Duration) -> bool {
+        let at = self.reported_unreachable_at.get();
         at.is_some_and(|at| at.elapsed() < within)
     }
 
-    /// Asks a replica for what any gateway may pass on.
+    /// Sends a request that any gateway may relay.
     pub async fn ask(
         self: &Rc<Self>,
         replica: &Replica,
@@ -129,11 +133,13 @@
         timeout: Duration,
     ) -> Result<ReplicaReply, LinkError> {
         let anywhere = Residency::anywhere();
-        self.ask_within(replica, request, timeout, &anywhere).await
+        self.ask_in_residency(replica, request, timeout, &anywhere)
+            .await
     }
 
-    /// Asks a replica, by a detour where the straight way is silent: one that leads only where question and answer may be sent.
-    pub async fn ask_within(
+    /// Sends a request to a replica, through a relay if the direct path is silent. Only gateways
+    /// that `residency` allows are used as relays.
+    pub async fn ask_in_residency(
         self: &Rc<Self>,
         replica: &Replica,
         request: ReplicaRequest,
@@ -142,22 +148,23 @@
     ) -> Result<ReplicaReply, LinkError> {
         let asking = async {
             if self.is_open(replica.id) {
-                self.ask_straight_first(replica, request, timeout, residency)
+                self.ask_direct_first(replica, request, timeout, residency)
                     .await
             } else {
                 self.probe_when_due(replica, &request);
-                self.ask_by_others(replica, &request, residency).await
+                self.ask_via_relays(replica, &request, residency).await
             }
         };
         let asked = tokio::time::timeout(timeout, asking).await;
         let reply = asked.unwrap_or(Err(LinkError::TimedOut));
-        self.note_answer(replica.id, reply.is_ok());
+        self.record_outcome(replica.id, reply.is_ok());
         reply
     }
 
-    /// Asks a replica for this long at least, and for longer where its answers took long lately: a busy one that is given up is
-    /// asked for nothing, and so is the next.
-    pub async fn ask_patiently(
+    /// Sends a request with a timeout of at least `least`, and longer if the replica's recent
+    /// replies were slow: abandoning a busy replica wastes its work and moves the load to the next
+    /// one.
+    pub async fn ask_with_adaptive_timeout(
         self: &Rc<Self>,
         replica: &Replica,
         request: ReplicaRequest,
@@ -165,57 +172,59 @@
         residency: &Residency,
     ) -> Result<ReplicaReply, LinkError> {
         let timeout = silence_timeout(self.network.slowest_reply(replica), least);
-        self.ask_within(replica, request, timeout, residency).await
+        self.ask_in_residency(replica, request, timeout, residency)
+            .await
     }
 
-    async fn ask_straight_first(
+    async fn ask_direct_first(
         self: &Rc<Self>,
         replica: &Replica,
         request: ReplicaRequest,
         timeout: Duration,
         residency: &Residency,
     ) -> Result<ReplicaReply, LinkError> {
-        let mut straight = self.network.ask(replica, request.clone(), timeout);
+        let mut direct = self.network.ask(replica, request.clone(), timeout);
         loop {
             let waited_since = Instant::now();
-            // An error that comes at once is the machine's own: a detour would end there as well.
-            let patience = silence_timeout(self.network.slowest_reply(replica), SILENCE);
-            if let Ok(reply) = tokio::time::timeout(patience, &mut straight).await {
+            // An immediate error comes from the machine itself, so a relay would fail as well.
+            let silence_timeout =
+                silence_timeout(self.network.slowest_reply(replica), MIN_RELAY_DELAY);
+            if let Ok(reply) = tokio::time::timeout(silence_timeout, &mut direct).await {
                 return reply;
             }
             if !self.network.has_received_since(replica, waited_since) {
                 break;
             }
         }
-        let by_others = Box::pin(self.ask_by_others(replica, &request, residency));
-        match select(straight, by_others).await {
+        let via_relays = Box::pin(self.ask_via_relays(replica, &request, residency));
+        match select(direct, via_relays).await {
             Either::Left((Ok(reply), _)) => Ok(reply),
-            Either::Left((Err(_), by_others)) => {
-                let reply = by_others.await?;
+            Either::Left((Err(_), via_relays)) => {
+                let reply = via_relays.await?;
                 self.close(replica);
                 Ok(reply)
             }
-            Either::Right((Ok(reply), straight)) => {
-                // It may have been slow only; what comes straight yet says so.
+            Either::Right((Ok(reply), direct)) => {
+                // The replica may only be slow; a late direct reply reopens the path.
                 self.close(replica);
-                self.reopen_when_answered(replica, straight);
+                self.reopen_when_answered(replica, direct);
                 Ok(reply)
             }
-            Either::Right((Err(_), straight)) => straight.await,
+            Either::Right((Err(_), direct)) => direct.await,
         }
     }
 
-    fn reopen_when_answered(self: &Rc<Self>, replica: &Replica, straight: Answering) {
+    fn reopen_when_answered(self: &Rc<Self>, replica: &Replica, direct: ReplyFuture) {
         let paths = Rc::clone(self);
         let replica = replica.clone();
         tokio::task::spawn_local(async move {
-            if straight.await.is_ok() {
+            if direct.await.is_ok() {
                 paths.reopen(&replica);
             }
         });
     }
 
-    async fn ask_by_others(
+    async fn ask_via_relays(
         &self,
         replica: &Replica,
         request: &ReplicaRequest,
@@ -223,12 +232,12 @@
     ) -> Result<ReplicaReply, LinkError> {
         let mut last = LinkError::Unreachable;
         let mut tried = Vec::new();
-        for _ in 0..RELAY_TRIES {
+        for _ in 0..MAX_RELAYS {
             let Some(relay) = self.choose_relay(&tried, residency) else {
                 return Err(last);
             };
             tried.push(relay);
-            let asked = self.network.ask_by(relay, replica, request.clone()).await;
+            let asked = self.network.ask_via(relay, replica, request.clone()).await;
             match asked {
                 Ok(reply) => {
                     self.relay.set(Some(relay));
@@ -236,7 +245,7 @@
                 }
                 Err(error) => {
                     if error == LinkError::RelayTargetUnreachable {
-                        self.unreached_at.set(Some(Instant::now()));
+                        self.reported_unreachable_at.set(Some(Instant::now()));
                     }
                     self.drop_relay(relay);
                     if error == LinkError::TimedOut {
@@ -249,7 +258,7 @@
         Err(last)
     }
 
-    /// The gateway that passed something on last, or any that was not tried.
+    /// The relay that succeeded last, or a random one that was not tried.
     fn choose_relay(&self, tried: &[SocketAddr], residency: &Residency) -> Option<SocketAddr> {
         let known = self.relay.get();
         if let Some(known) = known.filter(|_| residency.is_anywhere()) {
@@ -269,29 +278,29 @@
         }
     }
 
-    fn note_answer(&self, replica: ReplicaId, is_answered: bool) {
-        let mut ways = self.ways.borrow_mut();
+    fn record_outcome(&self, replica: ReplicaId, is_answered: bool) {
+        let mut states = self.states.borrow_mut();
         if is_answered {
-            if let Some(way) = ways.get_mut(&replica) {
-                way.suspected_until = None;
+            if let Some(state) = states.get_mut(&replica) {
+                state.suspected_until = None;
             }
-            ways.retain(|_, way| way.closed.is_some() || way.suspected_until.is_some());
+            states.retain(|_, state| state.closed.is_some() || state.suspected_until.is_some());
             return;
         }
-        drop(ways);
+        drop(states);
         self.suspect(replica);
     }
 
-    /// How long the slowest of these replicas may say nothing, at least this long.
-    pub fn patience(&self, replicas: &[Replica], least: Duration) -> Duration {
+    /// How long the slowest of these replicas may be silent, at least `least`.
+    pub fn silence_timeout(&self, replicas: &[Replica], least: Duration) -> Duration {
         let slowest = |replica| self.network.slowest_reply(replica);
         let slowest = replicas.iter().map(slowest).max();
         silence_timeout(slowest.unwrap_or_default(), least)
     }
 
-    /// The order in which replicas are asked. Those that answered lately come first, among them those that are reached straight,
-    /// then those of the own zone, then those of its region, then by a hash of what is asked for, so that the replicas share the work.
-    pub fn in_order(
+    /// Orders replicas by preference: not suspected first, then directly reachable, then by
+    /// distance from `zone`, then by a hash of `subject`, which spreads the load.
+    pub fn order_by_preference(
         &self,
         mut replicas: Vec<Replica>,
         zone: &str,
@@ -309,7 +318,8 @@
         replicas
     }
 
-    /// Suspects those of these replicas from which nothing has come since then; says whether there are any.
+    /// Marks those of the replicas as suspected that have sent nothing since then. Returns whether
+    /// there are any.
     pub fn suspect_silent(&self, replicas: &[Replica], since: Instant) -> bool {
         let is_silent = |replica: &&Replica| !self.network.has_received_since(replica, since);
         let silent: Vec<&Replica> = replicas.iter().filter(is_silent).collect();
@@ -319,26 +329,26 @@
         !silent.is_empty()
     }
 
-    /// A replica that does not answer, or not with what was asked, is asked last for a while.
+    /// Marks a replica as suspected, so that it is asked last for a while.
     pub fn suspect(&self, replica: ReplicaId) {
-        let mut ways = self.ways.borrow_mut();
-        let way = ways.entry(replica).or_default();
-        way.suspected_until = Some(Instant::now() + SUSPICION);
+        let mut states = self.states.borrow_mut();
+        let state = states.entry(replica).or_default();
+        state.suspected_until = Some(Instant::now() + SUSPICION_PERIOD);
     }
 
     fn close(&self, replica: &Replica) {
         let now = Instant::now();
-        let mut ways = self.ways.borrow_mut();
-        // Those of replicas that are gone would stay for ever.
-        ways.retain(|_, way| {
-            let closed = way.closed.as_ref();
-            closed.is_none_or(|closed| closed.since.elapsed() < CLOSED_LIFETIME)
+        let mut states = self.states.borrow_mut();
+        // Paths to replicas that are gone would otherwise stay forever.
+        states.retain(|_, state| {
+            let closed = state.closed.as_ref();
+            closed.is_none_or(|closed| closed.since.elapsed() < CLOSED_PATH_LIFETIME)
         });
-        let way = ways.entry(replica.id).or_default();
-        if way.closed.is_some() {
+        let state = states.entry(replica.id).or_default();
+        if state.closed.is_some() {
             return;
         }
-        way.closed = Some(Closed {
+        state.closed = Some(ClosedPath {
             since: now,
             probe_at: now + PROBE_INTERVAL,
         });
@@ -350,13 +360,13 @@
         );
     }
 
-    /// Tries a closed way with a request that goes by a detour as well.
+    /// Probes a closed path with a request that is also relayed.
     fn probe_when_due(self: &Rc<Self>, replica: &Replica, request: &ReplicaRequest) {
         let now = Instant::now();
         let is_due = {
-            let mut ways = self.ways.borrow_mut();
-            let way = ways.get_mut(&replica.id);
-            let closed = way.and_then(|way| way.closed.as_mut());
+            let mut states = self.states.borrow_mut();
+            let state = states.get_mut(&replica.id);
+            let closed = state.and_then(|state| state.closed.as_mut());
             let due = closed.filter(|closed| now >= closed.probe_at);
             due.map(|closed| closed.probe_at = now + PROBE_INTERVAL)
                 .is_some()
@@ -369,9 +379,9 @@
     }
 
     fn reopen(&self, replica: &Replica) {
-        let mut ways = self.ways.borrow_mut();
-        let way = ways.get_mut(&replica.id);
-        let Some(closed) = way.and_then(|way| way.closed.take()) else {
+        let mut states = self.states.borrow_mut();
+        let state = states.get_mut(&replica.id);
+        let Some(closed) = state.and_then(|state| state.closed.take()) else {
             return;
         };
         log::info!(
--- a/crates/gateway/src/role.rs
+++ b/crates/gateway/src/role.rs
@@ -1,4 +1,4 @@
-//! The gateway as a process: start, reload, stop.
+//! Starts, runs and stops the gateway process.
 
 use std::io;
 use std::net::SocketAddr;
@@ -25,15 +25,16 @@
 use crate::listener::{self, StopPhase};
 use crate::metrics::GatewayMetrics;
 
-/// After an order to stop, the platform sends new clients for as long as it takes to notice.
-const NOTICE_TIME: Duration = Duration::from_millis(2_600);
-/// Time kept back before the platform kills the process.
+/// How long the platform may still send new clients after a stop signal.
+const READINESS_NOTICE_TIME: Duration = Duration::from_millis(2_600);
+/// Stopping ends this long before the platform kills the process.
 const STOP_MARGIN: Duration = Duration::from_millis(700);
-const STOP_CHECK: Duration = Duration::from_millis(50);
-/// A request that has ended has its last bytes on their way to the client for a moment.
-const LAST_ANSWERS: Duration = Duration::from_millis(60);
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Time for the last bytes of a response to reach the client.
+const FLUSH_TIME: Duration = Duration::from_millis(60);
 
-/// Runs a gateway until the platform stops it. Must be called inside a local set of tasks.
+/// Runs a gateway until the platform stops it. Must be called inside a `LocalSet`. Fails if a
+/// listen address is not set or cannot be bound.
 pub async fn run(
     settings: NodeSettings,
     settings_path: PathBuf,
@@ -62,7 +63,7 @@
     let updated = Rc::clone(&gateway);
     serve_metrics(&node, registry, move || updated.update_gauges()).await?;
     listener::listen(Rc::clone(&gateway), callers, phase).await?;
-    tokio::task::spawn_local(Rc::clone(&gateway).clean_up());
+    tokio::task::spawn_local(Rc::clone(&gateway).run_maintenance());
     tokio::task::spawn_local(Rc::clone(&gateway.records).run_settlements());
     tokio::task::spawn_local(Rc::clone(&gateway.records).run_searches());
     run_until_stopped(&node, &settings_path, &mut orders).await;
@@ -83,33 +84,33 @@
     http_server::serve(address, answer).await
 }
 
-/// Serves on until the platform has noticed and all requests have their answers.
+/// Keeps serving until the platform has noticed the stop, then drains open requests.
 async fn stop(gateway: &Rc<Gateway>, stopping: &watch::Sender<StopPhase>) {
     let began = Instant::now();
     let grace = gateway.node.settings.bounds.grace();
-    let latest = began + grace.saturating_sub(STOP_MARGIN);
+    let deadline = began + grace.saturating_sub(STOP_MARGIN);
     let open = gateway.open_requests();
     log::info!(target: "process", open_requests = open; "stopping");
     gateway.drain();
     stopping.send_replace(StopPhase::Draining);
-    tokio::time::sleep_until(latest.min(began + NOTICE_TIME)).await;
+    tokio::time::sleep_until(deadline.min(began + READINESS_NOTICE_TIME)).await;
     stopping.send_replace(StopPhase::Closed);
-    finish(gateway, latest).await;
+    finish(gateway, deadline).await;
     let open = gateway.open_requests();
     log::info!(target: "process", open_requests = open; "stopped");
 }
 
-/// Waits until all requests are answered and settled. Connections that were taken before may bring another
-/// request at any moment, so that the end has to find the gateway quiet for a while: what is read is answered.
-async fn finish(gateway: &Rc<Gateway>, latest: Instant) {
-    while Instant::now() < latest {
+/// Waits until all requests are answered and settled. Open connections may still bring requests, so
+/// the gateway has to be idle for a moment before it stops.
+async fn finish(gateway: &Rc<Gateway>, deadline: Instant) {
+    while Instant::now() < deadline {
         if gateway.open_requests() > 0 {
-            tokio::time::sleep(STOP_CHECK).await;
+            tokio::time::sleep(STOP_POLL_INTERVAL).await;
             continue;
         }
         let before = gateway.metrics.requests.get();
-        gateway.records.finish_settlements(latest).await;
-        tokio::time::sleep(LAST_ANSWERS).await;
+        gateway.records.finish_settlements(deadline).await;
+        tokio::time::sleep(FLUSH_TIME).await;
         if gateway.open_requests() == 0 && gateway.metrics.requests.get() == before {
             return;
         }
--- a/crates/gateway/src/streaming.rs
+++ b/crates/gateway/src/streaming.rs
@@ -1,4 +1,4 @@
-//! Passes an engine's events on as they arrive.
+//! Forwards an engine's events to the client as they arrive.
 
 use std::pin::pin;
 
@@ -9,156 +9,167 @@
 use ridgeworks_routing::{Event, EventSplitter};
 use tokio::time::Instant;
 
-use crate::attempt::{Answered, AttemptFailure};
-use crate::caller::{Caller, CallerGone, StreamingCaller};
+use crate::attempt::{AttemptFailure, EngineResponse};
+use crate::caller::{Caller, CallerDisconnected, StreamingCaller};
 
-/// The client, before or after the head of its answer.
+/// The client, before or after the head of its response was sent.
 #[derive(Debug)]
 pub enum ClientSide {
-    /// The head has not gone out.
+    /// The head has not been sent.
     Waiting(Caller),
-    /// Events go out.
+    /// The head has been sent.
     Streaming(StreamingCaller),
 }
 
 impl ClientSide {
-    /// Ends when the client has gone away.
-    pub async fn gone(&mut self) {
+    /// Completes when the client has disconnected.
+    pub async fn disconnected(&mut self) {
         match self {
-            Self::Waiting(caller) => caller.gone().await,
-            Self::Streaming(caller) => caller.gone().await,
+            Self::Waiting(caller) => caller.disconnected().await,
+            Self::Streaming(caller) => caller.disconnected().await,
         }
     }
 
-    /// The streaming client; the head of this answer goes out unless one has.
-    fn streaming(self, answered: &Answered) -> Result<StreamingCaller, CallerGone> {
+    /// Returns the streaming client, sending the head of this response if none was sent.
+    fn streaming(
+        self,
+        engine_response: &EngineResponse,
+    ) -> Result<StreamingCaller, CallerDisconnected> {
         match self {
             Self::Streaming(caller) => Ok(caller),
             Self::Waiting(caller) => {
                 let mut head = Response::new(());
-                *head.status_mut() = answered.status;
-                *head.headers_mut() = client_headers(&answered.headers);
-                caller.begin(head)
+                *head.status_mut() = engine_response.status;
+                *head.headers_mut() = client_headers(&engine_response.headers);
+                caller.start_stream(head)
             }
         }
     }
 }
 
-/// What of a stream was passed on, over all attempts.
+/// Events of a stream that were forwarded, over all attempts.
 #[derive(Debug, Default)]
-pub struct Passed {
-    /// Number of the last event.
+pub struct ForwardedEvents {
+    /// Identifier of the last event.
     pub last_event_id: Option<u64>,
-    /// Number of events.
+    /// Number of events with data.
     pub events: u64,
     /// Data of the events, each followed by a line feed.
     pub output: Vec<u8>,
-    /// When the first event went out.
+    /// When the first event was forwarded.
     pub first_at: Option<Instant>,
 }
 
-/// How passing on a stream ended.
+/// How forwarding a stream ended.
 #[derive(Debug)]
 pub enum StreamEnd {
-    /// The engine ended the stream, and everything was passed on.
+    /// The engine completed the stream, and all events were forwarded.
     Complete(ClientSide),
-    /// The engine failed; another may take the stream up.
+    /// The engine failed; another one may resume the stream.
     Failed(ClientSide, AttemptFailure),
-    /// The client has gone away.
-    ClientGone,
-    /// Time is up.
-    TimeUp(ClientSide),
+    /// The client disconnected.
+    ClientDisconnected,
+    /// The request's deadline passed.
+    DeadlineExceeded(ClientSide),
 }
 
-/// Passes events on until the stream ends one way or the other. `first_limit` bounds the wait for the
-/// first event of this attempt, where another engine could be asked instead.
-pub async fn pass_on(
-    answered: &mut Answered,
+/// Forwards events until the stream ends. `first_deadline` bounds the wait for the first event of
+/// this attempt; it equals `deadline` if no other engine may be tried.
+pub async fn forward_events(
+    engine_response: &mut EngineResponse,
     mut client: ClientSide,
-    passed: &mut Passed,
-    limit: Instant,
-    first_limit: Instant,
+    forwarded: &mut ForwardedEvents,
+    deadline: Instant,
+    first_deadline: Instant,
 ) -> StreamEnd {
     let mut splitter = EventSplitter::default();
-    let mut is_patient = first_limit >= limit;
-    // One timer each for the whole stream: events are many.
-    let mut time_up = pin!(tokio::time::sleep_until(limit));
-    let mut first_is_late = pin!(tokio::time::sleep_until(first_limit));
+    let mut waits_to_deadline = first_deadline >= deadline;
+    // Timers are created once per stream, because streams have many events.
+    let mut deadline_timer = pin!(tokio::time::sleep_until(deadline));
+    let mut first_event_timer = pin!(tokio::time::sleep_until(first_deadline));
     loop {
         let frame = tokio::select! {
-            () = client.gone() => return StreamEnd::ClientGone,
-            () = time_up.as_mut() => return StreamEnd::TimeUp(client),
-            () = first_is_late.as_mut(), if !is_patient => {
-                return StreamEnd::Failed(client, AttemptFailure::Silent);
+            () = client.disconnected() => return StreamEnd::ClientDisconnected,
+            () = deadline_timer.as_mut() => return StreamEnd::DeadlineExceeded(client),
+            () = first_event_timer.as_mut(), if !waits_to_deadline => {
+                return StreamEnd::Failed(client, AttemptFailure::ResponseTimeout);
             }
-            frame = answered.body.frame() => frame,
+            frame = engine_response.body.frame() => frame,
         };
         let bytes = match frame {
-            None => return finish(answered, client, &splitter),
-            Some(Err(_)) => return StreamEnd::Failed(client, AttemptFailure::BrokenOff),
+            None => return finish(engine_response, client, &splitter),
+            Some(Err(_)) => return StreamEnd::Failed(client, AttemptFailure::Truncated),
             Some(Ok(frame)) => frame.into_data().unwrap_or_default(),
         };
-        answered.at_engine.on_bytes(bytes.len());
+        engine_response.in_flight.on_bytes(bytes.len());
         let Ok(events) = splitter.push(&bytes) else {
-            return StreamEnd::Failed(client, AttemptFailure::Garbled);
+            return StreamEnd::Failed(client, AttemptFailure::InvalidResponse);
         };
         for event in events {
-            answered.at_engine.on_event();
-            match judge(&event, passed) {
-                Judged::Repeated => continue,
-                Judged::Gap => return StreamEnd::Failed(client, AttemptFailure::Garbled),
-                Judged::Next => {}
+            engine_response.in_flight.on_event();
+            match classify_event(&event, forwarded) {
+                EventOrder::Repeated => continue,
+                EventOrder::Gap => {
+                    return StreamEnd::Failed(client, AttemptFailure::InvalidResponse);
+                }
+                EventOrder::Next => {}
             }
-            is_patient = true;
-            client = match send_event(client, answered, event, passed).await {
+            waits_to_deadline = true;
+            client = match send_event(client, engine_response, event, forwarded).await {
                 Ok(client) => client,
-                Err(CallerGone) => return StreamEnd::ClientGone,
+                Err(CallerDisconnected) => return StreamEnd::ClientDisconnected,
             };
         }
     }
 }
 
-fn finish(answered: &Answered, client: ClientSide, splitter: &EventSplitter) -> StreamEnd {
+fn finish(
+    engine_response: &EngineResponse,
+    client: ClientSide,
+    splitter: &EventSplitter,
+) -> StreamEnd {
     if !splitter.rest().is_empty() {
-        return StreamEnd::Failed(client, AttemptFailure::BrokenOff);
+        return StreamEnd::Failed(client, AttemptFailure::Truncated);
     }
-    match client.streaming(answered) {
+    match client.streaming(engine_response) {
         Ok(caller) => StreamEnd::Complete(ClientSide::Streaming(caller)),
-        Err(CallerGone) => StreamEnd::ClientGone,
+        Err(CallerDisconnected) => StreamEnd::ClientDisconnected,
     }
 }
 
-enum Judged {
+enum EventOrder {
     Next,
     Repeated,
     Gap,
 }
 
-/// Events are numbered one after the other; a stream that is taken up may begin with ones already sent.
-fn judge(event: &Event, passed: &Passed) -> Judged {
-    match (event.id, passed.last_event_id) {
-        (Some(id), Some(last)) if id <= last => Judged::Repeated,
-        (Some(id), Some(last)) if id > last + 1 => Judged::Gap,
-        _ => Judged::Next,
+/// Compares an event's identifier with the last one. Identifiers are consecutive, and a resumed
+/// stream may repeat events.
+fn classify_event(event: &Event, forwarded: &ForwardedEvents) -> EventOrder {
+    match (event.id, forwarded.last_event_id) {
+        (Some(id), Some(last)) if id <= last => EventOrder::Repeated,
+        (Some(id), Some(last)) if id > last + 1 => EventOrder::Gap,
+        _ => EventOrder::Next,
     }
 }
 
 async fn send_event(
     client: ClientSide,
-    answered: &Answered,
+    engine_response: &EngineResponse,
     event: Event,
-    passed: &mut Passed,
-) -> Result<ClientSide, CallerGone> {
-    let caller = client.streaming(answered)?;
-    passed.first_at.get_or_insert_with(Instant::now);
+    forwarded: &mut ForwardedEvents,
+) -> Result<ClientSide, CallerDisconnected> {
+    let caller = client.streaming(engine_response)?;
+    forwarded.first_at.get_or_insert_with(Instant::now);
     if event.id.is_some() {
-        passed.last_event_id = event.id;
+        forwarded.last_event_id = event.id;
     }
     if let Some(data) = &event.data {
-        // Counted before it goes out: what a client may have got is never counted too low.
-        passed.events += 1;
-        passed.output.extend_from_slice(data);
-        passed.output.push(b'\n');
+        // Counted before it is sent, so that tokens the client may have received are always
+        // charged.
+        forwarded.events += 1;
+        forwarded.output.extend_from_slice(data);
+        forwarded.output.push(b'\n');
     }
     caller.send(Bytes::from(event.raw)).await?;
     Ok(ClientSide::Streaming(caller))
--- a/crates/gateway/src/turn_cache.rs
+++ b/crates/gateway/src/turn_cache.rs
@@ -1,4 +1,5 @@
-//! Turns that this gateway wrote or read lately. A turn never changes, so a copy is as good as the record.
+//! Cache of turns that this gateway read or wrote recently. A turn is immutable, so cached copies
+//! are never stale.
 
 use std::collections::{HashMap, VecDeque};
 use std::rc::Rc;
@@ -6,9 +7,9 @@
 
 use ridgeworks_records::{TurnId, TurnRecord};
 
-/// How long a turn stays that nobody goes on from. A line of turns pauses for its tools, a second or two; one
-/// that comes back later is read from a replica, at once and for less than the memory would cost.
-const IDLE_LIFETIME: Duration = Duration::from_secs(8);
+/// How long an unused turn stays. Sessions usually pause a second or two for their tools; a turn
+/// that is needed later is read from a replica, which costs less than the memory.
+const MAX_IDLE_TIME: Duration = Duration::from_secs(8);
 
 struct Cached {
     record: Rc<TurnRecord>,
@@ -16,17 +17,17 @@
     used_at: Duration,
 }
 
-/// A cache of turns, bounded in bytes and in time. Times are since the start of the process.
+/// Cache of turns, bounded in bytes and idle time. Times count from the start of the process.
 pub struct TurnCache {
     max_bytes: usize,
     bytes: usize,
     turns: HashMap<TurnId, Cached>,
-    /// Turns with the time at which they were last looked at for expiry, the oldest first.
+    /// Turns by the time of their last expiry check, the oldest first.
     order: VecDeque<(Duration, TurnId)>,
 }
 
 impl TurnCache {
-    /// An empty cache of at most so many bytes.
+    /// Creates an empty cache of at most `max_bytes`.
     pub fn new(max_bytes: usize) -> Self {
         Self {
             max_bytes,
@@ -36,7 +37,8 @@
         }
     }
 
-    /// Takes in a turn that is kept until then.
+    /// Inserts a turn that is valid until `until`. The oldest turns are evicted while the cache is
+    /// too large.
     pub fn insert(&mut self, record: TurnRecord, until: Duration, now: Duration) {
         let turn = record.turn.clone();
         let weight = record.weight();
@@ -55,10 +57,10 @@
         }
     }
 
-    /// Lets go of turns that nobody has used for a while.
+    /// Drops turns that are past their retention or have not been used recently.
     pub fn expire(&mut self, now: Duration) {
-        while let Some((looked_at, _)) = self.order.front()
-            && now.saturating_sub(*looked_at) >= IDLE_LIFETIME
+        while let Some((checked_at, _)) = self.order.front()
+            && now.saturating_sub(*checked_at) >= MAX_IDLE_TIME
         {
             let Some((_, turn)) = self.order.pop_front() else {
                 return;
@@ -67,7 +69,7 @@
                 continue;
             };
             let idle = now.saturating_sub(cached.used_at);
-            if idle < IDLE_LIFETIME && now < cached.until {
+            if idle < MAX_IDLE_TIME && now < cached.until {
                 self.order.push_back((now, turn));
             } else {
                 self.remove(&turn);
@@ -75,17 +77,18 @@
         }
     }
 
-    /// Whether a turn is here.
+    /// Whether the turn is cached, even if it is past its retention.
     pub fn contains(&self, turn: &TurnId) -> bool {
         self.turns.contains_key(turn)
     }
 
-    /// Bytes of all turns.
+    /// Total size of the cached turns, in bytes.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// The turn and all before it, oldest first; `None` unless all are here and still kept.
+    /// The turn and all before it, oldest first; `None` unless all are cached and within their
+    /// retention.
     pub fn chain(&mut self, newest: &TurnId, now: Duration) -> Option<Vec<Rc<TurnRecord>>> {
         let mut chain = Vec::new();
         let mut next = Some(newest.clone());
--- a/crates/gateway/src/warm_ups.rs
+++ b/crates/gateway/src/warm_ups.rs
@@ -1,4 +1,4 @@
-//! Keeps requests away from engines that warm up, but for those with a grant (`docs/design/warm-up.md`).
+//! Limits requests to warming engines to those with a grant (`docs/design/warm-up.md`).
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeSet, HashMap};
@@ -18,73 +18,75 @@
 use tokio::sync::watch;
 
 use crate::metrics::WarmUpMetrics;
-use crate::refusal::COME_BACK;
+use crate::refusal::RETRY_AFTER;
 
-/// How long one limiter may take: another engine serves the request meanwhile, and a grant lapses soon after.
-const LIMITER_PATIENCE: Duration = Duration::from_millis(20);
-/// How long limiters may take in all, so that the next one is asked where the first is silent.
-const PATIENCE: Duration = LIMITER_PATIENCE.saturating_mul(2);
-/// How long an engine is passed over where no limiter answered.
-const SILENCE: Duration = Duration::from_millis(200);
+/// How long one limiter may take. Kept short, because another engine can serve the request and a
+/// grant expires soon.
+const LIMITER_TIMEOUT: Duration = Duration::from_millis(20);
+/// How long all limiters may take, which leaves time for a second one if the first does not answer.
+const TOTAL_TIMEOUT: Duration = LIMITER_TIMEOUT.saturating_mul(2);
+/// How long an engine is passed over after no limiter answered.
+const UNANSWERED_BACKOFF: Duration = Duration::from_millis(200);
 /// How long a limiter that did not answer is asked last.
-const LATE_TIME: Duration = Duration::from_secs(3);
+const LATE_LIMITER_PERIOD: Duration = Duration::from_secs(3);
 
-/// Which engines warm up, and the grants for them, at a gateway. Without bounds in the settings it does nothing.
-pub struct WarmUpCare {
+/// Tracks warming engines and the grants for them. Disabled if the settings have no warm-up bound.
+pub struct WarmUpAdmission {
     node: Rc<Node>,
-    is_wanted: bool,
+    is_enabled: bool,
     changes: RefCell<watch::Receiver<()>>,
-    has_list: Cell<bool>,
+    has_engine_list: Cell<bool>,
     engines: RefCell<WarmUps>,
-    stock: RefCell<GrantPool>,
-    /// Until when limiters that did not answer are asked last.
+    grant_pool: RefCell<GrantPool>,
+    /// When each unresponsive limiter regains its normal place in the order.
     late: RefCell<HashMap<LimiterKey, Duration>>,
-    /// When drains of zones ended, as far as that is taken in.
-    returns: RefCell<HashMap<String, Moment>>,
+    /// End of the last drain of each zone that has been applied to `engines`.
+    drain_ends: RefCell<HashMap<String, Moment>>,
     metrics: WarmUpMetrics,
 }
 
-/// Bars engines that warm up and for which nothing is to be had.
+/// Excludes warming engines for which no grant is available.
 pub struct WarmUpRule<'a> {
-    care: &'a WarmUpCare,
+    admission: &'a WarmUpAdmission,
     now: Duration,
-    /// Drawn for the request, from 0 to 1: decides whether it may go to an engine that is hardly warm.
+    /// Random number from 0 to 1 that decides whether the request may go to an engine that has
+    /// barely warmed up.
     draw: f64,
-    /// Whether it may ask for a grant.
+    /// Whether the request may ask a limiter for a grant.
     may_ask: bool,
 }
 
 impl EligibilityRule for WarmUpRule<'_> {
     fn exclusion(&self, engine: &Engine) -> Option<Exclusion> {
         let key = engine.key();
-        if !self.care.is_counted(key, self.draw, self.now) {
+        if !self.admission.is_counted(key, self.draw, self.now) {
             return None;
         }
-        let stock = self.care.stock.borrow();
-        let may_be_had = self.may_ask && stock.closed_for(key, self.now).is_none();
-        (!may_be_had && !stock.has(key, self.now)).then_some(Exclusion::WarmUp)
+        let grant_pool = self.admission.grant_pool.borrow();
+        let may_be_had = self.may_ask && grant_pool.closed_for(key, self.now).is_none();
+        (!may_be_had && !grant_pool.has(key, self.now)).then_some(Exclusion::WarmUp)
     }
 }
 
-impl WarmUpCare {
-    /// Care for the engines of a gateway on this node.
+impl WarmUpAdmission {
+    /// Creates the admission of a gateway on this node.
     pub fn new(node: Rc<Node>, metrics: WarmUpMetrics) -> Self {
         Self {
-            is_wanted: node.settings.bounds.warm_up().is_some(),
+            is_enabled: node.settings.bounds.warm_up().is_some(),
             changes: RefCell::new(node.view.changes()),
             node,
-            has_list: Cell::new(false),
+            has_engine_list: Cell::new(false),
             engines: RefCell::default(),
-            stock: RefCell::default(),
+            grant_pool: RefCell::default(),
             late: RefCell::default(),
-            returns: RefCell::default(),
+            drain_ends: RefCell::default(),
             metrics,
         }
     }
 
-    /// The rule for a request of a service; `None` while none of the service's engines warms up.
+    /// The rule for a request to a service; `None` while no engine of the service is warming up.
     pub fn rule(&self, service: &str, draw: f64, may_ask: bool) -> Option<WarmUpRule<'_>> {
-        if !self.is_wanted {
+        if !self.is_enabled {
             return None;
         }
         self.refresh();
@@ -93,58 +95,60 @@
         engines
             .has_limited_engines(service, now)
             .then_some(WarmUpRule {
-                care: self,
+                admission: self,
                 now,
                 draw,
                 may_ask,
             })
     }
 
-    /// Gets a grant for a request to an engine if it needs one; [`Exclusion`] where none is to be had.
-    pub async fn secure(
+    /// Acquires a grant for a request to an engine. `Ok(None)` if it needs none, an error if none
+    /// is available.
+    pub async fn acquire_grant(
         &self,
         request: &str,
         engine: &Engine,
         draw: f64,
     ) -> Result<Option<Grant>, Exclusion> {
         let key = engine.key();
-        if !self.is_wanted || !self.is_counted(key, draw, self.now()) {
+        if !self.is_enabled || !self.is_counted(key, draw, self.now()) {
             return Ok(None);
         }
         if self.ask(engine).await {
-            let grant = self.stock.borrow_mut().take(key, self.now());
+            let grant = self.grant_pool.borrow_mut().take(key, self.now());
             if grant.is_some() {
                 return Ok(grant);
             }
         }
         self.close(engine);
-        self.tell_passed_over(request, engine);
+        self.log_passed_over(request, engine);
         Err(Exclusion::WarmUp)
     }
 
-    /// Puts a grant by that a request needs in a moment, or another one.
-    pub fn put_by(&self, engine: &Engine, grant: Option<Grant>) {
+    /// Stores a grant for the request that prefetched it, or for another one.
+    pub fn store_grant(&self, engine: &Engine, grant: Option<Grant>) {
         if let Some(grant) = grant {
-            self.stock.borrow_mut().put(engine.key(), grant);
+            self.grant_pool.borrow_mut().put(engine.key(), grant);
         }
     }
 
-    /// Judges right before a request is written: an engine may have begun to warm up since, and a grant may have lapsed.
+    /// Checks a request right before it is sent: the engine may have started to warm up since it
+    /// was chosen, and the grant may have expired.
     pub fn admit(&self, engine: &Engine, draw: f64, grant: Option<Grant>) -> Result<(), Exclusion> {
         let now = self.now();
-        if !self.is_wanted || !self.is_counted(engine.key(), draw, now) {
+        if !self.is_enabled || !self.is_counted(engine.key(), draw, now) {
             return Ok(());
         }
         let grant = grant.filter(|grant| now < grant.until);
-        let other = || self.stock.borrow_mut().take(engine.key(), now);
+        let other = || self.grant_pool.borrow_mut().take(engine.key(), now);
         grant.or_else(other).ok_or(Exclusion::WarmUp)?;
         self.metrics.on_granted_send(&engine.service);
         Ok(())
     }
 
-    /// An engine has answered; it may say for how long it warms up.
+    /// Handles a response of an engine, which may contain its remaining warm-up time.
     pub fn on_answer(&self, engine: &Engine, warm_up: Option<Duration>) {
-        if !self.is_wanted {
+        if !self.is_enabled {
             return;
         }
         let now = self.now();
@@ -158,9 +162,9 @@
         }
     }
 
-    /// No connection to an engine came about.
+    /// Handles a failed connection to an engine.
     pub fn on_unreachable(&self, engine: &Engine) {
-        if !self.is_wanted {
+        if !self.is_enabled {
             return;
         }
         if let Some(limit) = self.limit(&engine.service) {
@@ -170,15 +174,15 @@
         }
     }
 
-    /// Takes in what has changed, and lets go of what lies in the past.
-    pub fn clean_up(&self) {
-        if !self.is_wanted {
+    /// Applies changes of the engine list, drops expired state and updates metrics.
+    pub fn update(&self) {
+        if !self.is_enabled {
             return;
         }
         self.refresh();
         let now = self.now();
-        self.tell_news(now);
-        self.stock.borrow_mut().clean_up(now);
+        self.log_changes(now);
+        self.grant_pool.borrow_mut().clean_up(now);
         self.late.borrow_mut().retain(|_, until| now < *until);
         self.metrics
             .set_warming(&self.engines.borrow().warming(now));
@@ -196,53 +200,53 @@
         draw >= self.engines.borrow().share(engine, now)
     }
 
-    /// Takes in the engines as they are listed now, if anything has changed.
+    /// Applies the current list of engines if it has changed.
     fn refresh(&self) {
         let view = &self.node.view;
         let mut changes = self.changes.borrow_mut();
         let is_changed = changes.has_changed().unwrap_or(false);
-        if (self.has_list.get() && !is_changed) || !view.engines_known() {
+        if (self.has_engine_list.get() && !is_changed) || !view.engines_known() {
             return;
         }
         let Some(routes) = view.routes() else {
             return;
         };
         changes.borrow_and_update();
-        self.has_list.set(true);
+        self.has_engine_list.set(true);
         let limits = routes.warm_ups();
         let now = self.now();
         let mut engines = self.engines.borrow_mut();
         view.with_engines(|table| {
             engines.on_list(table.listed(), &limits, now);
-            self.take_returns(table, &mut engines, &limits);
+            self.apply_drain_ends(table, &mut engines, &limits);
         });
         drop(engines);
-        self.tell_news(now);
+        self.log_changes(now);
     }
 
-    /// Engines of a zone whose drain has ended may warm up again.
-    fn take_returns(
+    /// Restarts the warm-up of engines whose zone's drain has ended.
+    fn apply_drain_ends(
         &self,
         table: &EngineTable,
         engines: &mut WarmUps,
         limits: &HashMap<&str, WarmUpLimit>,
     ) {
         let zones: BTreeSet<&str> = table.engines().map(|engine| engine.zone.as_str()).collect();
-        let mut returns = self.returns.borrow_mut();
+        let mut drain_ends = self.drain_ends.borrow_mut();
         for zone in zones {
-            let Some(returned) = self.node.view.zone_restored_at(zone) else {
+            let Some(ended) = self.node.view.zone_restored_at(zone) else {
                 continue;
             };
-            if returns.insert(zone.to_owned(), returned) == Some(returned) {
+            if drain_ends.insert(zone.to_owned(), ended) == Some(ended) {
                 continue;
             }
-            let since = self.node.clock.since(returned);
+            let since = self.node.clock.since(ended);
             let own = table.engines().filter(|engine| engine.zone == zone);
             engines.on_drain_ended(own, limits, self.now().saturating_sub(since));
         }
     }
 
-    fn tell_news(&self, now: Duration) {
+    fn log_changes(&self, now: Duration) {
         for news in self.engines.borrow_mut().news(now) {
             log::info!(
                 target: "belief",
@@ -269,7 +273,7 @@
         set.map(|set| set.voters).unwrap_or_default()
     }
 
-    fn next(&self, engine: &Engine, limiters: &[Replica]) -> GrantState {
+    fn select_limiters(&self, engine: &Engine, limiters: &[Replica]) -> GrantState {
         let now = self.now();
         let late = self.late.borrow();
         let candidates = limiters.iter().map(|limiter| {
@@ -281,29 +285,29 @@
             }
         });
         let candidates: Vec<LimiterCandidate> = candidates.collect();
-        let mut stock = self.stock.borrow_mut();
+        let mut grant_pool = self.grant_pool.borrow_mut();
         let instance = &engine.instance;
-        stock.next(engine.key(), instance, &candidates, now, &mut rand::rng())
+        grant_pool.next(engine.key(), instance, &candidates, now, &mut rand::rng())
     }
 
-    /// Asks for a grant for an engine; says whether one is at hand.
+    /// Requests a grant for an engine unless one is in stock. Returns whether one is available.
     async fn ask(&self, engine: &Engine) -> bool {
         let Some(limit) = self.limit(&engine.service) else {
             return false;
         };
         let group = self.group_of(engine);
         let limiters = self.limiters(group);
-        let order = match self.next(engine, &limiters) {
+        let order = match self.select_limiters(engine, &limiters) {
             GrantState::Available => return true,
             GrantState::Closed(_) => return false,
             GrantState::Ask(order) => order,
         };
         let asking = self.ask_in_turn(engine, limit, group, &limiters, order);
-        let asked = tokio::time::timeout(PATIENCE, asking).await;
+        let asked = tokio::time::timeout(TOTAL_TIMEOUT, asking).await;
         asked.unwrap_or(false)
     }
 
-    /// Asks limiters one after the other; says whether one gave a grant.
+    /// Asks limiters one by one. Returns whether one issued a grant.
     async fn ask_in_turn(
         &self,
         engine: &Engine,
@@ -317,11 +321,13 @@
             let Some(limiter) = limiter else {
                 continue;
             };
-            // A limiter whose answer is not waited for to the end counts as late.
-            self.late.borrow_mut().insert(key, self.now() + LATE_TIME);
+            // Marked before the call, because the call may be cancelled before it returns.
+            self.late
+                .borrow_mut()
+                .insert(key, self.now() + LATE_LIMITER_PERIOD);
             let asked = self.now();
             let reply = self.ask_limiter(engine, limit, group, limiter).await;
-            if self.take_reply(engine, key, reply, asked) {
+            if self.apply_reply(engine, key, reply, asked) {
                 return true;
             }
         }
@@ -346,10 +352,10 @@
         self.metrics.on_asked(&engine.service);
         let request = PeerRequest::Extension(ExtensionRequest::Grant(request));
         let links = &self.node.links;
-        links.call(address, request, LIMITER_PATIENCE).await
+        links.call(address, request, LIMITER_TIMEOUT).await
     }
 
-    fn take_reply(
+    fn apply_reply(
         &self,
         engine: &Engine,
         from: LimiterKey,
@@ -360,10 +366,10 @@
             return false;
         };
         self.late.borrow_mut().remove(&from);
-        let mut stock = self.stock.borrow_mut();
+        let mut grant_pool = self.grant_pool.borrow_mut();
         match reply {
             GrantReply::Granted => {
-                stock.put(engine.key(), Grant::requested_at(asked));
+                grant_pool.put(engine.key(), Grant::requested_at(asked));
                 return true;
             }
             GrantReply::Exhausted { next_ms, retry_ms } => {
@@ -372,25 +378,28 @@
                     retry: Duration::from_millis(retry_ms),
                 };
                 let now = self.now();
-                stock.on_exhausted(engine.key(), &engine.instance, from, wait, now);
+                grant_pool.on_exhausted(engine.key(), &engine.instance, from, wait, now);
             }
             GrantReply::NotMember => {}
         }
         false
     }
 
-    /// Nothing was to be had: for a while where no limiter has said for how long.
+    /// Passes the engine over for a while if no limiter has said for how long.
     fn close(&self, engine: &Engine) {
         let now = self.now();
-        let mut stock = self.stock.borrow_mut();
-        if stock.closed_for(engine.key(), now).is_none() {
-            stock.close(engine.key(), SILENCE, now);
+        let mut grant_pool = self.grant_pool.borrow_mut();
+        if grant_pool.closed_for(engine.key(), now).is_none() {
+            grant_pool.close(engine.key(), UNANSWERED_BACKOFF, now);
         }
     }
 
-    fn tell_passed_over(&self, request: &str, engine: &Engine) {
+    fn log_passed_over(&self, request: &str, engine: &Engine) {
         self.metrics.on_withheld(&engine.service);
-        let closed = self.stock.borrow().closed_for(engine.key(), self.now());
+        let closed = self
+            .grant_pool
+            .borrow()
+            .closed_for(engine.key(), self.now());
         log::info!(
             target: "attempt",
             request = request,
@@ -402,21 +411,22 @@
         );
     }
 
-    /// When the first engine of a service has something again.
-    pub fn retry_later(&self, service: &str) -> Option<Duration> {
+    /// When a client may retry: once a grant for the service's first engine is expected to be
+    /// available.
+    pub fn retry_after(&self, service: &str) -> Option<Duration> {
         let now = self.now();
         let min_interval = self.limit(service)?.min_interval();
-        let stock = self.stock.borrow();
+        let grant_pool = self.grant_pool.borrow();
         let first = self.node.view.with_engines(|table| {
             let closed = table.ready(service);
-            let closed = closed.filter_map(|engine| stock.closed_for(engine.key(), now));
+            let closed = closed.filter_map(|engine| grant_pool.closed_for(engine.key(), now));
             closed.min()
         });
         Some(
             first
                 .unwrap_or(min_interval)
                 .max(min_interval)
-                .max(COME_BACK),
+                .max(RETRY_AFTER),
         )
     }
 }
--- a/crates/gateway/src/zone_drains.rs
+++ b/crates/gateway/src/zone_drains.rs
@@ -1,4 +1,4 @@
-//! Engines of drained zones at one gateway: what it still has there, and when their zone may be expected back.
+//! Tracks this gateway's open requests in drained zones, and estimates when a zone returns.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -11,36 +11,35 @@
 
 use crate::metrics::{GatewayMetrics, ZoneServiceLabel};
 
-/// Bounds of the time after which a client may come back: a drain is taken to last for as long again as it has lasted. Coming
-/// back sooner finds the zone still drained and costs the client one of its tries.
-const LEAST_COME_BACK: Duration = Duration::from_secs(1);
-const MOST_COME_BACK: Duration = Duration::from_secs(30);
+/// Bounds of the retry delay. A drain is expected to last as long again as it has lasted; retrying
+/// earlier would waste one of the client's tries.
+const MIN_RETRY_AFTER: Duration = Duration::from_secs(1);
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(30);
 
-/// What a gateway does about drained zones.
+/// Observes the zone drains in force.
 pub struct ZoneDrainWatch {
     node: Rc<Node>,
-    /// Drained zones in which this gateway had requests when it last looked, or of which it has said that it has none; by the revision
-    /// of the order.
-    looked: RefCell<BTreeMap<String, Looked>>,
+    /// Whether this gateway had open requests in each drained zone at the last check, so that an
+    /// emptied zone is logged once.
+    occupancy: RefCell<BTreeMap<String, ZoneOccupancy>>,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Looked {
+enum ZoneOccupancy {
     Occupied,
     Empty,
 }
 
 impl ZoneDrainWatch {
-    /// Of the gateway on this node.
     pub fn new(node: Rc<Node>) -> Self {
         Self {
             node,
-            looked: RefCell::default(),
+            occupancy: RefCell::default(),
         }
     }
 
-    /// Whether the drains are known, or need not be: where nobody could tell them for as long as an order may take to be in force,
-    /// no request waits for them any longer.
+    /// Whether the drains are known or need not be. Requests stop waiting for unknown drains once
+    /// the bound on a drain taking effect has passed.
     pub fn are_known(&self) -> bool {
         let drains = &self.node.view.drains;
         let bound = self.node.settings.bounds.zone_drain();
@@ -48,13 +47,12 @@
         !drains.are_followed() || drains.are_known() || is_overdue
     }
 
-    /// Whether any zone is drained.
     pub fn has_any(&self) -> bool {
         self.node.view.drains.in_force().is_some()
     }
 
-    /// Ready engines of a service that get nothing now for their zones' sake.
-    pub fn shut_out(&self, service: &str) -> usize {
+    /// Number of ready engines of a service that zone drains exclude.
+    pub fn drained_engines(&self, service: &str) -> usize {
         let Some(drains) = self.node.view.drains.in_force() else {
             return 0;
         };
@@ -67,8 +65,8 @@
         })
     }
 
-    /// When a client may come back whose service has no engine for it outside drained zones.
-    pub fn retry_later(&self, service: &str) -> Duration {
+    /// Retry delay when zone drains exclude all engines of a service.
+    pub fn retry_after(&self, service: &str) -> Duration {
         let view = &self.node.view;
         let least = view.with_engines(|table| {
             let ready = table.ready(service);
@@ -77,14 +75,14 @@
         });
         least
             .unwrap_or_default()
-            .clamp(LEAST_COME_BACK, MOST_COME_BACK)
+            .clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER)
     }
 
-    /// Says once of each drained zone that the last request of this gateway there has ended.
-    pub fn tell_empty(&self, placement: &Placement) {
+    /// Logs once per drained zone that this gateway's last request there has ended.
+    pub fn log_emptied_zones(&self, placement: &Placement) {
         let drains = self.node.view.drains.in_force();
-        let mut looked = self.looked.borrow_mut();
-        looked.retain(|zone, _| {
+        let mut occupancy = self.occupancy.borrow_mut();
+        occupancy.retain(|zone, _| {
             drains
                 .as_ref()
                 .is_some_and(|drains| drains.is_drained(zone))
@@ -93,12 +91,12 @@
         for (zone, revision) in drains.orders() {
             let is_empty = self.open_in(zone, placement) == 0;
             let now = if is_empty {
-                Looked::Empty
+                ZoneOccupancy::Empty
             } else {
-                Looked::Occupied
+                ZoneOccupancy::Occupied
             };
-            let before = looked.insert(zone.to_owned(), now);
-            if is_empty && before != Some(Looked::Empty) {
+            let before = occupancy.insert(zone.to_owned(), now);
+            if is_empty && before != Some(ZoneOccupancy::Empty) {
                 let stood = self.node.view.drains.drained_for(zone);
                 log::info!(
                     target: "belief",
@@ -111,7 +109,6 @@
         }
     }
 
-    /// Brings the gauges up to date.
     pub fn update_gauges(&self, placement: &Placement, metrics: &GatewayMetrics) {
         let drains = self.node.view.drains.in_force();
         let zones = drains.as_ref().map_or(0, |drains| drains.orders().count());
@@ -123,9 +120,9 @@
         let Some(drains) = drains else { return };
         self.node.view.with_engines(|table| {
             let rules: [&dyn EligibilityRule; 1] = [&*drains];
-            let barred = table.engines();
-            let barred = barred.filter(|engine| first_exclusion(&rules, engine).is_some());
-            for engine in barred {
+            let excluded = table.engines();
+            let excluded = excluded.filter(|engine| first_exclusion(&rules, engine).is_some());
+            for engine in excluded {
                 let label = ZoneServiceLabel::of(engine);
                 let open = i64::from(placement.own_open_requests(engine.key()));
                 metrics.drained_engines.get_or_create(&label).inc();
@@ -134,7 +131,7 @@
         });
     }
 
-    /// Requests of this gateway that are open at a zone's engines.
+    /// Number of this gateway's open requests at a zone's engines.
     fn open_in(&self, zone: &str, placement: &Placement) -> u32 {
         self.node.view.with_engines(|table| {
             let engines = table.engines().filter(|engine| engine.zone == zone);
--- a/crates/gateway/tests/drains.rs
+++ b/crates/gateway/tests/drains.rs
@@ -1,4 +1,4 @@
-//! A zone that is drained while a connection to one of its engines is being made.
+//! A zone drain that starts while a connection to one of its engines is being opened.
 
 mod support;
 
@@ -41,9 +41,9 @@
     ZoneDrains::listed(orders.collect::<BTreeMap<_, _>>(), at)
 }
 
-/// Waits for a connection without letting the runtime look for events of sockets before it is noticed: whoever made it does not
-/// know of it yet.
-async fn accept_unheard(listener: &TcpListener) -> TcpStream {
+/// Polls for a connection without yielding to the runtime's I/O driver, so that the gateway has not
+/// noticed yet that it is connected.
+async fn accept_without_yielding(listener: &TcpListener) -> TcpStream {
     poll_fn(|context| match listener.accept() {
         Ok((stream, _)) => Poll::Ready(stream),
         Err(error) => {
@@ -55,7 +55,7 @@
     .await
 }
 
-async fn first_line(address: &str) -> String {
+async fn first_response_line(address: &str) -> String {
     let mut client = tokio::net::TcpStream::connect(address)
         .await
         .expect("a gateway");
@@ -66,7 +66,7 @@
     answer.lines().next().unwrap_or_default().to_owned()
 }
 
-async fn serving(engine: Engine, phase: watch::Receiver<StopPhase>) -> Rc<Gateway> {
+async fn start_gateway(engine: Engine, phase: watch::Receiver<StopPhase>) -> Rc<Gateway> {
     let gateway = gateway("127.77.2.1", "zone_drain_ms = 5000").await;
     let view = &gateway.node.view;
     view.adopt_configuration(configuration(1, &["tools"]), Source::Store);
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn a_request_is_judged_anew_once_its_connection_is_made() {
+fn zone_drain_during_connect_withholds_the_request() {
     run(async {
         let listener = TcpListener::bind("127.77.2.2:0").expect("a free port");
         listener
@@ -92,9 +92,9 @@
             .expect("a listener can be polled");
         let engine = engine(listener.local_addr().expect("a bound listener"));
         let (_stop, phase) = watch::channel(StopPhase::Serving);
-        let gateway = serving(engine.clone(), phase).await;
-        let client = tokio::task::spawn_local(first_line(CALLERS));
-        let mut connection = accept_unheard(&listener).await;
+        let gateway = start_gateway(engine.clone(), phase).await;
+        let client = tokio::task::spawn_local(first_response_line(CALLERS));
+        let mut connection = accept_without_yielding(&listener).await;
         gateway
             .node
             .view
--- a/crates/gateway/tests/tidying.rs
+++ b/crates/gateway/tests/maintenance.rs
@@ -1,4 +1,4 @@
-//! What a gateway lets go of while it runs.
+//! State that a running gateway drops.
 
 mod support;
 
@@ -6,7 +6,7 @@
 use support::{configuration, gateway, run};
 
 #[test]
-fn splits_of_removed_routes_are_forgotten() {
+fn splits_of_removed_routes_are_dropped() {
     run(async {
         let gateway = gateway("127.77.1.1", "").await;
         let view = &gateway.node.view;
@@ -19,7 +19,7 @@
         }
         assert_eq!(gateway.split.borrow().len(), 2);
         view.adopt_configuration(configuration(2, &names[..1]), Source::Store);
-        gateway.tidy_once();
+        gateway.run_maintenance_once();
         assert_eq!(gateway.split.borrow().len(), 1);
     });
 }
--- a/crates/gateway/tests/replica_paths.rs
+++ b/crates/gateway/tests/replica_paths.rs
@@ -1,4 +1,4 @@
-//! Ways to replicas under virtual time, over a network that is silent, refuses or answers as told.
+//! Paths to replicas under virtual time, over a network whose behaviour is scripted.
 
 use std::cell::{Cell, RefCell};
 use std::future::{pending, ready};
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use ridgeworks_gateway::{Answering, QuorumHealth, ReplicaNetwork, ReplicaPaths};
+use ridgeworks_gateway::{QuorumHealth, ReplicaNetwork, ReplicaPaths, ReplyFuture};
 use ridgeworks_records::{
     Epoch, GroupId, Replica, ReplicaId, ReplicaReply, ReplicaRequest, TurnId,
 };
@@ -19,14 +19,14 @@
 const ANSWER: Duration = Duration::from_millis(5);
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Conduct {
+enum Behavior {
     Answers(Duration),
     Silent,
     Fails(LinkError),
 }
 
-impl Conduct {
-    fn answering(self) -> Answering {
+impl Behavior {
+    fn answering(self) -> ReplyFuture {
         match self {
             Self::Answers(after) => Box::pin(async move {
                 tokio::time::sleep(after).await;
@@ -39,18 +39,18 @@
 }
 
 struct FakeNetwork {
-    straight: Cell<Conduct>,
-    /// Whether other answers come straight meanwhile.
+    direct: Cell<Behavior>,
+    /// Whether other replies arrive directly meanwhile.
     is_busy: Cell<bool>,
     slowest_reply: Cell<Duration>,
-    relays: Vec<Conduct>,
+    relays: Vec<Behavior>,
     asked: RefCell<Vec<SocketAddr>>,
 }
 
 impl FakeNetwork {
-    fn new(straight: Conduct, relays: &[Conduct]) -> Rc<Self> {
+    fn new(direct: Behavior, relays: &[Behavior]) -> Rc<Self> {
         Rc::new(Self {
-            straight: Cell::new(straight),
+            direct: Cell::new(direct),
             is_busy: Cell::new(false),
             slowest_reply: Cell::default(),
             relays: relays.to_vec(),
@@ -60,15 +60,20 @@
 }
 
 impl ReplicaNetwork for FakeNetwork {
-    fn ask(&self, _replica: &Replica, _request: ReplicaRequest, timeout: Duration) -> Answering {
-        let answering = self.straight.get().answering();
+    fn ask(&self, _replica: &Replica, _request: ReplicaRequest, timeout: Duration) -> ReplyFuture {
+        let answering = self.direct.get().answering();
         Box::pin(async move {
             let answered = tokio::time::timeout(timeout, answering).await;
             answered.unwrap_or(Err(LinkError::TimedOut))
         })
     }
 
-    fn ask_by(&self, relay: SocketAddr, _replica: &Replica, _request: ReplicaRequest) -> Answering {
+    fn ask_via(
+        &self,
+        relay: SocketAddr,
+        _replica: &Replica,
+        _request: ReplicaRequest,
+    ) -> ReplyFuture {
         self.asked.borrow_mut().push(relay);
         let answering = self.relays[usize::from(relay.port())].answering();
         Box::pin(async move {
@@ -85,7 +90,7 @@
         self.slowest_reply.get()
     }
 
-    /// All stand in the north but the last one, which stands in the south.
+    /// All relays are in the north except the last one, which is in the south.
     fn relays(&self, residency: &Residency) -> Vec<SocketAddr> {
         let count = u16::try_from(self.relays.len()).unwrap();
         let address = |port| SocketAddr::from((Ipv4Addr::LOCALHOST, port));
@@ -124,10 +129,10 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_silent_way_is_replaced_by_a_detour() {
+async fn silent_path_is_replaced_by_a_relay() {
     LocalSet::new()
         .run_until(async {
-            let network = FakeNetwork::new(Conduct::Silent, &[Conduct::Answers(ANSWER)]);
+            let network = FakeNetwork::new(Behavior::Silent, &[Behavior::Answers(ANSWER)]);
             let paths = Rc::new(ReplicaPaths::new(network));
             let (reply, took) = ask(&paths).await;
             assert_eq!(reply, Ok(ReplicaReply::Done));
@@ -144,15 +149,15 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_way_that_answers_again_is_used_again() {
+async fn path_that_answers_again_is_reopened() {
     LocalSet::new()
         .run_until(async {
-            let network = FakeNetwork::new(Conduct::Silent, &[Conduct::Answers(ANSWER)]);
+            let network = FakeNetwork::new(Behavior::Silent, &[Behavior::Answers(ANSWER)]);
             let paths = Rc::new(ReplicaPaths::new(
                 Rc::clone(&network) as Rc<dyn ReplicaNetwork>
             ));
             assert!(ask(&paths).await.0.is_ok());
-            network.straight.set(Conduct::Answers(ANSWER));
+            network.direct.set(Behavior::Answers(ANSWER));
             tokio::time::sleep(Duration::from_millis(300)).await;
             assert!(ask(&paths).await.0.is_ok());
             tokio::time::sleep(ANSWER * 2).await;
@@ -165,11 +170,11 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_machine_that_refuses_is_no_closed_way() {
+async fn refused_connection_suspects_the_replica_and_keeps_the_path_open() {
     LocalSet::new()
         .run_until(async {
-            let refuses = Conduct::Fails(LinkError::Unreachable);
-            let network = FakeNetwork::new(refuses, &[Conduct::Answers(ANSWER)]);
+            let refuses = Behavior::Fails(LinkError::Unreachable);
+            let network = FakeNetwork::new(refuses, &[Behavior::Answers(ANSWER)]);
             let paths = Rc::new(ReplicaPaths::new(
                 Rc::clone(&network) as Rc<dyn ReplicaNetwork>
             ));
@@ -184,12 +189,12 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_gateway_that_is_cut_off_as_well_is_replaced() {
+async fn relay_that_cannot_reach_the_replica_is_replaced() {
     LocalSet::new()
         .run_until(async {
-            let beyond = Conduct::Fails(LinkError::RelayTargetUnreachable);
-            let relays = [beyond, Conduct::Answers(ANSWER), beyond];
-            let network = FakeNetwork::new(Conduct::Silent, &relays);
+            let beyond = Behavior::Fails(LinkError::RelayTargetUnreachable);
+            let relays = [beyond, Behavior::Answers(ANSWER), beyond];
+            let network = FakeNetwork::new(Behavior::Silent, &relays);
             let paths = Rc::new(ReplicaPaths::new(
                 Rc::clone(&network) as Rc<dyn ReplicaNetwork>
             ));
@@ -205,11 +210,11 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_slow_answer_opens_the_way_again() {
+async fn late_direct_reply_reopens_the_path() {
     LocalSet::new()
         .run_until(async {
-            let slow = Conduct::Answers(Duration::from_millis(500));
-            let network = FakeNetwork::new(slow, &[Conduct::Answers(ANSWER)]);
+            let slow = Behavior::Answers(Duration::from_millis(500));
+            let network = FakeNetwork::new(slow, &[Behavior::Answers(ANSWER)]);
             let paths = Rc::new(ReplicaPaths::new(network));
             let (reply, took) = ask(&paths).await;
             assert_eq!(reply, Ok(ReplicaReply::Done));
@@ -221,11 +226,11 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_replica_that_is_slow_for_all_is_not_asked_twice() {
+async fn busy_replica_is_not_asked_through_a_relay() {
     LocalSet::new()
         .run_until(async {
-            let slow = Conduct::Answers(Duration::from_millis(650));
-            let network = FakeNetwork::new(slow, &[Conduct::Answers(ANSWER)]);
+            let slow = Behavior::Answers(Duration::from_millis(650));
+            let network = FakeNetwork::new(slow, &[Behavior::Answers(ANSWER)]);
             network.is_busy.set(true);
             let paths = Rc::new(ReplicaPaths::new(
                 Rc::clone(&network) as Rc<dyn ReplicaNetwork>
@@ -240,10 +245,10 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_silent_gateway_is_not_followed_by_another() {
+async fn relay_that_times_out_is_not_followed_by_another() {
     LocalSet::new()
         .run_until(async {
-            let network = FakeNetwork::new(Conduct::Silent, &[Conduct::Silent; 5]);
+            let network = FakeNetwork::new(Behavior::Silent, &[Behavior::Silent; 5]);
             let paths = Rc::new(ReplicaPaths::new(
                 Rc::clone(&network) as Rc<dyn ReplicaNetwork>
             ));
@@ -254,27 +259,27 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn without_any_way_the_loss_is_known_to_be_general_or_not() {
+async fn loss_is_general_only_if_a_relay_reports_it() {
     LocalSet::new()
         .run_until(async {
             let second = Duration::from_secs(1);
-            let alone = FakeNetwork::new(Conduct::Silent, &[]);
+            let alone = FakeNetwork::new(Behavior::Silent, &[]);
             let paths = Rc::new(ReplicaPaths::new(alone));
             let (reply, took) = ask(&paths).await;
             assert_eq!(reply, Err(LinkError::TimedOut));
             assert_eq!(took, TIMEOUT);
-            assert!(!paths.is_unreached_by_others(second));
-            let beyond = Conduct::Fails(LinkError::RelayTargetUnreachable);
-            let network = FakeNetwork::new(Conduct::Silent, &[beyond]);
+            assert!(!paths.is_reported_unreachable(second));
+            let beyond = Behavior::Fails(LinkError::RelayTargetUnreachable);
+            let network = FakeNetwork::new(Behavior::Silent, &[beyond]);
             let paths = Rc::new(ReplicaPaths::new(network));
             assert!(ask(&paths).await.0.is_err());
-            assert!(paths.is_unreached_by_others(second));
+            assert!(paths.is_reported_unreachable(second));
         })
         .await;
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_majority_is_lost_after_a_wait_in_vain_until_one_answers() {
+async fn majority_is_lost_after_a_long_failure_until_it_answers() {
     let health = QuorumHealth::default();
     assert!(
         !health.on_failed(Duration::from_millis(50)),
@@ -303,7 +308,7 @@
 }
 
 fn first_asked(paths: &ReplicaPaths, zone: &str, subject: usize) -> Vec<ReplicaId> {
-    let ordered = paths.in_order(
+    let ordered = paths.order_by_preference(
         five_replicas(),
         zone,
         &ZoneRegions::default(),
@@ -313,11 +318,10 @@
     first.map(|replica| replica.id).collect()
 }
 
-/// Gateways of a zone without a replica read all earlier turns from the same one: it got 81 such reads a second where
-/// the others got 15 to 27.
+/// Guards against one replica serving most reads of a zone that has no replica.
 #[test]
-fn reads_from_a_zone_without_a_replica_are_shared() {
-    let network = FakeNetwork::new(Conduct::Answers(ANSWER), &[]);
+fn reads_from_a_zone_without_replicas_are_spread() {
+    let network = FakeNetwork::new(Behavior::Answers(ANSWER), &[]);
     let paths = ReplicaPaths::new(network);
     let nearest: Vec<ReplicaId> = (0..500)
         .map(|subject| first_asked(&paths, "elsewhere", subject)[0])
@@ -328,11 +332,11 @@
     }
 }
 
-/// Replicas that were late for all were asked for each request again by way of other gateways, which made them later.
+/// Guards against relays multiplying the load of replicas that are slow for all.
 #[tokio::test(start_paused = true)]
-async fn a_replica_that_was_slow_lately_is_not_asked_again_by_a_detour() {
+async fn recently_slow_replica_is_not_asked_through_a_relay() {
     let slow = Duration::from_millis(600);
-    let network = FakeNetwork::new(Conduct::Answers(slow), &[Conduct::Answers(ANSWER)]);
+    let network = FakeNetwork::new(Behavior::Answers(slow), &[Behavior::Answers(ANSWER)]);
     network.slowest_reply.set(Duration::from_millis(300));
     let paths = Rc::new(ReplicaPaths::new(
         Rc::clone(&network) as Rc<dyn ReplicaNetwork>
@@ -343,57 +347,58 @@
     assert_eq!(waited, slow);
 }
 
-/// Reads of earlier turns were given up after 200 ms and sent to the next replica, 15 KB each, while all were later than
-/// that: reservations took 240 to 650 ms then, from every replica but one.
+/// Guards against reads that abandon each replica in turn while all are slow.
 #[tokio::test(start_paused = true)]
-async fn a_replica_that_was_slow_lately_is_given_the_time_that_it_needs() {
+async fn recently_slow_replica_gets_a_longer_timeout() {
     let slow = Duration::from_millis(350);
-    let network = FakeNetwork::new(Conduct::Answers(slow), &[]);
+    let network = FakeNetwork::new(Behavior::Answers(slow), &[]);
     let paths = Rc::new(ReplicaPaths::new(
         Rc::clone(&network) as Rc<dyn ReplicaNetwork>
     ));
     let least = Duration::from_millis(200);
     let asked = paths
-        .ask_patiently(&replica(), read(), least, &Residency::anywhere())
+        .ask_with_adaptive_timeout(&replica(), read(), least, &Residency::anywhere())
         .await;
     assert_eq!(asked, Err(LinkError::TimedOut), "nothing is known of it");
     network.slowest_reply.set(Duration::from_millis(300));
     assert!(
         paths
-            .ask_patiently(&replica(), read(), least, &Residency::anywhere())
+            .ask_with_adaptive_timeout(&replica(), read(), least, &Residency::anywhere())
             .await
             .is_ok()
     );
 }
 
-/// A machine was dark, and each gateway waited for another one to find that out anew, for longer than it had time.
+/// Guards against gateways waiting for each other to detect a failed replica.
 #[tokio::test(start_paused = true)]
-async fn a_gateway_that_got_no_answer_itself_passes_nothing_on() {
-    let network = FakeNetwork::new(Conduct::Silent, &[]);
+async fn gateway_does_not_relay_to_a_suspected_replica() {
+    let network = FakeNetwork::new(Behavior::Silent, &[]);
     let paths = Rc::new(ReplicaPaths::new(network as Rc<dyn ReplicaNetwork>));
-    assert!(paths.can_pass_on(replica().id));
+    assert!(paths.can_relay_to(replica().id));
     let (reply, _) = LocalSet::new().run_until(ask(&paths)).await;
     assert_eq!(reply, Err(LinkError::TimedOut));
-    assert!(!paths.can_pass_on(replica().id));
+    assert!(!paths.can_relay_to(replica().id));
     tokio::time::sleep(Duration::from_secs(4)).await;
-    assert!(paths.can_pass_on(replica().id), "it is tried again");
+    assert!(paths.can_relay_to(replica().id), "it is tried again");
 }
 
-/// A relay that passed on what may go anywhere is no way for what may not.
+/// Guards against reusing a relay for a request whose residency excludes it.
 #[tokio::test(start_paused = true)]
-async fn a_detour_leads_only_where_the_request_may_be_sent() {
+async fn relays_are_chosen_within_the_residency() {
     let local = LocalSet::new();
     local
         .run_until(async {
-            let quick = Conduct::Answers(ANSWER);
-            let network = FakeNetwork::new(Conduct::Silent, &[quick, quick]);
+            let quick = Behavior::Answers(ANSWER);
+            let network = FakeNetwork::new(Behavior::Silent, &[quick, quick]);
             let paths = Rc::new(ReplicaPaths::new(network.clone()));
             let south = Residency::within(["south".to_owned()]);
             let nowhere = Residency::within(["east".to_owned()]);
             for _ in 0..20 {
                 assert!(ask(&paths).await.0.is_ok());
                 network.asked.borrow_mut().clear();
-                let asked = paths.ask_within(&replica(), read(), TIMEOUT, &south).await;
+                let asked = paths
+                    .ask_in_residency(&replica(), read(), TIMEOUT, &south)
+                    .await;
                 assert!(asked.is_ok());
                 let ports: Vec<u16> = network
                     .asked
@@ -404,7 +409,7 @@
                 assert_eq!(ports, [1]);
                 network.asked.borrow_mut().clear();
                 let asked = paths
-                    .ask_within(&replica(), read(), TIMEOUT, &nowhere)
+                    .ask_in_residency(&replica(), read(), TIMEOUT, &nowhere)
                     .await;
                 assert!(asked.is_err());
                 assert!(network.asked.borrow().is_empty());
@@ -414,9 +419,9 @@
 }
 
 #[test]
-fn replicas_of_the_own_region_are_asked_before_those_beyond() {
+fn replicas_are_ordered_by_distance() {
     let regions = ZoneRegions::from([("a", "north"), ("b", "north"), ("c", "south")]);
-    let network = FakeNetwork::new(Conduct::Silent, &[]);
+    let network = FakeNetwork::new(Behavior::Silent, &[]);
     let paths = ReplicaPaths::new(network);
     let replicas = ["c", "b", "a", "c"].map(|zone| Replica {
         zone: zone.to_owned(),
@@ -424,7 +429,7 @@
     });
     for subject in 0..20 {
         let subject = subject.to_string();
-        let ordered = paths.in_order(replicas.to_vec(), "a", &regions, &subject);
+        let ordered = paths.order_by_preference(replicas.to_vec(), "a", &regions, &subject);
         let zones: Vec<&str> = ordered
             .iter()
             .map(|replica| replica.zone.as_str())
--- a/crates/gateway/tests/support/mod.rs
+++ b/crates/gateway/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A gateway without processes around it.
+//! Creates a gateway without other processes.
 #![allow(dead_code, reason = "each test file uses its own part of the support")]
 
 use std::rc::Rc;
@@ -13,7 +13,7 @@
     CallerLimits, RequestKind, Residency, Route, RouteConfiguration, Service, WeightedService,
 };
 
-/// Settings of a gateway at this address, with these bounds beside those that all have.
+/// Settings of a gateway at this address, with extra lines in `[bounds]`.
 fn settings(ip: &str, bounds: &str) -> NodeSettings {
     let text = format!(
         r#"
--- a/crates/gateway/tests/turn_cache.rs
+++ b/crates/gateway/tests/turn_cache.rs
@@ -1,4 +1,4 @@
-//! How long turns stay in a gateway's memory.
+//! Expiry and eviction of cached turns.
 
 use std::time::Duration;
 
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn turns_that_nobody_goes_on_from_give_their_memory_back() {
+fn idle_turns_expire() {
     let mut cache = TurnCache::new(1_000_000);
     for number in 0..100 {
         cache.insert(record(number, None), FOREVER, seconds(1));
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn a_line_of_turns_that_goes_on_stays_whole() {
+fn chain_in_use_is_not_expired() {
     let mut cache = TurnCache::new(1_000_000);
     cache.insert(record(0, None), FOREVER, seconds(0));
     for number in 1..20 {
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn a_turn_past_its_time_is_not_shown() {
+fn turn_past_its_retention_is_not_returned() {
     let mut cache = TurnCache::new(1_000_000);
     cache.insert(record(0, None), seconds(2), seconds(0));
     assert!(cache.chain(&id(0), seconds(1)).is_some());
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn the_bytes_of_the_cache_are_bounded() {
+fn cache_size_is_bounded() {
     let mut cache = TurnCache::new(10_000);
     for number in 0..100 {
         cache.insert(record(number, None), FOREVER, seconds(1));
