--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -27,7 +27,7 @@
     /// The engine was excluded after it was chosen; it never saw the request.
     Excluded(Exclusion),
     /// The connection could not be opened; the engine never saw the request.
-    NotSent(ConnectError),
+    ConnectFailed(ConnectError),
     /// The engine closed the new connection before the request was sent.
     ClosedBeforeSend,
     /// The engine reported that it did not run the request.
@@ -48,7 +48,7 @@
     pub fn did_not_run(&self) -> bool {
         matches!(
             self,
-            Self::Excluded(_) | Self::NotSent(_) | Self::ClosedBeforeSend | Self::Rejected(_)
+            Self::Excluded(_) | Self::ConnectFailed(_) | Self::ClosedBeforeSend | Self::Rejected(_)
         )
     }
 
@@ -57,7 +57,7 @@
     pub fn outcome(&self) -> Option<Outcome> {
         match self {
             Self::Excluded(_) | Self::Rejected(_) => None,
-            Self::NotSent(_) | Self::ClosedBeforeSend => Some(Outcome::Unreachable),
+            Self::ConnectFailed(_) | Self::ClosedBeforeSend => Some(Outcome::Unreachable),
             Self::ConnectionLost
             | Self::InvalidResponse
             | Self::Truncated
@@ -69,7 +69,7 @@
     pub fn name(&self) -> &'static str {
         match self {
             Self::Excluded(exclusion) => exclusion.name(),
-            Self::NotSent(error) => error.name(),
+            Self::ConnectFailed(error) => error.name(),
             Self::ClosedBeforeSend => "unsent",
             Self::Rejected(_) => "rejected",
             Self::ConnectionLost => "lost",
@@ -83,7 +83,7 @@
 impl fmt::Display for AttemptFailure {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::NotSent(error) => error.fmt(formatter),
+            Self::ConnectFailed(error) => error.fmt(formatter),
             Self::Rejected(status) => write!(formatter, "rejected with {status}"),
             other => formatter.write_str(other.name()),
         }
@@ -200,7 +200,7 @@
 async fn new_connection(gateway: &Gateway, engine: &Engine) -> Result<Connection, AttemptFailure> {
     let began = Instant::now();
     let connected = gateway.pool.connect(engine).await;
-    let connection = connected.map_err(AttemptFailure::NotSent)?;
+    let connection = connected.map_err(AttemptFailure::ConnectFailed)?;
     gateway.metrics.engine_connections.inc();
     let taken = began.elapsed();
     let mut placement = gateway.placement.borrow_mut();
--- a/crates/gateway/src/buffered_response.rs
+++ b/crates/gateway/src/buffered_response.rs
@@ -9,7 +9,7 @@
 use crate::gateway::Gateway;
 
 /// Largest response body that is buffered.
-const MAX_ANSWER_BYTES: usize = 16 * 1024 * 1024;
+const MAX_RESPONSE_BYTES: usize = 16 * 1024 * 1024;
 
 /// Reads the whole response, including status and headers. Fails if the body ends early or is too
 /// large.
@@ -17,7 +17,7 @@
     gateway: &Gateway,
     mut engine_response: EngineResponse,
 ) -> Result<Response<Bytes>, AttemptFailure> {
-    let reading = Limited::new(&mut engine_response.body, MAX_ANSWER_BYTES).collect();
+    let reading = Limited::new(&mut engine_response.body, MAX_RESPONSE_BYTES).collect();
     let collected = reading.await.map_err(|_| AttemptFailure::Truncated)?;
     let body = collected.to_bytes();
     engine_response.in_flight.on_bytes(body.len());
--- a/crates/gateway/src/call.rs
+++ b/crates/gateway/src/call.rs
@@ -64,7 +64,7 @@
     }
 
     /// Priority at engines, 0 being the highest: the tenant's, or else the route's. A turn of a
-    /// program that is already late gets the lowest one, so that other programs can still finish in
+    /// program that is already late gets a low priority, so that other programs can still finish in
     /// time.
     pub fn priority(&self) -> u8 {
         let is_turn = self.route.kind == RequestKind::Stream;
--- a/crates/gateway/src/caller.rs
+++ b/crates/gateway/src/caller.rs
@@ -11,7 +11,7 @@
 use tokio::sync::{mpsc, oneshot};
 
 /// Chunks of a response that may be queued for a slow client.
-const MAX_WAITING_PIECES: usize = 32;
+const MAX_QUEUED_CHUNKS: usize = 32;
 
 /// The response was aborted; its connection is closed without a proper end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -19,7 +19,7 @@
 
 impl fmt::Display for ResponseAborted {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        formatter.write_str("the answer was broken off")
+        formatter.write_str("the response was aborted")
     }
 }
 
@@ -57,9 +57,9 @@
                 let bytes = bytes.take().filter(|bytes| !bytes.is_empty());
                 Poll::Ready(bytes.map(|bytes| Ok(Frame::data(bytes))))
             }
-            Self::Stream(pieces) => {
-                let piece = pieces.poll_recv(context);
-                piece.map(|piece| piece.map(|piece| piece.map(Frame::data)))
+            Self::Stream(chunks) => {
+                let chunk = chunks.poll_recv(context);
+                chunk.map(|chunk| chunk.map(|chunk| chunk.map(Frame::data)))
             }
         }
     }
@@ -108,28 +108,28 @@
 
     /// Sends the head of a streamed response.
     pub fn start_stream(self, head: Response<()>) -> Result<StreamingCaller, CallerDisconnected> {
-        let (pieces, receiver) = mpsc::channel(MAX_WAITING_PIECES);
+        let (chunks, receiver) = mpsc::channel(MAX_QUEUED_CHUNKS);
         let response = head.map(|()| CallerBody::Stream(receiver));
         self.head.send(response).map_err(|_| CallerDisconnected)?;
-        Ok(StreamingCaller { pieces })
+        Ok(StreamingCaller { chunks })
     }
 }
 
 /// A client that receives a streamed response. Dropping it ends the response as complete.
 #[derive(Debug)]
 pub struct StreamingCaller {
-    pieces: mpsc::Sender<Result<Bytes, ResponseAborted>>,
+    chunks: mpsc::Sender<Result<Bytes, ResponseAborted>>,
 }
 
 impl StreamingCaller {
     /// Completes when the client has disconnected.
     pub async fn disconnected(&self) {
-        self.pieces.closed().await;
+        self.chunks.closed().await;
     }
 
     /// Queues bytes for the client; waits while the queue is full.
     pub async fn send(&self, bytes: Bytes) -> Result<(), CallerDisconnected> {
-        self.pieces
+        self.chunks
             .send(Ok(bytes))
             .await
             .map_err(|_| CallerDisconnected)
@@ -138,6 +138,6 @@
     /// Aborts the response, so that the client sees that it is incomplete.
     pub async fn abort(self) {
         // Fails only if the client has disconnected.
-        let _ = self.pieces.send(Err(ResponseAborted)).await;
+        let _ = self.chunks.send(Err(ResponseAborted)).await;
     }
 }
--- a/crates/gateway/src/engine_rules.rs
+++ b/crates/gateway/src/engine_rules.rs
@@ -65,7 +65,7 @@
     let Some(route) = routes.find(&call.host, &call.path) else {
         return Cow::Borrowed(&call.residency);
     };
-    // A removed key is refused elsewhere.
+    // Requests with a removed key are refused by `Exchange::key_refusal`.
     let tenant = routes.tenant(route, call.metadata.key).ok().flatten();
     let newest = residency_of(route, tenant.map(AsRef::as_ref));
     Cow::Owned(call.residency.and(&newest))
--- a/crates/gateway/src/entry.rs
+++ b/crates/gateway/src/entry.rs
@@ -43,15 +43,22 @@
 /// Answers one request. The future is dropped when the client disconnects.
 pub async fn answer(gateway: Rc<Gateway>, request: Request<Incoming>) -> Response<CallerBody> {
     let received = Instant::now();
-    let open = gateway.track_request();
+    let open_request = gateway.track_request();
     let (parts, body) = request.into_parts();
     wait_for_configuration(&gateway).await;
     gateway.keys.wait_until_fresh().await;
-    let taken = match read_body(&gateway, body).await {
-        Ok((body, room)) => build_call(&gateway, &parts, body, room, open, received),
+    let built = match read_body(&gateway, body).await {
+        Ok((body, body_reservation)) => build_call(
+            &gateway,
+            &parts,
+            body,
+            body_reservation,
+            open_request,
+            received,
+        ),
         Err(refusal) => Err(refusal),
     };
-    let call = match taken {
+    let call = match built {
         Ok(call) => call,
         Err(refusal) => return refuse(&gateway, &parts, &refusal),
     };
@@ -115,16 +122,16 @@
         }
         Ok(Err(_)) | Err(_) => return Err(Refusal::last(RefusalReason::BadRequest)),
     };
-    let room = gateway.reserve_body(collected.len()).ok_or(overloaded)?;
-    Ok((collected, room))
+    let body_reservation = gateway.reserve_body(collected.len()).ok_or(overloaded)?;
+    Ok((collected, body_reservation))
 }
 
 fn build_call(
     gateway: &Rc<Gateway>,
     parts: &Parts,
     body: Bytes,
-    room: BodyReservation,
-    open: OpenRequestGuard,
+    body_reservation: BodyReservation,
+    open_request: OpenRequestGuard,
     received: Instant,
 ) -> Result<Call, Refusal> {
     let bad_request = Refusal::last(RefusalReason::BadRequest);
@@ -161,8 +168,8 @@
         version: routes.version(),
         received,
         deadline: received + wait.min(route.timeout()),
-        _body_reservation: room,
-        _open_request: open,
+        _body_reservation: body_reservation,
+        _open_request: open_request,
     })
 }
 
@@ -208,8 +215,8 @@
     Err(Refusal::retry_later(reason, RETRY_AFTER_RECONFIGURATION))
 }
 
-/// Refuses finally only while the configuration is known to be recent. Otherwise the route or key
-/// may have been added since, and the client is told to retry.
+/// A final refusal if the configuration is known to be recent. Otherwise the route or key may have
+/// been added since, and the client is told to retry.
 fn refusal_unless_stale(gateway: &Gateway, reason: RefusalReason) -> Refusal {
     let bound = gateway.node.settings.bounds.configuration();
     let age = gateway.node.view.confirmation_age();
--- a/crates/gateway/src/exchange.rs
+++ b/crates/gateway/src/exchange.rs
@@ -75,11 +75,11 @@
         draw: rand::random(),
     };
     let ending = exchange.execute(caller).await;
-    let is_own_account = !matches!(
+    let owns_ledger_entry = !matches!(
         ending,
         Ending::Refused(refusal) if refusal.reason == RefusalReason::DuplicateRequestId
     );
-    if is_own_account {
+    if owns_ledger_entry {
         exchange.settle();
     }
     if matches!(ending, Ending::Refused(_) | Ending::ClientDisconnected) {
@@ -178,14 +178,14 @@
             draw: self.draw,
             grant: self.history.grant,
         };
-        let first_deadline = self.first_event_deadline();
+        let first_event_deadline = self.first_event_deadline();
         tokio::select! {
             engine_response = attempt::send(&self.gateway, engine, in_flight, outgoing) => {
                 engine_response.map_err(SendFailure::Failed)
             }
             () = client.disconnected() => Err(SendFailure::ClientDisconnected),
             () = tokio::time::sleep_until(self.call.deadline) => Err(SendFailure::DeadlineExceeded),
-            () = tokio::time::sleep_until(first_deadline), if first_deadline < self.call.deadline => {
+            () = tokio::time::sleep_until(first_event_deadline), if first_event_deadline < self.call.deadline => {
                 Err(SendFailure::Failed(AttemptFailure::ResponseTimeout))
             }
         }
@@ -198,14 +198,14 @@
         client: ClientSide,
         began: Instant,
     ) -> Result<Ending, ClientSide> {
-        let first_deadline = self.first_event_deadline();
+        let first_event_deadline = self.first_event_deadline();
         let deadline = self.call.deadline;
         let end = forward_events(
             &mut engine_response,
             client,
             &mut self.forwarded,
             deadline,
-            first_deadline,
+            first_event_deadline,
         )
         .await;
         let status = engine_response.status.as_u16();
@@ -258,8 +258,8 @@
             appended = appending => appended,
             () = caller.disconnected() => return Ending::ClientDisconnected,
         };
-        let taken = began.elapsed().as_secs_f64();
-        self.gateway.metrics.append_seconds.observe(taken);
+        let elapsed_secs = began.elapsed().as_secs_f64();
+        self.gateway.metrics.append_seconds.observe(elapsed_secs);
         if appended.is_err() {
             caller.abort().await;
             return Ending::Aborted("turn_not_recorded");
--- a/crates/gateway/src/exchange/engine_choice.rs
+++ b/crates/gateway/src/exchange/engine_choice.rs
@@ -60,7 +60,7 @@
     /// Instance of the engine that was chosen last.
     pub(super) last_chosen: String,
     /// Engines of the service excluded by zone drains at the last choice.
-    pub(super) shut_out: usize,
+    pub(super) drained_engines: usize,
     /// Expected cost of the engine that was chosen last, in milliseconds.
     pub(super) cost_ms: f64,
     /// Estimated state of the last engine when the request was sent.
@@ -93,8 +93,8 @@
     pub(super) fn may_wait_for_capacity(&self) -> bool {
         let time = self.call.deadline - self.call.received;
         let until = self.call.received + time.mul_f64(CAPACITY_WAIT_FRACTION);
-        let may_come = self.history.maybe_ran_on.is_empty() && self.forwarded.events == 0;
-        may_come && Instant::now() < until && self.drain_refusal().is_none()
+        let has_not_run = self.history.maybe_ran_on.is_empty() && self.forwarded.events == 0;
+        has_not_run && Instant::now() < until && self.drain_refusal().is_none()
     }
 
     /// What excludes all engines of the service, if waiting does not help.
@@ -117,9 +117,9 @@
     /// The engine to try next, as far as the route and the failures so far allow.
     pub(super) fn next_engine(&mut self) -> Option<Engine> {
         let history = &self.history;
-        let worn_out =
+        let is_exhausted =
             history.rejections >= MAX_REJECTIONS || history.unreachable >= MAX_UNREACHABLE;
-        if worn_out || Instant::now() >= self.call.deadline {
+        if is_exhausted || Instant::now() >= self.call.deadline {
             return None;
         }
         let may_repeat = history.maybe_ran_on.is_empty() || self.call.route.is_repeatable();
@@ -228,22 +228,23 @@
             target: "request",
             request = self.call.metadata.request_id.as_str(),
             engine = failed.as_str();
-            "an engine has failed the last try"
+            "an engine failed the client's previous try of this request"
         );
         Some(failed)
     }
 
     /// Logs how many engines zone drains exclude, whenever that number changes.
     fn log_drained_engines(&mut self) {
-        let shut_out = self.gateway.drains.drained_engines(&self.call.service);
-        if std::mem::replace(&mut self.history.shut_out, shut_out) == shut_out {
+        let drained_engines = self.gateway.drains.drained_engines(&self.call.service);
+        if std::mem::replace(&mut self.history.drained_engines, drained_engines) == drained_engines
+        {
             return;
         }
         log::info!(
             target: "attempt",
             request = self.call.metadata.request_id.as_str(),
             service = self.call.service.as_str(),
-            shut_out = shut_out;
+            shut_out = drained_engines;
             "engines of drained zones passed over"
         );
     }
@@ -320,7 +321,7 @@
             history.excluded.push(instance.clone());
         }
         match failure {
-            AttemptFailure::NotSent(_) | AttemptFailure::ClosedBeforeSend => {
+            AttemptFailure::ConnectFailed(_) | AttemptFailure::ClosedBeforeSend => {
                 history.unreachable += 1;
                 self.gateway.warm_ups.on_unreachable(engine);
                 // The engine may have run the request and accepts no connection any more: it has
@@ -385,16 +386,16 @@
     pub(super) fn key_refusal(&self) -> Option<Refusal> {
         let tenant = self.call.tenant.as_ref()?;
         let routes = self.gateway.node.view.routes()?;
-        let holder = routes.tenant(&self.call.route, self.call.metadata.key);
-        let is_held =
-            holder.is_ok_and(|holder| holder.is_none_or(|holder| holder.name == tenant.name));
-        if is_held && self.gateway.keys.is_fresh() {
+        let owner = routes.tenant(&self.call.route, self.call.metadata.key);
+        let is_key_valid =
+            owner.is_ok_and(|owner| owner.is_none_or(|owner| owner.name == tenant.name));
+        if is_key_valid && self.gateway.keys.is_fresh() {
             return None;
         }
         if !self.history.maybe_ran_on.is_empty() {
             return Some(Refusal::last(RefusalReason::EngineFailed));
         }
-        Some(if is_held {
+        Some(if is_key_valid {
             Refusal::retry_later(
                 RefusalReason::KeyStateStale,
                 self.gateway.keys.retry_after(),
--- a/crates/gateway/src/exchange/preparation.rs
+++ b/crates/gateway/src/exchange/preparation.rs
@@ -200,8 +200,8 @@
             let after = records.retry_after_failure(group, failure);
             Refusal::retry_later(RefusalReason::LedgerUnavailable, after)
         })?;
-        let taken = began.elapsed().as_secs_f64();
-        self.gateway.metrics.reserve_seconds.observe(taken);
+        let elapsed_secs = began.elapsed().as_secs_f64();
+        self.gateway.metrics.reserve_seconds.observe(elapsed_secs);
         if ledger.is_settled(&account.turn) {
             // The identifier was used before, and its settled entry must not be reopened.
             return Err(Refusal::last(RefusalReason::DuplicateRequestId));
@@ -215,7 +215,7 @@
             request = account.turn.request(),
             program = self.call.metadata.program.as_deref().unwrap_or_default(),
             budget = budget,
-            reserved_tokens = reserved_tokens,
+            most = reserved_tokens,
             charged_to_others = ledger.charged_by_others(&account.turn),
             turns_in_ledger = ledger.entries.len(),
             epoch = self.gateway.node.view.epoch().0;
@@ -245,8 +245,11 @@
         let reading =
             records.read_chain(program.as_ref(), &previous, request, &residency, deadline);
         let outcome = reading.await;
-        let taken = began.elapsed().as_secs_f64();
-        self.gateway.metrics.chain_read_seconds.observe(taken);
+        let elapsed_secs = began.elapsed().as_secs_f64();
+        self.gateway
+            .metrics
+            .chain_read_seconds
+            .observe(elapsed_secs);
         match outcome {
             Ok(ChainOutcome::Complete(chain)) => {
                 let prompt = join_prompt(chain.iter(), &self.call.body);
@@ -263,7 +266,7 @@
                     target: "request",
                     request = self.call.metadata.request_id.as_str(),
                     missing = missing.request();
-                    "a turn of a kept chain is missing"
+                    "an earlier turn of a stored chain is missing on the replicas"
                 );
                 Err(Refusal::retry_later(
                     RefusalReason::TurnsUnavailable,
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -186,11 +186,11 @@
 
     /// The engine with the lowest expected cost, and that cost in milliseconds. `None` when no
     /// engine may get the request.
-    pub fn choose_engine(&self, demand: &PlacementRequest<'_>) -> Option<(Engine, f64)> {
+    pub fn choose_engine(&self, placement_request: &PlacementRequest<'_>) -> Option<(Engine, f64)> {
         let now = self.now();
         let mut placement = self.placement.borrow_mut();
         self.node.view.with_engines(|table| {
-            let choice = placement.choose(table, demand, now)?;
+            let choice = placement.choose(table, placement_request, now)?;
             Some((choice.engine.clone(), choice.cost_ms))
         })
     }
@@ -232,11 +232,11 @@
     /// failed it.
     pub async fn look_up_prefills(&self, parts: &[PromptPart]) -> Option<EngineKey> {
         let from = parts.len().saturating_sub(MAX_LOOKUP_PARTS).max(1);
-        let asked = parts
+        let lookups = parts
             .iter()
             .skip(from)
             .map(|part| self.look_up_prefill(part.hash));
-        let failed = futures_util::future::join_all(asked).await;
+        let failed = futures_util::future::join_all(lookups).await;
         failed.into_iter().next_back()?
     }
 
@@ -278,14 +278,14 @@
         self.node.view.with_engines(|table| {
             placement.retain(table, now);
             self.pool.prune(table);
-            for news in placement.failure_state_changes(table, now) {
+            for change in placement.failure_state_changes(table, now) {
                 log::info!(
                     target: "belief",
-                    engine = news.instance,
-                    is_failing = news.is_failing,
-                    failed = news.outcomes.failed,
-                    ended = news.outcomes.ended;
-                    "failures of an engine changed"
+                    engine = change.instance,
+                    is_failing = change.is_failing,
+                    failed = change.outcomes.failed,
+                    ended = change.outcomes.ended;
+                    "failure state of an engine changed"
                 );
             }
         });
@@ -297,7 +297,7 @@
                 share_ms = costs.share_ms,
                 turn_ms = costs.turn_ms,
                 samples = samples;
-                "costs of a service changed"
+                "cost estimates of a service changed"
             );
         }
         self.drains.log_emptied_zones(&placement);
@@ -306,7 +306,7 @@
                 target: "belief",
                 region = region.as_str(),
                 round_ms = round_ms;
-                "way to the engines of a region changed"
+                "estimated round-trip time to the engines of a region changed"
             );
         }
         self.turns.borrow_mut().expire(now);
@@ -361,24 +361,24 @@
     pub fn update_gauges(&self) {
         let view = &self.node.view;
         let metrics = &self.metrics;
-        let whole = |value: u64| i64::try_from(value).unwrap_or(i64::MAX);
-        metrics.configuration_version.set(whole(view.version()));
+        let to_gauge = |value: u64| i64::try_from(value).unwrap_or(i64::MAX);
+        metrics.configuration_version.set(to_gauge(view.version()));
         let age = view
             .confirmation_age()
-            .map_or(-1, |age| whole(age.as_secs()));
+            .map_or(-1, |age| to_gauge(age.as_secs()));
         metrics.configuration_age_seconds.set(age);
         let engines = view.with_engines(|table| table.len() as u64);
-        metrics.engines.set(whole(engines));
+        metrics.engines.set(to_gauge(engines));
         let unreadable = view.unreadable_engines() as u64;
-        metrics.unreadable_engines.set(whole(unreadable));
+        metrics.unreadable_engines.set(to_gauge(unreadable));
         self.drains.update_gauges(&self.placement.borrow(), metrics);
-        metrics.replica_set_epoch.set(whole(view.epoch().0));
+        metrics.replica_set_epoch.set(to_gauge(view.epoch().0));
         let store = &self.node.store;
-        metrics.store_calls.set(whole(store.calls()));
-        metrics.store_checks.set(whole(store.checks()));
-        metrics.silent_watches.set(whole(store.silent_watches()));
+        metrics.store_calls.set(to_gauge(store.calls()));
+        metrics.store_checks.set(to_gauge(store.checks()));
+        metrics.silent_watches.set(to_gauge(store.silent_watches()));
         let silent_links = self.node.links.replaced();
-        metrics.silent_links.set(whole(silent_links));
+        metrics.silent_links.set(to_gauge(silent_links));
     }
 }
 
--- a/crates/gateway/src/in_flight.rs
+++ b/crates/gateway/src/in_flight.rs
@@ -30,7 +30,7 @@
 }
 
 impl InFlightRequest {
-    /// Counts a request as in flight at an engine, and publishes that the engine processes its
+    /// Counts a request as in flight at an engine, and publishes that the engine prefills its
     /// prompt.
     pub fn new(gateway: &Rc<Gateway>, engine: &Engine, metadata: &CallMetadata) -> Self {
         let forecast = gateway.placement.borrow_mut().on_sent(
@@ -112,8 +112,8 @@
         if gaps.len() < MIN_GAPS {
             return None;
         }
-        let place = gaps.len() / 4;
-        let (_, gap, _) = gaps.select_nth_unstable(place);
+        let index = gaps.len() / 4;
+        let (_, gap, _) = gaps.select_nth_unstable(index);
         Some(f64::from(*gap) / US_PER_MS)
     }
 }
@@ -121,9 +121,13 @@
 impl Drop for InFlightRequest {
     fn drop(&mut self) {
         self.count(Purpose::EngineAnswer, self.bytes.get());
-        let is_read = self.first.get().is_some();
-        let unread = if is_read { 0 } else { self.forecast.missing };
+        let is_prefilled = self.first.get().is_some();
+        let remaining_prefill = if is_prefilled {
+            0
+        } else {
+            self.forecast.missing
+        };
         let mut placement = self.gateway.placement.borrow_mut();
-        placement.on_ended(self.engine.key(), unread);
+        placement.on_ended(self.engine.key(), remaining_prefill);
     }
 }
--- a/crates/gateway/src/key_freshness.rs
+++ b/crates/gateway/src/key_freshness.rs
@@ -70,11 +70,11 @@
 
     /// Whether requests with keys are refused because the keys are stale.
     pub fn blocks_requests(&self) -> bool {
-        let asks = self
+        let needs_keys = self
             .view
             .routes()
             .is_some_and(|routes| routes.has_tenants());
-        asks && !self.is_fresh()
+        needs_keys && !self.is_fresh()
     }
 
     /// Waits briefly for a new confirmation if the keys have just become stale.
--- a/crates/gateway/src/listener.rs
+++ b/crates/gateway/src/listener.rs
@@ -86,7 +86,7 @@
     let limits = entry::caller_limits(&gateway);
     let idle = Duration::from_millis(limits.idle_timeout_ms) + IDLE_MARGIN;
     let buffer = limits.max_header_bytes.max(MIN_BUFFER_BYTES);
-    let is_kept = *phase.borrow() == StopPhase::Serving;
+    let keeps_alive = *phase.borrow() == StopPhase::Serving;
     let service = service_fn(move |request: Request<Incoming>| {
         let gateway = Rc::clone(&gateway);
         async move { Ok::<_, Infallible>(entry::answer(gateway, request).await) }
@@ -95,7 +95,7 @@
         .timer(TokioTimer::new())
         // Disabled from the start while draining: a graceful shutdown would close a new connection
         // before its request is read.
-        .keep_alive(is_kept)
+        .keep_alive(keeps_alive)
         // Also bounds the idle time between two requests, so it must not be shorter than that.
         .header_read_timeout(idle)
         .max_buf_size(usize::try_from(buffer).unwrap_or(usize::MAX))
@@ -103,7 +103,7 @@
     let mut connection = pin!(connection);
     let ended = tokio::select! {
         ended = connection.as_mut() => Some(ended),
-        _ = phase.wait_for(|phase| *phase != StopPhase::Serving), if is_kept => None,
+        _ = phase.wait_for(|phase| *phase != StopPhase::Serving), if keeps_alive => None,
     };
     let ended = match ended {
         Some(ended) => ended,
@@ -113,6 +113,6 @@
         }
     };
     if let Err(error) = ended {
-        log::debug!("connection of a client ended: {error}");
+        log::debug!("client connection failed: {error}");
     }
 }
--- a/crates/gateway/src/rate_limits.rs
+++ b/crates/gateway/src/rate_limits.rs
@@ -67,14 +67,14 @@
         }
     }
 
-    /// Waits until `until` for a grant for a tenant's request.
+    /// Waits until `deadline` for a grant for a tenant's request.
     pub async fn acquire(
         &self,
         request: &str,
         tenant: &Tenant,
         progress: ProgramProgress,
         version: u64,
-        until: Instant,
+        deadline: Instant,
     ) -> Result<(), Refusal> {
         let Some(limit) = tenant.limit else {
             return Ok(());
@@ -105,16 +105,16 @@
             limiters.find(|limiter| LimiterKey(limiter.id.0) == key)
         });
         let order: Vec<&Replica> = order.collect();
-        let until = if order
+        let deadline = if order
             .iter()
             .all(|limiter| self.paths.is_suspected(limiter.id))
         {
-            until.min(Instant::now() + SUSPECTED_LIMITERS_TIMEOUT)
+            deadline.min(Instant::now() + SUSPECTED_LIMITERS_TIMEOUT)
         } else {
-            until
+            deadline
         };
         let asking = self.ask_in_turn(&pending, group, &order);
-        let asked = tokio::time::timeout_at(until, asking).await;
+        let asked = tokio::time::timeout_at(deadline, asking).await;
         match asked.unwrap_or_else(|_| Err(Denials::default())) {
             Ok(()) => Ok(()),
             Err(denials) => Err(self.refuse(&pending, &denials)),
@@ -256,7 +256,7 @@
             exhausted = denials.answered,
             silent = denials.silent,
             retry_ms = whole_ms(after);
-            "no grant for a request of a tenant"
+            "no grant of the tenant's rate limit; request refused"
         );
         Refusal::retry_later(reason, after)
     }
--- a/crates/gateway/src/records_client.rs
+++ b/crates/gateway/src/records_client.rs
@@ -65,7 +65,9 @@
         formatter.write_str(match self {
             Self::NoMajority => "not enough replicas answered in time",
             Self::Restoring => "replicas are reading their disks",
-            Self::ReplicasOutsideResidency => "replicas stand where the turn must not be kept",
+            Self::ReplicasOutsideResidency => {
+                "the turn must not be stored in the regions of its replicas"
+            }
         })
     }
 }
@@ -80,8 +82,8 @@
 struct LastReplies(RefCell<BTreeMap<String, &'static str>>);
 
 impl LastReplies {
-    fn note(&self, replica: &Replica, reply: &Result<ReplicaReply, LinkError>) {
-        let answer = match reply {
+    fn record(&self, replica: &Replica, reply: &Result<ReplicaReply, LinkError>) {
+        let name = match reply {
             Ok(ReplicaReply::Unavailable) => UNAVAILABLE,
             Ok(ReplicaReply::NotMember) => "not_member",
             Ok(ReplicaReply::Behind) => "behind",
@@ -89,13 +91,13 @@
             Ok(_) => "answered",
             Err(error) => error.name(),
         };
-        self.0.borrow_mut().insert(replica.node.clone(), answer);
+        self.0.borrow_mut().insert(replica.node.clone(), name);
     }
 
     /// Whether a replica replied that it is still reading its disk.
     fn has_unavailable(&self) -> bool {
-        let answers = self.0.borrow();
-        answers.values().any(|answer| *answer == UNAVAILABLE)
+        let replies = self.0.borrow();
+        replies.values().any(|name| *name == UNAVAILABLE)
     }
 
     fn report(&self, operation: &'static str, subject: &str, group: GroupId, epoch: Epoch) {
@@ -255,7 +257,7 @@
                 epoch,
                 settlements: Vec::new(),
             };
-            let time = if self.health.is_lost(group) {
+            let search_timeout = if self.health.is_lost(group) {
                 SEARCH_TIMEOUT
             } else {
                 self.precautionary_search_timeout(group)
@@ -270,7 +272,7 @@
             };
             // The write records its outcome; a failed search is repeated.
             let _ = self
-                .write(make_request, operation, Instant::now() + time)
+                .write(make_request, operation, Instant::now() + search_timeout)
                 .await;
             if !self.health.is_lost(group) {
                 break;
--- a/crates/gateway/src/records_client/reading.rs
+++ b/crates/gateway/src/records_client/reading.rs
@@ -54,18 +54,18 @@
         residency: &Residency,
         deadline: Instant,
     ) -> Result<ChainOutcome, RecordsUnavailable> {
-        let answers = LastReplies::default();
+        let replies = LastReplies::default();
         let began = Instant::now();
-        let reading = self.read_chain_with_restarts(group, turn, residency, &answers);
+        let reading = self.read_chain_with_restarts(group, turn, residency, &replies);
         let outcome = tokio::time::timeout_at(deadline, reading).await;
         // Replicas that are reading their disks can accept writes, so this is no loss of the
         // majority.
-        let is_restoring = outcome.is_err() && answers.has_unavailable();
+        let is_restoring = outcome.is_err() && replies.has_unavailable();
         if !is_restoring {
             self.record_quorum_outcome(group, outcome.is_ok(), began.elapsed());
         }
         outcome.map_err(|_| {
-            answers.report("read", request, group, self.node.view.epoch());
+            replies.report("read", request, group, self.node.view.epoch());
             if is_restoring {
                 RecordsUnavailable::Restoring
             } else {
@@ -79,13 +79,13 @@
         group: GroupId,
         turn: &TurnId,
         residency: &Residency,
-        answers: &LastReplies,
+        replies: &LastReplies,
     ) -> ChainOutcome {
         loop {
             let set = self.replica_set(group).await;
             let read = ChainRead::new(set, turn.clone());
             if let Some(outcome) = self
-                .read_chain_from_set(group, read, residency, answers)
+                .read_chain_from_set(group, read, residency, replies)
                 .await
             {
                 return outcome;
@@ -99,7 +99,7 @@
         group: GroupId,
         mut read: ChainRead,
         residency: &Residency,
-        answers: &LastReplies,
+        replies: &LastReplies,
     ) -> Option<ChainOutcome> {
         loop {
             let epoch = read.set().epoch;
@@ -113,7 +113,7 @@
                     residency,
                 );
                 let reply = asking.await;
-                answers.note(&replica, &reply);
+                replies.record(&replica, &reply);
                 match reply {
                     Ok(ReplicaReply::Chain { records, missing }) => {
                         let outcome = read.on_chain(replica.id, records, missing);
--- a/crates/gateway/src/records_client/settling.rs
+++ b/crates/gateway/src/records_client/settling.rs
@@ -70,7 +70,7 @@
                     request = settlement.turn.request(),
                     program = settlement.program.0.as_str(),
                     group = group.0;
-                    "tokens not settled"
+                    "settlement not written in time; the turn stays charged in full"
                 );
             }
         }
--- a/crates/gateway/src/records_client/writing.rs
+++ b/crates/gateway/src/records_client/writing.rs
@@ -40,14 +40,14 @@
         operation: Operation<'_>,
         deadline: Instant,
     ) -> Result<ProgramLedger, RecordsUnavailable> {
-        let answers = LastReplies::default();
+        let replies = LastReplies::default();
         let began = Instant::now();
-        let writing = self.write_with_restarts(make_request, operation, &answers);
+        let writing = self.write_with_restarts(make_request, operation, &replies);
         let outcome = tokio::time::timeout_at(deadline, writing).await;
         self.record_quorum_outcome(operation.group, outcome.is_ok(), began.elapsed());
         outcome.map_err(|_| {
             let epoch = self.node.view.epoch();
-            answers.report(operation.name, operation.subject, operation.group, epoch);
+            replies.report(operation.name, operation.subject, operation.group, epoch);
             RecordsUnavailable::NoMajority
         })
     }
@@ -56,12 +56,12 @@
         &self,
         make_request: impl Fn(Epoch) -> ReplicaRequest,
         operation: Operation<'_>,
-        answers: &LastReplies,
+        replies: &LastReplies,
     ) -> ProgramLedger {
         loop {
             let set = self.replica_set(operation.group).await;
             let request = make_request(set.epoch);
-            match self.write_to_set(set, request, operation, answers).await {
+            match self.write_to_set(set, request, operation, replies).await {
                 WriteEnd::Durable(ledger) => return ledger,
                 WriteEnd::Restart(groups) => self.node.view.adopt_groups(groups, Source::Peer),
             }
@@ -73,7 +73,7 @@
         set: ReplicaSet,
         request: ReplicaRequest,
         operation: Operation<'_>,
-        answers: &LastReplies,
+        replies: &LastReplies,
     ) -> WriteEnd {
         let mut changes = self.node.view.changes();
         let members: Vec<Replica> = set.members().into_iter().cloned().collect();
@@ -107,7 +107,7 @@
             };
             let member = members.iter().find(|member| member.id == from);
             if let Some(member) = member {
-                answers.note(member, &reply);
+                replies.record(member, &reply);
                 if matches!(
                     reply,
                     Ok(ReplicaReply::NotMember | ReplicaReply::Unavailable)
--- a/crates/gateway/src/replica_paths.rs
+++ b/crates/gateway/src/replica_paths.rs
@@ -155,8 +155,8 @@
                 self.ask_via_relays(replica, &request, residency).await
             }
         };
-        let asked = tokio::time::timeout(timeout, asking).await;
-        let reply = asked.unwrap_or(Err(LinkError::TimedOut));
+        let result = tokio::time::timeout(timeout, asking).await;
+        let reply = result.unwrap_or(Err(LinkError::TimedOut));
         self.record_outcome(replica.id, reply.is_ok());
         reply
     }
@@ -207,14 +207,14 @@
             Either::Right((Ok(reply), direct)) => {
                 // The replica may only be slow; a late direct reply reopens the path.
                 self.close(replica);
-                self.reopen_when_answered(replica, direct);
+                self.reopen_on_reply(replica, direct);
                 Ok(reply)
             }
             Either::Right((Err(_), direct)) => direct.await,
         }
     }
 
-    fn reopen_when_answered(self: &Rc<Self>, replica: &Replica, direct: ReplyFuture) {
+    fn reopen_on_reply(self: &Rc<Self>, replica: &Replica, direct: ReplyFuture) {
         let paths = Rc::clone(self);
         let replica = replica.clone();
         tokio::task::spawn_local(async move {
@@ -237,8 +237,8 @@
                 return Err(last);
             };
             tried.push(relay);
-            let asked = self.network.ask_via(relay, replica, request.clone()).await;
-            match asked {
+            let result = self.network.ask_via(relay, replica, request.clone()).await;
+            match result {
                 Ok(reply) => {
                     self.relay.set(Some(relay));
                     return Ok(reply);
@@ -247,7 +247,7 @@
                     if error == LinkError::RelayTargetUnreachable {
                         self.reported_unreachable_at.set(Some(Instant::now()));
                     }
-                    self.drop_relay(relay);
+                    self.forget_relay(relay);
                     if error == LinkError::TimedOut {
                         return Err(error);
                     }
@@ -272,15 +272,15 @@
         relays.choose(&mut rand::rng()).copied()
     }
 
-    fn drop_relay(&self, relay: SocketAddr) {
+    fn forget_relay(&self, relay: SocketAddr) {
         if self.relay.get() == Some(relay) {
             self.relay.set(None);
         }
     }
 
-    fn record_outcome(&self, replica: ReplicaId, is_answered: bool) {
+    fn record_outcome(&self, replica: ReplicaId, has_replied: bool) {
         let mut states = self.states.borrow_mut();
-        if is_answered {
+        if has_replied {
             if let Some(state) = states.get_mut(&replica) {
                 state.suspected_until = None;
             }
@@ -356,7 +356,7 @@
             target: "belief",
             node = replica.node.as_str(),
             relay:? = self.relay.get();
-            "way to a replica closed, others pass requests on"
+            "direct path to a replica closed; requests go through other gateways"
         );
     }
 
@@ -375,7 +375,7 @@
             return;
         }
         let probing = self.network.ask(replica, request.clone(), PROBE_TIMEOUT);
-        self.reopen_when_answered(replica, probing);
+        self.reopen_on_reply(replica, probing);
     }
 
     fn reopen(&self, replica: &Replica) {
@@ -388,7 +388,7 @@
             target: "belief",
             node = replica.node.as_str(),
             closed_ms = whole_ms(closed.since.elapsed());
-            "way to a replica open again"
+            "direct path to a replica is open again"
         );
     }
 }
--- a/crates/gateway/src/role.rs
+++ b/crates/gateway/src/role.rs
@@ -25,7 +25,7 @@
 use crate::listener::{self, StopPhase};
 use crate::metrics::GatewayMetrics;
 
-/// How long the platform may still send new clients after a stop signal.
+/// How long the platform may keep sending new clients after the gateway has become unready.
 const READINESS_NOTICE_TIME: Duration = Duration::from_millis(2_600);
 /// Stopping ends this long before the platform kills the process.
 const STOP_MARGIN: Duration = Duration::from_millis(700);
@@ -48,7 +48,7 @@
         .listen
         .readiness
         .ok_or(RoleError::MissingSetting("listen.readiness"))?;
-    let mut orders = Signals::listen()?;
+    let mut signals = Signals::listen()?;
     let mut registry = metrics::registry();
     registry.register_collector(Box::new(LogCollector(log_counters)));
     registry.register_collector(Box::new(RejectedMessageCollector));
@@ -66,7 +66,7 @@
     tokio::task::spawn_local(Rc::clone(&gateway).run_maintenance());
     tokio::task::spawn_local(Rc::clone(&gateway.records).run_settlements());
     tokio::task::spawn_local(Rc::clone(&gateway.records).run_searches());
-    run_until_stopped(&node, &settings_path, &mut orders).await;
+    run_until_stopped(&node, &settings_path, &mut signals).await;
     stop(&gateway, &stopping).await;
     Ok(())
 }
--- a/crates/gateway/src/streaming.rs
+++ b/crates/gateway/src/streaming.rs
@@ -73,20 +73,20 @@
     DeadlineExceeded(ClientSide),
 }
 
-/// Forwards events until the stream ends. `first_deadline` bounds the wait for the first event of
+/// Forwards events until the stream ends. `first_event_deadline` bounds the wait for the first event of
 /// this attempt; it equals `deadline` if no other engine may be tried.
 pub async fn forward_events(
     engine_response: &mut EngineResponse,
     mut client: ClientSide,
     forwarded: &mut ForwardedEvents,
     deadline: Instant,
-    first_deadline: Instant,
+    first_event_deadline: Instant,
 ) -> StreamEnd {
     let mut splitter = EventSplitter::default();
-    let mut waits_to_deadline = first_deadline >= deadline;
+    let mut waits_to_deadline = first_event_deadline >= deadline;
     // Timers are created once per stream, because streams have many events.
     let mut deadline_timer = pin!(tokio::time::sleep_until(deadline));
-    let mut first_event_timer = pin!(tokio::time::sleep_until(first_deadline));
+    let mut first_event_timer = pin!(tokio::time::sleep_until(first_event_deadline));
     loop {
         let frame = tokio::select! {
             () = client.disconnected() => return StreamEnd::ClientDisconnected,
--- a/crates/gateway/src/warm_ups.rs
+++ b/crates/gateway/src/warm_ups.rs
@@ -28,7 +28,7 @@
 /// How long an engine is passed over after no limiter answered.
 const UNANSWERED_BACKOFF: Duration = Duration::from_millis(200);
 /// How long a limiter that did not answer is asked last.
-const LATE_LIMITER_PERIOD: Duration = Duration::from_secs(3);
+const UNRESPONSIVE_PERIOD: Duration = Duration::from_secs(3);
 
 /// Tracks warming engines and the grants for them. Disabled if the settings have no warm-up bound.
 pub struct WarmUpAdmission {
@@ -39,7 +39,7 @@
     engines: RefCell<WarmUps>,
     grant_pool: RefCell<GrantPool>,
     /// When each unresponsive limiter regains its normal place in the order.
-    late: RefCell<HashMap<LimiterKey, Duration>>,
+    unresponsive: RefCell<HashMap<LimiterKey, Duration>>,
     /// End of the last drain of each zone that has been applied to `engines`.
     drain_ends: RefCell<HashMap<String, Moment>>,
     metrics: WarmUpMetrics,
@@ -59,12 +59,12 @@
 impl EligibilityRule for WarmUpRule<'_> {
     fn exclusion(&self, engine: &Engine) -> Option<Exclusion> {
         let key = engine.key();
-        if !self.admission.is_counted(key, self.draw, self.now) {
+        if !self.admission.needs_grant(key, self.draw, self.now) {
             return None;
         }
         let grant_pool = self.admission.grant_pool.borrow();
-        let may_be_had = self.may_ask && grant_pool.closed_for(key, self.now).is_none();
-        (!may_be_had && !grant_pool.has(key, self.now)).then_some(Exclusion::WarmUp)
+        let may_acquire = self.may_ask && grant_pool.closed_for(key, self.now).is_none();
+        (!may_acquire && !grant_pool.has(key, self.now)).then_some(Exclusion::WarmUp)
     }
 }
 
@@ -78,7 +78,7 @@
             has_engine_list: Cell::new(false),
             engines: RefCell::default(),
             grant_pool: RefCell::default(),
-            late: RefCell::default(),
+            unresponsive: RefCell::default(),
             drain_ends: RefCell::default(),
             metrics,
         }
@@ -111,7 +111,7 @@
         draw: f64,
     ) -> Result<Option<Grant>, Exclusion> {
         let key = engine.key();
-        if !self.is_enabled || !self.is_counted(key, draw, self.now()) {
+        if !self.is_enabled || !self.needs_grant(key, draw, self.now()) {
             return Ok(None);
         }
         if self.ask(engine).await {
@@ -120,7 +120,7 @@
                 return Ok(grant);
             }
         }
-        self.close(engine);
+        self.back_off(engine);
         self.log_passed_over(request, engine);
         Err(Exclusion::WarmUp)
     }
@@ -136,7 +136,7 @@
     /// was chosen, and the grant may have expired.
     pub fn admit(&self, engine: &Engine, draw: f64, grant: Option<Grant>) -> Result<(), Exclusion> {
         let now = self.now();
-        if !self.is_enabled || !self.is_counted(engine.key(), draw, now) {
+        if !self.is_enabled || !self.needs_grant(engine.key(), draw, now) {
             return Ok(());
         }
         let grant = grant.filter(|grant| now < grant.until);
@@ -183,7 +183,9 @@
         let now = self.now();
         self.log_changes(now);
         self.grant_pool.borrow_mut().clean_up(now);
-        self.late.borrow_mut().retain(|_, until| now < *until);
+        self.unresponsive
+            .borrow_mut()
+            .retain(|_, until| now < *until);
         self.metrics
             .set_warming(&self.engines.borrow().warming(now));
     }
@@ -196,7 +198,7 @@
         self.node.view.routes()?.service(service)?.warm_up
     }
 
-    fn is_counted(&self, engine: EngineKey, draw: f64, now: Duration) -> bool {
+    fn needs_grant(&self, engine: EngineKey, draw: f64, now: Duration) -> bool {
         draw >= self.engines.borrow().share(engine, now)
     }
 
@@ -241,21 +243,21 @@
                 continue;
             }
             let since = self.node.clock.since(ended);
-            let own = table.engines().filter(|engine| engine.zone == zone);
-            engines.on_drain_ended(own, limits, self.now().saturating_sub(since));
+            let zone_engines = table.engines().filter(|engine| engine.zone == zone);
+            engines.on_drain_ended(zone_engines, limits, self.now().saturating_sub(since));
         }
     }
 
     fn log_changes(&self, now: Duration) {
-        for news in self.engines.borrow_mut().news(now) {
+        for change in self.engines.borrow_mut().news(now) {
             log::info!(
                 target: "belief",
-                engine = news.instance.as_str(),
-                service = news.service.as_str(),
-                born_ms = news.born_ms,
-                is_warm = news.left.is_none(),
-                left_ms = news.left.map_or(0, whole_ms),
-                source = news.source.name();
+                engine = change.instance.as_str(),
+                service = change.service.as_str(),
+                born_ms = change.born_ms,
+                is_warm = change.left.is_none(),
+                left_ms = change.left.map_or(0, whole_ms),
+                source = change.source.name();
                 "warm-up of an engine changed"
             );
         }
@@ -275,10 +277,10 @@
 
     fn select_limiters(&self, engine: &Engine, limiters: &[Replica]) -> GrantState {
         let now = self.now();
-        let late = self.late.borrow();
+        let unresponsive = self.unresponsive.borrow();
         let candidates = limiters.iter().map(|limiter| {
             let key = LimiterKey(limiter.id.0);
-            let is_unresponsive = late.get(&key).is_some_and(|until| now < *until);
+            let is_unresponsive = unresponsive.get(&key).is_some_and(|until| now < *until);
             LimiterCandidate {
                 key,
                 is_unresponsive,
@@ -290,7 +292,7 @@
         grant_pool.next(engine.key(), instance, &candidates, now, &mut rand::rng())
     }
 
-    /// Requests a grant for an engine unless one is in stock. Returns whether one is available.
+    /// Requests a grant for an engine unless one is in the pool. Returns whether one is available.
     async fn ask(&self, engine: &Engine) -> bool {
         let Some(limit) = self.limit(&engine.service) else {
             return false;
@@ -322,12 +324,12 @@
                 continue;
             };
             // Marked before the call, because the call may be cancelled before it returns.
-            self.late
+            self.unresponsive
                 .borrow_mut()
-                .insert(key, self.now() + LATE_LIMITER_PERIOD);
-            let asked = self.now();
+                .insert(key, self.now() + UNRESPONSIVE_PERIOD);
+            let requested = self.now();
             let reply = self.ask_limiter(engine, limit, group, limiter).await;
-            if self.apply_reply(engine, key, reply, asked) {
+            if self.apply_reply(engine, key, reply, requested) {
                 return true;
             }
         }
@@ -360,16 +362,16 @@
         engine: &Engine,
         from: LimiterKey,
         reply: Result<PeerReply, LinkError>,
-        asked: Duration,
+        requested: Duration,
     ) -> bool {
         let Ok(PeerReply::Extension(ExtensionReply::Grant(reply))) = reply else {
             return false;
         };
-        self.late.borrow_mut().remove(&from);
+        self.unresponsive.borrow_mut().remove(&from);
         let mut grant_pool = self.grant_pool.borrow_mut();
         match reply {
             GrantReply::Granted => {
-                grant_pool.put(engine.key(), Grant::requested_at(asked));
+                grant_pool.put(engine.key(), Grant::requested_at(requested));
                 return true;
             }
             GrantReply::Exhausted { next_ms, retry_ms } => {
@@ -386,7 +388,7 @@
     }
 
     /// Passes the engine over for a while if no limiter has said for how long.
-    fn close(&self, engine: &Engine) {
+    fn back_off(&self, engine: &Engine) {
         let now = self.now();
         let mut grant_pool = self.grant_pool.borrow_mut();
         if grant_pool.closed_for(engine.key(), now).is_none() {
--- a/crates/gateway/src/zone_drains.rs
+++ b/crates/gateway/src/zone_drains.rs
@@ -31,6 +31,7 @@
 }
 
 impl ZoneDrainWatch {
+    /// Creates a watch over the drains that this node knows.
     pub fn new(node: Rc<Node>) -> Self {
         Self {
             node,
@@ -68,12 +69,12 @@
     /// Retry delay when zone drains exclude all engines of a service.
     pub fn retry_after(&self, service: &str) -> Duration {
         let view = &self.node.view;
-        let least = view.with_engines(|table| {
+        let shortest = view.with_engines(|table| {
             let ready = table.ready(service);
-            let stood = ready.filter_map(|engine| view.drains.drained_for(&engine.zone));
-            stood.min()
+            let drain_age = ready.filter_map(|engine| view.drains.drained_for(&engine.zone));
+            drain_age.min()
         });
-        least
+        shortest
             .unwrap_or_default()
             .clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER)
     }
@@ -89,20 +90,20 @@
         });
         let Some(drains) = drains else { return };
         for (zone, revision) in drains.orders() {
-            let is_empty = self.open_in(zone, placement) == 0;
+            let is_empty = self.open_requests_in(zone, placement) == 0;
             let now = if is_empty {
                 ZoneOccupancy::Empty
             } else {
                 ZoneOccupancy::Occupied
             };
-            let before = occupancy.insert(zone.to_owned(), now);
-            if is_empty && before != Some(ZoneOccupancy::Empty) {
-                let stood = self.node.view.drains.drained_for(zone);
+            let previous = occupancy.insert(zone.to_owned(), now);
+            if is_empty && previous != Some(ZoneOccupancy::Empty) {
+                let drain_age = self.node.view.drains.drained_for(zone);
                 log::info!(
                     target: "belief",
                     zone = zone,
                     revision = revision,
-                    stood_ms = stood.map(whole_ms);
+                    stood_ms = drain_age.map(whole_ms);
                     "no request of this gateway is left in a drained zone"
                 );
             }
@@ -132,7 +133,7 @@
     }
 
     /// Number of this gateway's open requests at a zone's engines.
-    fn open_in(&self, zone: &str, placement: &Placement) -> u32 {
+    fn open_requests_in(&self, zone: &str, placement: &Placement) -> u32 {
         self.node.view.with_engines(|table| {
             let engines = table.engines().filter(|engine| engine.zone == zone);
             let keys = engines.map(Engine::key);
--- a/crates/gateway/tests/drains.rs
+++ b/crates/gateway/tests/drains.rs
@@ -60,10 +60,10 @@
         .await
         .expect("a gateway");
     client.write_all(REQUEST).await.expect("a request");
-    let mut answer = vec![0; 512];
-    let length = client.read(&mut answer).await.expect("an answer");
-    let answer = String::from_utf8_lossy(&answer[..length]).into_owned();
-    answer.lines().next().unwrap_or_default().to_owned()
+    let mut response = vec![0; 512];
+    let length = client.read(&mut response).await.expect("a response");
+    let response = String::from_utf8_lossy(&response[..length]).into_owned();
+    response.lines().next().unwrap_or_default().to_owned()
 }
 
 async fn start_gateway(engine: Engine, phase: watch::Receiver<StopPhase>) -> Rc<Gateway> {
@@ -99,8 +99,8 @@
             .node
             .view
             .adopt_drains(drains(&[ZONE], 2), Source::Store);
-        let answer = client.await.expect("a client");
-        assert_eq!(answer, "HTTP/1.1 503 Service Unavailable");
+        let response = client.await.expect("a client");
+        assert_eq!(response, "HTTP/1.1 503 Service Unavailable");
         connection
             .set_nonblocking(true)
             .expect("a socket can be polled");
--- a/crates/gateway/tests/replica_paths.rs
+++ b/crates/gateway/tests/replica_paths.rs
@@ -16,19 +16,19 @@
 use tokio::time::Instant;
 
 const TIMEOUT: Duration = Duration::from_millis(700);
-const ANSWER: Duration = Duration::from_millis(5);
+const REPLY_TIME: Duration = Duration::from_millis(5);
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Behavior {
-    Answers(Duration),
+    Replies(Duration),
     Silent,
     Fails(LinkError),
 }
 
 impl Behavior {
-    fn answering(self) -> ReplyFuture {
+    fn reply(self) -> ReplyFuture {
         match self {
-            Self::Answers(after) => Box::pin(async move {
+            Self::Replies(after) => Box::pin(async move {
                 tokio::time::sleep(after).await;
                 Ok(ReplicaReply::Done)
             }),
@@ -61,9 +61,9 @@
 
 impl ReplicaNetwork for FakeNetwork {
     fn ask(&self, _replica: &Replica, _request: ReplicaRequest, timeout: Duration) -> ReplyFuture {
-        let answering = self.direct.get().answering();
+        let reply = self.direct.get().reply();
         Box::pin(async move {
-            let answered = tokio::time::timeout(timeout, answering).await;
+            let answered = tokio::time::timeout(timeout, reply).await;
             answered.unwrap_or(Err(LinkError::TimedOut))
         })
     }
@@ -75,9 +75,9 @@
         _request: ReplicaRequest,
     ) -> ReplyFuture {
         self.asked.borrow_mut().push(relay);
-        let answering = self.relays[usize::from(relay.port())].answering();
+        let reply = self.relays[usize::from(relay.port())].reply();
         Box::pin(async move {
-            let answered = tokio::time::timeout(Duration::from_millis(200), answering).await;
+            let answered = tokio::time::timeout(Duration::from_millis(200), reply).await;
             answered.unwrap_or(Err(LinkError::TimedOut))
         })
     }
@@ -132,7 +132,7 @@
 async fn silent_path_is_replaced_by_a_relay() {
     LocalSet::new()
         .run_until(async {
-            let network = FakeNetwork::new(Behavior::Silent, &[Behavior::Answers(ANSWER)]);
+            let network = FakeNetwork::new(Behavior::Silent, &[Behavior::Replies(REPLY_TIME)]);
             let paths = Rc::new(ReplicaPaths::new(network));
             let (reply, took) = ask(&paths).await;
             assert_eq!(reply, Ok(ReplicaReply::Done));
@@ -141,8 +141,8 @@
             let (reply, took) = ask(&paths).await;
             assert_eq!(reply, Ok(ReplicaReply::Done));
             assert!(
-                took <= ANSWER * 2,
-                "the way is known to be closed: {took:?}"
+                took <= REPLY_TIME * 2,
+                "the path is known to be closed: {took:?}"
             );
         })
         .await;
@@ -152,19 +152,23 @@
 async fn path_that_answers_again_is_reopened() {
     LocalSet::new()
         .run_until(async {
-            let network = FakeNetwork::new(Behavior::Silent, &[Behavior::Answers(ANSWER)]);
+            let network = FakeNetwork::new(Behavior::Silent, &[Behavior::Replies(REPLY_TIME)]);
             let paths = Rc::new(ReplicaPaths::new(
                 Rc::clone(&network) as Rc<dyn ReplicaNetwork>
             ));
             assert!(ask(&paths).await.0.is_ok());
-            network.direct.set(Behavior::Answers(ANSWER));
+            network.direct.set(Behavior::Replies(REPLY_TIME));
             tokio::time::sleep(Duration::from_millis(300)).await;
             assert!(ask(&paths).await.0.is_ok());
-            tokio::time::sleep(ANSWER * 2).await;
+            tokio::time::sleep(REPLY_TIME * 2).await;
             assert!(paths.is_open(replica().id));
             let before = network.asked.borrow().len();
             assert!(ask(&paths).await.0.is_ok());
-            assert_eq!(network.asked.borrow().len(), before, "no detour any more");
+            assert_eq!(
+                network.asked.borrow().len(),
+                before,
+                "no relay is used any more"
+            );
         })
         .await;
 }
@@ -174,7 +178,7 @@
     LocalSet::new()
         .run_until(async {
             let refuses = Behavior::Fails(LinkError::Unreachable);
-            let network = FakeNetwork::new(refuses, &[Behavior::Answers(ANSWER)]);
+            let network = FakeNetwork::new(refuses, &[Behavior::Replies(REPLY_TIME)]);
             let paths = Rc::new(ReplicaPaths::new(
                 Rc::clone(&network) as Rc<dyn ReplicaNetwork>
             ));
@@ -193,7 +197,7 @@
     LocalSet::new()
         .run_until(async {
             let beyond = Behavior::Fails(LinkError::RelayTargetUnreachable);
-            let relays = [beyond, Behavior::Answers(ANSWER), beyond];
+            let relays = [beyond, Behavior::Replies(REPLY_TIME), beyond];
             let network = FakeNetwork::new(Behavior::Silent, &relays);
             let paths = Rc::new(ReplicaPaths::new(
                 Rc::clone(&network) as Rc<dyn ReplicaNetwork>
@@ -204,7 +208,7 @@
                 assert!(took < Duration::from_millis(450), "{took:?}");
             }
             let asked = network.asked.borrow();
-            assert!(asked.len() <= 10, "the one that works is kept: {asked:?}");
+            assert!(asked.len() <= 10, "the working relay is kept: {asked:?}");
         })
         .await;
 }
@@ -213,8 +217,8 @@
 async fn late_direct_reply_reopens_the_path() {
     LocalSet::new()
         .run_until(async {
-            let slow = Behavior::Answers(Duration::from_millis(500));
-            let network = FakeNetwork::new(slow, &[Behavior::Answers(ANSWER)]);
+            let slow = Behavior::Replies(Duration::from_millis(500));
+            let network = FakeNetwork::new(slow, &[Behavior::Replies(REPLY_TIME)]);
             let paths = Rc::new(ReplicaPaths::new(network));
             let (reply, took) = ask(&paths).await;
             assert_eq!(reply, Ok(ReplicaReply::Done));
@@ -229,8 +233,8 @@
 async fn busy_replica_is_not_asked_through_a_relay() {
     LocalSet::new()
         .run_until(async {
-            let slow = Behavior::Answers(Duration::from_millis(650));
-            let network = FakeNetwork::new(slow, &[Behavior::Answers(ANSWER)]);
+            let slow = Behavior::Replies(Duration::from_millis(650));
+            let network = FakeNetwork::new(slow, &[Behavior::Replies(REPLY_TIME)]);
             network.is_busy.set(true);
             let paths = Rc::new(ReplicaPaths::new(
                 Rc::clone(&network) as Rc<dyn ReplicaNetwork>
@@ -283,12 +287,15 @@
     let health = QuorumHealth::default();
     assert!(
         !health.on_failed(Duration::from_millis(50)),
-        "too short to say anything"
+        "too short to be evidence"
     );
     assert!(!health.is_lost());
     tokio::time::advance(Duration::from_secs(1)).await;
     assert!(health.on_failed(Duration::from_millis(700)));
-    assert!(!health.on_failed(Duration::from_millis(700)), "no news");
+    assert!(
+        !health.on_failed(Duration::from_millis(700)),
+        "already lost"
+    );
     assert!(health.is_lost());
     tokio::time::advance(Duration::from_millis(300)).await;
     assert_eq!(health.lost_for(), Duration::from_secs(1));
@@ -321,7 +328,7 @@
 /// Guards against one replica serving most reads of a zone that has no replica.
 #[test]
 fn reads_from_a_zone_without_replicas_are_spread() {
-    let network = FakeNetwork::new(Behavior::Answers(ANSWER), &[]);
+    let network = FakeNetwork::new(Behavior::Replies(REPLY_TIME), &[]);
     let paths = ReplicaPaths::new(network);
     let nearest: Vec<ReplicaId> = (0..500)
         .map(|subject| first_asked(&paths, "elsewhere", subject)[0])
@@ -336,14 +343,14 @@
 #[tokio::test(start_paused = true)]
 async fn recently_slow_replica_is_not_asked_through_a_relay() {
     let slow = Duration::from_millis(600);
-    let network = FakeNetwork::new(Behavior::Answers(slow), &[Behavior::Answers(ANSWER)]);
+    let network = FakeNetwork::new(Behavior::Replies(slow), &[Behavior::Replies(REPLY_TIME)]);
     network.slowest_reply.set(Duration::from_millis(300));
     let paths = Rc::new(ReplicaPaths::new(
         Rc::clone(&network) as Rc<dyn ReplicaNetwork>
     ));
     let (reply, waited) = LocalSet::new().run_until(ask(&paths)).await;
     assert!(reply.is_ok());
-    assert!(network.asked.borrow().is_empty(), "no detour");
+    assert!(network.asked.borrow().is_empty(), "no relay is used");
     assert_eq!(waited, slow);
 }
 
@@ -351,7 +358,7 @@
 #[tokio::test(start_paused = true)]
 async fn recently_slow_replica_gets_a_longer_timeout() {
     let slow = Duration::from_millis(350);
-    let network = FakeNetwork::new(Behavior::Answers(slow), &[]);
+    let network = FakeNetwork::new(Behavior::Replies(slow), &[]);
     let paths = Rc::new(ReplicaPaths::new(
         Rc::clone(&network) as Rc<dyn ReplicaNetwork>
     ));
@@ -359,7 +366,7 @@
     let asked = paths
         .ask_with_adaptive_timeout(&replica(), read(), least, &Residency::anywhere())
         .await;
-    assert_eq!(asked, Err(LinkError::TimedOut), "nothing is known of it");
+    assert_eq!(asked, Err(LinkError::TimedOut), "no slow reply is known");
     network.slowest_reply.set(Duration::from_millis(300));
     assert!(
         paths
@@ -379,7 +386,10 @@
     assert_eq!(reply, Err(LinkError::TimedOut));
     assert!(!paths.can_relay_to(replica().id));
     tokio::time::sleep(Duration::from_secs(4)).await;
-    assert!(paths.can_relay_to(replica().id), "it is tried again");
+    assert!(
+        paths.can_relay_to(replica().id),
+        "the suspicion has expired"
+    );
 }
 
 /// Guards against reusing a relay for a request whose residency excludes it.
@@ -388,7 +398,7 @@
     let local = LocalSet::new();
     local
         .run_until(async {
-            let quick = Behavior::Answers(ANSWER);
+            let quick = Behavior::Replies(REPLY_TIME);
             let network = FakeNetwork::new(Behavior::Silent, &[quick, quick]);
             let paths = Rc::new(ReplicaPaths::new(network.clone()));
             let south = Residency::within(["south".to_owned()]);
