--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -236,12 +236,12 @@
 ) -> Result<EngineResponse, AttemptFailure> {
     if engine_response.head.not_executed {
         let status = engine_response.status;
-        keep_after_rejection(gateway, engine_response).await;
+        reuse_after_rejection(gateway, engine_response).await;
         return Err(AttemptFailure::Rejected(status));
     }
-    let echoed = engine_response.head.request_id.as_deref();
-    let is_ours = echoed.is_none_or(|id| id == call.metadata.request_id);
-    if is_ours && engine_response.head.is_signed {
+    let echoed_id = engine_response.head.request_id.as_deref();
+    let matches_request = echoed_id.is_none_or(|id| id == call.metadata.request_id);
+    if matches_request && engine_response.head.is_signed {
         Ok(engine_response)
     } else {
         Err(AttemptFailure::InvalidResponse)
@@ -249,7 +249,7 @@
 }
 
 /// Reads the short body of a rejection, so that the connection can be reused.
-async fn keep_after_rejection(gateway: &Gateway, mut engine_response: EngineResponse) {
+async fn reuse_after_rejection(gateway: &Gateway, mut engine_response: EngineResponse) {
     const MAX_REJECTION_BYTES: usize = 16 * 1024;
     const BODY_TIMEOUT: Duration = Duration::from_millis(20);
     let reading = Limited::new(&mut engine_response.body, MAX_REJECTION_BYTES).collect();
--- a/crates/gateway/src/engine_pool.rs
+++ b/crates/gateway/src/engine_pool.rs
@@ -33,9 +33,9 @@
     /// Takes a usable idle connection.
     pub fn take_idle(&self, engine: EngineKey) -> Option<Connection> {
         let mut idle = self.idle.borrow_mut();
-        let of_engine = idle.get_mut(&engine)?;
+        let engine_connections = idle.get_mut(&engine)?;
         let now = Instant::now();
-        while let Some(candidate) = of_engine.pop() {
+        while let Some(candidate) = engine_connections.pop() {
             if now < candidate.until && candidate.connection.is_ready() {
                 return Some(candidate.connection);
             }
@@ -62,10 +62,10 @@
             keep_alive.mul_f64(KEEP_ALIVE_FRACTION)
         });
         let mut idle = self.idle.borrow_mut();
-        let of_engine = idle.entry(engine).or_default();
-        if of_engine.len() < MAX_IDLE {
+        let engine_connections = idle.entry(engine).or_default();
+        if engine_connections.len() < MAX_IDLE {
             let until = Instant::now() + keep_alive;
-            of_engine.push(IdleConnection { connection, until });
+            engine_connections.push(IdleConnection { connection, until });
         }
     }
 
@@ -73,9 +73,9 @@
     pub fn prune(&self, table: &EngineTable) {
         let now = Instant::now();
         let listed: HashSet<EngineKey> = table.engines().map(Engine::key).collect();
-        self.idle.borrow_mut().retain(|engine, of_engine| {
-            of_engine.retain(|idle| now < idle.until && !idle.connection.is_closed());
-            !of_engine.is_empty() && listed.contains(engine)
+        self.idle.borrow_mut().retain(|engine, engine_connections| {
+            engine_connections.retain(|idle| now < idle.until && !idle.connection.is_closed());
+            !engine_connections.is_empty() && listed.contains(engine)
         });
     }
 }
--- a/crates/gateway/src/exchange.rs
+++ b/crates/gateway/src/exchange.rs
@@ -37,13 +37,16 @@
     Failed(AttemptFailure),
 }
 
+/// State of one request while it is executed.
 struct Exchange {
     gateway: Rc<Gateway>,
     call: Call,
+    /// Body for the engine; includes the earlier turns once they have been read.
     prompt: Bytes,
     history: AttemptHistory,
     forwarded: ForwardedEvents,
-    reserved: Option<Duration>,
+    /// How long the reservation of tokens took; `None` if there was none.
+    reserve_time: Option<Duration>,
     /// Whether a reservation was sent to replicas, so that some may hold the turn in its program's
     /// ledger.
     is_charged: Cell<bool>,
@@ -68,7 +71,7 @@
         call,
         history: AttemptHistory::default(),
         forwarded,
-        reserved: None,
+        reserve_time: None,
         is_charged: Cell::new(false),
         has_earlier_turns: false,
         is_granted: false,
--- a/crates/gateway/src/exchange/preparation.rs
+++ b/crates/gateway/src/exchange/preparation.rs
@@ -18,15 +18,15 @@
 /// How long a turn waits for replicas before it is refused.
 const RECORDS_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// Identifies a turn's entry in its program's ledger.
-struct Account {
+/// Identifies a turn's entry in its program's ledger, and says how long it is kept.
+struct LedgerKey {
     program: ProgramId,
     turn: TurnId,
     retention: Duration,
 }
 
 /// State of the ledger after a successful reservation.
-struct Reserved {
+struct Reservation {
     /// Whether the ledger has other turns of the program.
     has_earlier_turns: bool,
 }
@@ -57,7 +57,7 @@
         // Checked before the other results: a request with a used identifier must not touch the
         // entry of the turn that used it.
         if let Some(reserved) = reserved? {
-            self.reserved = Some(began.elapsed());
+            self.reserve_time = Some(began.elapsed());
             self.has_earlier_turns = reserved.has_earlier_turns;
         }
         self.prompt = prompt?;
@@ -74,7 +74,7 @@
         if !records.health.is_lost(group) {
             return None;
         }
-        let needs_majority = self.account().is_some() || self.call.route.keeps_turns;
+        let needs_majority = self.ledger_key().is_some() || self.call.route.keeps_turns;
         if !needs_majority {
             return None;
         }
@@ -101,8 +101,9 @@
     /// Acquires a grant of the tenant's rate limit before the ledger has been read. A turn with no
     /// previous turn counts as the first of its program.
     async fn acquire_rate_grant(&self) -> Result<(), Refusal> {
-        let may_begin = self.account().is_some() && self.call.metadata.previous_turn.is_none();
-        let progress = if may_begin {
+        let may_be_first_turn =
+            self.ledger_key().is_some() && self.call.metadata.previous_turn.is_none();
+        let progress = if may_be_first_turn {
             ProgramProgress::Beginning
         } else {
             ProgramProgress::UnderWay
@@ -148,21 +149,21 @@
     /// failed it.
     async fn look_up_prefills(&self) -> Option<EngineKey> {
         let previous = self.call.previous_turn();
-        let is_ours = previous.is_some_and(|previous| {
+        let is_cached = previous.is_some_and(|previous| {
             let turns = self.gateway.turns.borrow();
             turns.contains(&previous)
         });
         let parts = &self.call.metadata.prompt_parts;
         match parts.as_slice() {
-            [_, .., own] if is_ours => self.gateway.look_up_prefill(own.hash).await,
+            [_, .., own] if is_cached => self.gateway.look_up_prefill(own.hash).await,
             parts => self.gateway.look_up_prefills(parts).await,
         }
     }
 
-    fn account(&self) -> Option<Account> {
+    fn ledger_key(&self) -> Option<LedgerKey> {
         let metadata = &self.call.metadata;
         metadata.token_budget?;
-        Some(Account {
+        Some(LedgerKey {
             program: self.call.program()?,
             turn: self.call.turn(),
             retention: self.call.route.retention(),
@@ -175,8 +176,8 @@
 
     /// Reserves the maximum number of tokens that the turn may generate; `None` if the request has
     /// no budget.
-    async fn reserve(&self) -> Result<Option<Reserved>, Refusal> {
-        let (Some(account), Some(budget)) = (self.account(), self.call.metadata.token_budget)
+    async fn reserve(&self) -> Result<Option<Reservation>, Refusal> {
+        let (Some(ledger_key), Some(budget)) = (self.ledger_key(), self.call.metadata.token_budget)
         else {
             return Ok(None);
         };
@@ -188,35 +189,35 @@
         };
         self.is_charged.set(true);
         let charging = self.gateway.records.charge(
-            &account.program,
-            &account.turn,
+            &ledger_key.program,
+            &ledger_key.turn,
             entry,
-            account.retention,
+            ledger_key.retention,
             self.records_deadline(),
         );
         let ledger = charging.await.map_err(|failure| {
             let records = &self.gateway.records;
-            let group = records.group_of(Some(&account.program));
+            let group = records.group_of(Some(&ledger_key.program));
             let after = records.retry_after_failure(group, failure);
             Refusal::retry_later(RefusalReason::LedgerUnavailable, after)
         })?;
         let elapsed_secs = began.elapsed().as_secs_f64();
         self.gateway.metrics.reserve_seconds.observe(elapsed_secs);
-        if ledger.is_settled(&account.turn) {
+        if ledger.is_settled(&ledger_key.turn) {
             // The identifier was used before, and its settled entry must not be reopened.
             return Err(Refusal::last(RefusalReason::DuplicateRequestId));
         }
-        if ledger.admits(&account.turn, reserved_tokens, budget) {
-            let has_earlier_turns = ledger.entries.keys().any(|turn| *turn != account.turn);
-            return Ok(Some(Reserved { has_earlier_turns }));
+        if ledger.admits(&ledger_key.turn, reserved_tokens, budget) {
+            let has_earlier_turns = ledger.entries.keys().any(|turn| *turn != ledger_key.turn);
+            return Ok(Some(Reservation { has_earlier_turns }));
         }
         log::info!(
             target: "request",
-            request = account.turn.request(),
+            request = ledger_key.turn.request(),
             program = self.call.metadata.program.as_deref().unwrap_or_default(),
             budget = budget,
             most = reserved_tokens,
-            charged_to_others = ledger.charged_by_others(&account.turn),
+            charged_to_others = ledger.charged_by_others(&ledger_key.turn),
             turns_in_ledger = ledger.entries.len(),
             epoch = self.gateway.node.view.epoch().0;
             "budget does not hold the turn"
@@ -290,17 +291,17 @@
     /// Queues the replacement of the reservation by the number of generated tokens. Without a
     /// reservation, this would burden replicas that have just recovered and use up the identifier.
     pub(super) fn settle(&self) {
-        let Some(account) = self.account().filter(|_| self.is_charged.get()) else {
+        let Some(ledger_key) = self.ledger_key().filter(|_| self.is_charged.get()) else {
             return;
         };
         self.gateway.records.settle(Settlement {
-            program: account.program,
-            turn: account.turn,
+            program: ledger_key.program,
+            turn: ledger_key.turn,
             entry: LedgerEntry {
                 reserved_tokens: self.call.metadata.max_new_tokens,
                 spent: Some(self.forwarded.events * self.event_tokens()),
             },
-            ttl_ms: ttl_ms(account.retention),
+            ttl_ms: ttl_ms(ledger_key.retention),
         });
     }
 
--- a/crates/gateway/src/exchange/report.rs
+++ b/crates/gateway/src/exchange/report.rs
@@ -83,7 +83,7 @@
             open_there = self.history.forecast.open,
             left_of_program_ms = call.metadata.finish_in.map_or(-1, |left| whole_ms(left) as i64),
             events = self.forwarded.events,
-            reserve_ms = self.reserved.map_or(0, whole_ms),
+            reserve_ms = self.reserve_time.map_or(0, whole_ms),
             first_event_ms = first_event.map_or(0, whole_ms),
             took_ms = whole_ms(call.received.elapsed()),
             left_ms = whole_ms(call.deadline.saturating_duration_since(Instant::now()));
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -338,20 +338,20 @@
         if count == 0 {
             return;
         }
-        let some = |names: &BTreeSet<String>| {
-            let some: Vec<&str> = names
+        let join_names = |names: &BTreeSet<String>| {
+            let logged: Vec<&str> = names
                 .iter()
                 .take(MAX_LOGGED_NAMES)
                 .map(String::as_str)
                 .collect();
-            some.join(",")
+            logged.join(",")
         };
         log::warn!(
             target: "belief",
             version = routes.version(),
-            routes = some(&faults.routes).as_str(),
-            tenants = some(&faults.tenants).as_str(),
-            keeping_turns = some(&faults.keeping).as_str(),
+            routes = join_names(&faults.routes).as_str(),
+            tenants = join_names(&faults.tenants).as_str(),
+            keeping_turns = join_names(&faults.keeping).as_str(),
             count = count;
             "routes or tenants cannot be served in their regions"
         );
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -44,9 +44,9 @@
     /// Engines that are warming up.
     pub warming: Family<ServiceLabel, Gauge>,
     /// Requests for grants sent to limiters.
-    pub asked: Family<ServiceLabel, Counter>,
+    pub grant_requests: Family<ServiceLabel, Counter>,
     /// Requests sent with a grant.
-    pub granted: Family<ServiceLabel, Counter>,
+    pub granted_sends: Family<ServiceLabel, Counter>,
     /// Requests that passed over an engine for lack of a grant.
     pub withheld: Family<ServiceLabel, Counter>,
 }
@@ -59,12 +59,12 @@
             (
                 "warm_up_questions",
                 "Questions for grants for engines that warm up, by service",
-                &self.asked,
+                &self.grant_requests,
             ),
             (
                 "warm_up_sends",
                 "Requests that went to engines that warm up, by service",
-                &self.granted,
+                &self.granted_sends,
             ),
             (
                 "warm_up_withheld",
@@ -78,13 +78,17 @@
     }
 
     /// Counts one request to a limiter.
-    pub fn on_asked(&self, service: &str) {
-        self.asked.get_or_create(&ServiceLabel::of(service)).inc();
+    pub fn on_grant_requested(&self, service: &str) {
+        self.grant_requests
+            .get_or_create(&ServiceLabel::of(service))
+            .inc();
     }
 
     /// Counts a request that is sent with a grant.
     pub fn on_granted_send(&self, service: &str) {
-        self.granted.get_or_create(&ServiceLabel::of(service)).inc();
+        self.granted_sends
+            .get_or_create(&ServiceLabel::of(service))
+            .inc();
     }
 
     /// Counts a request that passed over an engine because it got no grant.
@@ -125,7 +129,7 @@
     }
 }
 
-/// Gauges that mirror other state are set by [`crate::Gateway::update_gauges`].
+/// Metrics of one gateway. Gauges that mirror other state are set by [`crate::Gateway::update_gauges`].
 pub struct GatewayMetrics {
     /// Requests received.
     pub requests: Counter,
@@ -151,7 +155,7 @@
     pub append_seconds: Histogram,
     /// Time from the request to the first event.
     pub first_event_seconds: Histogram,
-    /// Time from the request to the end of its answer.
+    /// Time from the request to the end of its response.
     pub request_seconds: Histogram,
     /// Time to connect to an engine.
     pub connect_seconds: Histogram,
@@ -185,7 +189,7 @@
     pub silent_links: Gauge,
 }
 
-fn times() -> Histogram {
+fn time_histogram() -> Histogram {
     Histogram::new(TIME_BOUNDS)
 }
 
@@ -201,12 +205,12 @@
             warm_up: WarmUpMetrics::default(),
             engine_connections: Counter::default(),
             relayed_requests: Counter::default(),
-            reserve_seconds: times(),
-            chain_read_seconds: times(),
-            append_seconds: times(),
-            first_event_seconds: times(),
-            request_seconds: times(),
-            connect_seconds: times(),
+            reserve_seconds: time_histogram(),
+            chain_read_seconds: time_histogram(),
+            append_seconds: time_histogram(),
+            first_event_seconds: time_histogram(),
+            request_seconds: time_histogram(),
+            connect_seconds: time_histogram(),
             configuration_version: Gauge::default(),
             configuration_age_seconds: Gauge::default(),
             residency_faults: Gauge::default(),
--- a/crates/gateway/src/rate_limits.rs
+++ b/crates/gateway/src/rate_limits.rs
@@ -114,8 +114,8 @@
             deadline
         };
         let asking = self.ask_in_turn(&pending, group, &order);
-        let asked = tokio::time::timeout_at(deadline, asking).await;
-        match asked.unwrap_or_else(|_| Err(Denials::default())) {
+        let outcome = tokio::time::timeout_at(deadline, asking).await;
+        match outcome.unwrap_or_else(|_| Err(Denials::default())) {
             Ok(()) => Ok(()),
             Err(denials) => Err(self.refuse(&pending, &denials)),
         }
@@ -171,18 +171,18 @@
     ) -> Result<(), Denials> {
         let mut denials = Denials::default();
         let mut order = order.iter();
-        let mut asked = FuturesUnordered::new();
+        let mut pending_replies = FuturesUnordered::new();
         let mut hedge_timer = pin!(tokio::time::sleep(MIN_HEDGE_DELAY));
         let mut next = order.next();
         loop {
             if let Some(limiter) = next.take() {
-                asked.push(self.ask(pending, group, limiter));
-                let alone = std::slice::from_ref(*limiter);
-                let wait = self.paths.silence_timeout(alone, MIN_HEDGE_DELAY);
+                pending_replies.push(self.ask(pending, group, limiter));
+                let single = std::slice::from_ref(*limiter);
+                let wait = self.paths.silence_timeout(single, MIN_HEDGE_DELAY);
                 hedge_timer.as_mut().reset(Instant::now() + wait);
             }
             let (from, reply) = tokio::select! {
-                answer = asked.next() => match answer {
+                answer = pending_replies.next() => match answer {
                     Some(answer) => answer,
                     None => return Err(denials),
                 },
@@ -256,7 +256,7 @@
             exhausted = denials.answered,
             silent = denials.silent,
             retry_ms = whole_ms(after);
-            "no grant of the tenant's rate limit; request refused"
+            "no rate-limit grant for the request"
         );
         Refusal::retry_later(reason, after)
     }
--- a/crates/gateway/src/records_client.rs
+++ b/crates/gateway/src/records_client.rs
@@ -100,7 +100,7 @@
         replies.values().any(|name| *name == UNAVAILABLE)
     }
 
-    fn report(&self, operation: &'static str, subject: &str, group: GroupId, epoch: Epoch) {
+    fn log_failure(&self, operation: &'static str, subject: &str, group: GroupId, epoch: Epoch) {
         log::warn!(
             target: "records",
             request = subject,
@@ -323,7 +323,7 @@
     }
 
     /// Whether a program's turns may be stored wherever its records may be: at the replicas of its
-    /// group, at any node that may become one, and in any region to which one may be added. Copies
+    /// group, at any replica that may join it, and in any region to which one may be added. Copies
     /// go to all of them (`docs/design/regions.md`).
     pub fn may_store(&self, program: Option<&ProgramId>, residency: &Residency) -> bool {
         if residency.is_anywhere() {
--- a/crates/gateway/src/records_client/reading.rs
+++ b/crates/gateway/src/records_client/reading.rs
@@ -65,7 +65,7 @@
             self.record_quorum_outcome(group, outcome.is_ok(), began.elapsed());
         }
         outcome.map_err(|_| {
-            replies.report("read", request, group, self.node.view.epoch());
+            replies.log_failure("read", request, group, self.node.view.epoch());
             if is_restoring {
                 RecordsUnavailable::Restoring
             } else {
--- a/crates/gateway/src/records_client/settling.rs
+++ b/crates/gateway/src/records_client/settling.rs
@@ -70,7 +70,7 @@
                     request = settlement.turn.request(),
                     program = settlement.program.0.as_str(),
                     group = group.0;
-                    "settlement not written in time; the turn stays charged in full"
+                    "settlement not confirmed by a majority in time; the turn may stay charged in full"
                 );
             }
         }
--- a/crates/gateway/src/records_client/writing.rs
+++ b/crates/gateway/src/records_client/writing.rs
@@ -25,7 +25,7 @@
 const MIN_HEDGE_DELAY: Duration = Duration::from_millis(250);
 
 type Reply = (ReplicaId, Result<ReplicaReply, LinkError>);
-type Asked = FuturesUnordered<Pin<Box<dyn Future<Output = Reply>>>>;
+type PendingReplies = FuturesUnordered<Pin<Box<dyn Future<Output = Reply>>>>;
 
 /// How a write to one replica set ended.
 enum WriteEnd {
@@ -47,7 +47,7 @@
         self.record_quorum_outcome(operation.group, outcome.is_ok(), began.elapsed());
         outcome.map_err(|_| {
             let epoch = self.node.view.epoch();
-            replies.report(operation.name, operation.subject, operation.group, epoch);
+            replies.log_failure(operation.name, operation.subject, operation.group, epoch);
             RecordsUnavailable::NoMajority
         })
     }
@@ -85,17 +85,17 @@
         let ask = |member: &Replica| {
             self.ask_after(member, request.clone(), operation, None, Duration::ZERO)
         };
-        let mut asked: Asked = first.iter().map(ask).collect();
+        let mut pending_replies: PendingReplies = first.iter().map(ask).collect();
         let mut write = QuorumWrite::new(operation.group, set);
         let began = Instant::now();
         let hedge_delay = self.paths.silence_timeout(&first, MIN_HEDGE_DELAY);
         let mut hedge_timer = pin!(tokio::time::sleep(hedge_delay));
         loop {
             let (from, reply) = tokio::select! {
-                Some(reply) = asked.next() => reply,
+                Some(reply) = pending_replies.next() => reply,
                 () = hedge_timer.as_mut(), if spare.len() > 0 => {
                     if self.paths.suspect_silent(&first, began) {
-                        asked.extend(spare.by_ref().map(ask));
+                        pending_replies.extend(spare.by_ref().map(ask));
                     }
                     hedge_timer.as_mut().reset(Instant::now() + hedge_delay);
                     continue;
@@ -126,7 +126,7 @@
                 WriteProgress::SendReplicaSets => Some(ReplicaGroups::clone(&*self.groups().await)),
                 WriteProgress::RetryLater => {
                     // A spare replica is asked meanwhile.
-                    asked.extend(spare.next().map(ask));
+                    pending_replies.extend(spare.next().map(ask));
                     None
                 }
             };
@@ -136,7 +136,7 @@
                 } else {
                     RETRY_DELAY
                 };
-                asked.push(self.ask_after(
+                pending_replies.push(self.ask_after(
                     member,
                     request.clone(),
                     operation,
@@ -194,8 +194,8 @@
             }
             if let Some(groups) = groups_to_adopt {
                 let adopt = ReplicaRequest::Adopt { groups };
-                let taught = paths.ask(&member, adopt, REPLICA_TIMEOUT).await;
-                if let Err(error) = taught {
+                let adopted = paths.ask(&member, adopt, REPLICA_TIMEOUT).await;
+                if let Err(error) = adopted {
                     return (member.id, Err(error));
                 }
             }
--- a/crates/gateway/src/role.rs
+++ b/crates/gateway/src/role.rs
@@ -60,8 +60,8 @@
     node.start(Rc::clone(&gateway), Rc::clone(&gateway)).await?;
     node.watch_store();
     serve_readiness(&gateway, readiness).await?;
-    let updated = Rc::clone(&gateway);
-    serve_metrics(&node, registry, move || updated.update_gauges()).await?;
+    let metrics_source = Rc::clone(&gateway);
+    serve_metrics(&node, registry, move || metrics_source.update_gauges()).await?;
     listener::listen(Rc::clone(&gateway), callers, phase).await?;
     tokio::task::spawn_local(Rc::clone(&gateway).run_maintenance());
     tokio::task::spawn_local(Rc::clone(&gateway.records).run_settlements());
--- a/crates/gateway/src/turn_cache.rs
+++ b/crates/gateway/src/turn_cache.rs
@@ -11,7 +11,7 @@
 /// that is needed later is read from a replica, which costs less than the memory.
 const MAX_IDLE_TIME: Duration = Duration::from_secs(8);
 
-struct Cached {
+struct CachedTurn {
     record: Rc<TurnRecord>,
     until: Duration,
     used_at: Duration,
@@ -21,7 +21,7 @@
 pub struct TurnCache {
     max_bytes: usize,
     bytes: usize,
-    turns: HashMap<TurnId, Cached>,
+    turns: HashMap<TurnId, CachedTurn>,
     /// Turns by the time of their last expiry check, the oldest first.
     order: VecDeque<(Duration, TurnId)>,
 }
@@ -42,7 +42,7 @@
     pub fn insert(&mut self, record: TurnRecord, until: Duration, now: Duration) {
         let turn = record.turn.clone();
         let weight = record.weight();
-        let cached = Cached {
+        let cached = CachedTurn {
             record: Rc::new(record),
             until,
             used_at: now,
--- a/crates/gateway/src/warm_ups.rs
+++ b/crates/gateway/src/warm_ups.rs
@@ -351,7 +351,7 @@
             per_ks: limit.per_ks,
             version: self.node.view.version(),
         };
-        self.metrics.on_asked(&engine.service);
+        self.metrics.on_grant_requested(&engine.service);
         let request = PeerRequest::Extension(ExtensionRequest::Grant(request));
         let links = &self.node.links;
         links.call(address, request, LIMITER_TIMEOUT).await
--- a/crates/gateway/tests/replica_paths.rs
+++ b/crates/gateway/tests/replica_paths.rs
@@ -19,13 +19,13 @@
 const REPLY_TIME: Duration = Duration::from_millis(5);
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Behavior {
+enum Behaviour {
     Replies(Duration),
     Silent,
     Fails(LinkError),
 }
 
-impl Behavior {
+impl Behaviour {
     fn reply(self) -> ReplyFuture {
         match self {
             Self::Replies(after) => Box::pin(async move {
@@ -39,16 +39,16 @@
 }
 
 struct FakeNetwork {
-    direct: Cell<Behavior>,
+    direct: Cell<Behaviour>,
     /// Whether other replies arrive directly meanwhile.
     is_busy: Cell<bool>,
     slowest_reply: Cell<Duration>,
-    relays: Vec<Behavior>,
+    relays: Vec<Behaviour>,
     asked: RefCell<Vec<SocketAddr>>,
 }
 
 impl FakeNetwork {
-    fn new(direct: Behavior, relays: &[Behavior]) -> Rc<Self> {
+    fn new(direct: Behaviour, relays: &[Behaviour]) -> Rc<Self> {
         Rc::new(Self {
             direct: Cell::new(direct),
             is_busy: Cell::new(false),
@@ -132,7 +132,7 @@
 async fn silent_path_is_replaced_by_a_relay() {
     LocalSet::new()
         .run_until(async {
-            let network = FakeNetwork::new(Behavior::Silent, &[Behavior::Replies(REPLY_TIME)]);
+            let network = FakeNetwork::new(Behaviour::Silent, &[Behaviour::Replies(REPLY_TIME)]);
             let paths = Rc::new(ReplicaPaths::new(network));
             let (reply, took) = ask(&paths).await;
             assert_eq!(reply, Ok(ReplicaReply::Done));
@@ -152,12 +152,12 @@
 async fn path_that_answers_again_is_reopened() {
     LocalSet::new()
         .run_until(async {
-            let network = FakeNetwork::new(Behavior::Silent, &[Behavior::Replies(REPLY_TIME)]);
+            let network = FakeNetwork::new(Behaviour::Silent, &[Behaviour::Replies(REPLY_TIME)]);
             let paths = Rc::new(ReplicaPaths::new(
                 Rc::clone(&network) as Rc<dyn ReplicaNetwork>
             ));
             assert!(ask(&paths).await.0.is_ok());
-            network.direct.set(Behavior::Replies(REPLY_TIME));
+            network.direct.set(Behaviour::Replies(REPLY_TIME));
             tokio::time::sleep(Duration::from_millis(300)).await;
             assert!(ask(&paths).await.0.is_ok());
             tokio::time::sleep(REPLY_TIME * 2).await;
@@ -177,8 +177,8 @@
 async fn refused_connection_suspects_the_replica_and_keeps_the_path_open() {
     LocalSet::new()
         .run_until(async {
-            let refuses = Behavior::Fails(LinkError::Unreachable);
-            let network = FakeNetwork::new(refuses, &[Behavior::Replies(REPLY_TIME)]);
+            let refuses = Behaviour::Fails(LinkError::Unreachable);
+            let network = FakeNetwork::new(refuses, &[Behaviour::Replies(REPLY_TIME)]);
             let paths = Rc::new(ReplicaPaths::new(
                 Rc::clone(&network) as Rc<dyn ReplicaNetwork>
             ));
@@ -196,9 +196,9 @@
 async fn relay_that_cannot_reach_the_replica_is_replaced() {
     LocalSet::new()
         .run_until(async {
-            let beyond = Behavior::Fails(LinkError::RelayTargetUnreachable);
-            let relays = [beyond, Behavior::Replies(REPLY_TIME), beyond];
-            let network = FakeNetwork::new(Behavior::Silent, &relays);
+            let cannot_reach = Behaviour::Fails(LinkError::RelayTargetUnreachable);
+            let relays = [cannot_reach, Behaviour::Replies(REPLY_TIME), cannot_reach];
+            let network = FakeNetwork::new(Behaviour::Silent, &relays);
             let paths = Rc::new(ReplicaPaths::new(
                 Rc::clone(&network) as Rc<dyn ReplicaNetwork>
             ));
@@ -217,8 +217,8 @@
 async fn late_direct_reply_reopens_the_path() {
     LocalSet::new()
         .run_until(async {
-            let slow = Behavior::Replies(Duration::from_millis(500));
-            let network = FakeNetwork::new(slow, &[Behavior::Replies(REPLY_TIME)]);
+            let slow = Behaviour::Replies(Duration::from_millis(500));
+            let network = FakeNetwork::new(slow, &[Behaviour::Replies(REPLY_TIME)]);
             let paths = Rc::new(ReplicaPaths::new(network));
             let (reply, took) = ask(&paths).await;
             assert_eq!(reply, Ok(ReplicaReply::Done));
@@ -233,8 +233,8 @@
 async fn busy_replica_is_not_asked_through_a_relay() {
     LocalSet::new()
         .run_until(async {
-            let slow = Behavior::Replies(Duration::from_millis(650));
-            let network = FakeNetwork::new(slow, &[Behavior::Replies(REPLY_TIME)]);
+            let slow = Behaviour::Replies(Duration::from_millis(650));
+            let network = FakeNetwork::new(slow, &[Behaviour::Replies(REPLY_TIME)]);
             network.is_busy.set(true);
             let paths = Rc::new(ReplicaPaths::new(
                 Rc::clone(&network) as Rc<dyn ReplicaNetwork>
@@ -252,7 +252,7 @@
 async fn relay_that_times_out_is_not_followed_by_another() {
     LocalSet::new()
         .run_until(async {
-            let network = FakeNetwork::new(Behavior::Silent, &[Behavior::Silent; 5]);
+            let network = FakeNetwork::new(Behaviour::Silent, &[Behaviour::Silent; 5]);
             let paths = Rc::new(ReplicaPaths::new(
                 Rc::clone(&network) as Rc<dyn ReplicaNetwork>
             ));
@@ -267,14 +267,14 @@
     LocalSet::new()
         .run_until(async {
             let second = Duration::from_secs(1);
-            let alone = FakeNetwork::new(Behavior::Silent, &[]);
+            let alone = FakeNetwork::new(Behaviour::Silent, &[]);
             let paths = Rc::new(ReplicaPaths::new(alone));
             let (reply, took) = ask(&paths).await;
             assert_eq!(reply, Err(LinkError::TimedOut));
             assert_eq!(took, TIMEOUT);
             assert!(!paths.is_reported_unreachable(second));
-            let beyond = Behavior::Fails(LinkError::RelayTargetUnreachable);
-            let network = FakeNetwork::new(Behavior::Silent, &[beyond]);
+            let cannot_reach = Behaviour::Fails(LinkError::RelayTargetUnreachable);
+            let network = FakeNetwork::new(Behaviour::Silent, &[cannot_reach]);
             let paths = Rc::new(ReplicaPaths::new(network));
             assert!(ask(&paths).await.0.is_err());
             assert!(paths.is_reported_unreachable(second));
@@ -328,7 +328,7 @@
 /// Guards against one replica serving most reads of a zone that has no replica.
 #[test]
 fn reads_from_a_zone_without_replicas_are_spread() {
-    let network = FakeNetwork::new(Behavior::Replies(REPLY_TIME), &[]);
+    let network = FakeNetwork::new(Behaviour::Replies(REPLY_TIME), &[]);
     let paths = ReplicaPaths::new(network);
     let nearest: Vec<ReplicaId> = (0..500)
         .map(|subject| first_asked(&paths, "elsewhere", subject)[0])
@@ -343,7 +343,7 @@
 #[tokio::test(start_paused = true)]
 async fn recently_slow_replica_is_not_asked_through_a_relay() {
     let slow = Duration::from_millis(600);
-    let network = FakeNetwork::new(Behavior::Replies(slow), &[Behavior::Replies(REPLY_TIME)]);
+    let network = FakeNetwork::new(Behaviour::Replies(slow), &[Behaviour::Replies(REPLY_TIME)]);
     network.slowest_reply.set(Duration::from_millis(300));
     let paths = Rc::new(ReplicaPaths::new(
         Rc::clone(&network) as Rc<dyn ReplicaNetwork>
@@ -358,7 +358,7 @@
 #[tokio::test(start_paused = true)]
 async fn recently_slow_replica_gets_a_longer_timeout() {
     let slow = Duration::from_millis(350);
-    let network = FakeNetwork::new(Behavior::Replies(slow), &[]);
+    let network = FakeNetwork::new(Behaviour::Replies(slow), &[]);
     let paths = Rc::new(ReplicaPaths::new(
         Rc::clone(&network) as Rc<dyn ReplicaNetwork>
     ));
@@ -379,7 +379,7 @@
 /// Guards against gateways waiting for each other to detect a failed replica.
 #[tokio::test(start_paused = true)]
 async fn gateway_does_not_relay_to_a_suspected_replica() {
-    let network = FakeNetwork::new(Behavior::Silent, &[]);
+    let network = FakeNetwork::new(Behaviour::Silent, &[]);
     let paths = Rc::new(ReplicaPaths::new(network as Rc<dyn ReplicaNetwork>));
     assert!(paths.can_relay_to(replica().id));
     let (reply, _) = LocalSet::new().run_until(ask(&paths)).await;
@@ -398,8 +398,8 @@
     let local = LocalSet::new();
     local
         .run_until(async {
-            let quick = Behavior::Replies(REPLY_TIME);
-            let network = FakeNetwork::new(Behavior::Silent, &[quick, quick]);
+            let quick = Behaviour::Replies(REPLY_TIME);
+            let network = FakeNetwork::new(Behaviour::Silent, &[quick, quick]);
             let paths = Rc::new(ReplicaPaths::new(network.clone()));
             let south = Residency::within(["south".to_owned()]);
             let nowhere = Residency::within(["east".to_owned()]);
@@ -431,7 +431,7 @@
 #[test]
 fn replicas_are_ordered_by_distance() {
     let regions = ZoneRegions::from([("a", "north"), ("b", "north"), ("c", "south")]);
-    let network = FakeNetwork::new(Behavior::Silent, &[]);
+    let network = FakeNetwork::new(Behaviour::Silent, &[]);
     let paths = ReplicaPaths::new(network);
     let replicas = ["c", "b", "a", "c"].map(|zone| Replica {
         zone: zone.to_owned(),
