--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -39,7 +39,8 @@
     InvalidResponse,
     /// The response ended early; the engine may have run the request.
     Truncated,
-    /// The first event did not arrive in time; the engine may have run the request.
+    /// The head or the first event of the response did not arrive in time; the engine may have run
+    /// the request.
     ResponseTimeout,
 }
 
