--- a/crates/records/src/chain_read.rs
+++ b/crates/records/src/chain_read.rs
@@ -1,7 +1,8 @@
-//! Reading a turn with all before it, as the gateway sees it.
+//! Reads a turn with all turns before it, on the gateway's side.
 //!
-//! Records never change, so any one replica that has a record may answer for it. Only that a turn does
-//! not exist takes a majority of the voters: it has one that knows of any later set, and refuses.
+//! Records never change, so any replica that has a record may return it. That a turn doesn't exist
+//! takes replies of a majority of the voters: at least one of them knows any later set, and rejects
+//! the request.
 
 use std::collections::BTreeSet;
 
@@ -9,16 +10,15 @@
 use crate::replica_set::{Replica, ReplicaSet};
 use crate::turn::TurnRecord;
 
-/// How a read ended.
+/// Result of a read.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ChainOutcome {
-    /// The whole chain, oldest first.
+    /// The complete chain, oldest turn first.
     Complete(Vec<TurnRecord>),
-    /// A majority has no record of this turn.
+    /// A majority of the voters has no record of this turn.
     NoSuchTurn(TurnId),
 }
 
-/// State of one read.
 #[derive(Debug, Clone)]
 pub struct ChainRead {
     set: ReplicaSet,
@@ -28,7 +28,6 @@
 }
 
 impl ChainRead {
-    /// A read of the chain that ends with this turn.
     pub fn new(set: ReplicaSet, turn: TurnId) -> Self {
         Self {
             set,
@@ -38,24 +37,24 @@
         }
     }
 
-    /// The set under which answers are counted.
+    /// The set whose majority is counted.
     pub fn set(&self) -> &ReplicaSet {
         &self.set
     }
 
-    /// The turn to ask for next.
     pub fn next_turn(&self) -> &TurnId {
         &self.next_turn
     }
 
-    /// The voters that have not yet said that they lack the wanted turn.
+    /// The voters that haven't denied having the next turn.
     pub fn candidates(&self) -> Vec<Replica> {
         let voters = self.set.voters.iter();
         let open = voters.filter(|voter| !self.denied.contains(&voter.id));
         open.cloned().collect()
     }
 
-    /// Takes the answer of one replica about the wanted turn.
+    /// Handles the reply of one replica to a request for the next turn; `None` while the read goes
+    /// on.
     pub fn on_chain(
         &mut self,
         from: ReplicaId,
--- a/crates/records/src/change_log.rs
+++ b/crates/records/src/change_log.rs
@@ -1,7 +1,7 @@
-//! In which order a replica's records changed, so that whoever copies them asks for the rest only.
+//! The order in which a replica's records changed.
 //!
-//! A copy under load takes seconds, and meanwhile as much is written. A listing by key would have to be made from the start
-//! again once the set has changed; by the order of changes it goes on from where the copier stands.
+//! A copy takes a while, and records change meanwhile. Listing by the order of changes lets the
+//! copying replica continue from its last position; a listing by key would have to start again.
 
 use std::collections::BTreeMap;
 use std::ops::Bound;
@@ -10,12 +10,13 @@
 
 use crate::identifiers::RecordKey;
 
-/// How far the changes of one life of a replica's memory are known.
+/// A position in the change log of one replica.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct ListPosition {
-    /// The life: changes are numbered anew whenever the replica has read its disk back.
+    /// Random identifier of the log: changes are numbered from one again whenever the replica has
+    /// reopened its disk.
     pub log_id: u64,
-    /// Number of the last change that is known.
+    /// Number of the last change before the position.
     pub change: u64,
 }
 
@@ -31,47 +32,45 @@
 }
 
 impl ChangeLog {
-    /// No changes of this life yet.
-    pub fn of_life(log_id: u64) -> Self {
+    pub fn with_id(log_id: u64) -> Self {
         Self {
             log_id,
             ..Self::default()
         }
     }
 
-    /// Notes that a record has changed.
-    pub fn note(&mut self, last: &mut ChangeNumber, key: impl FnOnce() -> RecordKey) {
+    /// Records that the record with this key has changed; `last` is the number of its last change.
+    pub fn log_change(&mut self, last: &mut ChangeNumber, key: impl FnOnce() -> RecordKey) {
         let earlier = last.and_then(|last| self.keys.remove(&last));
         self.newest += 1;
         self.keys.insert(self.newest, earlier.unwrap_or_else(key));
         *last = Some(self.newest);
     }
 
-    /// Notes that a record is gone.
-    pub fn forget(&mut self, last: ChangeNumber) {
+    /// Removes the last change of a record that is deleted.
+    pub fn remove_change(&mut self, last: ChangeNumber) {
         if let Some(last) = last {
             self.keys.remove(&last);
         }
     }
 
-    /// The keys of records that have changed since this position, of the ones that changed first so many, and where that leads.
-    /// Everything counts as changed for a position of another life.
+    /// The keys of at most `limit` records that have changed since this position, earliest change
+    /// first, and the position after them. A position of another log counts as the start.
     pub fn page(
         &self,
         after: Option<ListPosition>,
-        most: usize,
+        limit: usize,
     ) -> (impl Iterator<Item = &RecordKey>, ListPosition) {
         let known = after.filter(|position| position.log_id == self.log_id);
         let known = known.map_or(0, |position| position.change);
         let bounds = (Bound::Excluded(known), Bound::Unbounded);
-        let last = self.keys.range(bounds).take(most).last();
+        let last = self.keys.range(bounds).take(limit).last();
         let change = last.map_or(known, |(number, _)| *number);
-        let keys = self.keys.range(bounds).take(most).map(|(_, key)| key);
+        let keys = self.keys.range(bounds).take(limit).map(|(_, key)| key);
         let log_id = self.log_id;
         (keys, ListPosition { log_id, change })
     }
 
-    /// Whether nothing has changed since this position.
     pub fn is_end(&self, position: ListPosition) -> bool {
         let after = (Bound::Excluded(position.change), Bound::Unbounded);
         self.keys.range(after).next().is_none()
--- a/crates/records/src/groups.rs
+++ b/crates/records/src/groups.rs
@@ -1,8 +1,9 @@
-//! Groups of replicas: each keeps the records of its own programs.
+//! Groups of replicas, each of which keeps the records of its own programs.
 //!
-//! One set for all programs brings every turn of a fleet past the same few machines, whatever stands beside them with nothing to do
-//! (`docs/design/large-fleets.md`, "Groups of replicas"). A program belongs to one group by a hash of its identifier, and so does all that it
-//! leaves behind, so that nothing crosses groups. How many groups there are is settled once, when the first sets are written.
+//! Groups spread the load over the storage nodes; with a single set, the turns of all programs go
+//! to the same few nodes (`docs/design/large-fleets.md`, "Groups of replicas"). A program belongs
+//! to one group by a hash of its identifier, and so do all its records, so no operation spans
+//! groups. The number of groups is fixed when the first sets are written.
 
 use std::fmt;
 
@@ -12,7 +13,7 @@
 use crate::identifiers::{Epoch, ProgramId, ReplicaId};
 use crate::replica_set::{Replica, ReplicaSet};
 
-/// One group of replicas.
+/// Number of a group of replicas.
 #[derive(
     Debug,
     Clone,
@@ -35,10 +36,10 @@
     }
 }
 
-/// The sets of all groups, as the register has them.
+/// The sets of all groups, as one object of the register.
 ///
-/// One write changes the set of one group, so of two values the one with the greater [`Self::epoch`] is the newer one in
-/// every group.
+/// A write changes the set of one group, so of two values the one with the greater [`Self::epoch`]
+/// is the newer one in every group.
 #[derive(
     Debug,
     Clone,
@@ -55,8 +56,8 @@
     sets: Vec<ReplicaSet>,
 }
 
-/// How the sets are written where other programs may read them. A single set is written alone, so that nodes of versions without groups read
-/// it.
+/// The serialized form. A single set is written alone, so that nodes of versions without groups can
+/// read it.
 #[derive(serde::Serialize, serde::Deserialize)]
 #[serde(untagged)]
 enum RegisteredForm {
@@ -83,37 +84,35 @@
 }
 
 impl ReplicaGroups {
-    /// Groups with these sets, numbered in this order.
     pub fn new(sets: Vec<ReplicaSet>) -> Self {
         Self { sets }
     }
 
-    /// One group for all programs.
     pub fn single(set: ReplicaSet) -> Self {
         Self::new(vec![set])
     }
 
-    /// The groups with their sets.
     pub fn iter(&self) -> impl Iterator<Item = (GroupId, &ReplicaSet)> {
         (0..).map(GroupId).zip(&self.sets)
     }
 
-    /// The set of a group; `None` where there is no such group.
+    /// The set of a group; `None` if there is no such group.
     pub fn set(&self, group: GroupId) -> Option<&ReplicaSet> {
         self.sets.get(usize::from(group.0))
     }
 
-    /// The group that keeps a program's records. Records of no program belong to the first one.
+    /// The group that keeps a program's records. Records without a program belong to the first
+    /// group.
     pub fn group_of(&self, program: Option<&ProgramId>) -> GroupId {
         program.map_or(GroupId::default(), |program| self.group_by_hash(&program.0))
     }
 
-    /// The group whose voters share what an engine bears while it warms up.
+    /// The group whose voters share the warm-up limit of an engine.
     pub fn group_of_engine(&self, instance: &str) -> GroupId {
         self.group_by_hash(instance)
     }
 
-    /// The group whose voters share the limit of a tenant.
+    /// The group whose voters share the rate limit of a tenant.
     pub fn group_of_tenant(&self, tenant: &str) -> GroupId {
         self.group_by_hash(tenant)
     }
@@ -124,12 +123,12 @@
         GroupId(u16::try_from(number).unwrap_or_default())
     }
 
-    /// The epochs of all sets together; each change of any set has a higher one.
+    /// The sum of the epochs of all sets; each change of any set increases it.
     pub fn epoch(&self) -> Epoch {
         Epoch(self.sets.iter().map(|set| set.epoch.0).sum())
     }
 
-    /// The same groups with another set for one of them.
+    /// A copy with another set for one group.
     pub fn with_set(&self, group: GroupId, set: ReplicaSet) -> Self {
         let mut changed = self.clone();
         if let Some(known) = changed.sets.get_mut(usize::from(group.0)) {
@@ -138,7 +137,7 @@
         changed
     }
 
-    /// The replicas of all groups, each once.
+    /// The replicas of all groups, without duplicates.
     pub fn members(&self) -> Vec<&Replica> {
         let mut members: Vec<&Replica> = Vec::new();
         for replica in self.sets.iter().flat_map(ReplicaSet::members) {
@@ -149,13 +148,11 @@
         members
     }
 
-    /// The groups that a replica belongs to.
     pub fn groups_of(&self, id: ReplicaId) -> Vec<GroupId> {
         let with_member = self.iter().filter(|(_, set)| set.has_member(id));
         with_member.map(|(group, _)| group).collect()
     }
 
-    /// Whether a replica belongs to any group.
     pub fn has_member(&self, id: ReplicaId) -> bool {
         self.sets.iter().any(|set| set.has_member(id))
     }
--- a/crates/records/src/identifiers.rs
+++ b/crates/records/src/identifiers.rs
@@ -1,10 +1,10 @@
-//! Identifiers of what is replicated and of who keeps it.
+//! Identifiers of records and of replicas.
 
 use std::fmt;
 
 use rkyv::{Archive, Deserialize, Serialize};
 
-/// One life of a replica's disk. A replica whose disk was lost is another replica.
+/// Identity of a replica's disk. A replica that lost its disk comes back under a new identity.
 #[derive(
     Debug,
     Clone,
@@ -28,7 +28,7 @@
     }
 }
 
-/// Version of the replica set; each change of the set has a higher one.
+/// Version of a replica set; each change of the set increases it.
 #[derive(
     Debug,
     Clone,
@@ -47,52 +47,52 @@
 )]
 pub struct Epoch(pub u64);
 
-/// Stands between a tenant's name and a client's own identifier. No header carries it, so that no client can name what belongs to
-/// another tenant, and the last one in an identifier is always this.
-const OWNER_END: char = '·';
+/// Separates a tenant's name from a client's identifier. No HTTP header can carry it, so a client
+/// can't name what belongs to another tenant, and the last one in an identifier is always this
+/// separator.
+const TENANT_SEPARATOR: char = '·';
 
-fn owned(owner: Option<&str>, id: &str) -> String {
-    match owner {
-        Some(owner) => format!("{owner}{OWNER_END}{id}"),
+fn with_tenant(tenant: Option<&str>, id: &str) -> String {
+    match tenant {
+        Some(tenant) => format!("{tenant}{TENANT_SEPARATOR}{id}"),
         None => id.to_owned(),
     }
 }
 
-/// One attempt of a client at one turn.
+/// A client's attempt at one turn.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord, Archive, Serialize, Deserialize)]
 #[rkyv(derive(PartialEq, Eq, PartialOrd, Ord))]
 pub struct TurnId(pub String);
 
 impl TurnId {
-    /// A turn of a tenant, by its client's identifier. Turns of two tenants are never the same, whatever their clients name them.
-    pub fn of(owner: Option<&str>, id: &str) -> Self {
-        Self(owned(owner, id))
+    /// A tenant's turn, from the client's identifier. Turns of two tenants always differ, whatever
+    /// identifiers their clients choose.
+    pub fn of(tenant: Option<&str>, id: &str) -> Self {
+        Self(with_tenant(tenant, id))
     }
 
-    /// The client's own identifier, which logs tell.
+    /// The client's own identifier, for logs.
     pub fn request(&self) -> &str {
-        let own = self.0.rsplit(OWNER_END).next();
+        let own = self.0.rsplit(TENANT_SEPARATOR).next();
         own.unwrap_or(&self.0)
     }
 }
 
-/// One execution of a program, as its client names it.
+/// One execution of a program, identified by its client.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord, Archive, Serialize, Deserialize)]
 #[rkyv(derive(PartialEq, Eq, PartialOrd, Ord))]
 pub struct ProgramId(pub String);
 
 impl ProgramId {
-    /// A program of a tenant, by its client's identifier.
-    pub fn of(owner: Option<&str>, id: &str) -> Self {
-        Self(owned(owner, id))
+    /// A tenant's program, from the client's identifier.
+    pub fn of(tenant: Option<&str>, id: &str) -> Self {
+        Self(with_tenant(tenant, id))
     }
 }
 
-/// Which record.
+/// Key of a record.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord, Archive, Serialize, Deserialize)]
 pub enum RecordKey {
-    /// The record of a turn.
     Turn(TurnId),
-    /// The ledger of a program.
     Ledger(ProgramId),
 }
--- a/crates/records/src/ledger.rs
+++ b/crates/records/src/ledger.rs
@@ -1,8 +1,8 @@
 //! The ledger of a program's tokens.
 //!
-//! A turn reserves the most that it may generate before it runs, and settles at what it did generate.
-//! Of two settlements the greater one counts, so that copies at different replicas join in any order, and nobody who uses an identifier
-//! again makes its charge smaller.
+//! A turn reserves the most tokens that it may generate before it runs, and is settled at the
+//! number that it did generate. Of two settlements the greater one counts, so copies at different
+//! replicas can be merged in any order, and reusing a turn's identifier can't lower its charge.
 
 use std::collections::BTreeMap;
 
@@ -10,22 +10,23 @@
 
 use crate::identifiers::TurnId;
 
-/// What one turn takes of its program's budget, in tokens.
+/// Tokens that one turn takes from its program's budget.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct LedgerEntry {
-    /// The most that the turn may generate.
+    /// The most tokens that the turn may generate.
     pub reserved_tokens: u64,
-    /// What it generated, once that is known.
+    /// Tokens that it generated; `None` until it is settled.
     pub spent: Option<u64>,
 }
 
 impl LedgerEntry {
-    /// Tokens that count against the budget.
+    /// Tokens that count against the budget: those spent, or those reserved until the turn is
+    /// settled.
     pub fn charge(&self) -> u64 {
         self.spent.unwrap_or(self.reserved_tokens)
     }
 
-    /// Joins two copies of one entry.
+    /// Merges two copies of one entry.
     pub fn merge(self, other: Self) -> Self {
         let spent = match (self.spent, other.spent) {
             (Some(one), Some(two)) => Some(one.max(two)),
@@ -38,16 +39,15 @@
     }
 }
 
-/// All entries of one program.
+/// The entries of one program.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct ProgramLedger {
-    /// Entries by turn.
     pub entries: BTreeMap<TurnId, LedgerEntry>,
 }
 
 impl ProgramLedger {
-    /// Joins one entry in; says whether anything changed.
-    pub fn join(&mut self, turn: &TurnId, entry: LedgerEntry) -> bool {
+    /// Merges one entry into the ledger; returns whether the ledger changed.
+    pub fn merge_entry(&mut self, turn: &TurnId, entry: LedgerEntry) -> bool {
         let known = self.entries.get(turn).copied();
         let merged = known.map_or(entry, |known| known.merge(entry));
         if known == Some(merged) {
@@ -57,28 +57,28 @@
         true
     }
 
-    /// Joins another copy of the ledger in; says whether anything changed.
-    pub fn join_all(&mut self, other: &Self) -> bool {
+    /// Merges another copy of the ledger into this one; returns whether this one changed.
+    pub fn merge_ledger(&mut self, other: &Self) -> bool {
         let mut changed = false;
         for (turn, entry) in &other.entries {
-            changed |= self.join(turn, *entry);
+            changed |= self.merge_entry(turn, *entry);
         }
         changed
     }
 
-    /// Whether a turn is over: nobody may reserve for it again.
+    /// Whether the turn is settled, so that nothing may be reserved for it again.
     pub fn is_settled(&self, turn: &TurnId) -> bool {
         let entry = self.entries.get(turn);
         entry.is_some_and(|entry| entry.spent.is_some())
     }
 
-    /// Tokens that all turns but this one have taken or may still take.
+    /// Tokens charged to all turns but this one.
     pub fn charged_by_others(&self, turn: &TurnId) -> u64 {
         let others = self.entries.iter().filter(|(other, _)| *other != turn);
         others.map(|(_, entry)| entry.charge()).sum()
     }
 
-    /// Whether the budget holds this turn at its most, beside all others.
+    /// Whether the budget covers this turn's reservation beside the charges of all others.
     pub fn admits(&self, turn: &TurnId, reserved_tokens: u64, budget: u64) -> bool {
         self.charged_by_others(turn).saturating_add(reserved_tokens) <= budget
     }
--- a/crates/records/src/message.rs
+++ b/crates/records/src/message.rs
@@ -8,162 +8,158 @@
 use crate::ledger::{LedgerEntry, ProgramLedger};
 use crate::turn::TurnRecord;
 
-/// What a turn generated, for its program's ledger.
+/// Number of tokens that a turn generated, for its program's ledger.
 #[derive(Debug, Clone, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct Settlement {
-    /// The program.
     pub program: ProgramId,
-    /// The turn.
     pub turn: TurnId,
-    /// Its entry, with what was spent.
+    /// The turn's entry, with the tokens spent.
     pub entry: LedgerEntry,
     /// How long the ledger is kept after this change, in milliseconds.
     pub ttl_ms: u64,
 }
 
-/// A request of a tenant that is to run.
+/// A request of a tenant, to be checked against the tenant's rate limit.
 #[derive(Debug, Clone, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct Admission {
     /// The group whose voters share the tenant's limit.
     pub group: GroupId,
-    /// Name of the tenant.
     pub tenant: String,
     /// Whether the request may be the first one of its program.
     pub may_start_program: bool,
-    /// Requests that it may make in a thousand seconds.
+    /// Requests that the tenant may make in a thousand seconds.
     pub per_ks: u64,
-    /// Requests beyond that at once.
+    /// Burst size, in requests.
     pub burst: u64,
     /// Version of the configuration that sets the limit.
     pub version: u64,
 }
 
-/// What a replica is asked.
+/// Request to a replica.
 #[derive(Debug, Clone, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub enum ReplicaRequest {
-    /// Joins an entry into a program's ledger and tells the whole ledger.
+    /// Merges an entry into a program's ledger and returns the whole ledger.
     Charge {
         /// The program's group.
         group: GroupId,
-        /// The set that the sender counts its quorum in.
+        /// The epoch of the set whose quorum the sender counts.
         epoch: Epoch,
         /// The program.
         program: ProgramId,
-        /// The turn that takes the tokens.
+        /// The turn that the tokens are reserved for.
         turn: TurnId,
-        /// Its entry.
+        /// The turn's entry.
         entry: LedgerEntry,
         /// How long the ledger is kept after its last change, in milliseconds.
         ttl_ms: u64,
     },
-    /// Joins what turns generated into their ledgers. Nobody waits for it, so that the replica may make
-    /// it durable together with what comes next.
+    /// Settles turns in their ledgers. Nobody waits for the reply, so the replica may make it
+    /// durable together with later changes.
     Settle {
         /// The group of all these programs.
         group: GroupId,
-        /// The set that the sender counts its quorum in.
+        /// The epoch of the set whose quorum the sender counts.
         epoch: Epoch,
-        /// What the turns generated.
+        /// The settlements.
         settlements: Vec<Settlement>,
     },
-    /// Writes the record of a turn.
     Append {
         /// The group of the turn's program.
         group: GroupId,
-        /// The set that the sender counts its quorum in.
+        /// The epoch of the set whose quorum the sender counts.
         epoch: Epoch,
         /// The record.
         record: TurnRecord,
-        /// How long it is kept, in milliseconds.
+        /// How long the record is kept, in milliseconds.
         ttl_ms: u64,
     },
-    /// Reads a turn and all before it, as far as the replica has them.
+    /// Reads a turn and all turns before it, as far as the replica has them.
     ReadChain {
         /// The group of the turn's program.
         group: GroupId,
-        /// The set that the sender counts its quorum in.
+        /// The epoch of the set whose quorum the sender counts.
         epoch: Epoch,
         /// The newest turn.
         turn: TurnId,
     },
-    /// Tells newer replica sets.
+    /// Sends newer replica sets.
     Adopt {
-        /// The sets.
+        /// The sets of all groups.
         groups: ReplicaGroups,
     },
     /// Lists records that changed after a position, for a replica that copies them.
     List {
         /// The group whose records are copied.
         group: GroupId,
-        /// The set under which the copy is made.
+        /// The epoch of the set that the copy is made for.
         epoch: Epoch,
-        /// Where an earlier page led; `None` for the first one.
+        /// The position that the previous page returned; `None` for the first page.
         after: Option<ListPosition>,
     },
-    /// Asks the node of the replica whether a request of a tenant may run.
+    /// Asks the replica's node whether a tenant's request may run.
     Admit(Admission),
     /// Reads records of turns, for a replica that copies them.
     Fetch {
-        /// The turns.
+        /// The turns to read.
         turns: Vec<TurnId>,
     },
 }
 
-/// One page of a replica's records, in the order in which they changed last.
+/// One page of a replica's records, ordered by their last change.
 #[derive(Debug, Clone, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct Listing {
-    /// Turns, with the milliseconds that each is still kept.
+    /// Turns, each with its remaining time to live in milliseconds.
     pub turns: Vec<(TurnId, u64)>,
-    /// Ledgers, with the milliseconds that each is still kept.
+    /// Ledgers, each with its remaining time to live in milliseconds.
     pub ledgers: Vec<(ProgramId, ProgramLedger, u64)>,
-    /// Where the next page starts.
+    /// The position after which the next page starts.
     pub next: ListPosition,
-    /// Whether nothing has changed after that.
+    /// Whether nothing has changed after `next`.
     pub is_end: bool,
 }
 
-/// What a replica answers.
+/// Reply of a replica.
 #[derive(Debug, Clone, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub enum ReplicaReply {
-    /// The entry is durable; the ledger as it is known here.
+    /// The entry is durable; holds the ledger as this replica knows it.
     Charged {
         /// All entries of the program.
         ledger: ProgramLedger,
     },
-    /// What was asked is durable.
+    /// The requested change is durable.
     Done,
-    /// Records from the newest turn backwards.
+    /// Records of a chain of turns.
     Chain {
         /// The records, newest first.
         records: Vec<TurnRecord>,
-        /// The turn at which the replica had no record; `None` when the chain is whole.
+        /// The first turn that the replica has no record of; `None` when the chain is complete.
         missing: Option<TurnId>,
     },
-    /// A page of records.
     Listed(Listing),
-    /// Records of turns; those that expired meanwhile are left out.
+    /// The requested records, without those that have expired.
     Fetched {
         /// The records.
         records: Vec<TurnRecord>,
     },
-    /// The request of the tenant may run.
+    /// The tenant's request may run.
     Granted,
-    /// Nothing is left of the tenant's limit here.
+    /// This replica's share of the tenant's limit is used up.
     Exhausted {
-        /// Milliseconds until the next request can be granted.
+        /// Milliseconds until a next request can be granted.
         next_ms: u64,
-        /// Milliseconds until this one can, if all that were turned away before come back first.
+        /// Milliseconds until this request can be granted if all requests rejected before it are
+        /// retried first.
         retry_ms: u64,
     },
     /// The sender's epoch is older than the replica's.
     Stale {
-        /// The sets as the replica knows them.
+        /// The sets that the replica knows.
         groups: ReplicaGroups,
     },
-    /// The replica does not know the sender's epoch yet.
+    /// The replica doesn't know the sender's epoch yet.
     Behind,
-    /// The replica does not belong to the set.
+    /// The replica isn't a member of the set.
     NotMember,
-    /// The replica's disk takes nothing, or no room is left.
+    /// The replica's disk isn't available, or the memory for records is full.
     Unavailable,
 }
--- a/crates/records/src/plan.rs
+++ b/crates/records/src/plan.rs
@@ -1,4 +1,4 @@
-//! How the replica set is to change, from what a storage node sees.
+//! Plans changes of a replica set from what a storage node observes.
 
 use std::collections::BTreeSet;
 
@@ -6,60 +6,62 @@
 use crate::identifiers::{Epoch, ReplicaId};
 use crate::replica_set::{Replica, ReplicaSet, majority};
 
-/// A storage node as another one sees it.
+/// A storage node as observed by another one.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StorageNode {
-    /// The replica that it runs.
     pub replica: Replica,
-    /// Whether it answered lately.
+    /// Whether it was heard from recently, with an open disk.
     pub alive: bool,
-    /// Whether it may be about to start, or is opening its disk. A voter like that counts for nothing and keeps its place.
+    /// Whether it may be starting or opening its disk. A voter in this state counts in no quorum
+    /// and isn't replaced.
     pub starting: bool,
-    /// Whether it is to be emptied.
+    /// Whether it is being retired.
     pub retiring: bool,
-    /// Groups that it belongs to.
+    /// Number of groups that it belongs to.
     pub groups: usize,
-    /// Whether it copies already to join this group.
+    /// Whether it is already copying to join this group.
     pub joining: bool,
 }
 
-/// What brings the set nearer to the one that is wanted.
+/// The next step towards the wanted set.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum SetStep {
-    /// Newcomers copy first; the set stays as it is meanwhile, so that a copy under load costs the voters its reads only.
+    /// New members copy first. The set doesn't change meanwhile, so that the copy costs the voters
+    /// no additional writes.
     Prepare {
-        /// Those that are to copy.
-        newcomers: Vec<Replica>,
-        /// What is written once they have.
+        /// The replicas that have to copy.
+        new_members: Vec<Replica>,
+        /// The set to write once they have copied.
         change: ReplicaSet,
     },
-    /// This set is written to the register.
+    /// Write this set to the register.
     Write(ReplicaSet),
 }
 
-/// What the storage nodes know of copies.
+/// Progress of copies, as reported by the storage nodes.
 #[derive(Debug, Clone, Default)]
-pub struct CopiesSeen {
-    /// Replicas outside the set that hold what a read quorum held moments ago.
+pub struct CopyProgress {
+    /// Replicas outside the set that recently held all records of a read quorum.
     pub prepared: BTreeSet<ReplicaId>,
-    /// Replicas that finished the copy of the set's epoch.
+    /// Replicas that have finished copying at the set's epoch.
     pub copied: BTreeSet<ReplicaId>,
 }
 
-/// Storage nodes up to which one group keeps everything: more groups would leave no machine to take a lost one's place.
-const ONE_GROUP: usize = 6;
-/// The most groups that there are.
-const MOST_GROUPS: usize = 64;
+/// Largest number of storage nodes that form a single group: more groups would leave no node to
+/// replace a lost one.
+const SINGLE_GROUP_MAX_NODES: usize = 6;
+const MAX_GROUPS: usize = 64;
 
-/// The next step of one group's set, or `None` when nothing is to be changed.
+/// The next step for the set of one group; `None` when nothing has to change.
 ///
-/// `size` is the number of replicas wanted; `patient` is false once unfinished copies have been waited for long enough.
+/// `size` is the wanted number of replicas; `may_wait` is false once unfinished copies have been
+/// waited for long enough.
 pub fn plan_change(
     set: &ReplicaSet,
     nodes: &[StorageNode],
     size: usize,
-    copies: &CopiesSeen,
-    patient: bool,
+    copies: &CopyProgress,
+    may_wait: bool,
 ) -> Option<SetStep> {
     let alive: BTreeSet<ReplicaId> = nodes
         .iter()
@@ -67,7 +69,8 @@
         .map(|node| node.replica.id)
         .collect();
     if !set.has_read_quorum(&alive) {
-        // The change could not be completed, and who sees so few may be the one who is cut off.
+        // The change couldn't be completed, and a node that reaches so few voters may itself be
+        // partitioned.
         return None;
     }
     let wanted = wanted_voters(&set.voters, nodes, size);
@@ -79,15 +82,15 @@
     let copiers = set.copiers();
     let mut unfinished = copiers.iter().filter(|copier| !copied.contains(&copier.id));
     let waiting_for_alive = unfinished.any(|copier| is_alive(copier, nodes));
-    if set.may_complete(copied) && !(waiting_for_alive && patient) {
+    if set.may_complete(copied) && !(waiting_for_alive && may_wait) {
         return Some(SetStep::Write(ReplicaSet {
-            epoch: next(set.epoch),
+            epoch: next_epoch(set.epoch),
             voters: incoming.clone(),
             incoming: None,
         }));
     }
-    let retarget = !patient && !same_replicas(&wanted, incoming);
-    retarget.then(|| SetStep::Write(joint(set, wanted)))
+    let retarget = !may_wait && !same_replicas(&wanted, incoming);
+    retarget.then(|| SetStep::Write(joint_set(set, wanted)))
 }
 
 fn begin_change(
@@ -96,46 +99,49 @@
     alive: &BTreeSet<ReplicaId>,
     prepared: &BTreeSet<ReplicaId>,
 ) -> SetStep {
-    let change = joint(set, wanted);
-    let newcomers: Vec<Replica> = change.newcomers().into_iter().cloned().collect();
+    let change = joint_set(set, wanted);
+    let new_members: Vec<Replica> = change.new_members().into_iter().cloned().collect();
     let is_prepared = |replica: &Replica| prepared.contains(&replica.id);
-    // Where nothing can be written, nothing is spared by a copy before the change: with one it took 3.5 s in place of 2.9 s until a
-    // set of two had its majority again.
+    // Without a write quorum the group is unavailable, so the joint set is written at once: copying
+    // before would only delay the recovery.
     let can_write = set.has_write_quorum(alive);
-    if !can_write || newcomers.iter().all(is_prepared) {
+    if !can_write || new_members.iter().all(is_prepared) {
         return SetStep::Write(change);
     }
-    SetStep::Prepare { newcomers, change }
+    SetStep::Prepare {
+        new_members,
+        change,
+    }
 }
 
-fn next(epoch: Epoch) -> Epoch {
+fn next_epoch(epoch: Epoch) -> Epoch {
     Epoch(epoch.0 + 1)
 }
 
-fn joint(set: &ReplicaSet, wanted: Vec<Replica>) -> ReplicaSet {
+fn joint_set(set: &ReplicaSet, wanted: Vec<Replica>) -> ReplicaSet {
     ReplicaSet {
-        epoch: next(set.epoch),
+        epoch: next_epoch(set.epoch),
         voters: set.voters.clone(),
         incoming: Some(wanted),
     }
 }
 
-/// The first sets of all groups: as many groups as the storage nodes that live make up, each with its own ones; `None` where
-/// none lives.
+/// The initial sets of all groups, with as many groups as the live storage nodes can fill without
+/// sharing a node; `None` if no node is alive.
 pub fn initial_groups(nodes: &[StorageNode], size: usize) -> Option<ReplicaGroups> {
     let alive = nodes.iter().filter(|node| node.alive).count();
     match alive {
         0 => None,
-        1..=ONE_GROUP => Some(deal_groups(nodes, size, 1)),
+        1..=SINGLE_GROUP_MAX_NODES => Some(assign_groups(nodes, size, 1)),
         _ => {
-            let number = (alive / size.max(1)).clamp(1, MOST_GROUPS);
-            Some(deal_groups(nodes, size, number))
+            let number = (alive / size.max(1)).clamp(1, MAX_GROUPS);
+            Some(assign_groups(nodes, size, number))
         }
     }
 }
 
-/// The first sets of so many groups, each machine in as few of them as there may be.
-pub fn deal_groups(nodes: &[StorageNode], size: usize, number: usize) -> ReplicaGroups {
+/// The initial sets of this many groups, with each node in as few of them as possible.
+pub fn assign_groups(nodes: &[StorageNode], size: usize, number: usize) -> ReplicaGroups {
     let mut nodes = nodes.to_vec();
     let mut sets = Vec::new();
     for _ in 0..number {
@@ -166,18 +172,18 @@
     find(replica, nodes).is_some_and(|node| node.retiring)
 }
 
-fn is_awaited(replica: &Replica, nodes: &[StorageNode]) -> bool {
+fn is_starting(replica: &Replica, nodes: &[StorageNode]) -> bool {
     find(replica, nodes).is_some_and(|node| node.starting)
 }
 
-/// Voters stay while they live or are awaited. Those that are gone or retire make room for others; where there is no
-/// other, one that is gone stays and one that retires leaves.
+/// Voters stay while they are alive or starting. Lost or retiring voters are replaced by other
+/// nodes. Where there is none, a lost voter stays and a retiring one leaves.
 fn wanted_voters(voters: &[Replica], nodes: &[StorageNode], size: usize) -> Vec<Replica> {
     let staying = voters.iter().filter(|voter| !is_retiring(voter, nodes));
     let (alive, gone): (Vec<&Replica>, Vec<&Replica>) =
-        staying.partition(|voter| is_alive(voter, nodes) || is_awaited(voter, nodes));
+        staying.partition(|voter| is_alive(voter, nodes) || is_starting(voter, nodes));
     let mut wanted: Vec<Replica> = alive.into_iter().cloned().collect();
-    add_others(&mut wanted, voters, nodes, size);
+    add_candidates(&mut wanted, voters, nodes, size);
     let mut absent: Vec<&Replica> = gone
         .into_iter()
         .filter(|voter| !was_replaced(voter, nodes))
@@ -194,14 +200,19 @@
     wanted
 }
 
-/// Whether a voter's node runs another replica now: its disk is lost.
+/// Whether a voter's node now runs another replica, so that the voter's disk is lost.
 fn was_replaced(voter: &Replica, nodes: &[StorageNode]) -> bool {
     nodes
         .iter()
         .any(|node| node.alive && node.replica.node == voter.node && node.replica.id != voter.id)
 }
 
-fn add_others(wanted: &mut Vec<Replica>, voters: &[Replica], nodes: &[StorageNode], size: usize) {
+fn add_candidates(
+    wanted: &mut Vec<Replica>,
+    voters: &[Replica],
+    nodes: &[StorageNode],
+    size: usize,
+) {
     while wanted.len() < size {
         let free: Vec<&StorageNode> = nodes
             .iter()
@@ -213,7 +224,7 @@
             .collect();
         let best = free
             .iter()
-            .min_by_key(|node| preference(node, wanted, &free, size));
+            .min_by_key(|node| candidate_rank(node, wanted, &free, size));
         let Some(node) = best else {
             break;
         };
@@ -221,26 +232,35 @@
     }
 }
 
-/// What speaks for a replica's joining, the least first.
+/// Sort key of a candidate; the smallest is chosen.
 ///
-/// A zone holds no more of a set than may be lost of it, where that can be. Then one that copies already keeps on: another one would begin
-/// again. Then machines share the work, then zones do, the zone first that has most left to give.
-fn preference(
+/// First, no zone holds more members than the set can lose, where possible. Then a node that is
+/// already copying is kept, so that its copy isn't started again at another one. Then the nodes
+/// with the fewest groups come first, and the zones with the fewest members; among these the zone
+/// with the most free nodes.
+fn candidate_rank(
     node: &StorageNode,
     wanted: &[Replica],
     free: &[&StorageNode],
     size: usize,
 ) -> impl Ord + use<> {
     let zone = &node.replica.zone;
-    let crowd = wanted.iter().filter(|replica| replica.zone == *zone);
-    let crowd = crowd.count();
-    let is_crowded = crowd + majority(size) >= size.max(2);
-    let alike = free
+    let zone_members = wanted.iter().filter(|replica| replica.zone == *zone);
+    let zone_members = zone_members.count();
+    let is_zone_full = zone_members + majority(size) >= size.max(2);
+    let equivalent = free
         .iter()
         .filter(|other| other.replica.zone == *zone && other.groups == node.groups);
-    let left = std::cmp::Reverse(alike.count());
+    let zone_spares = std::cmp::Reverse(equivalent.count());
     let id = node.replica.id;
-    (is_crowded, !node.joining, node.groups, crowd, left, id)
+    (
+        is_zone_full,
+        !node.joining,
+        node.groups,
+        zone_members,
+        zone_spares,
+        id,
+    )
 }
 
 fn same_replicas(one: &[Replica], two: &[Replica]) -> bool {
--- a/crates/records/src/quorum_write.rs
+++ b/crates/records/src/quorum_write.rs
@@ -1,4 +1,4 @@
-//! One write at a majority of the replicas, as the gateway sees it.
+//! A write at a quorum of replicas, on the gateway's side.
 
 use std::collections::BTreeSet;
 
@@ -8,22 +8,21 @@
 use crate::message::ReplicaReply;
 use crate::replica_set::ReplicaSet;
 
-/// Where a write stands after an answer.
+/// State of a write after a reply.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum WriteProgress {
-    /// More answers are needed.
+    /// More replies are needed.
     Waiting,
-    /// The write is durable at a majority; the union of the ledgers that came back.
+    /// The write is durable at a quorum; holds the merged ledgers of the replies.
     Durable(ProgramLedger),
-    /// The replica has to be told the set, then asked again.
+    /// The replica lacks the replica sets: send them, then repeat the request.
     SendReplicaSets,
-    /// The replica cannot take it now; it may be asked again later.
+    /// The replica can't take the write now; repeat the request later.
     RetryLater,
-    /// There is a newer set; the write starts anew under it.
+    /// There is a newer set; the write has to start again under it.
     Restart(ReplicaGroups),
 }
 
-/// State of one write.
 #[derive(Debug, Clone)]
 pub struct QuorumWrite {
     group: GroupId,
@@ -33,7 +32,7 @@
 }
 
 impl QuorumWrite {
-    /// A write under this set of a group.
+    /// A write under this set of the group.
     pub fn new(group: GroupId, set: ReplicaSet) -> Self {
         Self {
             group,
@@ -43,16 +42,16 @@
         }
     }
 
-    /// The set under which answers are counted.
+    /// The set whose quorum is counted.
     pub fn set(&self) -> &ReplicaSet {
         &self.set
     }
 
-    /// Takes the answer of one replica.
+    /// Handles the reply of one replica.
     pub fn on_reply(&mut self, from: ReplicaId, reply: ReplicaReply) -> WriteProgress {
         match reply {
             ReplicaReply::Charged { ledger } => {
-                self.ledger.join_all(&ledger);
+                self.ledger.merge_ledger(&ledger);
                 self.count(from)
             }
             ReplicaReply::Done => self.count(from),
--- a/crates/records/src/replica.rs
+++ b/crates/records/src/replica.rs
@@ -1,7 +1,7 @@
 //! The state machine of one replica.
 //!
-//! It answers from memory; the caller makes the [`Change`]s durable in the order in which they are
-//! returned, and holds back a reply for as long as any change returned before it is not durable.
+//! It replies from memory. The caller makes the [`Change`]s durable in the order in which they are
+//! returned, and holds a reply back until the changes that its [`Wait`] names are durable.
 
 mod copying;
 mod restoring;
@@ -18,65 +18,63 @@
 use crate::replica_set::ReplicaSet;
 use crate::turn::TurnRecord;
 
-/// Entries of one page of a listing. A busy source takes 50 ms and more for an answer, and a copier has to list faster than 1,500
-/// records a second change.
+/// Entries of one page of a listing. A page has to be large: a busy replica is slow to reply, and
+/// copying must be faster than records change.
 const LISTING_PAGE: usize = 1_024;
-/// Bytes of records after which an answer takes in no further one.
+/// Bytes of records after which a reply takes no further record.
 const MAX_FETCH_BYTES: usize = 4 * 1024 * 1024;
-/// Records that one answer to a chain read holds at most.
 const MAX_CHAIN_RECORDS: usize = 256;
 
-/// Newest form of what lies on a disk that this program reads; it writes this one (`docs/design/versions.md`, "Disks").
+/// Newest version of the disk's format that this program reads, and the one that it writes
+/// (`docs/design/versions.md`, "Disks").
 pub const DISK_VERSION: u16 = 0;
 
-/// A record as it lies on the disk.
+/// A record as stored on the disk. Times of expiry are in milliseconds since 1970.
 #[derive(Debug, Clone, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub enum StoredRecord {
-    /// A turn of the first group, kept until this time in milliseconds since 1970; read only, from disks of versions without groups.
+    /// A turn of the first group, with its time of expiry; only read, from disks of versions
+    /// without groups.
     Turn(TurnRecord, u64),
-    /// A program's ledger, kept until this time in milliseconds since 1970.
+    /// A program's ledger, with its time of expiry.
     Ledger(ProgramId, ProgramLedger, u64),
-    /// The newest replica set that the replica knows; read only, from disks of versions without groups.
+    /// The newest replica set that the replica knows; only read, from disks of versions without
+    /// groups.
     Set(ReplicaSet),
     /// The newest replica sets that the replica knows.
     Groups(ReplicaGroups),
-    /// A turn of a group, kept until this time in milliseconds since 1970.
+    /// A turn of a group, with its time of expiry.
     GroupTurn(GroupId, TurnRecord, u64),
 }
 
-/// A durable change that the replica asks for.
+/// A change that the caller has to make durable.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Change {
-    /// Writes a record over an earlier one of the same key.
+    /// Writes a record, replacing any earlier one with the same key.
     Put(StoredRecord),
-    /// Removes a record.
     Delete(RecordKey),
 }
 
-/// What came of a request.
+/// Result of a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Handled {
-    /// Changes to make durable.
     pub changes: Vec<Change>,
-    /// The answer.
     pub reply: ReplicaReply,
-    /// What the answer has to wait for.
+    /// What the reply has to wait for.
     pub wait: Wait,
 }
 
-/// What an answer has to wait for.
+/// What a reply has to wait for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Wait {
-    /// Nothing.
     No,
-    /// All changes so far, which are to be made durable at once.
+    /// All changes so far, which have to be written at once.
     Durable,
-    /// All changes so far, which may be made durable together with later ones.
-    DurableSoon,
+    /// All changes so far, which may be written together with later ones.
+    DurableDeferred,
 }
 
 impl Handled {
-    fn at_once(reply: ReplicaReply) -> Self {
+    fn immediate(reply: ReplicaReply) -> Self {
         Self {
             changes: Vec::new(),
             reply,
@@ -102,7 +100,7 @@
 }
 
 impl<T> Kept<T> {
-    /// Milliseconds that it is still kept.
+    /// Remaining time to live, in milliseconds.
     fn ttl_ms(&self, now_ms: u64) -> u64 {
         self.until_ms.saturating_sub(now_ms)
     }
@@ -114,23 +112,23 @@
     id: ReplicaId,
     log_id: u64,
     groups: Option<ReplicaGroups>,
-    /// The epoch of each group whose copy is finished.
+    /// The epoch of the last finished copy of each group.
     copied: BTreeMap<GroupId, Epoch>,
     turns: BTreeMap<TurnId, Kept<TurnRecord>>,
     ledgers: BTreeMap<ProgramId, Kept<ProgramLedger>>,
     changes: BTreeMap<GroupId, ChangeLog>,
     turn_bytes: usize,
     max_turn_bytes: usize,
-    /// Whether records are on the disk that were not restored yet.
+    /// Whether some records of the disk aren't restored yet.
     is_restoring: bool,
-    /// Whether ledgers are on the disk that were not restored yet.
+    /// Whether some ledgers of the disk aren't restored yet.
     is_restoring_ledgers: bool,
-    /// Turns that were looked for on the disk meanwhile, and are not there.
+    /// Turns that the disk doesn't have, as looked up while restoring.
     absent: BTreeSet<TurnId>,
 }
 
 impl ReplicaState {
-    /// An empty replica that keeps at most so many bytes of turns.
+    /// An empty replica that keeps at most this many bytes of turns.
     pub fn new(id: ReplicaId, max_turn_bytes: usize) -> Self {
         Self {
             id,
@@ -148,41 +146,38 @@
         }
     }
 
-    /// The replica's identity.
     pub fn id(&self) -> ReplicaId {
         self.id
     }
 
-    /// The newest replica sets that it knows.
+    /// The newest replica sets that the replica knows.
     pub fn groups(&self) -> Option<&ReplicaGroups> {
         self.groups.as_ref()
     }
 
-    /// The epochs of all sets that it knows together, 0 where it knows none.
+    /// The sum of the epochs of all known sets; 0 if none is known.
     pub fn epoch(&self) -> Epoch {
         let groups = self.groups.as_ref();
         groups.map_or(Epoch::default(), ReplicaGroups::epoch)
     }
 
-    /// Turns and ledgers that it keeps.
+    /// Number of turns and of ledgers.
     pub fn counts(&self) -> (usize, usize) {
         (self.turns.len(), self.ledgers.len())
     }
 
-    /// Bytes of the turns that it keeps.
     pub fn turn_bytes(&self) -> usize {
         self.turn_bytes
     }
 
-    /// Whether it holds the record of a turn.
     pub fn has_turn(&self, turn: &TurnId) -> bool {
         self.turns.contains_key(turn)
     }
 
-    /// Takes a request at this time, in milliseconds since 1970.
+    /// Handles a request at this time, in milliseconds since 1970.
     pub fn handle(&mut self, request: ReplicaRequest, now_ms: u64) -> Handled {
-        if let Some(refusal) = self.refuse(&request) {
-            return Handled::at_once(refusal);
+        if let Some(rejection) = self.rejection(&request) {
+            return Handled::immediate(rejection);
         }
         match request {
             ReplicaRequest::Charge {
@@ -202,22 +197,22 @@
                 ttl_ms,
                 ..
             } => self.append(group, record, now_ms + ttl_ms),
-            ReplicaRequest::ReadChain { turn, .. } => Handled::at_once(self.read_chain(turn)),
+            ReplicaRequest::ReadChain { turn, .. } => Handled::immediate(self.read_chain(turn)),
             ReplicaRequest::Adopt { groups } => self.adopt(groups),
             ReplicaRequest::List { .. } | ReplicaRequest::Fetch { .. } if self.is_restoring => {
-                Handled::at_once(ReplicaReply::Unavailable)
+                Handled::immediate(ReplicaReply::Unavailable)
             }
             ReplicaRequest::List { group, after, .. } => {
                 let listing = self.list(group, after, now_ms);
                 Handled::durable(Vec::new(), ReplicaReply::Listed(listing))
             }
-            ReplicaRequest::Fetch { turns } => Handled::at_once(self.fetch(&turns)),
-            // Limits are no records; whoever keeps these has nothing to say.
-            ReplicaRequest::Admit(_) => Handled::at_once(ReplicaReply::Unavailable),
+            ReplicaRequest::Fetch { turns } => Handled::immediate(self.fetch(&turns)),
+            // Rate limits aren't part of the records; the node answers these requests itself.
+            ReplicaRequest::Admit(_) => Handled::immediate(ReplicaReply::Unavailable),
         }
     }
 
-    /// Takes in newer replica sets.
+    /// Adopts the replica sets if they are newer.
     pub fn adopt(&mut self, groups: ReplicaGroups) -> Handled {
         if groups.epoch() <= self.epoch() {
             return Handled::durable(Vec::new(), ReplicaReply::Done);
@@ -227,20 +222,20 @@
         Handled::durable(vec![change], ReplicaReply::Done)
     }
 
-    /// Forgets what is no longer kept.
+    /// Removes expired records.
     pub fn expire(&mut self, now_ms: u64) -> Vec<Change> {
         let mut changes = Vec::new();
         let turn_bytes = &mut self.turn_bytes;
         let logs = &mut self.changes;
-        let mut forget = |group: GroupId, changed: ChangeNumber| {
+        let mut remove_from_log = |group: GroupId, changed: ChangeNumber| {
             if let Some(log) = logs.get_mut(&group) {
-                log.forget(changed);
+                log.remove_change(changed);
             }
         };
         self.turns.retain(|turn, kept| {
             let keep = kept.until_ms > now_ms;
             if !keep {
-                forget(kept.group, kept.changed);
+                remove_from_log(kept.group, kept.changed);
                 *turn_bytes -= kept.value.weight();
                 changes.push(Change::Delete(RecordKey::Turn(turn.clone())));
             }
@@ -249,7 +244,7 @@
         self.ledgers.retain(|program, kept| {
             let keep = kept.until_ms > now_ms;
             if !keep {
-                forget(kept.group, kept.changed);
+                remove_from_log(kept.group, kept.changed);
                 changes.push(Change::Delete(RecordKey::Ledger(program.clone())));
             }
             keep
@@ -262,11 +257,11 @@
         groups.map_or(GroupId::default(), |groups| groups.group_of(Some(program)))
     }
 
-    fn refuse(&self, request: &ReplicaRequest) -> Option<ReplicaReply> {
+    fn rejection(&self, request: &ReplicaRequest) -> Option<ReplicaReply> {
         if let ReplicaRequest::ReadChain { turn, .. } = request
             && self.turns.contains_key(turn)
         {
-            // A record never changes, so it may be told at any epoch.
+            // A record never changes, so it may be read at any epoch.
             return None;
         }
         let (group, epoch) = match request {
@@ -302,8 +297,8 @@
         entry: LedgerEntry,
         until_ms: u64,
     ) -> Handled {
-        let change = self.join_entry(group, &program, turn, entry, until_ms);
-        let kept = kept_ledger(&mut self.ledgers, group, program, until_ms);
+        let change = self.merge_entry(group, &program, turn, entry, until_ms);
+        let kept = ledger_entry(&mut self.ledgers, group, program, until_ms);
         let ledger = kept.value.clone();
         let reply = ReplicaReply::Charged { ledger };
         Handled::durable(change.into_iter().collect(), reply)
@@ -319,17 +314,17 @@
                 ttl_ms,
             } = settlement;
             let until_ms = now_ms + ttl_ms;
-            changes.extend(self.join_entry(group, &program, &turn, entry, until_ms));
+            changes.extend(self.merge_entry(group, &program, &turn, entry, until_ms));
         }
         Handled {
             changes,
             reply: ReplicaReply::Done,
-            wait: Wait::DurableSoon,
+            wait: Wait::DurableDeferred,
         }
     }
 
-    /// Joins an entry in; the change that makes it durable, if there is any.
-    fn join_entry(
+    /// Merges an entry into a ledger; returns the change to make durable, if any.
+    fn merge_entry(
         &mut self,
         group: GroupId,
         program: &ProgramId,
@@ -337,10 +332,12 @@
         entry: LedgerEntry,
         until_ms: u64,
     ) -> Option<Change> {
-        self.change_ledger(group, program, until_ms, |ledger| ledger.join(turn, entry))
+        self.change_ledger(group, program, until_ms, |ledger| {
+            ledger.merge_entry(turn, entry)
+        })
     }
 
-    /// Joins another copy of a ledger in; the change that makes it durable, if there is any.
+    /// Merges another copy of a ledger; returns the change to make durable, if any.
     fn join_ledger(
         &mut self,
         group: GroupId,
@@ -348,7 +345,7 @@
         ledger: &ProgramLedger,
         until_ms: u64,
     ) -> Option<Change> {
-        self.change_ledger(group, program, until_ms, |known| known.join_all(ledger))
+        self.change_ledger(group, program, until_ms, |known| known.merge_ledger(ledger))
     }
 
     fn change_ledger(
@@ -356,17 +353,17 @@
         group: GroupId,
         program: &ProgramId,
         until_ms: u64,
-        join: impl FnOnce(&mut ProgramLedger) -> bool,
+        merge: impl FnOnce(&mut ProgramLedger) -> bool,
     ) -> Option<Change> {
-        let kept = kept_ledger(&mut self.ledgers, group, program.clone(), until_ms);
-        let has_changed = join(&mut kept.value);
+        let kept = ledger_entry(&mut self.ledgers, group, program.clone(), until_ms);
+        let has_changed = merge(&mut kept.value);
         kept.until_ms = kept.until_ms.max(until_ms);
         if !has_changed {
             return None;
         }
         let key = || RecordKey::Ledger(program.clone());
         let log = change_log(&mut self.changes, self.log_id, kept.group);
-        log.note(&mut kept.changed, key);
+        log.log_change(&mut kept.changed, key);
         let stored = StoredRecord::Ledger(program.clone(), kept.value.clone(), kept.until_ms);
         Some(Change::Put(stored))
     }
@@ -376,7 +373,7 @@
             return Handled::durable(Vec::new(), ReplicaReply::Done);
         }
         if self.turn_bytes + record.weight() > self.max_turn_bytes {
-            return Handled::at_once(ReplicaReply::Unavailable);
+            return Handled::immediate(ReplicaReply::Unavailable);
         }
         self.put_turn(group, record.clone(), until_ms);
         let change = Change::Put(StoredRecord::GroupTurn(group, record, until_ms));
@@ -388,7 +385,7 @@
         let turn = record.turn.clone();
         let mut changed = self.turns.get(&turn).and_then(|kept| kept.changed);
         let key = || RecordKey::Turn(turn.clone());
-        change_log(&mut self.changes, self.log_id, group).note(&mut changed, key);
+        change_log(&mut self.changes, self.log_id, group).log_change(&mut changed, key);
         let kept = Kept {
             value: record,
             until_ms,
@@ -426,10 +423,10 @@
     group: GroupId,
 ) -> &mut ChangeLog {
     logs.entry(group)
-        .or_insert_with(|| ChangeLog::of_life(log_id))
+        .or_insert_with(|| ChangeLog::with_id(log_id))
 }
 
-fn kept_ledger(
+fn ledger_entry(
     ledgers: &mut BTreeMap<ProgramId, Kept<ProgramLedger>>,
     group: GroupId,
     program: ProgramId,
--- a/crates/records/src/replica/copying.rs
+++ b/crates/records/src/replica/copying.rs
@@ -1,4 +1,4 @@
-//! Records that one replica gives another, and takes in from it.
+//! Copying records between replicas.
 
 use super::{Change, LISTING_PAGE, MAX_FETCH_BYTES, ReplicaState, change_log};
 use crate::change_log::ListPosition;
@@ -9,13 +9,13 @@
 use crate::turn::TurnRecord;
 
 impl ReplicaState {
-    /// The epoch of a group whose copy is finished.
+    /// The epoch of the last finished copy of a group.
     pub fn copied(&self, group: GroupId) -> Option<Epoch> {
         self.copied.get(&group).copied()
     }
 
-    /// A group whose set is changing and whose copy is finished here, with the set's epoch. There is one at a time mostly; the next one is told once
-    /// the set has changed.
+    /// A group whose set is changing and whose copy is finished on this replica, with the set's
+    /// epoch. If there are several, the others are reported after the set of the first has changed.
     pub fn copied_for_change(&self) -> Option<(GroupId, Epoch)> {
         let mut sets = self.groups.iter().flat_map(ReplicaGroups::iter);
         let changing = sets
@@ -23,7 +23,7 @@
         changing.map(|(group, set)| (group, set.epoch))
     }
 
-    /// Takes in a turn that was copied from another replica; `None` where there is no room for it.
+    /// Adds a turn copied from another replica; `None` if there is no room for it.
     pub fn copy_turn(
         &mut self,
         group: GroupId,
@@ -35,7 +35,7 @@
         (handled.reply == ReplicaReply::Done).then_some(handled.changes)
     }
 
-    /// Takes in a ledger that was copied from another replica.
+    /// Merges a ledger copied from another replica.
     pub fn copy_ledger(
         &mut self,
         group: GroupId,
@@ -48,7 +48,7 @@
         change.into_iter().collect()
     }
 
-    /// Notes that everything which a read quorum held at this epoch has been copied.
+    /// Notes that all records that a read quorum held at this epoch are copied.
     pub fn finish_copy(&mut self, group: GroupId, epoch: Epoch) {
         let copied = self.copied.entry(group).or_default();
         *copied = epoch.max(*copied);
--- a/crates/records/src/replica/restoring.rs
+++ b/crates/records/src/replica/restoring.rs
@@ -1,65 +1,65 @@
-//! A replica that takes requests while the records of its disk are read back.
+//! Restoring records from the disk while requests are handled.
 
-use super::{ReplicaState, StoredRecord, kept_ledger};
+use super::{ReplicaState, StoredRecord, ledger_entry};
 use crate::groups::{GroupId, ReplicaGroups};
 use crate::identifiers::{ProgramId, RecordKey, TurnId};
 use crate::message::ReplicaRequest;
 
 impl ReplicaState {
-    /// Numbers changes for this life of the memory, drawn anew whenever the disk is opened: positions that others had in an earlier
-    /// one mean nothing.
-    pub fn begin_life(&mut self, log_id: u64) {
+    /// Sets the identifier of the change log, drawn at random whenever the disk is opened.
+    /// Positions that other replicas hold in an earlier log become invalid.
+    pub fn set_log_id(&mut self, log_id: u64) {
         self.log_id = log_id;
     }
 
-    /// Records of the disk are restored while requests are taken already: those that a request needs first
-    /// ([`Self::needs`]), the others as they come. Until the end the replica does not say of a turn that it lacks it,
-    /// unless it was looked for.
+    /// Begins restoring. Records that a request needs are restored first
+    /// ([`Self::missing_record`]), the others as they are read. Until the end, the replica reports
+    /// a turn as missing only if it was looked up on the disk.
     pub fn begin_restoring(&mut self) {
         self.is_restoring = true;
         self.is_restoring_ledgers = true;
     }
 
-    /// All ledgers of the disk are restored: a program that is not known has none, and need not be looked for. After a power
-    /// loss at size turns took 9 to 19 s more than ledgers, and each new program would have been looked for meanwhile.
+    /// Notes that all ledgers are restored: a program that isn't known has no ledger, and isn't
+    /// looked up on the disk while turns, which take much longer, are still being restored.
     pub fn finish_restoring_ledgers(&mut self) {
         self.is_restoring_ledgers = false;
     }
 
-    /// Everything of the disk is restored.
+    /// Notes that all records are restored.
     pub fn finish_restoring(&mut self) {
         self.is_restoring = false;
         self.is_restoring_ledgers = false;
         self.absent.clear();
     }
 
-    /// Whether records are on the disk that were not restored yet.
     pub fn is_restoring(&self) -> bool {
         self.is_restoring
     }
 
-    /// The next record that has to be restored, or found to be absent, before this request is taken.
-    pub fn needs(&self, request: &ReplicaRequest) -> Option<RecordKey> {
+    /// The next record that has to be restored, or marked as absent, before this request is
+    /// handled; `None` when the request can be handled.
+    pub fn missing_record(&self, request: &ReplicaRequest) -> Option<RecordKey> {
         if !self.is_restoring {
             return None;
         }
         match request {
-            ReplicaRequest::Charge { program, .. } => self.needs_ledger(program),
+            ReplicaRequest::Charge { program, .. } => self.missing_ledger(program),
             ReplicaRequest::Settle { settlements, .. } => {
                 let mut programs = settlements.iter().map(|settlement| &settlement.program);
-                programs.find_map(|program| self.needs_ledger(program))
+                programs.find_map(|program| self.missing_ledger(program))
             }
-            ReplicaRequest::ReadChain { turn, .. } => self.needs_turn(turn),
+            ReplicaRequest::ReadChain { turn, .. } => self.missing_turn(turn),
             _ => None,
         }
     }
 
-    fn needs_ledger(&self, program: &ProgramId) -> Option<RecordKey> {
+    fn missing_ledger(&self, program: &ProgramId) -> Option<RecordKey> {
         let is_known = !self.is_restoring_ledgers || self.ledgers.contains_key(program);
         (!is_known).then(|| RecordKey::Ledger(program.clone()))
     }
 
-    fn needs_turn(&self, newest: &TurnId) -> Option<RecordKey> {
+    fn missing_turn(&self, newest: &TurnId) -> Option<RecordKey> {
         let mut next = Some(newest);
         while let Some(turn) = next {
             match self.turns.get(turn) {
@@ -71,21 +71,21 @@
         None
     }
 
-    /// A record that was looked for is not on the disk.
-    pub fn note_absent(&mut self, key: RecordKey) {
+    /// Notes that a record isn't on the disk.
+    pub fn mark_absent(&mut self, key: RecordKey) {
         match key {
             RecordKey::Turn(turn) => {
                 self.absent.insert(turn);
             }
-            // Kept for no longer than an empty ledger is of use.
+            // An empty ledger that expires at once marks the program as known.
             RecordKey::Ledger(program) => {
                 let group = self.group_of(&program);
-                kept_ledger(&mut self.ledgers, group, program, 0);
+                ledger_entry(&mut self.ledgers, group, program, 0);
             }
         }
     }
 
-    /// Takes in a record that was read back from the disk.
+    /// Adds a record that was read from the disk.
     pub fn restore(&mut self, record: StoredRecord) {
         match record {
             StoredRecord::Turn(record, until_ms) => {
@@ -94,7 +94,7 @@
             StoredRecord::GroupTurn(group, record, until_ms) => {
                 self.put_turn(group, record, until_ms);
             }
-            // Joined, since it may have changed while the disk was read.
+            // Merged, since the ledger may have changed while the disk was read.
             StoredRecord::Ledger(program, ledger, until_ms) => {
                 let group = self.group_of(&program);
                 self.join_ledger(group, &program, &ledger, until_ms);
--- a/crates/records/tests/groups.rs
+++ b/crates/records/tests/groups.rs
@@ -1,13 +1,9 @@
-//! Programs spread over groups of replicas.
-//!
-//! Every turn of a fleet passed five of 36 small machines. In a burst one of them was asked 1,840 reservations, 423 settlements and 939
-//! records of turns in a second (`replica answers late`), and reservations took 69 ms at the median in place of 9; with seven groups they
-//! took 8.
+//! Groups of replicas, and the planning of their sets.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use ridgeworks_records::{
-    CopiesSeen, Epoch, GroupId, LedgerEntry, ProgramId, ProgramLedger, Replica, ReplicaGroups,
+    CopyProgress, Epoch, GroupId, LedgerEntry, ProgramId, ProgramLedger, Replica, ReplicaGroups,
     ReplicaId, ReplicaReply, ReplicaRequest, ReplicaSet, ReplicaState, SetStep, StorageNode,
     StoredRecord, TurnId, TurnRecord, initial_groups, plan_change,
 };
@@ -49,19 +45,19 @@
 }
 
 #[test]
-fn there_are_as_many_groups_as_machines_make_up() {
-    for (machines, size, groups) in [(3, 3, 1), (6, 3, 1), (7, 3, 2), (36, 5, 7), (4, 5, 1)] {
-        let dealt = initial_groups(&nodes(machines, 7), size).expect("machines that live");
-        assert_eq!(dealt.iter().count(), groups, "{machines} machines");
+fn number_of_groups_follows_from_the_number_of_nodes() {
+    for (node_count, size, expected) in [(3, 3, 1), (6, 3, 1), (7, 3, 2), (36, 5, 7), (4, 5, 1)] {
+        let groups = initial_groups(&nodes(node_count, 7), size).expect("live nodes");
+        assert_eq!(groups.iter().count(), expected, "{node_count} nodes");
     }
     assert_eq!(initial_groups(&[], 5), None);
 }
 
 #[test]
-fn no_machine_belongs_to_two_groups_and_zones_are_spread() {
-    let dealt = initial_groups(&nodes(36, 7), 5).expect("machines that live");
+fn initial_groups_share_no_node_and_spread_over_zones() {
+    let groups = initial_groups(&nodes(36, 7), 5).expect("live nodes");
     let mut seen = BTreeSet::new();
-    for (_, set) in dealt.iter() {
+    for (_, set) in groups.iter() {
         let zones: BTreeSet<&String> = set.voters.iter().map(|voter| &voter.zone).collect();
         assert!(zones.len() >= 4, "{zones:?}");
         assert!(set.voters.iter().all(|voter| seen.insert(voter.id)));
@@ -69,71 +65,70 @@
     assert_eq!(seen.len(), 35);
 }
 
-/// The loss of a zone must leave each group a majority, also where zones are uneven.
+/// The loss of a zone must leave a majority of each group, also where zones are uneven.
 #[test]
-fn no_zone_holds_more_of_a_set_than_may_be_lost() {
+fn no_zone_holds_a_majority_of_a_set_when_zones_are_uneven() {
     let mut uneven = nodes(7, 1);
     uneven[5].replica.zone = "zone-b".to_owned();
     uneven[6].replica.zone = "zone-c".to_owned();
-    let dealt = initial_groups(&uneven, 3).expect("machines that live");
-    assert_eq!(dealt.iter().count(), 2);
-    for (_, set) in dealt.iter() {
+    let groups = initial_groups(&uneven, 3).expect("live nodes");
+    assert_eq!(groups.iter().count(), 2);
+    for (_, set) in groups.iter() {
         let zones: BTreeSet<&String> = set.voters.iter().map(|voter| &voter.zone).collect();
         assert_eq!(zones.len(), 3);
     }
 }
 
-/// Two members saw the storage machines differently for a moment, and a second newcomer began its copy after 2.9 s of the first one's.
+/// Guards against starting a second copy when coordinators briefly see different storage nodes.
 #[test]
-fn a_newcomer_that_copies_already_is_kept() {
+fn a_new_member_that_is_already_copying_is_kept() {
     let set = set(&[1, 2, 3]);
     let mut nodes = nodes(9, 3);
     nodes[3].alive = false;
     nodes[6].joining = true;
-    let copies = CopiesSeen::default();
+    let copies = CopyProgress::default();
     let step = plan_change(&set, &nodes, 3, &copies, true);
-    let Some(SetStep::Prepare { newcomers, .. }) = step else {
+    let Some(SetStep::Prepare { new_members, .. }) = step else {
         panic!("{step:?}");
     };
-    assert_eq!(newcomers, [replica(6, 3)]);
+    assert_eq!(new_members, [replica(6, 3)]);
 }
 
-/// Two voters were left after a machine had retired, and one of them lost its disk: nothing could be written until it was back in the set. With a copy
-/// before the change that took 3.5 s in place of 2.9 s (`majority of the replicas regained`, `lost_ms`).
+/// Copying first would only prolong the time in which nothing can be written.
 #[test]
-fn a_set_that_cannot_write_does_not_wait_for_a_copy_before_it_changes() {
+fn a_set_without_write_quorum_changes_without_copying_first() {
     let set = set(&[1, 2]);
     let mut nodes = nodes(3, 3);
     nodes[2].replica = replica(7, 3);
     nodes[2].replica.node = "store-2".to_owned();
-    let copies = CopiesSeen::default();
+    let copies = CopyProgress::default();
     let step = plan_change(&set, &nodes[1..], 3, &copies, true);
     let Some(SetStep::Write(change)) = step else {
         panic!("{step:?}");
     };
-    assert_eq!(change.newcomers(), [&nodes[2].replica]);
+    assert_eq!(change.new_members(), [&nodes[2].replica]);
 }
 
 #[test]
-fn programs_are_spread_evenly_and_keep_their_group() {
-    let dealt = initial_groups(&nodes(36, 7), 5).expect("machines that live");
+fn programs_are_spread_evenly_over_groups() {
+    let groups = initial_groups(&nodes(36, 7), 5).expect("live nodes");
     let mut counts: BTreeMap<GroupId, u64> = BTreeMap::new();
     for number in 0..7_000 {
         let program = program(number);
-        let group = dealt.group_of(Some(&program));
-        assert_eq!(dealt.group_of(Some(&program)), group);
+        let group = groups.group_of(Some(&program));
+        assert_eq!(groups.group_of(Some(&program)), group);
         *counts.entry(group).or_default() += 1;
     }
     assert!(
         counts.values().all(|count| (850..1_150).contains(count)),
         "{counts:?}"
     );
-    assert_eq!(dealt.group_of(None), GroupId(0));
+    assert_eq!(groups.group_of(None), GroupId(0));
 }
 
-/// One set is written as it was before there were groups, so that nodes of the version before read it.
+/// A single set keeps the format of versions without groups, so that their nodes can read it.
 #[test]
-fn one_set_is_registered_alone_and_several_together() {
+fn a_single_set_is_serialized_without_groups() {
     let one = ReplicaGroups::single(set(&[1, 2, 3]));
     let written = serde_json::to_value(&one).expect("a value");
     assert_eq!(written["epoch"], 1);
@@ -169,7 +164,7 @@
 }
 
 #[test]
-fn each_group_has_its_own_epoch_and_its_own_list() {
+fn each_group_has_its_own_epoch_and_change_log() {
     let groups = ReplicaGroups::new(vec![set(&[1, 2, 3]), set(&[1, 4, 5]), set(&[6, 7, 8])]);
     let mut state = ReplicaState::new(ReplicaId(1), 1_000_000);
     state.adopt(groups.clone());
@@ -209,22 +204,22 @@
     }
 }
 
-/// A copy that found no room counted as made, and the newcomer would have voted without the turn.
+/// A copy without the turn must not count as complete, or the new member would vote without it.
 #[test]
-fn a_turn_without_room_is_not_copied() {
+fn copying_a_turn_fails_without_room() {
     let mut state = ReplicaState::new(ReplicaId(1), 4);
     let copied = state.copy_turn(GroupId(0), record("t-1"), 60_000, NOW);
     assert_eq!(copied, None);
 }
 
 #[test]
-fn a_disk_of_the_version_before_is_read() {
+fn records_of_versions_without_groups_are_restored() {
     let mut ledger = ProgramLedger::default();
     let entry = LedgerEntry {
         reserved_tokens: 50,
         spent: Some(7),
     };
-    ledger.join(&TurnId("t-1".to_owned()), entry);
+    ledger.merge_entry(&TurnId("t-1".to_owned()), entry);
     let mut state = ReplicaState::new(ReplicaId(1), 1_000_000);
     state.restore(StoredRecord::Set(set(&[1, 2, 3])));
     state.restore(StoredRecord::Ledger(program(1), ledger, KEPT));
--- a/crates/records/tests/joint_sets.rs
+++ b/crates/records/tests/joint_sets.rs
@@ -1,9 +1,8 @@
-//! What a write costs while the replica set changes.
+//! Quorums of joint sets.
 //!
-//! A voter was replaced under load. From then on every reservation and settlement went to all seven members in place of three of
-//! five: `replica answers late` counted 1,500 to 1,840 reservations a second at each voter, the copy came to no end, and reservations
-//! went from 66 ms to 549 ms at the median within ten seconds (`ridgeworks timeline`). Three members that belong to both sides are a
-//! majority of each.
+//! Guards against sending each write of a joint set to all members. Replicas that are both voters
+//! and incoming count in both majorities, so a write needs few more replicas than before the
+//! change.
 
 use std::collections::BTreeSet;
 
@@ -32,7 +31,7 @@
 }
 
 #[test]
-fn a_write_under_a_joint_set_asks_no_more_than_a_majority_of_both_sides_first() {
+fn voters_that_stay_count_in_both_majorities_of_a_joint_set() {
     let set = ReplicaSet {
         epoch: Epoch(2),
         voters: replicas(&[1, 2, 3, 4, 5]),
@@ -42,27 +41,27 @@
 }
 
 #[test]
-fn those_asked_first_are_shared_by_both_sides_where_they_are_preferred() {
+fn writes_go_first_to_preferred_replicas_that_count_in_both_majorities() {
     let set = joint(&[1, 2, 3, 4, 5], &[1, 2, 3, 6, 7]);
     let (first, spare) = set.split_for_write(replicas(&[2, 3, 1, 4, 6, 5, 7]));
     assert_eq!(first, replicas(&[2, 3, 1]));
     assert_eq!(spare, replicas(&[4, 6, 5, 7]));
-    // One of them does not answer, so it comes last: one more of each side takes its place.
+    // One of them doesn't reply, so it comes last: one more replica of each set takes its place.
     let (first, _) = set.split_for_write(replicas(&[2, 3, 4, 6, 5, 7, 1]));
     assert_eq!(first, replicas(&[2, 3, 4, 6]));
 }
 
-/// Of the members in any order, those asked first are a write quorum, none is lost, and no order of preference gets by with
-/// fewer than `write_quorum` says.
+/// In any order of preference, the members asked first are a write quorum of at least
+/// `write_quorum` replicas, and no member is missing from the split.
 #[test]
-fn those_asked_first_are_a_quorum() {
-    quickcheck::quickcheck(is_quorum_first as fn(Vec<u64>, u8, u8) -> bool);
+fn replicas_asked_first_are_a_quorum_in_any_order() {
+    quickcheck::quickcheck(first_replicas_are_a_quorum as fn(Vec<u64>, u8, u8) -> bool);
 }
 
-fn is_quorum_first(order: Vec<u64>, voters: u8, incoming: u8) -> bool {
+fn first_replicas_are_a_quorum(order: Vec<u64>, voters: u8, incoming: u8) -> bool {
     let voters: Vec<u64> = (0..u64::from(voters % 6) + 1).collect();
-    let begin = u64::from(incoming % 4);
-    let incoming: Vec<u64> = (begin..begin + voters.len() as u64).collect();
+    let first_incoming = u64::from(incoming % 4);
+    let incoming: Vec<u64> = (first_incoming..first_incoming + voters.len() as u64).collect();
     let set = joint(&voters, &incoming);
     let mut members: Vec<Replica> = set.members().into_iter().cloned().collect();
     members.sort_by_key(|member| order.iter().position(|id| *id % 10 == member.id.0));
--- a/crates/records/tests/restoring.rs
+++ b/crates/records/tests/restoring.rs
@@ -1,4 +1,4 @@
-//! A replica that takes requests while the records of its disk are still being read back.
+//! A replica that handles requests while the records of its disk are being restored.
 
 use ridgeworks_records::{
     Epoch, GroupId, LedgerEntry, ProgramId, ProgramLedger, RecordKey, Replica, ReplicaId,
@@ -23,11 +23,11 @@
         reserved_tokens: 50,
         spent: Some(spent),
     };
-    ledger.join(&TurnId(turn.to_owned()), entry);
+    ledger.merge_entry(&TurnId(turn.to_owned()), entry);
     StoredRecord::Ledger(ProgramId("p".to_owned()), ledger, KEPT)
 }
 
-/// A replica whose set is restored, and its other records not yet.
+/// A replica of which only the set is restored.
 fn replica() -> ReplicaState {
     let me = Replica {
         id: ReplicaId(1),
@@ -70,26 +70,28 @@
 }
 
 #[test]
-fn a_reservation_needs_the_ledger_of_its_program_first() {
+fn a_reservation_needs_the_ledger_of_its_program() {
     let mut state = replica();
     let key = RecordKey::Ledger(ProgramId("p".to_owned()));
-    assert_eq!(state.needs(&charge("t-2")), Some(key));
+    assert_eq!(state.missing_record(&charge("t-2")), Some(key));
     state.restore(ledger("t-1", 7));
-    assert_eq!(state.needs(&charge("t-2")), None);
+    assert_eq!(state.missing_record(&charge("t-2")), None);
     let ReplicaReply::Charged { ledger } = state.handle(charge("t-2"), NOW).reply else {
         panic!("the ledger is known");
     };
-    assert_eq!(ledger.entries.len(), 2, "what was spent before counts");
+    assert_eq!(ledger.entries.len(), 2, "the earlier turn is still charged");
 }
 
 #[test]
-fn what_the_disk_told_late_takes_nothing_back() {
+fn restoring_a_ledger_keeps_later_reservations() {
     let mut state = replica();
-    let key = state.needs(&charge("t-2")).expect("a ledger to look for");
-    state.note_absent(key);
-    assert_eq!(state.needs(&charge("t-2")), None);
+    let key = state
+        .missing_record(&charge("t-2"))
+        .expect("a missing ledger");
+    state.mark_absent(key);
+    assert_eq!(state.missing_record(&charge("t-2")), None);
     state.handle(charge("t-2"), NOW);
-    // Read before the reservation was made, handed over after it.
+    // Read from the disk before the reservation, restored after it.
     state.restore(ledger("t-1", 7));
     let ReplicaReply::Charged { ledger } = state.handle(charge("t-3"), NOW).reply else {
         panic!("the ledger is known");
@@ -98,7 +100,7 @@
 }
 
 #[test]
-fn a_chain_is_needed_link_by_link() {
+fn reading_a_chain_needs_its_turns_one_by_one() {
     let mut state = replica();
     let request = ReplicaRequest::ReadChain {
         group: GroupId(0),
@@ -106,13 +108,13 @@
         turn: TurnId("t-2".to_owned()),
     };
     let key = |turn: &str| Some(RecordKey::Turn(TurnId(turn.to_owned())));
-    assert_eq!(state.needs(&request), key("t-2"));
+    assert_eq!(state.missing_record(&request), key("t-2"));
     state.restore(StoredRecord::Turn(turn("t-2", Some("t-1")), KEPT));
-    assert_eq!(state.needs(&request), key("t-1"));
-    state.note_absent(RecordKey::Turn(TurnId("t-1".to_owned())));
-    assert_eq!(state.needs(&request), None);
+    assert_eq!(state.missing_record(&request), key("t-1"));
+    state.mark_absent(RecordKey::Turn(TurnId("t-1".to_owned())));
+    assert_eq!(state.missing_record(&request), None);
     let ReplicaReply::Chain { records, missing } = read(&mut state, "t-2") else {
-        panic!("it is known how far the chain goes here");
+        panic!("the end of the chain is known");
     };
     assert_eq!(
         (records.len(), missing),
@@ -121,26 +123,30 @@
 }
 
 #[test]
-fn of_no_turn_it_is_said_that_it_is_missing() {
+fn no_turn_is_reported_missing_while_restoring() {
     let mut state = replica();
     assert_eq!(read(&mut state, "t-2"), ReplicaReply::Unavailable);
     state.restore(StoredRecord::Turn(turn("t-2", Some("t-1")), KEPT));
     let half = read(&mut state, "t-2");
-    assert_eq!(half, ReplicaReply::Unavailable, "t-1 may come yet");
+    assert_eq!(
+        half,
+        ReplicaReply::Unavailable,
+        "t-1 may still be on the disk"
+    );
     state.restore(StoredRecord::Turn(turn("t-1", None), KEPT));
     let ReplicaReply::Chain { records, missing } = read(&mut state, "t-2") else {
-        panic!("the chain is whole");
+        panic!("the chain is complete");
     };
     assert_eq!((records.len(), missing), (2, None));
     state.finish_restoring();
     let ReplicaReply::Chain { missing, .. } = read(&mut state, "t-3") else {
-        panic!("it is known what is there");
+        panic!("all records are restored");
     };
     assert_eq!(missing, Some(TurnId("t-3".to_owned())));
 }
 
 #[test]
-fn nothing_is_listed_or_fetched_for_a_copy() {
+fn list_and_fetch_are_unavailable_while_restoring() {
     let mut state = replica();
     let list = ReplicaRequest::List {
         group: GroupId(0),
@@ -160,7 +166,7 @@
 }
 
 #[test]
-fn a_turn_that_is_written_meanwhile_is_counted_once() {
+fn a_turn_written_while_restoring_is_counted_once() {
     let mut state = replica();
     let record = turn("t-1", None);
     let append = ReplicaRequest::Append {
@@ -174,10 +180,10 @@
     assert_eq!(state.turn_bytes(), record.weight());
 }
 
-/// Replicas that had started after a power loss looked for the ledger of each new program on the disk until all turns were read back, which
-/// took them up to 19 s: `records read back` said `took_ms=19131` with 31,527 turns and 11,176 ledgers.
+/// Guards against a disk access for each new program while turns are still being restored, which
+/// takes much longer than restoring ledgers.
 #[test]
-fn once_all_ledgers_are_back_a_new_program_is_not_looked_for() {
+fn a_new_program_is_not_looked_up_once_all_ledgers_are_restored() {
     let mut state = replica();
     state.restore(ledger("t-1", 7));
     state.finish_restoring_ledgers();
@@ -185,10 +191,13 @@
     if let ReplicaRequest::Charge { program, .. } = &mut other {
         *program = ProgramId("new".to_owned());
     }
-    assert_eq!(state.needs(&other), None);
+    assert_eq!(state.missing_record(&other), None);
     let turn = TurnId("t-1".to_owned());
     let epoch = Epoch(3);
     let group = GroupId(0);
     let read = ReplicaRequest::ReadChain { group, epoch, turn };
-    assert!(state.needs(&read).is_some(), "turns are not back yet");
+    assert!(
+        state.missing_record(&read).is_some(),
+        "turns are not restored yet"
+    );
 }
--- a/crates/records/tests/simulation.rs
+++ b/crates/records/tests/simulation.rs
@@ -1,24 +1,25 @@
-//! Seeded schedules of replicas and gateways under faults: tokens stay within their budget, and no turn
-//! that was answered whole is lost or wrongly denied. Each mechanism is left out once, and must be missed.
+//! Seeded simulations of replicas and gateways under faults: tokens stay within their budget, and
+//! no turn that was answered completely is lost or wrongly reported as missing. Each mechanism is
+//! disabled once, which the checks have to detect.
 
 mod simulator;
 
 use simulator::world::World;
-use simulator::{Outcome, Weakening};
+use simulator::{DisabledMechanism, Outcome};
 
 const SCHEDULES: u64 = 10_000;
-const WEAKENED_SCHEDULES: u64 = 1_000;
+const DISABLED_SCHEDULES: u64 = 1_000;
 const THREADS: u64 = 4;
 const SCHEDULES_VARIABLE: &str = "RIDGEWORKS_SIMULATION_SCHEDULES";
 
-fn run_all(schedules: u64, weakening: Weakening) -> (Outcome, Option<u64>) {
+fn run_all(schedules: u64, disabled: DisabledMechanism) -> (Outcome, Option<u64>) {
     let threads: Vec<_> = (0..THREADS)
         .map(|thread| {
             std::thread::spawn(move || {
                 let mut total = Outcome::default();
                 let mut first_failed = None;
                 for seed in (thread..schedules).step_by(THREADS as usize) {
-                    let outcome = World::run(seed, weakening);
+                    let outcome = World::run(seed, disabled);
                     if outcome.violations() > 0 {
                         first_failed.get_or_insert(seed);
                     }
@@ -39,12 +40,12 @@
 }
 
 #[test]
-fn promises_hold_under_faults() {
+fn invariants_hold_under_faults() {
     let schedules = std::env::var(SCHEDULES_VARIABLE).ok();
     let schedules = schedules
         .and_then(|text| text.parse().ok())
         .unwrap_or(SCHEDULES);
-    let (total, first_failed) = run_all(schedules, Weakening::None);
+    let (total, first_failed) = run_all(schedules, DisabledMechanism::None);
     println!("{schedules} schedules: {total:?}");
     assert_eq!(
         total.violations(),
@@ -70,59 +71,59 @@
 }
 
 #[test]
-fn a_schedule_repeats() {
+fn a_seed_gives_the_same_outcome_again() {
     assert_eq!(
-        World::run(17, Weakening::None),
-        World::run(17, Weakening::None)
+        World::run(17, DisabledMechanism::None),
+        World::run(17, DisabledMechanism::None)
     );
 }
 
-fn is_missed(weakening: Weakening) -> Outcome {
-    let (total, _) = run_all(WEAKENED_SCHEDULES, weakening);
-    println!("{weakening:?}: {total:?}");
+fn run_without(disabled: DisabledMechanism) -> Outcome {
+    let (total, _) = run_all(DISABLED_SCHEDULES, disabled);
+    println!("{disabled:?}: {total:?}");
     total
 }
 
 #[test]
-fn without_the_union_budgets_are_overspent() {
-    assert!(is_missed(Weakening::NoUnion).overspent > 0);
+fn without_merged_ledgers_budgets_are_overspent() {
+    assert!(run_without(DisabledMechanism::NoUnion).overspent > 0);
 }
 
 #[test]
-fn without_the_sync_turns_are_lost() {
-    assert!(is_missed(Weakening::NoSync).lost_turns > 0);
+fn without_waiting_for_the_disk_turns_are_lost() {
+    assert!(run_without(DisabledMechanism::NoSync).lost_turns > 0);
 }
 
 #[test]
-fn without_a_majority_turns_are_denied() {
-    assert!(is_missed(Weakening::NoReadMajority).lost_turns > 0);
+fn without_a_read_majority_turns_are_reported_missing() {
+    assert!(run_without(DisabledMechanism::NoReadMajority).lost_turns > 0);
 }
 
 #[test]
-fn without_the_copy_turns_are_lost() {
-    assert!(is_missed(Weakening::NoCopy).lost_turns > 0);
+fn without_copies_turns_are_lost() {
+    assert!(run_without(DisabledMechanism::NoCopy).lost_turns > 0);
 }
 
 #[test]
-fn without_epochs_promises_break() {
-    assert!(is_missed(Weakening::NoEpochs).violations() > 0);
+fn without_epochs_invariants_break() {
+    assert!(run_without(DisabledMechanism::NoEpochs).violations() > 0);
 }
 
 #[test]
-fn without_the_rest_of_the_copy_turns_are_lost() {
-    assert!(is_missed(Weakening::NoRest).lost_turns > 0);
+fn without_the_copy_under_the_joint_set_turns_are_lost() {
+    assert!(run_without(DisabledMechanism::NoRest).lost_turns > 0);
 }
 
 #[test]
-fn with_positions_of_an_earlier_life_turns_are_lost() {
-    assert!(is_missed(Weakening::NoLives).lost_turns > 0);
+fn with_positions_in_an_earlier_change_log_turns_are_lost() {
+    assert!(run_without(DisabledMechanism::NoLives).lost_turns > 0);
 }
 
-/// A voter was replaced under load: the set was joint from the first moment of the copy, every write went to both sides meanwhile,
-/// and the copy came to no end (`replica set changed` at 9.68 s, done at 20.45 s).
+/// Guards against copying most records under a joint set, where each write goes to the old and the
+/// new members and slows the copy.
 #[test]
-fn most_is_copied_before_the_set_changes() {
-    let (total, _) = run_all(WEAKENED_SCHEDULES, Weakening::None);
+fn most_records_are_copied_before_the_set_changes() {
+    let (total, _) = run_all(DISABLED_SCHEDULES, DisabledMechanism::None);
     println!("{total:?}");
     assert!(total.prepared_turns > 5 * total.copied_turns, "{total:?}");
 }
--- a/crates/records/tests/simulator/gateway.rs
+++ b/crates/records/tests/simulator/gateway.rs
@@ -1,4 +1,4 @@
-//! Turns of programs as gateways carry them out, and the reads that check them.
+//! Operations of gateways: the steps of turns, and the reads that check them.
 
 use ridgeworks_records::{
     ChainRead, GroupId, LedgerEntry, ProgramId, QuorumWrite, ReplicaRequest, ReplicaSet,
@@ -7,46 +7,51 @@
 
 use super::storage::KEEP_MS;
 
-/// What an operation of a gateway is about.
+/// Purpose of an operation.
 #[derive(Debug, Clone)]
 pub enum Purpose {
-    /// Reserves a turn's tokens.
-    Reserve { program: usize, turn: TurnId },
-    /// Writes a turn's record.
-    Append { program: usize, record: TurnRecord },
-    /// Settles a turn.
+    Reserve {
+        program: usize,
+        turn: TurnId,
+    },
+    Append {
+        program: usize,
+        record: TurnRecord,
+    },
     Settle {
         program: usize,
         turn: TurnId,
         spent: u64,
     },
     /// Reads an acknowledged turn.
-    Read { program: usize, turn: TurnId },
-    /// Reads a turn that nobody wrote.
-    ReadInvented { program: usize },
+    Read {
+        program: usize,
+        turn: TurnId,
+    },
+    /// Reads a turn that was never written.
+    ReadUnwritten {
+        program: usize,
+    },
 }
 
 impl Purpose {
-    /// The program that it is about.
     pub fn program(&self) -> usize {
         match self {
             Self::Reserve { program, .. }
             | Self::Append { program, .. }
             | Self::Settle { program, .. }
             | Self::Read { program, .. }
-            | Self::ReadInvented { program } => *program,
+            | Self::ReadUnwritten { program } => *program,
         }
     }
 }
 
-/// The state machine of an operation.
 #[derive(Debug, Clone)]
 pub enum Machine {
     Write(QuorumWrite),
     Read(ChainRead),
 }
 
-/// One operation of a gateway.
 #[derive(Debug, Clone)]
 pub struct Operation {
     pub gateway: usize,
@@ -54,12 +59,12 @@
     pub purpose: Purpose,
     pub machine: Machine,
     pub deadline: u64,
-    /// Whether it was sent before.
+    /// Whether the request was sent before.
     pub is_sent: bool,
 }
 
-/// The most that each simulated turn may generate.
-pub const MOST: u64 = 10;
+/// Tokens that a turn reserves.
+pub const MAX_TURN_TOKENS: u64 = 10;
 
 pub fn program_id(program: usize) -> ProgramId {
     ProgramId(format!("program-{program}"))
@@ -73,7 +78,7 @@
         }
     }
 
-    /// The request as it is sent under the operation's set.
+    /// The request under the operation's current set.
     pub fn request(&self) -> ReplicaRequest {
         let epoch = self.set().epoch;
         let group = self.group;
@@ -84,7 +89,7 @@
                 program: program_id(*program),
                 turn: turn.clone(),
                 entry: LedgerEntry {
-                    reserved_tokens: MOST,
+                    reserved_tokens: MAX_TURN_TOKENS,
                     spent: None,
                 },
                 ttl_ms: KEEP_MS,
@@ -103,7 +108,7 @@
                     program: program_id(*program),
                     turn: turn.clone(),
                     entry: LedgerEntry {
-                        reserved_tokens: MOST,
+                        reserved_tokens: MAX_TURN_TOKENS,
                         spent: Some(*spent),
                     },
                     ttl_ms: KEEP_MS,
@@ -120,21 +125,21 @@
                 epoch,
                 turn: read.next_turn().clone(),
             },
-            (_, Machine::Write(_)) => unreachable!("reads have the machine of a read"),
+            (_, Machine::Write(_)) => unreachable!("reads use the state machine of a read"),
         }
     }
 
-    /// Starts the operation anew under a newer set.
+    /// Restarts the operation under a newer set.
     pub fn restart(&mut self, set: ReplicaSet) {
         self.machine = match &self.purpose {
             Purpose::Read { turn, .. } => Machine::Read(ChainRead::new(set, turn.clone())),
-            Purpose::ReadInvented { .. } => Machine::Read(ChainRead::new(set, invented())),
+            Purpose::ReadUnwritten { .. } => Machine::Read(ChainRead::new(set, unwritten())),
             _ => Machine::Write(QuorumWrite::new(self.group, set)),
         };
     }
 }
 
-/// A turn that nobody writes.
-pub fn invented() -> TurnId {
+/// A turn that is never written.
+pub fn unwritten() -> TurnId {
     TurnId("invented".to_owned())
 }
--- a/crates/records/tests/simulator/mod.rs
+++ b/crates/records/tests/simulator/mod.rs
@@ -1,61 +1,58 @@
-//! Replicas, gateways and the register under virtual time, with everything that can go wrong between
-//! them. The state machines are those of the product; only their drivers stand here.
+//! Replicas, gateways and the register under virtual time, with faults. The state machines are
+//! those of the product; the simulator drives them.
 
 pub mod gateway;
 pub mod storage;
 pub mod world;
 
-/// A mechanism that is left out, to see that the checks notice.
+/// The mechanism that a simulation disables, to show that the checks detect its absence.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Weakening {
-    /// Nothing is left out.
+pub enum DisabledMechanism {
+    /// All mechanisms are enabled.
     None,
-    /// A gateway decides on the ledger of one replica instead of the union.
+    /// A gateway decides by the ledger of one replica instead of the merged ledgers.
     NoUnion,
-    /// Replies do not wait for the disk.
+    /// Replies don't wait for the disk.
     NoSync,
-    /// One replica without a record is taken for proof that there is none.
+    /// One replica without a record counts as proof that there is none.
     NoReadMajority,
-    /// A changed set is completed without a copy.
+    /// A change of a set is completed without a copy.
     NoCopy,
-    /// Replicas take requests of any epoch.
+    /// Replicas accept requests of any epoch.
     NoEpochs,
-    /// A change is completed on what newcomers copied before it, without the rest.
+    /// A change is completed with what new members copied before it, without the changes since.
     NoRest,
-    /// Positions in a replica's list of changes count on after it has started anew.
+    /// Positions in a replica's change log stay valid after a restart.
     NoLives,
 }
 
-/// What a schedule showed.
+/// Result of a simulation.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Outcome {
-    /// Tokens handed out beyond a budget and one turn.
+    /// Turns that ran after a program had exceeded its budget by more than one turn.
     pub overspent: u64,
-    /// Acknowledged turns of which a gateway said that they do not exist, or whose chain was wrong.
+    /// Reads in which an acknowledged turn was reported missing, or its chain was wrong.
     pub lost_turns: u64,
-    /// Turns that were read although nobody wrote them.
+    /// Reads that returned a turn that was never written.
     pub invented_turns: u64,
-    /// Turns answered whole.
+    /// Turns answered completely.
     pub answered: u64,
-    /// Chains read.
+    /// Completed reads.
     pub chains_read: u64,
-    /// Changes of the replica set.
     pub set_changes: u64,
-    /// Disks lost.
     pub wipes: u64,
-    /// Records of turns copied before the set changed.
+    /// Turns copied before the set changed.
     pub prepared_turns: u64,
-    /// Records of turns copied while the set was changing.
+    /// Turns copied while the set was joint.
     pub copied_turns: u64,
 }
 
 impl Outcome {
-    /// Number of broken promises.
+    /// Number of violated invariants.
     pub fn violations(&self) -> u64 {
         self.overspent + self.lost_turns + self.invented_turns
     }
 
-    /// Adds another schedule's.
     pub fn add(&mut self, other: &Self) {
         self.overspent += other.overspent;
         self.lost_turns += other.lost_turns;
--- a/crates/records/tests/simulator/storage.rs
+++ b/crates/records/tests/simulator/storage.rs
@@ -1,4 +1,4 @@
-//! One storage node: the replica's state in memory, its disk, and the copy it makes.
+//! A storage node: the replica's state in memory, its disk, and its copies.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -7,7 +7,7 @@
     ReplicaReply, ReplicaRequest, ReplicaSet, ReplicaState, StoredRecord, TurnId, Wait,
 };
 
-use super::Weakening;
+use super::DisabledMechanism;
 use super::world::Address;
 
 const MAX_TURN_BYTES: usize = 1 << 30;
@@ -16,7 +16,7 @@
 /// Key of a record on the simulated disk.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 enum DiskKey {
-    /// First, since ledgers are restored for the groups that are known.
+    /// Sorts first, since ledgers are restored to the groups that are known.
     Groups,
     Record(RecordKey),
 }
@@ -29,10 +29,10 @@
     pub reply: ReplicaReply,
 }
 
-/// Number of no question.
-pub const NOBODY_ASKED: u64 = u64::MAX;
+/// Operation number of a copy without a pending request.
+pub const NO_REQUEST: u64 = u64::MAX;
 
-/// Where a copy stands: for a set that is changing, or before the change for one that is not.
+/// Progress of a copy for a joint set, or for a set before it changes.
 #[derive(Debug, Clone)]
 pub struct CopyTask {
     pub group: GroupId,
@@ -40,35 +40,34 @@
     pub set: ReplicaSet,
     pub done: BTreeSet<ReplicaId>,
     pub source: Option<Replica>,
-    /// Number of the question that is open: answers to earlier ones mean nothing.
-    pub asked: u64,
-    /// The page whose turns are being fetched.
+    /// Operation number of the pending request; replies to earlier ones are ignored.
+    pub pending_request: u64,
+    /// Next position and end flag of the page whose turns are being fetched.
     pub page: Option<(ListPosition, bool)>,
     pub missing: Vec<TurnId>,
 }
 
 impl CopyTask {
     pub fn new(group: GroupId, groups: ReplicaGroups) -> Self {
-        let set = groups.set(group).expect("a group of the sets").clone();
+        let set = groups.set(group).expect("the group exists").clone();
         Self {
             group,
             groups,
             set,
             done: BTreeSet::new(),
             source: None,
-            asked: NOBODY_ASKED,
+            pending_request: NO_REQUEST,
             page: None,
             missing: Vec::new(),
         }
     }
 
-    /// Whether the set is not changing yet.
+    /// Whether the set isn't joint yet.
     pub fn is_preparing(&self) -> bool {
         self.set.incoming.is_none()
     }
 }
 
-/// One storage node.
 pub struct StorageNode {
     pub index: usize,
     pub life: u64,
@@ -80,17 +79,17 @@
     pub durable: u64,
     pub waiting: VecDeque<WaitingReply>,
     pub copies: BTreeMap<GroupId, CopyTask>,
-    /// How far the changes of each source are known.
+    /// Position in the change log of each source.
     pub positions: BTreeMap<(GroupId, ReplicaId), ListPosition>,
-    /// Until when this node is to copy before the set of a group changes, and for which epoch.
-    pub wishes: BTreeMap<GroupId, (Epoch, u64)>,
-    /// The epoch of each group for which it holds what a read quorum held moments ago.
+    /// Requested copies before the set of a group changes: the epoch, and when the request expires.
+    pub copy_requests: BTreeMap<GroupId, (Epoch, u64)>,
+    /// The epoch of each group at which this node recently held all records of a read quorum.
     pub prepared: BTreeMap<GroupId, Epoch>,
-    weakening: Weakening,
+    disabled: DisabledMechanism,
 }
 
 impl StorageNode {
-    pub fn new(index: usize, id: u64, weakening: Weakening) -> Self {
+    pub fn new(index: usize, id: u64, disabled: DisabledMechanism) -> Self {
         Self {
             index,
             life: 0,
@@ -103,9 +102,9 @@
             waiting: VecDeque::new(),
             copies: BTreeMap::new(),
             positions: BTreeMap::new(),
-            wishes: BTreeMap::new(),
+            copy_requests: BTreeMap::new(),
             prepared: BTreeMap::new(),
-            weakening,
+            disabled,
         }
     }
 
@@ -118,7 +117,7 @@
         }
     }
 
-    /// Handles a request; returns a reply that may go out at once.
+    /// Handles a request; returns the reply if it doesn't have to wait.
     pub fn request(
         &mut self,
         from: Address,
@@ -129,14 +128,14 @@
         if to != self.state.id() {
             return Some(ReplicaReply::NotMember);
         }
-        if self.weakening == Weakening::NoEpochs {
+        if self.disabled == DisabledMechanism::NoEpochs {
             self.ignore_epoch(&mut request);
         }
         let handled = self.state.handle(request, 0);
-        self.carry_out(handled, Some((from, operation)))
+        self.commit_and_reply(handled, Some((from, operation)))
     }
 
-    /// Makes any request look as if it came under the set that is known here.
+    /// Replaces the epoch of a request with the one known here.
     fn ignore_epoch(&self, request: &mut ReplicaRequest) {
         let Some(groups) = self.state.groups() else {
             return;
@@ -146,13 +145,13 @@
             | ReplicaRequest::Settle { group, epoch, .. }
             | ReplicaRequest::Append { group, epoch, .. }
             | ReplicaRequest::ReadChain { group, epoch, .. } => {
-                *epoch = groups.set(*group).expect("a group of the sets").epoch;
+                *epoch = groups.set(*group).expect("the group exists").epoch;
             }
             _ => {}
         }
     }
 
-    pub fn carry_out(
+    pub fn commit_and_reply(
         &mut self,
         handled: Handled,
         answer: Option<(Address, u64)>,
@@ -162,7 +161,7 @@
             self.unsynced.push_back((self.submitted, handled.changes));
         }
         let (to, operation) = answer?;
-        let waits = handled.wait != Wait::No && self.weakening != Weakening::NoSync;
+        let waits = handled.wait != Wait::No && self.disabled != DisabledMechanism::NoSync;
         if waits && self.durable < self.submitted {
             self.waiting.push_back(WaitingReply {
                 batch: self.submitted,
@@ -178,7 +177,7 @@
     /// Makes all batches up to this one durable and returns the replies that waited for them.
     pub fn sync(&mut self, batch: u64) -> Vec<WaitingReply> {
         while self.unsynced.front().is_some_and(|front| front.0 <= batch) {
-            let (_, changes) = self.unsynced.pop_front().expect("just seen");
+            let (_, changes) = self.unsynced.pop_front().expect("the queue isn't empty");
             changes.into_iter().for_each(|change| self.apply(change));
         }
         self.durable = self.durable.max(batch);
@@ -207,7 +206,7 @@
         }
     }
 
-    /// The process dies. Of what was not durable, the first `kept` batches reached the disk.
+    /// Crashes the process. Of the batches that aren't durable, the first `kept` reached the disk.
     pub fn crash(&mut self, kept: usize) {
         for _ in 0..kept {
             if let Some((_, changes)) = self.unsynced.pop_front() {
@@ -220,15 +219,15 @@
         self.waiting.clear();
         self.copies.clear();
         self.positions.clear();
-        self.wishes.clear();
+        self.copy_requests.clear();
         self.prepared.clear();
     }
 
-    /// The process starts on its disk.
+    /// Starts the process with the records of its disk.
     pub fn start(&mut self) {
         let mut state = ReplicaState::new(self.state.id(), MAX_TURN_BYTES);
-        if self.weakening != Weakening::NoLives {
-            state.begin_life(self.life);
+        if self.disabled != DisabledMechanism::NoLives {
+            state.set_log_id(self.life);
         }
         for record in self.disk.values() {
             state.restore(record.clone());
@@ -239,7 +238,7 @@
         self.running = true;
     }
 
-    /// The disk is lost; the next start is another replica's.
+    /// Loses the disk; the next start is that of another replica.
     pub fn wipe(&mut self, new_id: u64) {
         self.disk.clear();
         self.state = ReplicaState::new(ReplicaId(new_id), MAX_TURN_BYTES);
--- a/crates/records/tests/simulator/world.rs
+++ b/crates/records/tests/simulator/world.rs
@@ -1,4 +1,4 @@
-//! The network, the register, the faults, and the checks.
+//! The simulated network and register, the faults, and the checks.
 
 mod changes;
 mod faults;
@@ -11,31 +11,31 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use ridgeworks_records::{
-    ChainOutcome, CopiesSeen, Epoch, GroupId, Handled, ProgramLedger, QuorumWrite, ReplicaGroups,
+    ChainOutcome, CopyProgress, Epoch, GroupId, Handled, ProgramLedger, QuorumWrite, ReplicaGroups,
     ReplicaId, ReplicaReply, ReplicaRequest, ReplicaSet, SetStep, StorageNode as SeenNode, TurnId,
-    TurnRecord, Wait, WriteProgress, deal_groups, plan_change,
+    TurnRecord, Wait, WriteProgress, assign_groups, plan_change,
 };
 
-use super::gateway::{MOST, Machine, Operation, Purpose, program_id};
-use super::storage::{CopyTask, KEEP_MS, NOBODY_ASKED, StorageNode};
-use super::{Outcome, Weakening};
+use super::gateway::{MAX_TURN_TOKENS, Machine, Operation, Purpose, program_id};
+use super::storage::{CopyTask, KEEP_MS, NO_REQUEST, StorageNode};
+use super::{DisabledMechanism, Outcome};
 
 const STORAGE_NODES: usize = 4;
 const REPLICAS: usize = 3;
 const GATEWAYS: usize = 2;
 const PROGRAMS: usize = 3;
-const BUDGET: u64 = 8 * MOST;
+const BUDGET: u64 = 8 * MAX_TURN_TOKENS;
 const END: u64 = 12_000;
 const FAULTS_UNTIL: u64 = 8_000;
 const OPERATION_TIME: u64 = 1_500;
 const RETRY: u64 = 60;
 const COORDINATOR_INTERVAL: u64 = 150;
-/// How long a node copies for a set that is to change, after it was last asked to.
-const WISH_TIME: u64 = 700;
+/// How long a node copies before a change of a set after the last request.
+const COPY_REQUEST_LIFETIME: u64 = 700;
 const LOSS: f64 = 0.03;
 const DUPLICATION: f64 = 0.03;
 
-/// Who sends and receives.
+/// Sender or receiver of a message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Address {
     Gateway(usize),
@@ -111,37 +111,36 @@
 #[derive(Default)]
 struct Program {
     handed_out: u64,
-    /// The newest turn that was answered whole.
+    /// The newest turn that was answered completely.
     newest: Option<TurnId>,
 }
 
-/// A schedule.
+/// State of one simulation.
 pub struct World {
     random: ChaCha8Rng,
     now: u64,
     order: u64,
     queue: BinaryHeap<Reverse<Scheduled>>,
     storage: Vec<StorageNode>,
-    cut: BTreeSet<usize>,
-    /// Groups that programs are spread over, each with replicas of its own on the same nodes.
+    partitioned: BTreeSet<usize>,
+    /// Number of groups; each has its own replicas on the same nodes.
     group_count: usize,
     register: Option<ReplicaGroups>,
-    /// The sets that each gateway knows.
     known: Vec<Option<ReplicaGroups>>,
-    /// Since when the set of each group has been in force.
+    /// When the set of each group last changed.
     changed_at: BTreeMap<GroupId, u64>,
     operations: BTreeMap<u64, Operation>,
     next_number: u64,
     programs: Vec<Program>,
     written: BTreeMap<TurnId, TurnRecord>,
-    weakening: Weakening,
+    disabled: DisabledMechanism,
     pub outcome: Outcome,
 }
 
 impl World {
-    /// Runs the schedule of this seed.
-    pub fn run(seed: u64, weakening: Weakening) -> Outcome {
-        let mut world = Self::new(seed, weakening);
+    /// Runs the simulation of this seed.
+    pub fn run(seed: u64, disabled: DisabledMechanism) -> Outcome {
+        let mut world = Self::new(seed, disabled);
         while let Some(Reverse(next)) = world.queue.pop() {
             if next.at > END {
                 break;
@@ -152,16 +151,16 @@
         world.outcome
     }
 
-    fn new(seed: u64, weakening: Weakening) -> Self {
+    fn new(seed: u64, disabled: DisabledMechanism) -> Self {
         let storage =
-            (0..STORAGE_NODES).map(|index| StorageNode::new(index, 100 + index as u64, weakening));
+            (0..STORAGE_NODES).map(|index| StorageNode::new(index, 100 + index as u64, disabled));
         let mut world = Self {
             random: ChaCha8Rng::seed_from_u64(seed),
             now: 0,
             order: 0,
             queue: BinaryHeap::new(),
             storage: storage.collect(),
-            cut: BTreeSet::new(),
+            partitioned: BTreeSet::new(),
             group_count: 1 + usize::from(seed.is_multiple_of(2)),
             register: None,
             known: vec![None; GATEWAYS],
@@ -170,7 +169,7 @@
             next_number: 1_000,
             programs: (0..PROGRAMS).map(|_| Program::default()).collect(),
             written: BTreeMap::new(),
-            weakening,
+            disabled,
             outcome: Outcome::default(),
         };
         for node in 0..STORAGE_NODES {
@@ -194,7 +193,7 @@
         self.next_number
     }
 
-    /// Sends over the network: late, never, or twice.
+    /// Sends a message over the network, which may delay, lose or duplicate it.
     fn send(&mut self, event: Event) {
         if self.random.random_bool(LOSS) {
             return;
@@ -239,7 +238,7 @@
             Event::Start { node } => self.start_node(node),
             Event::Fault => self.fault(),
             Event::Heal { node } => {
-                self.cut.remove(&node);
+                self.partitioned.remove(&node);
             }
         }
     }
--- a/crates/records/tests/simulator/world/changes.rs
+++ b/crates/records/tests/simulator/world/changes.rs
@@ -1,4 +1,4 @@
-//! Changes of the replica set, and the copies that they need.
+//! Changes of replica sets, and the copies that they need.
 
 use super::*;
 
@@ -6,12 +6,12 @@
     pub(super) fn coordinate(&mut self, node: usize) {
         let pause = COORDINATOR_INTERVAL + self.random.random_range(0..COORDINATOR_INTERVAL);
         self.schedule(pause, Event::Coordinate { node });
-        if !self.storage[node].running || self.cut.contains(&node) {
+        if !self.storage[node].running || self.partitioned.contains(&node) {
             return;
         }
-        self.hear_register(node);
+        self.read_register(node);
         let Some(groups) = self.storage[node].state.groups().cloned() else {
-            self.found_groups(node);
+            self.create_initial_sets(node);
             return;
         };
         for (group, set) in groups.iter() {
@@ -19,20 +19,20 @@
         }
     }
 
-    /// Writes the first sets, unless somebody has.
-    fn found_groups(&mut self, node: usize) {
+    /// Writes the initial sets unless they exist.
+    fn create_initial_sets(&mut self, node: usize) {
         if self.register.is_none() {
-            let seen: Vec<SeenNode> = self
+            let observed: Vec<SeenNode> = self
                 .storage
                 .iter()
-                .map(|storage| self.see(storage))
+                .map(|storage| self.observe(storage))
                 .collect();
-            let groups = deal_groups(&seen, REPLICAS, self.group_count);
+            let groups = assign_groups(&observed, REPLICAS, self.group_count);
             let is_empty = groups.iter().any(|(_, set)| set.voters.is_empty());
             self.register = (!is_empty).then_some(groups);
             self.outcome.set_changes += u64::from(!is_empty);
         }
-        self.hear_register(node);
+        self.read_register(node);
     }
 
     fn change_set(
@@ -42,22 +42,22 @@
         set: &ReplicaSet,
         groups: &ReplicaGroups,
     ) {
-        let seen: Vec<SeenNode> = self
+        let observed: Vec<SeenNode> = self
             .storage
             .iter()
-            .map(|storage| self.see(storage))
+            .map(|storage| self.observe(storage))
             .collect();
         let since = self.changed_at.get(&group).copied().unwrap_or_default();
         let is_patient = self.now - since < 800;
-        let copies = CopiesSeen {
+        let copies = CopyProgress {
             prepared: self.prepared(group, set.epoch),
             copied: self.copied(group, set.epoch),
         };
-        let change = match plan_change(set, &seen, REPLICAS, &copies, is_patient) {
+        let change = match plan_change(set, &observed, REPLICAS, &copies, is_patient) {
             Some(SetStep::Write(change)) => change,
-            Some(SetStep::Prepare { newcomers, .. }) => {
-                let ids: BTreeSet<ReplicaId> = newcomers.iter().map(|new| new.id).collect();
-                self.ask_to_prepare(&ids, group, groups);
+            Some(SetStep::Prepare { new_members, .. }) => {
+                let ids: BTreeSet<ReplicaId> = new_members.iter().map(|member| member.id).collect();
+                self.request_copies(&ids, group, groups);
                 return;
             }
             None => return,
@@ -71,28 +71,32 @@
         self.outcome.set_changes += 1;
         self.changed_at.insert(group, self.now);
         self.register = Some(registered.with_set(group, change));
-        self.hear_register(node);
+        self.read_register(node);
     }
 
-    /// Asks newcomers to copy before the set of a group changes; some never hear of it.
-    fn ask_to_prepare(
+    /// Asks new members to copy before the set of a group changes; some requests are lost.
+    fn request_copies(
         &mut self,
-        newcomers: &BTreeSet<ReplicaId>,
+        new_members: &BTreeSet<ReplicaId>,
         group: GroupId,
         groups: &ReplicaGroups,
     ) {
-        let until = self.now + WISH_TIME;
+        let until = self.now + COPY_REQUEST_LIFETIME;
         for node in 0..STORAGE_NODES {
-            let is_cut = self.cut.contains(&node);
+            let is_partitioned = self.partitioned.contains(&node);
             let is_lost = self.random.random_bool(LOSS);
             let storage = &mut self.storage[node];
-            if !storage.running || is_cut || is_lost || !newcomers.contains(&storage.state.id()) {
+            if !storage.running
+                || is_partitioned
+                || is_lost
+                || !new_members.contains(&storage.state.id())
+            {
                 continue;
             }
             let handled = storage.state.adopt(groups.clone());
-            storage.carry_out(handled, None);
+            storage.commit_and_reply(handled, None);
             let task = CopyTask::new(group, groups.clone());
-            storage.wishes.insert(group, (task.set.epoch, until));
+            storage.copy_requests.insert(group, (task.set.epoch, until));
             let begun = storage.copies.get(&group);
             if begun.is_none_or(|begun| begun.set.epoch < task.set.epoch) {
                 self.begin_copy(node, task);
@@ -116,10 +120,10 @@
         ready.map(|storage| storage.state.id()).collect()
     }
 
-    pub(super) fn see(&self, storage: &StorageNode) -> SeenNode {
+    pub(super) fn observe(&self, storage: &StorageNode) -> SeenNode {
         SeenNode {
             replica: storage.replica(),
-            alive: storage.running && !self.cut.contains(&storage.index),
+            alive: storage.running && !self.partitioned.contains(&storage.index),
             starting: false,
             retiring: false,
             groups: 0,
@@ -129,23 +133,23 @@
 
     pub(super) fn copied(&self, group: GroupId, epoch: Epoch) -> BTreeSet<ReplicaId> {
         let finished = self.storage.iter().filter(|storage| {
-            let all = self.weakening == Weakening::NoCopy;
-            let is_early =
-                self.weakening == Weakening::NoRest && storage.prepared.contains_key(&group);
+            let all = self.disabled == DisabledMechanism::NoCopy;
+            let counts_prepared =
+                self.disabled == DisabledMechanism::NoRest && storage.prepared.contains_key(&group);
             let is_copied = storage.state.copied(group) == Some(epoch);
-            storage.running && (all || is_early || is_copied)
+            storage.running && (all || counts_prepared || is_copied)
         });
         finished.map(|storage| storage.state.id()).collect()
     }
 
-    /// A storage node adopts what the register holds, and begins copies where they are due.
-    pub(super) fn hear_register(&mut self, node: usize) {
+    /// Has a storage node adopt the sets of the register and begin the copies that are due.
+    pub(super) fn read_register(&mut self, node: usize) {
         let Some(groups) = self.register.clone() else {
             return;
         };
         let storage = &mut self.storage[node];
         let handled = storage.state.adopt(groups.clone());
-        storage.carry_out(handled, None);
+        storage.commit_and_reply(handled, None);
         let id = storage.state.id();
         for (group, set) in groups.iter() {
             let storage = &self.storage[node];
@@ -166,13 +170,16 @@
         }
         let me = storage.state.id();
         let all_durable = storage.durable == storage.submitted;
-        let wish = storage.wishes.get(&group).filter(|(_, until)| now < *until);
-        let wish = wish.map(|(epoch, _)| *epoch);
+        let requested = storage
+            .copy_requests
+            .get(&group)
+            .filter(|(_, until)| now < *until);
+        let requested = requested.map(|(epoch, _)| *epoch);
         let Some(copy) = storage.copies.get_mut(&group) else {
             return;
         };
-        if copy.is_preparing() && wish != Some(copy.set.epoch) {
-            // Given up: the voter is back, or the set has changed.
+        if copy.is_preparing() && requested != Some(copy.set.epoch) {
+            // The copy is no longer requested: the voter is back, or the set has changed.
             storage.copies.remove(&group);
             storage.prepared.remove(&group);
             return;
@@ -184,7 +191,7 @@
         if copy.set.has_read_quorum(&copy.done) {
             let epoch = copy.set.epoch;
             if all_durable && copy.is_preparing() {
-                // Another round finds what has changed meanwhile.
+                // Another round copies what has changed meanwhile.
                 *copy = CopyTask::new(group, copy.groups.clone());
                 storage.prepared.insert(group, epoch);
                 pause = 3 * RETRY;
@@ -195,14 +202,14 @@
                 return;
             }
         } else {
-            self.copy_ask(node, group);
+            self.request_page_or_turns(node, group);
         }
         self.schedule(pause, Event::CopyStep { node, life, group });
         self.schedule_sync(node);
     }
 
-    /// Asks the present source for its next page or for turns that are missing.
-    pub(super) fn copy_ask(&mut self, node: usize, group: GroupId) {
+    /// Requests the next page or missing turns from the current source.
+    pub(super) fn request_page_or_turns(&mut self, node: usize, group: GroupId) {
         let me = self.storage[node].state.id();
         let pick = self.random.random::<u32>() as usize;
         let number = self.number();
@@ -210,18 +217,18 @@
             return;
         };
         if copy.source.is_none() || self.random.random_bool(0.2) {
-            let open = copy.set.voters.iter();
-            let open: Vec<_> = open
+            let sources = copy.set.voters.iter();
+            let sources: Vec<_> = sources
                 .filter(|voter| voter.id != me && !copy.done.contains(&voter.id))
                 .collect();
-            if open.is_empty() {
+            if sources.is_empty() {
                 return;
             }
-            copy.source = Some(open[pick % open.len()].clone());
+            copy.source = Some(sources[pick % sources.len()].clone());
             copy.page = None;
             copy.missing.clear();
         }
-        copy.asked = number;
+        copy.pending_request = number;
         let Some(source) = copy.source.clone() else {
             return;
         };
@@ -237,7 +244,7 @@
         } else {
             ReplicaRequest::Fetch { turns: missing }
         };
-        let target = source.address.parse().expect("addresses are numbers");
+        let target = source.address.parse().expect("addresses are node indices");
         let from = Address::Storage(node);
         let adopt = ReplicaRequest::Adopt { groups };
         for (operation, request) in [(0, adopt), (number, request)] {
@@ -259,12 +266,13 @@
         reply: ReplicaReply,
     ) {
         let storage = &mut self.storage[node];
-        if !storage.running || self.cut.contains(&node) {
+        if !storage.running || self.partitioned.contains(&node) {
             return;
         }
         let mut copies = storage.copies.values_mut();
-        // An answer to an earlier question must not count: one under an earlier epoch once did, and a turn was lost.
-        let Some(copy) = copies.find(|copy| copy.asked == operation) else {
+        // A reply to an earlier request must not count: one under an earlier epoch may lack
+        // records.
+        let Some(copy) = copies.find(|copy| copy.pending_request == operation) else {
             return;
         };
         if copy.source.as_ref().map(|source| source.id) != Some(from) {
@@ -294,13 +302,13 @@
                 for record in records {
                     copy.missing.retain(|turn| *turn != record.turn);
                     let copied = storage.state.copy_turn(group, record, KEEP_MS, 0);
-                    changes.extend(copied.expect("there is room"));
+                    changes.extend(copied.expect("the limit isn't reached"));
                 }
             }
             _ => return,
         }
-        // One answer for one question: it may come twice.
-        copy.asked = NOBODY_ASKED;
+        // The reply may be duplicated, and counts once.
+        copy.pending_request = NO_REQUEST;
         if let Some((next, is_end)) = copy.page
             && copy.missing.is_empty()
         {
@@ -316,7 +324,7 @@
             reply: ReplicaReply::Done,
             wait: Wait::Durable,
         };
-        storage.carry_out(handled, None);
+        storage.commit_and_reply(handled, None);
         self.schedule_sync(node);
     }
 }
--- a/crates/records/tests/simulator/world/faults.rs
+++ b/crates/records/tests/simulator/world/faults.rs
@@ -1,4 +1,4 @@
-//! What goes wrong: processes, links and disks.
+//! Faults of processes, links and disks.
 
 use super::*;
 
@@ -12,13 +12,13 @@
         match self.random.random_range(0..10) {
             0..=2 => self.crash(node, 400),
             3..=4 => {
-                self.cut.insert(node);
+                self.partitioned.insert(node);
                 let heal = self.random.random_range(100..2_500);
                 self.schedule(heal, Event::Heal { node });
             }
             5 => (0..STORAGE_NODES).for_each(|node| self.crash(node, 300)),
             6..=7 => self.wipe(node),
-            _ => self.lose_gateway(),
+            _ => self.crash_gateway(),
         }
     }
 
@@ -32,22 +32,25 @@
         self.schedule(down, Event::Start { node });
     }
 
-    /// Loses a disk, as long as no other loss is still being made up for.
+    /// Loses a disk, unless an earlier loss is still being repaired.
     pub(super) fn wipe(&mut self, node: usize) {
         let Some(groups) = &self.register else {
             return;
         };
-        let lives: BTreeSet<ReplicaId> = self
+        let replica_ids: BTreeSet<ReplicaId> = self
             .storage
             .iter()
             .map(|storage| storage.state.id())
             .collect();
-        let is_whole = |set: &ReplicaSet| {
+        let is_complete = |set: &ReplicaSet| {
             set.incoming.is_none()
                 && set.voters.len() == REPLICAS
-                && set.voters.iter().all(|voter| lives.contains(&voter.id))
+                && set
+                    .voters
+                    .iter()
+                    .all(|voter| replica_ids.contains(&voter.id))
         };
-        if !groups.iter().all(|(_, set)| is_whole(set)) {
+        if !groups.iter().all(|(_, set)| is_complete(set)) {
             return;
         }
         self.outcome.wipes += 1;
@@ -56,8 +59,8 @@
         self.storage[node].wipe(id);
     }
 
-    /// A gateway dies with everything it had under way.
-    pub(super) fn lose_gateway(&mut self) {
+    /// Crashes a gateway with all its operations.
+    pub(super) fn crash_gateway(&mut self) {
         let gateway = self.random.random_range(0..GATEWAYS);
         self.operations
             .retain(|_, operation| operation.gateway != gateway);
--- a/crates/records/tests/simulator/world/gateways.rs
+++ b/crates/records/tests/simulator/world/gateways.rs
@@ -1,4 +1,4 @@
-//! Operations of gateways, and the checks of what they read.
+//! Operations of gateways, and the checks of their reads.
 
 use super::*;
 
@@ -20,7 +20,7 @@
                 Some(turn) => Purpose::Read { program, turn },
                 None => return,
             },
-            _ => Purpose::ReadInvented { program },
+            _ => Purpose::ReadUnwritten { program },
         };
         self.begin(gateway, purpose);
     }
@@ -31,7 +31,7 @@
         };
         let number = self.number();
         let group = groups.group_of(Some(&program_id(purpose.program())));
-        let set = groups.set(group).expect("a group of the sets").clone();
+        let set = groups.set(group).expect("the group exists").clone();
         let machine = Machine::Write(QuorumWrite::new(group, set.clone()));
         let deadline = self.now + OPERATION_TIME;
         let mut operation = Operation {
@@ -47,7 +47,7 @@
         self.retry(number);
     }
 
-    /// Asks every replica that may still help, again and again until the deadline.
+    /// Sends the request to every replica that may contribute, repeatedly until the deadline.
     pub(super) fn retry(&mut self, number: u64) {
         let Some(operation) = self.operations.get_mut(&number) else {
             return;
@@ -63,8 +63,9 @@
             Machine::Write(write) => {
                 let set = write.set();
                 let mut members: Vec<_> = set.members().into_iter().cloned().collect();
-                // As gateways do: ledgers first to a majority of each side, another one each time and mostly those that
-                // count on both sides, then to all; turns to all.
+                // As gateways do: requests about ledgers go to a majority of each set first, each
+                // time from another starting point and mostly preferring replicas that count in
+                // both, and to all when repeated; records of turns go to all.
                 if is_first && is_ledger {
                     let begin = usize::try_from(number).unwrap_or(0) % members.len();
                     members.rotate_left(begin);
@@ -79,7 +80,7 @@
         };
         let from = Address::Gateway(operation.gateway);
         for replica in replicas {
-            let node = replica.address.parse().expect("addresses are numbers");
+            let node = replica.address.parse().expect("addresses are node indices");
             let (to, request) = (replica.id, request.clone());
             self.send(Event::ToStorage {
                 node,
@@ -98,12 +99,12 @@
         };
         let ended = match &mut operation.machine {
             Machine::Write(write) => {
-                let alone = match &reply {
+                let reply_ledger = match &reply {
                     ReplicaReply::Charged { ledger } => Some(ledger.clone()),
                     _ => None,
                 };
                 let progress = write.on_reply(from, reply);
-                self.write_progress(&mut operation, from, progress, alone)
+                self.write_progress(&mut operation, from, progress, reply_ledger)
             }
             Machine::Read(_) => self.read_reply(&mut operation, from, reply),
         };
@@ -117,12 +118,12 @@
         operation: &mut Operation,
         from: ReplicaId,
         progress: WriteProgress,
-        alone: Option<ProgramLedger>,
+        reply_ledger: Option<ProgramLedger>,
     ) -> bool {
         match progress {
             WriteProgress::Durable(ledger) => {
-                let is_weak = self.weakening == Weakening::NoUnion;
-                let ledger = alone.filter(|_| is_weak).unwrap_or(ledger);
+                let is_disabled = self.disabled == DisabledMechanism::NoUnion;
+                let ledger = reply_ledger.filter(|_| is_disabled).unwrap_or(ledger);
                 self.written_durably(operation, &ledger);
                 true
             }
@@ -131,7 +132,7 @@
                 false
             }
             WriteProgress::SendReplicaSets => {
-                self.teach(operation, from);
+                self.send_replica_sets(operation, from);
                 false
             }
             WriteProgress::Waiting | WriteProgress::RetryLater => false,
@@ -139,7 +140,7 @@
     }
 
     fn restart(&mut self, operation: &mut Operation, groups: ReplicaGroups) {
-        let set = groups.set(operation.group).expect("a group of the sets");
+        let set = groups.set(operation.group).expect("the group exists");
         operation.restart(set.clone());
         let known = &mut self.known[operation.gateway];
         if known
@@ -150,7 +151,7 @@
         }
     }
 
-    pub(super) fn teach(&mut self, operation: &Operation, to: ReplicaId) {
+    pub(super) fn send_replica_sets(&mut self, operation: &Operation, to: ReplicaId) {
         let Some(groups) = self.known[operation.gateway].clone() else {
             return;
         };
@@ -163,7 +164,7 @@
         let Some(member) = member else {
             return;
         };
-        let node = member.address.parse().expect("addresses are numbers");
+        let node = member.address.parse().expect("addresses are node indices");
         let from = Address::Gateway(operation.gateway);
         let request = ReplicaRequest::Adopt { groups };
         self.send(Event::ToStorage {
@@ -178,7 +179,7 @@
     pub(super) fn written_durably(&mut self, operation: &Operation, ledger: &ProgramLedger) {
         match operation.purpose.clone() {
             Purpose::Reserve { program, turn } => {
-                if !ledger.admits(&turn, MOST, BUDGET) {
+                if !ledger.admits(&turn, MAX_TURN_TOKENS, BUDGET) {
                     let settle = Purpose::Settle {
                         program,
                         turn,
@@ -197,12 +198,12 @@
         }
     }
 
-    /// The engine generates; the gateway may die at any step.
+    /// Simulates the engine; the gateway may crash after each step.
     pub(super) fn run_turn(&mut self, gateway: usize, program: usize, turn: TurnId) {
-        let spent = self.random.random_range(1..=MOST);
+        let spent = self.random.random_range(1..=MAX_TURN_TOKENS);
         let state = &mut self.programs[program];
         state.handed_out += spent;
-        if state.handed_out > BUDGET + MOST {
+        if state.handed_out > BUDGET + MAX_TURN_TOKENS {
             self.outcome.overspent += 1;
         }
         let record = TurnRecord {
@@ -246,10 +247,10 @@
                 if !starts_here {
                     return false;
                 }
-                let is_weak = self.weakening == Weakening::NoReadMajority;
+                let is_disabled = self.disabled == DisabledMechanism::NoReadMajority;
                 let outcome = read.on_chain(from, records, missing.clone());
                 let outcome = match (outcome, missing) {
-                    (None, Some(missing)) if is_weak => Some(ChainOutcome::NoSuchTurn(missing)),
+                    (None, Some(missing)) if is_disabled => Some(ChainOutcome::NoSuchTurn(missing)),
                     (outcome, _) => outcome,
                 };
                 let Some(outcome) = outcome else {
@@ -263,7 +264,7 @@
                 false
             }
             ReplicaReply::Behind => {
-                self.teach(operation, from);
+                self.send_replica_sets(operation, from);
                 false
             }
             _ => false,
@@ -274,11 +275,11 @@
         self.outcome.chains_read += 1;
         match (purpose, outcome) {
             (Purpose::Read { turn, .. }, ChainOutcome::Complete(chain)) => {
-                let is_right = chain == self.expected_chain(turn);
-                self.outcome.lost_turns += u64::from(!is_right);
+                let is_expected = chain == self.expected_chain(turn);
+                self.outcome.lost_turns += u64::from(!is_expected);
             }
             (Purpose::Read { .. }, ChainOutcome::NoSuchTurn(_)) => self.outcome.lost_turns += 1,
-            (Purpose::ReadInvented { .. }, ChainOutcome::Complete(_)) => {
+            (Purpose::ReadUnwritten { .. }, ChainOutcome::Complete(_)) => {
                 self.outcome.invented_turns += 1
             }
             _ => {}
--- a/crates/records/tests/simulator/world/nodes.rs
+++ b/crates/records/tests/simulator/world/nodes.rs
@@ -1,4 +1,4 @@
-//! What storage nodes do with messages, and with their disks.
+//! Messages to storage nodes, and writes to their disks.
 
 use super::*;
 
@@ -11,9 +11,9 @@
         to: ReplicaId,
         request: ReplicaRequest,
     ) {
-        let is_cut = self.cut.contains(&node);
+        let is_partitioned = self.partitioned.contains(&node);
         let storage = &mut self.storage[node];
-        if !storage.running || is_cut {
+        if !storage.running || is_partitioned {
             return;
         }
         let id = storage.state.id();
@@ -35,8 +35,8 @@
             (storage.life, storage.submitted, storage.durable)
         };
         if batch > durable {
-            let hangs = self.random.random_bool(0.02);
-            let delay = self.random.random_range(1..if hangs { 700 } else { 6 });
+            let is_slow = self.random.random_bool(0.02);
+            let delay = self.random.random_range(1..if is_slow { 700 } else { 6 });
             self.schedule(delay, Event::Sync { node, life, batch });
         }
     }
--- a/crates/replica/src/actor.rs
+++ b/crates/replica/src/actor.rs
@@ -1,8 +1,8 @@
 //! The actor that holds the replica's state and its disk.
 //!
-//! A reply waits until everything that was changed before it is durable. When the disk fails, all that
-//! waits is refused, and the state is read back from the disk before anything is answered again: what
-//! was in memory only was never acknowledged.
+//! A reply waits until all changes made before it are durable. When the disk fails, all waiting
+//! replies become rejections, and the state is read from the disk again before any request is
+//! served: changes that were only in memory were never acknowledged.
 
 use std::cell::Cell;
 use std::collections::VecDeque;
@@ -25,83 +25,86 @@
 use tokio::sync::{mpsc, oneshot};
 
 use crate::disk::{self, DiskError, OpenedDisk};
-use crate::lateness::Lateness;
+use crate::latency::LatencyMonitor;
 use crate::metrics::ReplicaMetrics;
 
-/// How long a change may wait for later ones before it goes to the disk.
+/// How long a change may wait to be written together with later ones.
 const FLUSH_INTERVAL: Duration = Duration::from_millis(150);
 const EXPIRY_INTERVAL: Duration = Duration::from_secs(2);
-/// Pause before a disk that failed is opened again.
-const REOPEN_PAUSE: Duration = Duration::from_millis(400);
+/// Delay before a failed disk is opened again.
+const REOPEN_DELAY: Duration = Duration::from_millis(400);
 
-/// News from other threads.
-pub enum DiskNews {
-    /// A batch is durable, or never will be acknowledged.
+/// Event from a thread that does disk I/O. `opening` numbers the openings of the disk, so that
+/// events of an earlier one can be told apart.
+pub enum DiskEvent {
+    /// A batch is durable, or has failed and will not be acknowledged.
     Committed {
-        /// The opening of the disk that it belongs to.
+        /// The opening of the disk that the batch belongs to.
         opening: u64,
-        /// Number of the batch.
+        /// Number of the batch within this opening.
         batch: u64,
-        /// Whether it is durable.
+        /// Whether the batch is durable.
         is_durable: bool,
     },
-    /// The disk was opened, or could not be.
+    /// The disk was opened, or opening failed.
     Opened(Box<Result<OpenedDisk, DiskError>>),
-    /// Records were read back from the disk.
+    /// Records were read from the disk.
     Records {
-        /// The opening of the disk that they belong to.
+        /// The opening of the disk that the records belong to.
         opening: u64,
-        /// The records.
+        /// Some of the records, in the order of their keys.
         records: Vec<StoredRecord>,
     },
-    /// All records were read back, or cannot be.
+    /// All records were read, or reading failed.
     AllRead {
-        /// The opening of the disk that they belong to.
+        /// The opening of the disk that was read.
         opening: u64,
-        /// Why they cannot.
+        /// The error if reading failed.
         outcome: Result<(), DiskError>,
     },
 }
 
 /// A record copied from another replica.
 pub enum Copied {
-    /// A turn, kept for so many more milliseconds.
+    /// A turn, with its remaining time to live in milliseconds.
     Turn(TurnRecord, u64),
-    /// A ledger, kept for so many more milliseconds.
+    /// A ledger, with its remaining time to live in milliseconds.
     Ledger(ProgramId, ProgramLedger, u64),
 }
 
-/// What the actor is made of.
+/// Settings and connections of the actor.
 pub struct ReplicaParts {
-    /// Folder of the records.
+    /// Folder of the store.
     pub folder: PathBuf,
     /// Name of the node.
     pub node_name: String,
-    /// Bytes of turns that are kept at most.
+    /// Largest total size of turns, in bytes.
     pub max_turn_bytes: usize,
-    /// What the node believes.
+    /// The node's view of the cluster.
     pub view: Rc<View>,
-    /// Metrics.
+    /// Metrics of the replica.
     pub metrics: Rc<ReplicaMetrics>,
-    /// Where news from other threads go.
-    pub news: mpsc::UnboundedSender<DiskNews>,
-    /// Where the replica's status is told to the rest of the process.
+    /// Channel for events from other threads.
+    pub disk_events: mpsc::UnboundedSender<DiskEvent>,
+    /// Where the replica's status is published within the process; `None` while the disk isn't
+    /// open.
     pub status: Rc<Cell<Option<OpenReplica>>>,
 }
 
-/// How a replica stands whose disk is open.
+/// Status of a replica with an open disk.
 #[derive(Debug, Clone, Copy)]
 pub struct OpenReplica {
-    /// What other nodes are told.
-    pub told: ReplicaStatus,
-    /// Whether all records of the disk are back, so that others can copy them.
-    pub is_whole: bool,
+    /// The status that other nodes are sent.
+    pub published: ReplicaStatus,
+    /// Whether all records of the disk are restored, so that other replicas can copy them.
+    pub is_fully_restored: bool,
 }
 
 struct WaitingReply {
     batch: u64,
-    /// When it was asked; `None` for one that may wait for later changes, which says nothing of how late the replica is.
-    asked_at: Option<Instant>,
+    /// When the request arrived; `None` if the reply may wait for later changes, so that its
+    /// latency says nothing about the replica.
+    requested_at: Option<Instant>,
     answer: oneshot::Sender<PeerReply>,
     reply: ReplicaReply,
 }
@@ -109,49 +112,50 @@
 struct OpenDisk {
     store: Arc<Store>,
     state: ReplicaState,
-    /// Whether records that are read back are wanted still; told to the thread that reads them.
-    is_wanted: Arc<AtomicBool>,
+    /// Whether records read from the disk are still needed; checked by the thread that reads them.
+    is_read_wanted: Arc<AtomicBool>,
     opened_at: Instant,
-    /// What of the store's work is in the metrics already.
+    /// The store's counters that the metrics already include.
     counted: Option<StoreCountersSnapshot>,
 }
 
 impl OpenDisk {
-    /// Reads from the disk what a request needs and what was not read back yet.
+    /// Restores the records that a request needs and that aren't restored yet.
     fn restore_for(&mut self, request: &ReplicaRequest) -> Result<(), DiskError> {
         let mut last = None;
-        while let Some(key) = self.state.needs(request) {
-            // A record that lies under another's key would be looked for without an end.
+        while let Some(key) = self.state.missing_record(request) {
+            // Restoring a record stored under the wrong key would never satisfy the request, and
+            // the loop wouldn't end.
             if last.replace(key.clone()).as_ref() == Some(&key) {
                 return Err(DiskError::Record);
             }
             match disk::read(&self.store, &key)? {
                 Some(record) => self.state.restore(record),
-                None => self.state.note_absent(key),
+                None => self.state.mark_absent(key),
             }
         }
         Ok(())
     }
 }
 
-/// The actor.
+/// The actor of one replica.
 pub struct ReplicaActor {
     parts: ReplicaParts,
     disk: Option<OpenDisk>,
-    /// Counts openings of the disk, so that news of an earlier one are told apart.
+    /// Number of openings of the disk; tells apart events of an earlier one.
     opening: u64,
     submitted: u64,
     durable: u64,
     waiting: VecDeque<WaitingReply>,
-    /// Changes that may wait for later ones before they go to the disk.
-    gathered: Vec<Change>,
-    /// When gathered changes go to the disk next.
+    /// Changes that are not yet submitted to the disk.
+    pending: Vec<Change>,
+    /// When pending changes are next submitted.
     flush_due: Instant,
-    lateness: Lateness,
+    latency: LatencyMonitor,
 }
 
 impl ReplicaActor {
-    /// Starts without a disk; it is opened by another thread.
+    /// Starts without a disk, which another thread opens.
     pub fn init(cx: CX![], parts: ReplicaParts) -> Option<Self> {
         let mut actor = Self {
             parts,
@@ -160,9 +164,9 @@
             submitted: 0,
             durable: 0,
             waiting: VecDeque::new(),
-            gathered: Vec::new(),
+            pending: Vec::new(),
             flush_due: Instant::now(),
-            lateness: Lateness::default(),
+            latency: LatencyMonitor::default(),
         };
         actor.open_disk();
         actor.schedule_flush(cx);
@@ -170,7 +174,7 @@
         Some(actor)
     }
 
-    /// Takes a request of another node.
+    /// Handles a request from another node.
     pub fn request(
         &mut self,
         _cx: CX![],
@@ -178,7 +182,7 @@
         request: ReplicaRequest,
         answer: oneshot::Sender<PeerReply>,
     ) {
-        self.lateness.on_request(&request);
+        self.latency.on_request(&request);
         let Some(disk) = self.disk.as_mut() else {
             send(answer, ReplicaReply::Unavailable);
             return;
@@ -188,33 +192,33 @@
             return;
         }
         if let Err(error) = disk.restore_for(&request) {
-            log::error!(target: "dependency", detail:% = error; "a record cannot be read back");
+            log::error!(target: "dependency", detail:% = error; "a record cannot be read from the disk");
             send(answer, ReplicaReply::Unavailable);
             return;
         }
         let epoch_before = disk.state.epoch();
         let handled = disk.state.handle(request, unix_time_ms());
         let has_changed = disk.state.epoch() > epoch_before;
-        self.carry_out(handled, Some(answer));
+        self.commit_and_reply(handled, Some(answer));
         if has_changed {
-            self.tell_set();
+            self.publish_sets();
             self.publish_status();
         }
     }
 
-    /// Takes in sets that the node has heard of.
+    /// Adopts newer sets received by the node.
     pub fn adopt(&mut self, _cx: CX![], groups: ReplicaGroups) {
         let Some(disk) = self.disk.as_mut() else {
             return;
         };
         if groups.epoch() > disk.state.epoch() {
             let handled = disk.state.adopt(groups);
-            self.carry_out(handled, None);
+            self.commit_and_reply(handled, None);
             self.publish_status();
         }
     }
 
-    /// Takes in copied records of a group; answers once they are durable.
+    /// Adds copied records of a group; replies once they are durable.
     pub fn copy(
         &mut self,
         _cx: CX![],
@@ -234,7 +238,8 @@
             match record {
                 Copied::Turn(turn, ttl_ms) => {
                     let copied = state.copy_turn(group, turn, ttl_ms, now);
-                    // Without it the copy is not made: the replica would vote without a turn that was acknowledged.
+                    // A copy without this turn is incomplete: the replica would vote without a turn
+                    // that was acknowledged.
                     has_room &= copied.is_some();
                     changes.extend(copied.into_iter().flatten());
                 }
@@ -253,10 +258,10 @@
             reply,
             wait: Wait::Durable,
         };
-        self.carry_out(handled, Some(answer));
+        self.commit_and_reply(handled, Some(answer));
     }
 
-    /// Tells which of these turns are not held.
+    /// Replies with those of these turns that the replica doesn't have.
     pub fn missing(
         &mut self,
         _cx: CX![],
@@ -266,7 +271,7 @@
         let state = self.disk.as_ref().map(|disk| &disk.state);
         let is_missing = |turn: &TurnId| state.is_none_or(|state| !state.has_turn(turn));
         let missing = turns.into_iter().filter(|(turn, _)| is_missing(turn));
-        // Whoever asked may have given up.
+        // The caller may have stopped waiting.
         let _ = answer.send(missing.collect());
     }
 
@@ -279,10 +284,10 @@
         self.publish_status();
     }
 
-    /// Takes news from another thread.
-    pub fn news(&mut self, cx: CX![], news: DiskNews) {
-        match news {
-            DiskNews::Committed {
+    /// Handles an event from another thread.
+    pub fn on_disk_event(&mut self, cx: CX![], event: DiskEvent) {
+        match event {
+            DiskEvent::Committed {
                 opening,
                 batch,
                 is_durable,
@@ -290,22 +295,22 @@
                 if is_durable {
                     self.on_durable(batch);
                 } else {
-                    self.lose_disk();
-                    stakker::after!(REOPEN_PAUSE, [cx], reopen());
+                    self.on_disk_failure();
+                    stakker::after!(REOPEN_DELAY, [cx], reopen());
                 }
             }
-            DiskNews::Committed { .. } => {}
-            DiskNews::Records { opening, records } => self.restore(opening, records),
-            DiskNews::AllRead { opening, outcome } => {
+            DiskEvent::Committed { .. } => {}
+            DiskEvent::Records { opening, records } => self.restore(opening, records),
+            DiskEvent::AllRead { opening, outcome } => {
                 if opening == self.opening {
                     self.on_all_read(cx, outcome);
                 }
             }
-            DiskNews::Opened(outcome) => match *outcome {
+            DiskEvent::Opened(outcome) => match *outcome {
                 Ok(opened) => self.on_opened(opened),
                 Err(error) => {
                     log::error!(target: "dependency", detail:% = error; "disk cannot be opened");
-                    stakker::after!(REOPEN_PAUSE, [cx], reopen());
+                    stakker::after!(REOPEN_DELAY, [cx], reopen());
                 }
             },
         }
@@ -320,10 +325,10 @@
         let Some(disk) = self.disk.as_mut() else {
             return;
         };
-        // Behind the changes that were gathered before: a batch that overtook them would release their
-        // replies before they are durable.
-        self.gathered.extend(disk.state.expire(unix_time_ms()));
-        self.submit_gathered();
+        // After the changes already pending: a batch that overtook them would release their replies
+        // before they are durable.
+        self.pending.extend(disk.state.expire(unix_time_ms()));
+        self.submit_pending();
         self.update_gauges();
     }
 
@@ -331,39 +336,39 @@
         stakker::after!(EXPIRY_INTERVAL, [cx], expire());
     }
 
-    /// Opens the disk on a thread that may wait for it.
+    /// Opens the disk on a thread that may block.
     fn open_disk(&mut self) {
         let folder = self.parts.folder.clone();
         let node_name = self.parts.node_name.clone();
         let max_turn_bytes = self.parts.max_turn_bytes;
-        let news = self.parts.news.clone();
+        let disk_events = self.parts.disk_events.clone();
         tokio::task::spawn_blocking(move || {
             let opened = disk::open(&folder, &node_name, max_turn_bytes);
-            // The process may be about to end.
-            let _ = news.send(DiskNews::Opened(Box::new(opened)));
+            // The process may be shutting down.
+            let _ = disk_events.send(DiskEvent::Opened(Box::new(opened)));
         });
     }
 
-    /// Reads the records of the open disk back on another thread.
+    /// Reads the records of the open disk on another thread.
     fn read_all(&self) {
         let Some(disk) = &self.disk else {
             return;
         };
-        let (opening, news) = (self.opening, self.parts.news.clone());
-        let (store, is_wanted) = (Arc::clone(&disk.store), Arc::clone(&disk.is_wanted));
+        let (opening, disk_events) = (self.opening, self.parts.disk_events.clone());
+        let (store, is_wanted) = (Arc::clone(&disk.store), Arc::clone(&disk.is_read_wanted));
         tokio::task::spawn_blocking(move || {
             let outcome = disk::read_all(&store, |records| {
-                let told = news.send(DiskNews::Records { opening, records });
-                if told.is_ok() && is_wanted.load(Ordering::SeqCst) {
+                let sent = disk_events.send(DiskEvent::Records { opening, records });
+                if sent.is_ok() && is_wanted.load(Ordering::SeqCst) {
                     ControlFlow::Continue(())
                 } else {
                     ControlFlow::Break(())
                 }
             });
-            // A store that is opened anew needs the folder free.
+            // The folder has to be closed before it can be opened again.
             drop(store);
-            // The process may be about to end.
-            let _ = news.send(DiskNews::AllRead { opening, outcome });
+            // The process may be shutting down.
+            let _ = disk_events.send(DiskEvent::AllRead { opening, outcome });
         });
     }
 
@@ -379,7 +384,7 @@
         for record in records {
             disk.state.restore(record);
         }
-        // Turns come after all ledgers.
+        // Turns are read after all ledgers.
         if has_turns {
             disk.state.finish_restoring_ledgers();
         }
@@ -390,9 +395,9 @@
             return;
         };
         if let Err(error) = outcome {
-            log::error!(target: "dependency", detail:% = error; "records cannot be read back");
-            self.lose_disk();
-            stakker::after!(REOPEN_PAUSE, [cx], reopen());
+            log::error!(target: "dependency", detail:% = error; "records cannot be read from the disk");
+            self.on_disk_failure();
+            stakker::after!(REOPEN_DELAY, [cx], reopen());
             return;
         }
         disk.state.finish_restoring();
@@ -412,7 +417,7 @@
         self.opening += 1;
         self.submitted = 0;
         self.durable = 0;
-        self.gathered.clear();
+        self.pending.clear();
         log::info!(
             target: "dependency",
             replica:% = opened.state.id(),
@@ -423,48 +428,49 @@
         self.disk = Some(OpenDisk {
             store: opened.store,
             state: opened.state,
-            is_wanted: Arc::new(AtomicBool::new(true)),
+            is_read_wanted: Arc::new(AtomicBool::new(true)),
             opened_at: Instant::now(),
             counted: None,
         });
         self.read_all();
-        self.tell_set();
+        self.publish_sets();
         let newer = self.parts.view.groups();
         if let (Some(groups), Some(disk)) = (newer, self.disk.as_mut())
             && groups.epoch() > disk.state.epoch()
         {
             let handled = disk.state.adopt(ReplicaGroups::clone(&groups));
-            self.carry_out(handled, None);
+            self.commit_and_reply(handled, None);
         }
         self.publish_status();
         self.update_gauges();
     }
 
-    /// Refuses all that waits, and forgets what may not be on the disk.
-    fn lose_disk(&mut self) {
+    /// Rejects all waiting requests and drops the state, which may hold changes that aren't on the
+    /// disk.
+    fn on_disk_failure(&mut self) {
         log::error!(target: "dependency", waiting = self.waiting.len(); "disk failed");
         self.parts.metrics.disk_failures.inc();
         for waiting in self.waiting.drain(..) {
             send(waiting.answer, ReplicaReply::Unavailable);
         }
         self.opening += 1;
-        self.gathered.clear();
+        self.pending.clear();
         if let Some(disk) = self.disk.take() {
-            disk.is_wanted.store(false, Ordering::SeqCst);
-            // Closing waits for the disk.
+            disk.is_read_wanted.store(false, Ordering::SeqCst);
+            // Closing blocks on the disk.
             tokio::task::spawn_blocking(move || drop(disk.store));
         }
         self.publish_status();
     }
 
-    fn carry_out(&mut self, handled: Handled, answer: Option<oneshot::Sender<PeerReply>>) {
+    fn commit_and_reply(&mut self, handled: Handled, answer: Option<oneshot::Sender<PeerReply>>) {
         let Handled {
             changes,
             reply,
             wait,
         } = handled;
-        self.gathered.extend(changes);
-        if wait == Wait::Durable && !self.submit_gathered() {
+        self.pending.extend(changes);
+        if wait == Wait::Durable && !self.submit_pending() {
             if let Some(answer) = answer {
                 send(answer, ReplicaReply::Unavailable);
             }
@@ -473,41 +479,41 @@
         let Some(answer) = answer else {
             return;
         };
-        let is_durable = self.gathered.is_empty() && self.durable == self.submitted;
+        let is_durable = self.pending.is_empty() && self.durable == self.submitted;
         if wait == Wait::No || is_durable {
             send(answer, reply);
             return;
         }
-        let batch = self.submitted + u64::from(!self.gathered.is_empty());
+        let batch = self.submitted + u64::from(!self.pending.is_empty());
         self.waiting.push_back(WaitingReply {
             batch,
-            asked_at: (wait == Wait::Durable).then(Instant::now),
+            requested_at: (wait == Wait::Durable).then(Instant::now),
             answer,
             reply,
         });
     }
 
-    /// Hands gathered changes to the disk's thread; says whether it takes them.
-    fn submit_gathered(&mut self) -> bool {
-        if self.gathered.is_empty() {
+    /// Submits pending changes to the disk; returns whether it accepts them.
+    fn submit_pending(&mut self) -> bool {
+        if self.pending.is_empty() {
             return true;
         }
-        let changes = std::mem::take(&mut self.gathered);
+        let changes = std::mem::take(&mut self.pending);
         self.submit(&changes)
     }
 
     fn flush(&mut self, cx: CX![]) {
         let now = Instant::now();
         let lag = now.saturating_duration_since(self.flush_due);
-        self.lateness.on_timer(lag);
+        self.latency.on_timer(lag);
         self.schedule_flush(cx);
-        self.submit_gathered();
+        self.submit_pending();
         self.count_commits();
         let commits = self.parts.metrics.commits.get();
-        self.lateness.tell(now, self.waiting.len(), commits);
+        self.latency.log_if_late(now, self.waiting.len(), commits);
     }
 
-    /// Takes what the disk has done since the last time into the metrics.
+    /// Adds the transactions since the last call to the metrics.
     fn count_commits(&mut self) {
         let Some(disk) = self.disk.as_mut() else {
             return;
@@ -526,7 +532,7 @@
         stakker::after!(FLUSH_INTERVAL, [cx], flush());
     }
 
-    /// Hands changes to the disk's thread; says whether it takes them.
+    /// Submits changes to the disk; returns whether it accepts them.
     fn submit(&mut self, changes: &[Change]) -> bool {
         let Some(disk) = &self.disk else {
             return false;
@@ -537,10 +543,10 @@
         };
         self.submitted += 1;
         let (opening, batch) = (self.opening, self.submitted);
-        let news = self.parts.news.clone();
+        let disk_events = self.parts.disk_events.clone();
         let on_durable = move |outcome: Result<(), _>| {
-            // The process may be about to end.
-            let _ = news.send(DiskNews::Committed {
+            // The process may be shutting down.
+            let _ = disk_events.send(DiskEvent::Committed {
                 opening,
                 batch,
                 is_durable: outcome.is_ok(),
@@ -549,10 +555,10 @@
         self.parts.metrics.batches.inc();
         let submitted = disk.store.submit(WriteBatch::new(operations, on_durable));
         if submitted.is_err() {
-            // The state holds a change that will never be durable: read the disk again.
-            let news = self.parts.news.clone();
+            // The state holds a change that will never be durable, so the disk is read again.
+            let disk_events = self.parts.disk_events.clone();
             let is_durable = false;
-            let _ = news.send(DiskNews::Committed {
+            let _ = disk_events.send(DiskEvent::Committed {
                 opening,
                 batch,
                 is_durable,
@@ -567,16 +573,16 @@
             && waiting.batch <= self.durable
         {
             if let Some(waiting) = self.waiting.pop_front() {
-                if let Some(asked_at) = waiting.asked_at {
-                    self.lateness.on_answer(asked_at.elapsed());
+                if let Some(requested_at) = waiting.requested_at {
+                    self.latency.on_reply(requested_at.elapsed());
                 }
                 send(waiting.answer, waiting.reply);
             }
         }
     }
 
-    /// Lets the node hear of the set that the disk or another node told.
-    fn tell_set(&mut self) {
+    /// Publishes the sets known to this replica in the node's view.
+    fn publish_sets(&mut self) {
         let groups = self.disk.as_ref().and_then(|disk| disk.state.groups());
         if let Some(groups) = groups {
             let groups = groups.clone();
@@ -586,11 +592,11 @@
 
     fn publish_status(&self) {
         let status = self.disk.as_ref().map(|disk| OpenReplica {
-            told: ReplicaStatus {
+            published: ReplicaStatus {
                 id: disk.state.id(),
                 copied: disk.state.copied_for_change(),
             },
-            is_whole: !disk.state.is_restoring(),
+            is_fully_restored: !disk.state.is_restoring(),
         });
         self.parts.status.set(status);
     }
@@ -600,15 +606,15 @@
             return;
         };
         let (turns, ledgers) = disk.state.counts();
-        let whole = |value: usize| i64::try_from(value).unwrap_or(i64::MAX);
+        let to_gauge = |value: usize| i64::try_from(value).unwrap_or(i64::MAX);
         let metrics = &self.parts.metrics;
-        metrics.turns.set(whole(turns));
-        metrics.ledgers.set(whole(ledgers));
-        metrics.turn_bytes.set(whole(disk.state.turn_bytes()));
+        metrics.turns.set(to_gauge(turns));
+        metrics.ledgers.set(to_gauge(ledgers));
+        metrics.turn_bytes.set(to_gauge(disk.state.turn_bytes()));
     }
 }
 
 fn send(answer: oneshot::Sender<PeerReply>, reply: ReplicaReply) {
-    // Whoever asked may have given up.
+    // The caller may have stopped waiting.
     let _ = answer.send(PeerReply::Replica(reply));
 }
--- a/crates/replica/src/coordinator.rs
+++ b/crates/replica/src/coordinator.rs
@@ -1,7 +1,7 @@
-//! Changes the replica sets where they have to change, and answers orders to empty a machine.
+//! Changes replica sets where needed, and reports the progress of retirements.
 //!
-//! Every storage node runs this. Which one acts first is a matter of patience, by the order of their
-//! identities; that two act at once is harmless, since the register takes only one of them.
+//! Every storage node runs a coordinator. Nodes act after a delay that grows with their rank among
+//! the set's members; if two act at once, the register's compare-and-swap accepts only one change.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -12,8 +12,8 @@
     set_status,
 };
 use ridgeworks_records::{
-    CopiesSeen, Epoch, GroupId, ProgramId, Replica, ReplicaGroups, ReplicaId, ReplicaSet, SetStep,
-    StorageNode, initial_groups, plan_change,
+    CopyProgress, Epoch, GroupId, ProgramId, Replica, ReplicaGroups, ReplicaId, ReplicaSet,
+    SetStep, StorageNode, initial_groups, plan_change,
 };
 use ridgeworks_resident::clock::whole_ms;
 use ridgeworks_resident::node::{REPLICA_SET_NAME, RegisteredGroups};
@@ -22,92 +22,89 @@
 
 use crate::handle::ReplicaHandle;
 use crate::liveness::{Liveness, alive};
-use crate::newcomers::Newcomers;
+use crate::new_members::NewMembers;
 use crate::retirements::Retirements;
 
 const INTERVAL: Duration = Duration::from_millis(200);
-/// How much longer the next node in order waits before it acts.
-const RANK_PATIENCE: Duration = Duration::from_millis(400);
-/// How long newcomers copy before the set changes without their having caught up: a place that is empty for longer is one more
-/// machine that must not be lost.
-const PREPARE_PATIENCE: Duration = Duration::from_secs(10);
-/// How long a changed set waits for replicas that are alive and not finished.
-const COPY_PATIENCE: Duration = Duration::from_millis(2_500);
-/// How long the first sets wait for as many nodes as one set wants.
-const FIRST_SET_PATIENCE: Duration = Duration::from_secs(2);
-/// How long no other storage node may have been heard before the first sets are written: how many groups there are follows from
-/// how many nodes there are, for good. 36 of them hear each other within 2 s.
-const FIRST_SET_SETTLED: Duration = Duration::from_millis(750);
+/// Additional delay per rank before a node acts.
+const RANK_DELAY: Duration = Duration::from_millis(400);
+/// How long new members copy before the set changes even if they haven't caught up: until the
+/// change, the group tolerates one failure less.
+const PREPARE_TIMEOUT: Duration = Duration::from_secs(10);
+/// How long a joint set waits for live replicas that haven't finished copying.
+const COPY_TIMEOUT: Duration = Duration::from_millis(2_500);
+/// How long the initial sets wait for as many nodes as one set needs.
+const INITIAL_SET_TIMEOUT: Duration = Duration::from_secs(2);
+/// How long the number of known storage nodes has to be constant before the initial sets are
+/// written: it determines the number of groups permanently.
+const INITIAL_SET_QUIET_PERIOD: Duration = Duration::from_millis(750);
 const CALL_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// How often a member that hears too few of the others looks whether there is a newer set.
-const LOOK_PAUSE: Duration = Duration::from_secs(2);
-/// Members of a group that watch the store for orders to empty a machine: the one that acts first, and the next one, which answers
-/// for the first.
+/// Minimum time between reads of the register by a member that has lost its read quorum.
+const REGISTER_READ_INTERVAL: Duration = Duration::from_secs(2);
+/// Members of a group that watch the store for retirements: the first in rank, which acts, and one
+/// standby.
 const WATCHERS: u32 = 2;
 
-/// What the coordinator of one node knows of one group.
+/// A coordinator's state of one group.
 #[derive(Debug, Default)]
 struct GroupState {
-    /// The epoch in force, and since when it is known here.
+    /// The current epoch, and when it became known to this node.
     epoch: Epoch,
     since: Duration,
-    /// The step that seems due, and since when.
+    /// The step that is due, and since when.
     due: Option<(SetStep, Duration)>,
 }
 
-/// The coordinator of one storage node.
 pub struct Coordinator {
     replica: Rc<ReplicaHandle>,
     retirements: Retirements,
-    /// Whether this node watches for orders to empty a machine.
+    /// Whether this node watches the store for retirements.
     store_watch: Rc<WatchControl>,
     /// Replicas that copy before they join.
-    newcomers: Newcomers,
+    new_members: NewMembers,
     liveness: Liveness,
     groups: BTreeMap<GroupId, GroupState>,
-    /// How many storage nodes live while there is no set, and since when.
-    founding: (usize, Duration),
-    /// When the register was last looked at for newer sets.
-    looked_at: Duration,
+    /// Number of live storage nodes while there is no set, and since when it is constant.
+    discovered: (usize, Duration),
+    /// When the register was last read for newer sets.
+    register_read_at: Duration,
 }
 
 impl Coordinator {
-    /// A coordinator that has seen nothing yet.
     pub fn new(
         replica: Rc<ReplicaHandle>,
         retirements: Retirements,
         store_watch: Rc<WatchControl>,
     ) -> Self {
         Self {
-            newcomers: Newcomers::new(Rc::clone(&replica.node)),
+            new_members: NewMembers::new(Rc::clone(&replica.node)),
             liveness: Liveness::new(Rc::clone(&replica), retirements.clone()),
             replica,
             retirements,
             store_watch,
             groups: BTreeMap::new(),
-            founding: (0, Duration::ZERO),
-            looked_at: Duration::ZERO,
+            discovered: (0, Duration::ZERO),
+            register_read_at: Duration::ZERO,
         }
     }
 
-    /// Runs until the process ends.
     pub async fn run(mut self) {
         let mut ticks = tokio::time::interval(INTERVAL);
         loop {
             ticks.tick().await;
             let Some(groups) = self.replica.node.view.groups() else {
-                self.found_groups().await;
+                self.create_initial_sets().await;
                 continue;
             };
             let now = self.now();
             self.liveness.note_seen(&groups, now);
             let nodes = self.liveness.nodes(Some(&groups), now);
-            self.decide_watching(&groups, &nodes);
-            self.look_for_newer_sets(&groups, &nodes).await;
+            self.update_watching(&groups, &nodes);
+            self.read_newer_sets(&groups, &nodes).await;
             for group in self.own_groups(&groups) {
                 self.change_set(group, &groups, &nodes).await;
             }
-            self.answer_retirements(&groups, &nodes).await;
+            self.update_retirements(&groups, &nodes).await;
         }
     }
 
@@ -115,15 +112,17 @@
         self.replica.node.clock.now()
     }
 
-    /// The groups that this node's replica belongs to: others hear too little of a group to say who of it is gone.
+    /// The groups that this node's replica belongs to. Nodes outside a group hear too little from
+    /// its members to decide which are lost.
     fn own_groups(&self, groups: &ReplicaGroups) -> Vec<GroupId> {
         let status = self.replica.status();
         status.map_or(Vec::new(), |me| groups.groups_of(me.id))
     }
 
-    /// The first members of each group watch for orders to empty a machine: they change the set and answer. So the calls
-    /// to the store do not grow with the storage machines.
-    fn decide_watching(&self, groups: &ReplicaGroups, nodes: &[StorageNode]) {
+    /// Has the first members of each group watch for retirements, since they change the set and
+    /// write the status. So the number of calls to the store doesn't grow with the number of
+    /// storage nodes.
+    fn update_watching(&self, groups: &ReplicaGroups, nodes: &[StorageNode]) {
         let own = self.own_groups(groups).into_iter();
         let mut ranks = own.filter_map(|group| self.rank(groups.set(group)?, nodes));
         let is_due = ranks.any(|rank| rank < WATCHERS);
@@ -136,11 +135,11 @@
         }
     }
 
-    /// A member that hears no read quorum of its set can change nothing. Its set may be an old one, and those who
-    /// knew of a newer one may be gone.
-    async fn look_for_newer_sets(&mut self, groups: &ReplicaGroups, nodes: &[StorageNode]) {
+    /// Reads the register when a set has no live read quorum. The known set may be outdated, and
+    /// the nodes that knew of a newer one may be lost.
+    async fn read_newer_sets(&mut self, groups: &ReplicaGroups, nodes: &[StorageNode]) {
         let now = self.now();
-        if now.saturating_sub(self.looked_at) <= LOOK_PAUSE {
+        if now.saturating_sub(self.register_read_at) <= REGISTER_READ_INTERVAL {
             return;
         }
         let alive = alive(nodes);
@@ -149,7 +148,7 @@
         let Some((group, set)) = sets.find(|(_, set)| !set.has_read_quorum(&alive)) else {
             return;
         };
-        self.looked_at = now;
+        self.register_read_at = now;
         let found = self.replica.node.read_groups().await;
         log::info!(
             target: "dependency",
@@ -157,27 +156,27 @@
             epoch = set.epoch.0,
             alive = alive.len(),
             is_answered = found.is_some();
-            "too few replicas heard, looked for a newer set"
+            "no read quorum is alive; read the register for a newer replica set"
         );
     }
 
-    /// Writes the first sets once no further storage node is heard.
-    async fn found_groups(&mut self) {
+    /// Writes the initial sets once the number of live storage nodes is constant.
+    async fn create_initial_sets(&mut self) {
         let now = self.now();
         let nodes = self.liveness.nodes(None, now);
         let size = self.replica.node.settings.bounds.replicas();
         let alive = alive(&nodes);
-        if self.founding.0 != alive.len() {
-            self.founding = (alive.len(), now);
+        if self.discovered.0 != alive.len() {
+            self.discovered = (alive.len(), now);
         }
-        let has_few = alive.len() < size && now < FIRST_SET_PATIENCE;
+        let has_few = alive.len() < size && now < INITIAL_SET_TIMEOUT;
         let Some(me) = self.replica.status().filter(|_| !has_few) else {
             return;
         };
         let rank = alive.iter().take_while(|id| **id < me.id).count();
         let rank = u32::try_from(rank).unwrap_or(u32::MAX);
-        let patience = FIRST_SET_SETTLED.saturating_add(RANK_PATIENCE.saturating_mul(rank));
-        if now.saturating_sub(self.founding.1) < patience {
+        let patience = INITIAL_SET_QUIET_PERIOD.saturating_add(RANK_DELAY.saturating_mul(rank));
+        if now.saturating_sub(self.discovered.1) < patience {
             return;
         }
         let Some(groups) = initial_groups(&nodes, size) else {
@@ -220,7 +219,7 @@
             _ => now,
         };
         state.due = Some((step.clone(), since));
-        if now.saturating_sub(since) < RANK_PATIENCE * rank {
+        if now.saturating_sub(since) < RANK_DELAY * rank {
             return;
         }
         match step {
@@ -228,17 +227,19 @@
                 state.due = None;
                 self.write(group, set.epoch, change).await;
             }
-            SetStep::Prepare { change, .. } if now.saturating_sub(since) > PREPARE_PATIENCE => {
+            SetStep::Prepare { change, .. } if now.saturating_sub(since) > PREPARE_TIMEOUT => {
                 log::warn!(
                     target: "belief",
                     group = group.0,
                     epoch = set.epoch.0,
                     waited_ms = whole_ms(now.saturating_sub(since));
-                    "newcomers did not catch up, the replica set changes all the same"
+                    "new members did not catch up in time; changing the replica set"
                 );
                 self.write(group, set.epoch, change).await;
             }
-            SetStep::Prepare { newcomers, .. } => self.newcomers.ask(group, groups, &newcomers),
+            SetStep::Prepare { new_members, .. } => {
+                self.new_members.ask(group, groups, &new_members)
+            }
         }
     }
 
@@ -253,26 +254,26 @@
         if state.epoch != set.epoch {
             (state.epoch, state.since) = (set.epoch, now);
         }
-        let is_patient = now.saturating_sub(state.since) < COPY_PATIENCE;
-        // While replicas read their disks back nobody can copy them, and a joint set only means more writes for each of them: with
-        // one, reservations took 650 ms at the median 16 s after a power loss, without 12 ms (one play each of the same day).
-        if !self.replica.is_whole() {
+        let is_patient = now.saturating_sub(state.since) < COPY_TIMEOUT;
+        // Nothing can be copied while replicas restore their records from disk, and a joint set
+        // would only add writes to each of them.
+        if !self.replica.is_fully_restored() {
             return None;
         }
         let mut nodes = nodes.to_vec();
-        self.liveness.add_awaited(set, &mut nodes, now);
+        self.liveness.add_starting(set, &mut nodes, now);
         for node in &mut nodes {
-            node.joining = self.newcomers.is_joining(group, node.replica.id);
+            node.joining = self.new_members.is_joining(group, node.replica.id);
         }
-        let copies = CopiesSeen {
-            prepared: self.newcomers.prepared(group, set.epoch),
+        let copies = CopyProgress {
+            prepared: self.new_members.prepared(group, set.epoch),
             copied: self.copied(group, set.epoch, &nodes),
         };
         let size = self.replica.node.settings.bounds.replicas();
         plan_change(set, &nodes, size, &copies, is_patient)
     }
 
-    /// Replicas that live and finished the copy for this epoch of a group.
+    /// Live replicas that have finished copying at this epoch of a group.
     fn copied(&self, group: GroupId, epoch: Epoch, nodes: &[StorageNode]) -> BTreeSet<ReplicaId> {
         let alive = alive(nodes);
         let members = self.replica.node.gossip.replicas();
@@ -283,7 +284,7 @@
         finished.map(|status| status.id).collect()
     }
 
-    /// Position of this node among the members of a set that are alive; `None` for one that is none of them.
+    /// Position of this node among the live members of a set; `None` if it isn't a member.
     fn rank(&self, set: &ReplicaSet, nodes: &[StorageNode]) -> Option<u32> {
         let me = self.replica.status()?;
         if !set.has_member(me.id) {
@@ -295,7 +296,8 @@
         u32::try_from(before.count()).ok()
     }
 
-    /// Writes the changed set of a group, if the register still holds the one that it was planned on.
+    /// Writes the changed set of a group if the register still holds the set that it was planned
+    /// on.
     async fn write(&self, group: GroupId, planned_on: Epoch, change: ReplicaSet) {
         let Some(RegisteredGroups::Found { groups, revision }) =
             self.replica.node.read_groups().await
@@ -325,14 +327,14 @@
             incoming:? = change.incoming.as_ref().map(names);
             "replica set changed"
         );
-        let newcomers: Vec<Replica> = change.newcomers().into_iter().cloned().collect();
+        let new_members: Vec<Replica> = change.new_members().into_iter().cloned().collect();
         let view = &self.replica.node.view;
         view.adopt_groups(changed.clone(), Source::Store);
-        // The set is joint until they have the rest, so they hear of it at once.
-        self.newcomers.ask(group, &changed, &newcomers);
+        // The set stays joint until they have copied the rest, so they are told at once.
+        self.new_members.ask(group, &changed, &new_members);
     }
 
-    async fn answer_retirements(&self, groups: &ReplicaGroups, nodes: &[StorageNode]) {
+    async fn update_retirements(&self, groups: &ReplicaGroups, nodes: &[StorageNode]) {
         let is_changing = groups.iter().any(|(_, set)| set.incoming.is_some());
         for (node, written) in self.retirements.open() {
             let members = groups.members();
@@ -342,15 +344,16 @@
             } else {
                 RetirementState::Done
             };
-            if written == Some(state) || !self.is_first_to_answer(groups, nodes, &node) {
+            if written == Some(state) || !self.is_status_writer(groups, nodes, &node) {
                 continue;
             }
             self.write_status(&node, state).await;
         }
     }
 
-    /// Of the group that a hash of the node's name picks, the first member that is alive and stays answers.
-    fn is_first_to_answer(
+    /// Whether this node writes the status: it is the first live member, other than the retiring
+    /// node, of the group chosen by a hash of the retiring node's name.
+    fn is_status_writer(
         &self,
         groups: &ReplicaGroups,
         nodes: &[StorageNode],
@@ -373,7 +376,7 @@
         let status = retirement_status(state);
         let call = set_status(ObjectKind::Retirements, node, &status);
         if self.call(call).await == Some(StoreOutcome::Done) {
-            log::info!(target: "belief", node = node, state:? = state; "retirement answered");
+            log::info!(target: "belief", node = node, state:? = state; "retirement status written");
             self.retirements.on_written(node, state);
         }
     }
@@ -387,7 +390,7 @@
                     target: "dependency",
                     reason = failure.name(),
                     detail:% = failure;
-                    "write to the platform store without an answer"
+                    "write to the platform store failed"
                 );
                 None
             }
--- a/crates/replica/src/copying.rs
+++ b/crates/replica/src/copying.rs
@@ -1,5 +1,5 @@
-//! Copies the records that a read quorum of a group's voters holds: those that there are before this replica joins the set, and the
-//! rest once the set is joint.
+//! Copies the records that a read quorum of a group's voters holds: most of them before this
+//! replica joins the set, and those that changed since once the set is joint.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::rc::Rc;
@@ -18,40 +18,41 @@
 use crate::handle::ReplicaHandle;
 
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
-const RETRY_PAUSE: Duration = Duration::from_millis(100);
-/// How often it is looked whether a copy is due, besides at each change of a set.
-const IDLE_PAUSE: Duration = Duration::from_millis(500);
-/// Turns asked for at once, about 1 MB. With 64 a copy under load never caught up: 500 turns a second came in, and a busy source takes
-/// 50 ms and more for an answer.
+const RETRY_DELAY: Duration = Duration::from_millis(100);
+/// How often to check whether a copy is due, besides at each change of a set.
+const IDLE_INTERVAL: Duration = Duration::from_millis(500);
+/// Turns per request, about 1 MB. Copying has to be faster than new turns arrive, although a busy
+/// source takes 50 ms and more to reply.
 const FETCH_COUNT: usize = 256;
-/// The longest that a copier rests after an answer.
-const LONGEST_REST: Duration = Duration::from_millis(50);
-/// A round of questions to a read quorum that took no longer finds little that is new.
-const CAUGHT_UP: Duration = Duration::from_millis(800);
-/// Pause between rounds while the set has not changed yet.
-const ROUND_PAUSE: Duration = Duration::from_millis(300);
+/// Longest pause after a reply.
+const MAX_THROTTLE_PAUSE: Duration = Duration::from_millis(50);
+/// A round of copying that takes no longer has caught up: little has changed since.
+const CAUGHT_UP_ROUND: Duration = Duration::from_millis(800);
+/// Interval of rounds while the set isn't joint yet.
+const ROUND_INTERVAL: Duration = Duration::from_millis(300);
 
-/// Why a source could not be copied now.
+/// Why copying from a source failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum CopyError {
-    /// The source did not answer, or not with what was asked.
+    /// The source didn't reply, or with an unexpected reply.
     Source,
-    /// There is a newer set, or the copy is no longer wanted.
+    /// There is a newer set, or the copy is no longer requested.
     Superseded,
-    /// The own disk took nothing.
+    /// The records couldn't be written to this replica's disk.
     Disk,
 }
 
-/// How fast a copy is made.
+/// Speed of a copy.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Pace {
-    /// The source rests for as long as its answer took, up to a bound, so that a busy one is asked less.
-    Resting,
-    /// At once: writes go to both sides until the copy is made.
-    AtOnce,
+    /// Pauses after each reply for as long as the reply took, up to a bound, so that a busy source
+    /// is asked less often.
+    Throttled,
+    /// No pauses: until a joint set is completed, each write goes to the voters and the incoming
+    /// replicas.
+    Unthrottled,
 }
 
-/// A copy that is due.
 #[derive(Debug, Clone)]
 struct CopyJob {
     /// The replica that copies.
@@ -59,41 +60,41 @@
     group: GroupId,
     /// The set of the group.
     set: ReplicaSet,
-    /// All sets, for a source that does not know them yet.
+    /// All sets, for a source that doesn't know them yet.
     groups: Rc<ReplicaGroups>,
     pace: Pace,
 }
 
-/// Copies whenever a set asks for it, until the process ends.
+/// Makes the copies that are due, until the process ends.
 pub async fn run(replica: Rc<ReplicaHandle>) {
     let mut changes = replica.node.view.changes();
     let mut copier = Copier::new(Rc::clone(&replica));
     loop {
-        copier.forget_unwanted();
+        copier.drop_unwanted();
         if let Some(job) = joint_job(&replica) {
             copier.copy_for(&job).await;
             continue;
         }
-        let jobs = preparing_jobs(&replica);
+        let jobs = preparation_jobs(&replica);
         for job in &jobs {
             copier.prepare_for(job).await;
         }
         let pause = if jobs.is_empty() {
-            IDLE_PAUSE
+            IDLE_INTERVAL
         } else {
-            ROUND_PAUSE
+            ROUND_INTERVAL
         };
         tokio::select! {
             changed = changes.changed() => if changed.is_err() {
                 return;
             },
-            () = replica.preparation.asked() => {}
+            () = replica.preparation.new_request() => {}
             () = tokio::time::sleep(pause) => {}
         }
     }
 }
 
-/// The copy that this replica has yet to make for a set that is changing.
+/// The copy that this replica has to make for a joint set, if any.
 fn joint_job(replica: &ReplicaHandle) -> Option<CopyJob> {
     let groups = replica.node.view.groups()?;
     let status = replica.status()?;
@@ -106,12 +107,12 @@
         group,
         set: set.clone(),
         groups: Rc::clone(&groups),
-        pace: Pace::AtOnce,
+        pace: Pace::Unthrottled,
     })
 }
 
-/// The copies of groups that this replica is to join.
-fn preparing_jobs(replica: &ReplicaHandle) -> Vec<CopyJob> {
+/// The requested copies of groups that this replica is to join.
+fn preparation_jobs(replica: &ReplicaHandle) -> Vec<CopyJob> {
     let (Some(groups), Some(status)) = (replica.node.view.groups(), replica.status()) else {
         return Vec::new();
     };
@@ -126,20 +127,20 @@
         group,
         set: set.clone(),
         groups: Rc::clone(&groups),
-        pace: Pace::Resting,
+        pace: Pace::Throttled,
     });
     jobs.collect()
 }
 
-/// How far this replica's copies are.
+/// Progress of this replica's copies.
 struct Copier {
     replica: Rc<ReplicaHandle>,
-    /// The life of the own disk that holds the copies.
+    /// Identity of the disk that holds the copies.
     me: Option<ReplicaId>,
-    /// Up to where the changes of each source are durable here.
+    /// Position in each source's change log up to which its records are durable here.
     positions: HashMap<(GroupId, ReplicaId), ListPosition>,
-    /// When copies for sets that had not changed yet were begun.
-    begun: BTreeMap<GroupId, Instant>,
+    /// When copies for sets that aren't joint yet began.
+    started_at: BTreeMap<GroupId, Instant>,
 }
 
 impl Copier {
@@ -148,15 +149,15 @@
             replica,
             me: None,
             positions: HashMap::new(),
-            begun: BTreeMap::new(),
+            started_at: BTreeMap::new(),
         }
     }
 
-    /// Forgets copies that nobody wants any more.
-    fn forget_unwanted(&mut self) {
+    /// Drops the state of copies that are no longer requested.
+    fn drop_unwanted(&mut self) {
         let me = self.replica.status().map(|status| status.id);
         if self.me != me {
-            // What another life of the own disk held is gone.
+            // The records copied to the earlier disk are lost.
             self.positions.clear();
             self.replica.preparation.forget_all();
             self.me = me;
@@ -169,24 +170,24 @@
             is_copier || replica.preparation.wanted(group).is_some()
         };
         self.positions.retain(|(group, _), _| is_wanted(*group));
-        self.begun.retain(|group, begun| {
+        self.started_at.retain(|group, started_at| {
             let keep = is_wanted(*group);
             if !keep {
                 log::info!(
                     target: "belief",
                     group = group.0,
-                    took_ms = whole_ms(begun.elapsed());
-                    "copy before a change of the replica set given up"
+                    took_ms = whole_ms(started_at.elapsed());
+                    "copy before a change of the replica set cancelled"
                 );
             }
             keep
         });
     }
 
-    /// One round of copies before the set changes.
+    /// Makes one round of copying before the set changes.
     async fn prepare_for(&mut self, job: &CopyJob) {
         let (group, epoch) = (job.group, job.set.epoch);
-        if !self.begun.contains_key(&group) {
+        if !self.started_at.contains_key(&group) {
             log::info!(
                 target: "belief",
                 group = group.0,
@@ -194,10 +195,10 @@
                 "copy before a change of the replica set began"
             );
         }
-        let begun = *self.begun.entry(group).or_insert_with(Instant::now);
-        let round = Instant::now();
+        let started_at = *self.started_at.entry(group).or_insert_with(Instant::now);
+        let round_start = Instant::now();
         let is_copied = self.copy_from_quorum(job, BTreeSet::new()).await;
-        if !is_copied || round.elapsed() > CAUGHT_UP {
+        if !is_copied || round_start.elapsed() > CAUGHT_UP_ROUND {
             return;
         }
         let preparation = &self.replica.preparation;
@@ -206,18 +207,19 @@
                 target: "belief",
                 group = group.0,
                 epoch = epoch.0,
-                took_ms = whole_ms(begun.elapsed());
+                took_ms = whole_ms(started_at.elapsed());
                 "copy before a change of the replica set caught up"
             );
         }
         preparation.set_ready(group, epoch);
     }
 
-    /// Copies under a joint set what changed since the last round, or everything.
+    /// Copies what changed since the last round, or everything, for a joint set.
     async fn copy_for(&mut self, job: &CopyJob) {
-        let began = Instant::now();
+        let start = Instant::now();
         let mut copied = BTreeSet::new();
-        // An empty batch is answered once the adoption of the set is durable here.
+        // A voter needs no copy of its own records. The reply to an empty batch comes once the
+        // adopted set is durable here.
         let is_voter = job.set.voters.iter().any(|voter| voter.id == job.me);
         if is_voter && self.replica.copy(job.group, Vec::new()).await {
             copied.insert(job.me);
@@ -225,21 +227,21 @@
         if !self.copy_from_quorum(job, copied).await {
             return;
         }
-        self.begun.remove(&job.group);
+        self.started_at.remove(&job.group);
         self.replica.preparation.forget(job.group);
         log::info!(
             target: "belief",
             group = job.group.0,
             epoch = job.set.epoch.0,
-            took_ms = whole_ms(began.elapsed());
-            "rest of the copy made"
+            took_ms = whole_ms(start.elapsed());
+            "copy for the joint replica set finished"
         );
         self.replica.finish_copy(job.group, job.set.epoch);
-        // The status changes on the actor's next turn.
-        tokio::time::sleep(RETRY_PAUSE).await;
+        // The actor updates the status in its next iteration.
+        tokio::time::sleep(RETRY_DELAY).await;
     }
 
-    /// Copies from voters until a read quorum of them is copied; says whether that was reached.
+    /// Copies from voters until a read quorum is copied; returns whether it is.
     async fn copy_from_quorum(&mut self, job: &CopyJob, mut copied: BTreeSet<ReplicaId>) -> bool {
         while !job.set.has_read_quorum(&copied) {
             for voter in self.sources(job) {
@@ -260,25 +262,25 @@
             if !self.is_wanted(job) {
                 return false;
             }
-            tokio::time::sleep(RETRY_PAUSE).await;
+            tokio::time::sleep(RETRY_DELAY).await;
         }
         true
     }
 
-    /// Whether a copy is still of use, and nothing is more urgent.
+    /// Whether a copy is still needed, and no joint set needs one more urgently.
     fn is_wanted(&self, job: &CopyJob) -> bool {
         let replica = &self.replica;
         let set = replica.node.view.replica_set(job.group);
         let is_newest = set.is_some_and(|set| set.epoch == job.set.epoch);
-        if job.pace == Pace::AtOnce {
+        if job.pace == Pace::Unthrottled {
             return is_newest;
         }
-        let is_asked = replica.preparation.wanted(job.group) == Some(job.set.epoch);
-        is_newest && is_asked && joint_job(replica).is_none()
+        let is_requested = replica.preparation.wanted(job.group) == Some(job.set.epoch);
+        is_newest && is_requested && joint_job(replica).is_none()
     }
 
-    /// The voters: first those of which most is known, then those whose last heartbeat is the newest: one that is gone makes a
-    /// copy wait.
+    /// The voters: first those already copied in part, then those with the newest heartbeat, since
+    /// a lost one would delay the copy.
     fn sources<'a>(&self, job: &'a CopyJob) -> Vec<&'a Replica> {
         let mut sorted = newest_first(&self.replica, &job.set.voters);
         sorted.sort_by_key(|voter| !self.positions.contains_key(&(job.group, voter.id)));
@@ -303,7 +305,7 @@
             if !replica.copy(job.group, ledgers.collect()).await {
                 return Err(CopyError::Disk);
             }
-            // Everything up to here is durable.
+            // Everything up to this position is durable.
             self.positions.insert(key, listing.next);
             if listing.is_end {
                 return Ok(());
@@ -315,7 +317,7 @@
     }
 }
 
-/// The voters, those first whose last heartbeat is the newest: one that is gone makes a copy wait.
+/// The voters, ordered by their last heartbeat, newest first.
 fn newest_first<'a>(replica: &ReplicaHandle, voters: &'a [Replica]) -> Vec<&'a Replica> {
     let members = replica.node.gossip.replicas();
     let heard_at = |voter: &Replica| {
@@ -330,7 +332,7 @@
     sorted
 }
 
-/// A voter that is being copied.
+/// A voter that records are copied from.
 struct CopySource<'a> {
     replica: &'a ReplicaHandle,
     job: &'a CopyJob,
@@ -344,12 +346,12 @@
             epoch: self.job.set.epoch,
             after,
         };
-        let mut reply = self.ask(request.clone()).await?;
+        let mut reply = self.request(request.clone()).await?;
         if reply == ReplicaReply::Behind {
-            // The source has not heard of the set yet.
+            // The source doesn't know the set yet.
             let groups = ReplicaGroups::clone(&self.job.groups);
-            self.ask(ReplicaRequest::Adopt { groups }).await?;
-            reply = self.ask(request).await?;
+            self.request(ReplicaRequest::Adopt { groups }).await?;
+            reply = self.request(request).await?;
         }
         match reply {
             ReplicaReply::Listed(listing) => Ok(listing),
@@ -368,12 +370,13 @@
             let keep: HashMap<TurnId, u64> = missing.iter().cloned().collect();
             let turns = missing.iter().take(FETCH_COUNT);
             let turns: Vec<TurnId> = turns.map(|(turn, _)| turn.clone()).collect();
-            let asked: BTreeSet<TurnId> = turns.iter().cloned().collect();
-            let fetched = match self.ask(ReplicaRequest::Fetch { turns }).await? {
+            let requested: BTreeSet<TurnId> = turns.iter().cloned().collect();
+            let fetched = match self.request(ReplicaRequest::Fetch { turns }).await? {
                 ReplicaReply::Fetched { records } => records,
                 _ => return Err(CopyError::Source),
             };
-            let got: BTreeSet<TurnId> = fetched.iter().map(|record| record.turn.clone()).collect();
+            let received: BTreeSet<TurnId> =
+                fetched.iter().map(|record| record.turn.clone()).collect();
             let records = fetched.into_iter().map(|record| {
                 let ttl_ms = keep.get(&record.turn).copied().unwrap_or_default();
                 Copied::Turn(record, ttl_ms)
@@ -381,25 +384,26 @@
             if !self.replica.copy(self.job.group, records.collect()).await {
                 return Err(CopyError::Disk);
             }
-            // What the source no longer has is past its time; what did not fit is asked for again.
-            let expired = got.is_empty();
-            let is_settled =
-                |turn: &TurnId| got.contains(turn) || (expired && asked.contains(turn));
-            missing.retain(|(turn, _)| !is_settled(turn));
+            // An empty reply means that the requested turns have expired; turns that exceeded the
+            // size of a reply are requested again.
+            let expired = received.is_empty();
+            let is_done =
+                |turn: &TurnId| received.contains(turn) || (expired && requested.contains(turn));
+            missing.retain(|(turn, _)| !is_done(turn));
         }
         Ok(())
     }
 
-    async fn ask(&self, request: ReplicaRequest) -> Result<ReplicaReply, CopyError> {
+    async fn request(&self, request: ReplicaRequest) -> Result<ReplicaReply, CopyError> {
         let address = self.voter.address.parse();
         let address = address.map_err(|_| CopyError::Source)?;
         let to = self.voter.id;
         let request = PeerRequest::Replica { to, request };
-        let began = Instant::now();
+        let start = Instant::now();
         let links = &self.replica.node.links;
         let reply = links.call(address, request, REQUEST_TIMEOUT).await;
-        if self.job.pace == Pace::Resting {
-            tokio::time::sleep(began.elapsed().min(LONGEST_REST)).await;
+        if self.job.pace == Pace::Throttled {
+            tokio::time::sleep(start.elapsed().min(MAX_THROTTLE_PAUSE)).await;
         }
         match reply {
             Ok(PeerReply::Replica(reply)) => Ok(reply),
