--- a/crates/replica/src/disk.rs
+++ b/crates/replica/src/disk.rs
@@ -1,8 +1,8 @@
-//! Records on the disk: opening, reading back, encoding of changes.
+//! Records on the disk: opening, restoring, and encoding of changes.
 //!
-//! Only the replica set is read before the disk counts as open. The other records are read while requests are
-//! taken already, those first that a request needs, since all of them take seconds on a small machine
-//! (`docs/design/large-fleets.md`, "After everything has ended").
+//! Only the replica sets are read before the disk counts as open. The other records are restored
+//! while requests are handled, those that a request needs first, since reading all of them takes
+//! seconds (`docs/design/large-fleets.md`, "After everything has ended").
 
 use std::fmt;
 use std::ops::{ControlFlow, RangeInclusive};
@@ -21,23 +21,24 @@
 const TURN_PREFIX: u8 = b't';
 const LEDGER_PREFIX: u8 = b'l';
 const SET_KEY: &[u8] = b"s";
-/// Records that are handed over at once while they are read back.
-const RESTORED_AT_ONCE: usize = 32;
-/// How much longer than it reads the thread rests that reads records back: requests need the processor, and a
-/// copy for a changed set waits until all are read.
-const REST_FACTOR: u32 = 3;
-/// Memory for cached pages of the database, in bytes; records are answered from memory anyway.
+/// Records that are passed on at once while restoring.
+const RESTORE_BATCH: usize = 32;
+/// How long the restoring thread pauses after each batch, as a multiple of the time taken to read
+/// it. This leaves the processor to requests, and isn't higher because copies for a changed set
+/// wait until all records are restored.
+const PAUSE_FACTOR: u32 = 3;
+/// Memory for cached pages of the database, in bytes. Small, since requests are served from memory.
 const CACHE_BYTES: usize = 4 * 1024 * 1024;
 
-/// Why records cannot be read or written.
+/// An error of the store, a record or the format of the disk.
 #[derive(Debug)]
 pub enum DiskError {
     /// The store failed.
     Store(StoreError),
-    /// A record cannot be encoded or read.
+    /// A record can't be encoded or decoded.
     Record,
-    /// A newer program has written in a form that this one does not read; holds the disk's version, `None` where that itself
-    /// cannot be read.
+    /// The disk has a format that this program doesn't read. Holds the disk's version, `None` if
+    /// that can't be decoded.
     Version(Option<u16>),
 }
 
@@ -45,12 +46,12 @@
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Store(error) => error.fmt(formatter),
-            Self::Record => write!(formatter, "a record cannot be encoded or read"),
+            Self::Record => write!(formatter, "a record cannot be encoded or decoded"),
             Self::Version(Some(version)) => write!(
                 formatter,
-                "the disk has version {version}, this program reads up to {DISK_VERSION}"
+                "the disk has format version {version}, but this program reads versions up to {DISK_VERSION}"
             ),
-            Self::Version(None) => write!(formatter, "the disk's version cannot be read"),
+            Self::Version(None) => write!(formatter, "the disk's format version cannot be decoded"),
         }
     }
 }
@@ -63,17 +64,17 @@
     }
 }
 
-/// An open disk with the state that it holds.
+/// An open disk and the state read from it.
 pub struct OpenedDisk {
-    /// The store.
+    /// Open until the last reference is dropped.
     pub store: Arc<Store>,
-    /// The replica's state.
+    /// The replica's state, with only the replica sets restored.
     pub state: ReplicaState,
     /// Whether the disk was empty.
     pub is_new: bool,
 }
 
-/// Opens the folder and reads the replica set. Blocks.
+/// Opens the store in this folder and reads the replica sets. Blocks.
 pub fn open(
     folder: &Path,
     node_name: &str,
@@ -85,10 +86,10 @@
     let opened = Store::open(&settings)?;
     check_version(&opened.store)?;
     let creation = opened.store.identity().creation_id;
-    // Half of the number is random enough to tell one life of a disk from another.
+    // Half of the identifier suffices to tell one disk from another.
     let id = ReplicaId(creation.0 as u64);
     let mut state = ReplicaState::new(id, max_turn_bytes);
-    state.begin_life(rand::random());
+    state.set_log_id(rand::random());
     if let Some(bytes) = opened.store.record(SET_KEY)? {
         state.restore(decode(&bytes)?);
     }
@@ -100,7 +101,7 @@
     })
 }
 
-/// Refuses a disk whose form is newer than this program, before anything of it is read or written.
+/// Rejects a disk in a newer format before any record is read or written.
 fn check_version(store: &Store) -> Result<(), DiskError> {
     let Some(bytes) = store.node_record(VERSION_KEY)? else {
         return Ok(());
@@ -108,26 +109,26 @@
     let version = <[u8; 2]>::try_from(bytes.as_slice()).ok();
     match version.map(u16::from_le_bytes) {
         Some(version) if READ_VERSIONS.contains(&version) => Ok(()),
-        newer => Err(DiskError::Version(newer)),
+        unsupported => Err(DiskError::Version(unsupported)),
     }
 }
 
-/// Reads one record.
+/// Reads one record; `None` if it isn't on the disk.
 pub fn read(store: &Store, key: &RecordKey) -> Result<Option<StoredRecord>, DiskError> {
     let bytes = store.record(&encode_key(key))?;
     bytes.map(|bytes| decode(&bytes)).transpose()
 }
 
-/// Reads all records back and hands them over, some at a time, for as long as they are wanted: ledgers first, since their keys
-/// are the lower ones, then turns. Blocks, and rests most of the time.
+/// Reads all records and passes them on in batches, until `on_records` breaks: ledgers before
+/// turns, since their keys sort lower. Blocks, and sleeps most of the time.
 pub fn read_all(
     store: &Store,
-    mut hand_over: impl FnMut(Vec<StoredRecord>) -> ControlFlow<()>,
+    mut on_records: impl FnMut(Vec<StoredRecord>) -> ControlFlow<()>,
 ) -> Result<(), DiskError> {
     let mut after = Vec::new();
     loop {
-        let began = Instant::now();
-        let page = store.records_after(&after, RESTORED_AT_ONCE)?;
+        let started_at = Instant::now();
+        let page = store.records_after(&after, RESTORE_BATCH)?;
         let Some(last) = page.last() else {
             return Ok(());
         };
@@ -135,19 +136,19 @@
         let records: Result<Vec<StoredRecord>, DiskError> =
             page.iter().map(|record| decode(&record.bytes)).collect();
         let mut records = records?;
-        // The set was read when the disk was opened, and may have changed since.
+        // The sets were read when the disk was opened, and may have changed since.
         let is_set = |record: &StoredRecord| {
             matches!(record, StoredRecord::Set(_) | StoredRecord::Groups(_))
         };
         records.retain(|record| !is_set(record));
-        if hand_over(records).is_break() {
+        if on_records(records).is_break() {
             return Ok(());
         }
-        std::thread::sleep(began.elapsed() * REST_FACTOR);
+        std::thread::sleep(started_at.elapsed() * PAUSE_FACTOR);
     }
 }
 
-/// The operation that makes a change durable.
+/// The store operation for a change.
 pub fn operation(change: &Change) -> Result<StoreOperation, DiskError> {
     match change {
         Change::Put(record) => {
@@ -187,7 +188,7 @@
     key
 }
 
-/// Reads the bytes of a record.
+/// Decodes a record.
 pub fn decode(bytes: &[u8]) -> Result<StoredRecord, DiskError> {
     let mut aligned = AlignedVec::<16>::with_capacity(bytes.len());
     aligned.extend_from_slice(bytes);
--- a/crates/replica/src/handle.rs
+++ b/crates/replica/src/handle.rs
@@ -1,4 +1,4 @@
-//! How the rest of the process reaches the replica's actor.
+//! Access to the replica's actor for the rest of the process.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -15,18 +15,18 @@
 use stakker::{ActorOwn, call};
 use tokio::sync::{mpsc, oneshot};
 
-use crate::actor::{Copied, DiskNews, OpenReplica, ReplicaActor};
+use crate::actor::{Copied, DiskEvent, OpenReplica, ReplicaActor};
 use crate::limiting::{Limiting, TIDY_INTERVAL};
 use crate::metrics::ReplicaMetrics;
 use crate::preparation::Preparation;
 
-/// The replica of this process.
+/// Handle of this process's replica.
 pub struct ReplicaHandle {
-    /// The node that it runs on.
+    /// The node that the replica runs on.
     pub node: Rc<Node>,
-    /// Metrics.
+    /// Metrics of the replica.
     pub metrics: Rc<ReplicaMetrics>,
-    /// What it is asked to copy before it joins the set.
+    /// Copies requested before the replica joins a set.
     pub preparation: Preparation,
     limiting: Limiting,
     actors: ActorRuntime,
@@ -35,7 +35,6 @@
 }
 
 impl ReplicaHandle {
-    /// A handle on the actor.
     pub fn new(
         node: Rc<Node>,
         metrics: Rc<ReplicaMetrics>,
@@ -58,15 +57,15 @@
 
     /// The replica's status; `None` while its disk is not open.
     pub fn status(&self) -> Option<ReplicaStatus> {
-        self.status.get().map(|open| open.told)
+        self.status.get().map(|open| open.published)
     }
 
-    /// Whether all records of the disk are back.
-    pub fn is_whole(&self) -> bool {
-        self.status.get().is_some_and(|open| open.is_whole)
+    /// Whether all records of the disk are restored.
+    pub fn is_fully_restored(&self) -> bool {
+        self.status.get().is_some_and(|open| open.is_fully_restored)
     }
 
-    /// Brings the gauges up to date.
+    /// Updates the gauges that the actor doesn't update.
     pub fn update_gauges(&self) {
         let epoch = i64::try_from(self.node.view.epoch().0).unwrap_or(i64::MAX);
         self.metrics.replica_set_epoch.set(epoch);
@@ -74,23 +73,26 @@
         self.metrics.limited_tenants.set(tenants);
     }
 
-    /// Hands news of other threads to the actor until the process ends.
-    pub async fn pass_news(self: Rc<Self>, mut news: mpsc::UnboundedReceiver<DiskNews>) {
-        while let Some(item) = news.recv().await {
-            call!([self.actor], news(item));
+    /// Forwards disk events to the actor until the process ends.
+    pub async fn forward_disk_events(
+        self: Rc<Self>,
+        mut disk_events: mpsc::UnboundedReceiver<DiskEvent>,
+    ) {
+        while let Some(event) = disk_events.recv().await {
+            call!([self.actor], on_disk_event(event));
             self.actors.wake();
         }
     }
 
-    /// Hands newer replica sets to the actor until the process ends.
-    pub async fn pass_sets(self: Rc<Self>) {
+    /// Forwards newer replica sets to the actor and the limiters until the process ends.
+    pub async fn forward_sets(self: Rc<Self>) {
         let mut changes = self.node.view.changes();
-        let mut told = Epoch::default();
+        let mut forwarded = Epoch::default();
         loop {
             if let Some(groups) = self.node.view.groups()
-                && groups.epoch() > told
+                && groups.epoch() > forwarded
             {
-                told = groups.epoch();
+                forwarded = groups.epoch();
                 let node = &self.node;
                 let now = node.clock.now();
                 self.limiting.on_sets(&groups, &node.settings.name, now);
@@ -102,7 +104,7 @@
         }
     }
 
-    /// Lets go of what is no longer needed of limits, until the process ends.
+    /// Periodically removes full token buckets, until the process ends.
     pub async fn tidy_limits(self: Rc<Self>) {
         let mut ticks = tokio::time::interval(TIDY_INTERVAL);
         loop {
@@ -116,7 +118,7 @@
         self.actors.wake();
     }
 
-    /// Takes in copied records of a group; says whether they are durable.
+    /// Adds copied records of a group; returns whether they are durable.
     pub async fn copy(&self, group: GroupId, copied: Vec<Copied>) -> bool {
         let (answer, answered) = oneshot::channel();
         call!([self.actor], copy(group, copied, answer));
@@ -124,7 +126,8 @@
         matches!(answered.await, Ok(PeerReply::Replica(ReplicaReply::Done)))
     }
 
-    /// Which of these turns the replica does not hold.
+    /// Returns those of these turns that the replica doesn't have, each with its time to live in
+    /// milliseconds.
     pub async fn missing(&self, turns: Vec<(TurnId, u64)>) -> Vec<(TurnId, u64)> {
         let (answer, answered) = oneshot::channel();
         call!([self.actor], missing(turns, answer));
@@ -132,7 +135,7 @@
         answered.await.unwrap_or_default()
     }
 
-    /// Whether a request may go to an engine that warms up.
+    /// Decides whether a request may go to an engine that is warming up.
     fn grant(&self, request: &GrantRequest) -> PeerReply {
         self.metrics.grants_asked.inc();
         let reply = self.limiting.grant(request, self.node.clock.now());
@@ -141,16 +144,17 @@
         })
     }
 
-    /// Says how far the copy is that is wanted before this replica joins a set.
+    /// Handles a request to copy before this replica joins a set; replies whether the copy is
+    /// ready.
     fn prepare(&self, preparing: PrepareRequest) -> PeerReply {
-        let is_meant = self
+        let is_recipient = self
             .status()
             .is_some_and(|status| status.id == preparing.to);
         let PrepareRequest { group, groups, .. } = preparing;
         let epoch = groups.set(group).map(|set| set.epoch);
         self.node.view.adopt_groups(groups, Source::Peer);
-        let epoch = epoch.filter(|_| is_meant);
-        let is_ready = epoch.is_some_and(|epoch| self.preparation.on_asked(group, epoch));
+        let epoch = epoch.filter(|_| is_recipient);
+        let is_ready = epoch.is_some_and(|epoch| self.preparation.on_request(group, epoch));
         PeerReply::Prepared { is_ready }
     }
 
@@ -170,7 +174,7 @@
         {
             self.metrics.admissions.inc();
             let answer = self.limiting.admit(admission, self.node.clock.now());
-            // Whoever asked may have given up.
+            // The caller may have stopped waiting.
             let _ = reply.send(PeerReply::Replica(answer));
             return;
         }
@@ -185,7 +189,7 @@
             PeerRequest::Prepare(preparing) => self.prepare(*preparing),
             other => self.node.answer(&other),
         };
-        // Whoever asked may have given up.
+        // The caller may have stopped waiting.
         let _ = reply.send(answer);
     }
 }
--- a/crates/replica/src/lateness.rs
+++ b/crates/replica/src/latency.rs
@@ -1,19 +1,21 @@
-//! Whether a replica keeps up with what it is asked, for the log.
+//! Detects when a replica is slow to reply, and logs it.
 //!
-//! A replica that is short of processor time answers everybody late, and gateways can only tell that it is slow. This says why: how
-//! much it was asked, how long its own answers took and how late its timers fired, which nothing but the processor delays.
+//! Gateways only see that a replica is slow. The log line of the replica shows why: the number of
+//! its requests, the time of its replies, and the lag of its timers, which only a lack of processor
+//! time causes.
 
 use std::time::{Duration, Instant};
 
 use ridgeworks_records::ReplicaRequest;
 use ridgeworks_resident::clock::whole_ms;
 
-/// How often a replica that is late says so.
+/// Interval of the log lines of a slow replica.
 const INTERVAL: Duration = Duration::from_secs(1);
-/// Answers or timers that are later than this are late: ordinary answers wait for a transaction or two, 30 ms at most.
+/// Latency above which a reply or timer is late. An ordinary reply waits for one or two
+/// transactions, 30 ms at most.
 const LATE: Duration = Duration::from_millis(100);
 
-/// What happened in one interval.
+/// Counts of one interval.
 #[derive(Debug, Default)]
 struct Counts {
     reservations: u64,
@@ -32,26 +34,26 @@
     }
 }
 
-/// Watches one replica.
+/// Monitors the latency of one replica.
 #[derive(Debug)]
-pub struct Lateness {
-    began: Instant,
+pub struct LatencyMonitor {
+    interval_start: Instant,
     late_since: Option<Instant>,
     counts: Counts,
 }
 
-impl Default for Lateness {
+impl Default for LatencyMonitor {
     fn default() -> Self {
         Self {
-            began: Instant::now(),
+            interval_start: Instant::now(),
             late_since: None,
             counts: Counts::default(),
         }
     }
 }
 
-impl Lateness {
-    /// A request was read.
+impl LatencyMonitor {
+    /// Counts a request.
     pub fn on_request(&mut self, request: &ReplicaRequest) {
         let counts = &mut self.counts;
         let count = match request {
@@ -64,23 +66,25 @@
         *count += 1;
     }
 
-    /// An answer was given so long after its request was read.
-    pub fn on_answer(&mut self, taken: Duration) {
+    /// Counts a reply, with the time since its request.
+    pub fn on_reply(&mut self, latency: Duration) {
         self.counts.answers += 1;
-        self.counts.slowest = self.counts.slowest.max(taken);
+        self.counts.slowest = self.counts.slowest.max(latency);
     }
 
-    /// A timer fired so long after it was due.
+    /// Records by how much a timer fired late.
     pub fn on_timer(&mut self, lag: Duration) {
         self.counts.timer_lag = self.counts.timer_lag.max(lag);
     }
 
-    /// Says once an interval that the replica is late, with the transactions of its disk so far, and once that it no longer is.
-    pub fn tell(&mut self, now: Instant, waiting: usize, commits: u64) {
-        if now.duration_since(self.began) < INTERVAL {
+    /// Logs once per interval that the replica is late, and once that it no longer is. `waiting` is
+    /// the number of replies that wait for the disk, `commits` the total number of its
+    /// transactions.
+    pub fn log_if_late(&mut self, now: Instant, waiting: usize, commits: u64) {
+        if now.duration_since(self.interval_start) < INTERVAL {
             return;
         }
-        self.began = now;
+        self.interval_start = now;
         let counts = std::mem::take(&mut self.counts);
         if counts.is_late() {
             self.late_since.get_or_insert(now);
--- a/crates/replica/src/lib.rs
+++ b/crates/replica/src/lib.rs
@@ -1,18 +1,21 @@
-//! The replica: keeps records on a disk, and takes part in changing the replica set.
+//! The replica process: keeps records on a disk, and takes part in changing the replica sets.
 //!
-//! `actor` holds the state machine and the disk; `copying` brings the records together that a replica needs to join the set, and
-//! `preparation` says when; `coordinator` changes the sets by who lives (`liveness`), asks `newcomers` to copy first, and answers orders to empty a machine.
+//! - `actor` holds the state machine and the disk.
+//! - `coordinator` changes the replica sets by which nodes are alive (`liveness`), asks
+//!   `new_members` to copy first, and carries out retirements.
+//! - `copying` copies the records that a replica needs to join a set; `preparation` tracks which
+//!   copies are requested.
 
 pub mod actor;
 mod coordinator;
 mod copying;
 pub mod disk;
 mod handle;
-mod lateness;
+mod latency;
 mod limiting;
 mod liveness;
 pub mod metrics;
-mod newcomers;
+mod new_members;
 pub mod preparation;
 mod retirements;
 mod role;
--- a/crates/replica/src/limiting.rs
+++ b/crates/replica/src/limiting.rs
@@ -1,7 +1,8 @@
-//! Gives out this node's shares of the limits of tenants (`docs/design/quotas.md`) and of what engines bear that warm up
-//! (`docs/design/warm-up.md`).
+//! Grants this node's shares of the rate limits of tenants (`docs/design/quotas.md`) and of the
+//! warm-up limits of engines (`docs/design/warm-up.md`).
 //!
-//! It needs no disk: what was given out counts for a window only, and a limiter that knows nothing of before starts low.
+//! Nothing is stored on disk: a grant counts only within a window, and a limiter without history
+//! starts with a low rate.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -15,29 +16,28 @@
 use ridgeworks_resident::peer::{GrantReply, GrantRequest};
 use ridgeworks_routing::{RateLimit, WarmUpLimit};
 
-/// How often buckets that are full again are let go.
+/// How often token buckets that are full again are removed.
 pub const TIDY_INTERVAL: Duration = Duration::from_secs(10);
 
-/// What this node gives out as a voter of one group.
+/// This node's limiters as a voter of one group.
 #[derive(Debug)]
 struct GroupLimiters {
     tenants: Limiter,
-    /// None where engines need no care.
+    /// `None` if warm-up limits are off.
     engines: Option<GrantLimiter>,
 }
 
-/// The limiters of the groups whose voter this node is.
+/// The limiters of the groups in which this node is a voter.
 #[derive(Debug)]
 pub struct Limiting {
     bounds: QuotaBounds,
     warm_up: Option<WarmUpBounds>,
-    /// Limiters that each limit is split among.
+    /// Number of limiters that share each limit.
     limiters: usize,
     groups: RefCell<BTreeMap<GroupId, GroupLimiters>>,
 }
 
 impl Limiting {
-    /// No limiter yet.
     pub fn new(bounds: QuotaBounds, warm_up: Option<WarmUpBounds>, limiters: usize) -> Self {
         Self {
             bounds,
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Takes in newer replica sets: a voter that is new knows nothing of what the one before it has given out.
+    /// Adopts newer replica sets. A new voter starts without the grants of its predecessor.
     pub fn on_sets(&self, sets: &ReplicaGroups, node: &str, now: Duration) {
         let mut groups = self.groups.borrow_mut();
         for (group, set) in sets.iter() {
@@ -68,7 +68,8 @@
         }
     }
 
-    /// Whether a request may go to an engine that warms up; `None` where nothing is promised of that.
+    /// Decides whether a request may go to an engine that is warming up; `None` if warm-up limits
+    /// are off.
     pub fn grant(&self, request: &GrantRequest, now: Duration) -> Option<GrantReply> {
         self.warm_up?;
         let mut groups = self.groups.borrow_mut();
@@ -90,7 +91,7 @@
         })
     }
 
-    /// Whether a request of a tenant may run.
+    /// Decides whether a tenant's request may run.
     pub fn admit(&self, admission: &Admission, now: Duration) -> ReplicaReply {
         let mut groups = self.groups.borrow_mut();
         let Some(group) = groups.get_mut(&admission.group) else {
@@ -115,7 +116,7 @@
         }
     }
 
-    /// Lets go of buckets that are full again.
+    /// Removes token buckets that are full again.
     pub fn clean_up(&self, now: Duration) {
         let mut groups = self.groups.borrow_mut();
         for group in groups.values_mut() {
@@ -126,7 +127,7 @@
         }
     }
 
-    /// Tenants of whom something was taken lately.
+    /// Number of tenants that have a token bucket at this node.
     pub fn tenants(&self) -> usize {
         let groups = self.groups.borrow();
         groups.values().map(|group| group.tenants.len()).sum()
--- a/crates/replica/src/liveness.rs
+++ b/crates/replica/src/liveness.rs
@@ -1,4 +1,4 @@
-//! Which storage nodes live, as one of them sees it.
+//! Which storage nodes are alive, as seen by one of them.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -9,36 +9,34 @@
 use crate::handle::ReplicaHandle;
 use crate::retirements::Retirements;
 
-/// A storage node that was silent for so long is taken for gone.
-const GONE_AFTER: Duration = Duration::from_millis(1_600);
-/// A member of other groups only is heard in turn, every two seconds where there are 36 storage nodes; it is no candidate for a place after this
-/// silence.
-const FOREIGN_GONE_AFTER: Duration = Duration::from_secs(5);
-/// How long a voter is awaited that was not heard yet since this node started, or whose process is heard and whose disk is not
-/// open. After a power loss of everything voters open their disks 1.1 to 1.8 s after their start (120 MB on 0.17 of a core), and
-/// replacing one of them copies everything while the others have most to do: reservations took 200 ms at the median in
-/// place of 58.
-const START_PATIENCE: Duration = Duration::from_secs(4);
+/// Silence after which a storage node counts as lost.
+const DEAD_AFTER: Duration = Duration::from_millis(1_600);
+/// The same for nodes that share no group with this one, whose heartbeats arrive in rotation: in a
+/// fleet of 36 storage nodes, every two seconds.
+const OTHER_GROUP_DEAD_AFTER: Duration = Duration::from_secs(5);
+/// How long a voter counts as starting that hasn't been heard since this node started, or whose
+/// process runs but hasn't opened its disk. Opening takes up to two seconds after a power loss;
+/// replacing such a voter would copy all its records while the other voters are busiest.
+const START_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// A replica with an open disk, as it was last heard.
+/// Last observation of a replica with an open disk.
 #[derive(Debug, Clone, Copy, Default)]
 struct Seen {
-    /// When, since the start of this process.
+    /// Time since the start of this process.
     at: Duration,
-    /// The life of its process.
+    /// Incarnation of the replica's process.
     incarnation: u64,
 }
 
-/// Who lives among the storage nodes.
+/// Liveness of the storage nodes.
 pub struct Liveness {
     replica: Rc<ReplicaHandle>,
     retirements: Retirements,
-    /// When other members of any group were last alive.
+    /// Last observation of other members of any group.
     seen: BTreeMap<ReplicaId, Seen>,
 }
 
 impl Liveness {
-    /// Nobody was heard yet.
     pub fn new(replica: Rc<ReplicaHandle>, retirements: Retirements) -> Self {
         Self {
             replica,
@@ -47,13 +45,13 @@
         }
     }
 
-    /// Notes which members were alive lately.
+    /// Records which members are alive.
     pub fn note_seen(&mut self, groups: &ReplicaGroups, now: Duration) {
         self.seen.retain(|id, _| groups.has_member(*id));
         for member in self.replica.node.gossip.replicas() {
             let status = member.replica.filter(|status| groups.has_member(status.id));
             if let Some(status) = status
-                && member.is_alive(now, GONE_AFTER)
+                && member.is_alive(now, DEAD_AFTER)
             {
                 let incarnation = member.incarnation;
                 let seen = Seen {
@@ -65,12 +63,12 @@
         }
     }
 
-    /// The storage nodes with an open disk that were ever heard, this one among them.
+    /// The storage nodes with an open disk that were ever heard, including this one.
     pub fn nodes(&self, groups: Option<&ReplicaGroups>, now: Duration) -> Vec<StorageNode> {
         let node = &self.replica.node;
         let mut nodes = Vec::new();
         let me = self.replica.status();
-        let belongs = |id: ReplicaId| groups.map_or(0, |groups| groups.groups_of(id).len());
+        let group_count = |id: ReplicaId| groups.map_or(0, |groups| groups.groups_of(id).len());
         if let Some(status) = me {
             nodes.push(StorageNode {
                 replica: Replica {
@@ -82,7 +80,7 @@
                 alive: true,
                 starting: false,
                 retiring: self.retirements.is_retiring(&node.settings.name),
-                groups: belongs(status.id),
+                groups: group_count(status.id),
                 joining: false,
             });
         }
@@ -91,12 +89,12 @@
             let Some(status) = member.replica else {
                 continue;
             };
-            let silence = gone_after(groups, own, status.id);
+            let silence = silence_limit(groups, own, status.id);
             nodes.push(StorageNode {
                 alive: member.is_alive(now, silence),
                 starting: false,
                 retiring: self.retirements.is_retiring(&member.info.name),
-                groups: belongs(status.id),
+                groups: group_count(status.id),
                 joining: false,
                 replica: Replica {
                     id: status.id,
@@ -109,14 +107,14 @@
         nodes
     }
 
-    /// Adds the voters of a set that are not alive and may be in a moment.
-    pub fn add_awaited(&self, set: &ReplicaSet, nodes: &mut Vec<StorageNode>, now: Duration) {
+    /// Adds the voters of a set that are starting.
+    pub fn add_starting(&self, set: &ReplicaSet, nodes: &mut Vec<StorageNode>, now: Duration) {
         for voter in &set.voters {
-            // A node that runs another replica has lost its disk.
+            // A node that is alive with another replica has lost its disk.
             let is_back = nodes
                 .iter()
                 .any(|node| node.alive && node.replica.node == voter.node);
-            if is_back || !self.is_awaited(voter, now) {
+            if is_back || !self.is_starting(voter, now) {
                 continue;
             }
             nodes.retain(|node| node.replica.id != voter.id);
@@ -131,35 +129,36 @@
         }
     }
 
-    /// Whether a voter was not heard yet, or its process has started anew and not opened its disk yet. One whose disk failed
-    /// under the same process is not awaited.
-    fn is_awaited(&self, voter: &Replica, now: Duration) -> bool {
+    /// Whether a voter hasn't been heard yet, or its process has restarted and hasn't opened its
+    /// disk. A voter whose disk failed within the same process doesn't count as starting.
+    fn is_starting(&self, voter: &Replica, now: Duration) -> bool {
         let Some(member) = self.replica.node.gossip.heard_member(&voter.node) else {
-            return now < START_PATIENCE;
+            return now < START_TIMEOUT;
         };
         let seen = self.seen.get(&voter.id).copied().unwrap_or_default();
         let is_opening = member.replica.is_none()
-            && member.is_alive(now, GONE_AFTER)
+            && member.is_alive(now, DEAD_AFTER)
             && member.incarnation != seen.incarnation;
-        is_opening && now.saturating_sub(seen.at) < START_PATIENCE
+        is_opening && now.saturating_sub(seen.at) < START_TIMEOUT
     }
 }
 
-/// The silence after which a replica is taken for gone: whoever shares no group hears it in turn only.
-fn gone_after(groups: Option<&ReplicaGroups>, me: Option<ReplicaId>, id: ReplicaId) -> Duration {
+/// The silence after which a replica counts as lost, which is longer if it shares no group with
+/// this one.
+fn silence_limit(groups: Option<&ReplicaGroups>, me: Option<ReplicaId>, id: ReplicaId) -> Duration {
     let Some((groups, me)) = groups.zip(me) else {
-        return GONE_AFTER;
+        return DEAD_AFTER;
     };
-    let of_it: BTreeSet<_> = groups.groups_of(id).into_iter().collect();
-    let mut of_me = groups.groups_of(me).into_iter();
-    if of_it.is_empty() || of_me.any(|group| of_it.contains(&group)) {
-        GONE_AFTER
+    let its_groups: BTreeSet<_> = groups.groups_of(id).into_iter().collect();
+    let mut own_groups = groups.groups_of(me).into_iter();
+    if its_groups.is_empty() || own_groups.any(|group| its_groups.contains(&group)) {
+        DEAD_AFTER
     } else {
-        FOREIGN_GONE_AFTER
+        OTHER_GROUP_DEAD_AFTER
     }
 }
 
-/// Those of these nodes that live.
+/// The replicas of the live nodes.
 pub fn alive(nodes: &[StorageNode]) -> BTreeSet<ReplicaId> {
     let alive = nodes.iter().filter(|node| node.alive);
     alive.map(|node| node.replica.id).collect()
--- a/crates/replica/src/metrics.rs
+++ b/crates/replica/src/metrics.rs
@@ -6,31 +6,31 @@
 
 /// All metrics of a replica.
 pub struct ReplicaMetrics {
-    /// Requests of other nodes.
+    /// Requests from other nodes.
     pub requests: Counter,
-    /// Requests of tenants for which a grant was asked.
+    /// Requests of tenants that were checked against a rate limit.
     pub admissions: Counter,
-    /// Requests to engines that warm up for which a grant was asked.
+    /// Requests to warming-up engines that were checked against a warm-up limit.
     pub grants_asked: Counter,
-    /// Tenants of whose limits something was given out lately.
+    /// Tenants that were recently granted requests.
     pub limited_tenants: Gauge,
-    /// Batches handed to the disk.
+    /// Batches submitted to the disk.
     pub batches: Counter,
-    /// Transactions of the disk, each with all batches that waited.
+    /// Transactions of the disk, each of which writes all waiting batches.
     pub commits: Counter,
-    /// Time spent in them, in microseconds.
+    /// Time spent in transactions, in microseconds.
     pub commit_micros: Counter,
-    /// Times that the disk failed.
+    /// Failures of the disk.
     pub disk_failures: Counter,
-    /// Changes of the replica set that this node wrote.
+    /// Changes of replica sets written by this node.
     pub set_changes: Counter,
-    /// Turns that are kept.
+    /// Number of turns.
     pub turns: Gauge,
-    /// Ledgers that are kept.
+    /// Number of ledgers.
     pub ledgers: Gauge,
-    /// Bytes of the turns that are kept.
+    /// Size of all turns, in bytes.
     pub turn_bytes: Gauge,
-    /// Epoch of the replica set.
+    /// Sum of the epochs of all replica sets.
     pub replica_set_epoch: Gauge,
 }
 
--- a/crates/replica/src/newcomers.rs
+++ b/crates/replica/src/new_members.rs
@@ -1,4 +1,4 @@
-//! Asks replicas that are to join the set to copy first, and remembers which of them have.
+//! Asks replicas that are to join a set to copy first, and tracks which of them have.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -10,37 +10,37 @@
 use ridgeworks_resident::peer::{PeerReply, PeerRequest, PrepareRequest};
 use tokio::time::Instant;
 
-/// How long a newcomer may take to say how far it is.
+/// Timeout of a request to a new member.
 const ASK_TIMEOUT: Duration = Duration::from_millis(700);
-/// How long it counts that a newcomer has said that it is ready. It is asked every 200 ms; an older word is of a change that was given up.
+/// How long a new member counts as ready after its reply. It is asked every 200 ms; an older reply
+/// belongs to a change that was given up.
 const READY_LIFETIME: Duration = Duration::from_secs(1);
 
-/// What is known of one newcomer.
+/// State of one new member.
 #[derive(Debug, Clone, Copy, Default)]
-struct Newcomer {
-    is_asked: bool,
-    /// The epoch for which it has copied, and when it said so.
+struct NewMember {
+    is_pending: bool,
+    /// The epoch that it has copied for, and when it replied so.
     ready: Option<(Epoch, Instant)>,
 }
 
-impl Newcomer {
+impl NewMember {
     fn is_ready(&self, epoch: Epoch) -> bool {
         let ready = self.ready.filter(|(_, at)| at.elapsed() < READY_LIFETIME);
         ready.is_some_and(|(of, _)| of == epoch)
     }
 }
 
-/// A replica that is to join a group.
-type Joining = (GroupId, ReplicaId);
+/// Key of a replica that is to join a group.
+type GroupMember = (GroupId, ReplicaId);
 
-/// The newcomers of the changes that are being prepared.
-pub struct Newcomers {
+/// The new members of the changes that are being prepared.
+pub struct NewMembers {
     node: Rc<Node>,
-    known: Rc<RefCell<BTreeMap<Joining, Newcomer>>>,
+    known: Rc<RefCell<BTreeMap<GroupMember, NewMember>>>,
 }
 
-impl Newcomers {
-    /// Nobody was asked yet.
+impl NewMembers {
     pub fn new(node: Rc<Node>) -> Self {
         Self {
             node,
@@ -48,12 +48,12 @@
         }
     }
 
-    /// Those that hold what a read quorum of this group's epoch held moments ago.
+    /// New members that recently held all records of a read quorum of this group's epoch.
     pub fn prepared(&self, group: GroupId, epoch: Epoch) -> BTreeSet<ReplicaId> {
         let known = self.known.borrow();
         let ready = known
             .iter()
-            .filter(|((of, _), new)| *of == group && new.is_ready(epoch));
+            .filter(|((of, _), new_member)| *of == group && new_member.is_ready(epoch));
         ready.map(|((_, id), _)| *id).collect()
     }
 
@@ -62,16 +62,17 @@
         self.known.borrow().contains_key(&(group, id))
     }
 
-    /// Has these replicas copy what the voters of this group hold, or tells them the set that has changed since.
+    /// Asks these replicas to copy what the voters of this group hold, and sends them the current
+    /// sets. Other new members of the group are forgotten.
     pub fn ask(&self, group: GroupId, groups: &ReplicaGroups, replicas: &[Replica]) {
         let is_wanted = |id: ReplicaId| replicas.iter().any(|replica| replica.id == id);
         let mut known = self.known.borrow_mut();
         known.retain(|(of, id), _| *of != group || is_wanted(*id));
         for replica in replicas {
-            let newcomer = known.entry((group, replica.id)).or_default();
-            if !std::mem::replace(&mut newcomer.is_asked, true) {
-                let asking = self.ask_one(group, groups.clone(), replica.clone());
-                tokio::task::spawn_local(asking);
+            let new_member = known.entry((group, replica.id)).or_default();
+            if !std::mem::replace(&mut new_member.is_pending, true) {
+                let request = self.ask_one(group, groups.clone(), replica.clone());
+                tokio::task::spawn_local(request);
             }
         }
     }
@@ -87,10 +88,10 @@
         async move {
             let epoch = groups.set(group).map(|set| set.epoch);
             let is_ready = is_ready(&node, group, groups, &replica).await;
-            if let Some(newcomer) = known.borrow_mut().get_mut(&(group, replica.id)) {
-                newcomer.is_asked = false;
+            if let Some(new_member) = known.borrow_mut().get_mut(&(group, replica.id)) {
+                new_member.is_pending = false;
                 let ready = epoch.filter(|_| is_ready);
-                newcomer.ready = ready.map(|epoch| (epoch, Instant::now()));
+                new_member.ready = ready.map(|epoch| (epoch, Instant::now()));
             }
         }
     }
@@ -102,13 +103,13 @@
             target: "belief",
             node = replica.node.as_str(),
             address = replica.address.as_str();
-            "address of a replica cannot be read"
+            "address of a replica is invalid"
         );
         return false;
     };
     let to = replica.id;
     let request = PeerRequest::Prepare(Box::new(PrepareRequest { to, group, groups }));
-    // One that does not answer is asked again for as long as it is wanted.
+    // A failed request is repeated by the next call of `ask`.
     let reply = node.links.call(address, request, ASK_TIMEOUT).await;
     matches!(reply, Ok(PeerReply::Prepared { is_ready: true }))
 }
--- a/crates/replica/src/preparation.rs
+++ b/crates/replica/src/preparation.rs
@@ -1,8 +1,9 @@
-//! What this replica is asked to copy before it may join the set.
+//! Copies requested from this replica before it joins a set.
 //!
-//! A voter is replaced by a newcomer that holds its records already: while a newcomer copied under a joint set, each write went to both sides,
-//! and under load the copy came to no end. Whoever plans the change asks the newcomer again and again; once nobody asks, it gives up
-//! (`docs/design/large-fleets.md`, "A newcomer copies first").
+//! A voter is replaced by a new member that already holds its records, so that the set is joint
+//! only for a short time; in a joint set each write goes to the old and the new members, which
+//! slows the copy. The coordinator repeats its request; a copy that is no longer requested is given
+//! up (`docs/design/large-fleets.md`, "A newcomer copies first").
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -12,68 +13,69 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// How long a replica copies after it was last asked to. Members of the set ask every 200 ms, and the one that asks may be replaced by
-/// the next one, which waits for up to 0.4 s.
+/// How long a replica copies after the last request. Coordinators repeat the request every 200 ms,
+/// and the next coordinator in rank takes over after up to 0.4 s.
 const REQUEST_LIFETIME: Duration = Duration::from_secs(2);
 
-/// A copy that somebody wants of a group.
+/// A requested copy of a group.
 #[derive(Debug, Clone, Copy)]
 struct CopyRequest {
     epoch: Epoch,
-    asked_at: Instant,
-    /// Whether the replica holds what a read quorum held moments ago.
+    requested_at: Instant,
+    /// Whether the replica recently held all records of a read quorum.
     is_ready: bool,
 }
 
 impl CopyRequest {
-    /// Whether somebody has asked lately. What was copied for a request that lapsed is behind.
-    fn is_open(&self) -> bool {
-        self.asked_at.elapsed() < REQUEST_LIFETIME
+    /// Whether the request is recent. A copy made for an expired request is outdated.
+    fn is_current(&self) -> bool {
+        self.requested_at.elapsed() < REQUEST_LIFETIME
     }
 }
 
-/// The groups that this replica is to join.
+/// The copies requested from this replica, by group.
 #[derive(Debug, Default)]
 pub struct Preparation {
     requests: RefCell<BTreeMap<GroupId, CopyRequest>>,
-    asked: Notify,
+    arrived: Notify,
 }
 
 impl Preparation {
-    /// Somebody asks for a copy of what the voters of a group hold at this epoch; says whether it is there.
-    pub fn on_asked(&self, group: GroupId, epoch: Epoch) -> bool {
+    /// Handles a request for a copy of what the voters of a group hold at this epoch; returns
+    /// whether the copy is ready.
+    pub fn on_request(&self, group: GroupId, epoch: Epoch) -> bool {
         let mut requests = self.requests.borrow_mut();
         let known = requests
             .get(&group)
-            .filter(|request| request.epoch == epoch && request.is_open());
+            .filter(|request| request.epoch == epoch && request.is_current());
         let is_ready = known.is_some_and(|request| request.is_ready);
         if known.is_none() {
-            self.asked.notify_one();
+            self.arrived.notify_one();
         }
         let request = CopyRequest {
             epoch,
-            asked_at: Instant::now(),
+            requested_at: Instant::now(),
             is_ready,
         };
         requests.insert(group, request);
         is_ready
     }
 
-    /// The epoch for which a copy of a group is wanted.
+    /// The epoch of a group for which a copy is requested; `None` if none is.
     pub fn wanted(&self, group: GroupId) -> Option<Epoch> {
         let requests = self.requests.borrow();
         let request = requests.get(&group)?;
-        request.is_open().then_some(request.epoch)
+        request.is_current().then_some(request.epoch)
     }
 
-    /// Whether the replica holds what a read quorum of this epoch held moments ago.
+    /// Whether the replica recently held all records of a read quorum of this epoch.
     pub fn is_ready(&self, group: GroupId, epoch: Epoch) -> bool {
         let requests = self.requests.borrow();
         let request = requests.get(&group);
         request.is_some_and(|request| request.epoch == epoch && request.is_ready)
     }
 
-    /// Notes that the replica holds what a read quorum of this epoch held moments ago.
+    /// Notes that the replica holds all records of a read quorum of this epoch.
     pub fn set_ready(&self, group: GroupId, epoch: Epoch) {
         let mut requests = self.requests.borrow_mut();
         if let Some(request) = requests
@@ -84,18 +86,18 @@
         }
     }
 
-    /// The copy of a group is made.
+    /// Removes the request for a group, once its copy is complete.
     pub fn forget(&self, group: GroupId) {
         self.requests.borrow_mut().remove(&group);
     }
 
-    /// Nothing that was copied counts any more.
+    /// Removes all requests, when the copied records are lost with the disk.
     pub fn forget_all(&self) {
         self.requests.borrow_mut().clear();
     }
 
-    /// Waits until somebody asks who was not asking before.
-    pub async fn asked(&self) {
-        self.asked.notified().await;
+    /// Waits for a request that isn't a repetition.
+    pub async fn new_request(&self) {
+        self.arrived.notified().await;
     }
 }
--- a/crates/replica/src/retirements.rs
+++ b/crates/replica/src/retirements.rs
@@ -1,4 +1,4 @@
-//! Orders to empty a storage machine, as the store has them.
+//! Retirements of storage nodes, as the platform store holds them.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -8,42 +8,44 @@
 use ridgeworks_platform::{Object, ObjectEvent, RetirementState, read_retirement_state};
 use ridgeworks_resident::store_watch::WatchHandler;
 
-/// The orders by the name of the node, with how far each has come.
+/// The retirements by the name of the node, with the state last written.
 #[derive(Debug, Clone, Default)]
 pub struct Retirements(Rc<RefCell<BTreeMap<String, Option<RetirementState>>>>);
 
 impl Retirements {
-    /// Whether a node is to be emptied.
+    /// Whether a node is being retired.
     pub fn is_retiring(&self, node: &str) -> bool {
         self.0.borrow().contains_key(node)
     }
 
-    /// Orders that are not carried out yet, with the state that was last written.
+    /// Unfinished retirements, with the state last written; `None` if none was.
     pub fn open(&self) -> Vec<(String, Option<RetirementState>)> {
-        let orders = self.0.borrow();
-        let open = orders
+        let retirements = self.0.borrow();
+        let open = retirements
             .iter()
             .filter(|(_, state)| **state != Some(RetirementState::Done));
         open.map(|(node, state)| (node.clone(), *state)).collect()
     }
 
-    /// Notes what was written.
+    /// Updates the state of a retirement after it was written to the store.
     pub fn on_written(&self, node: &str, state: RetirementState) {
         if let Some(known) = self.0.borrow_mut().get_mut(node) {
             *known = Some(state);
         }
     }
 
-    fn take(&self, order: &Object) {
-        let state = read_retirement_state(order);
-        self.0.borrow_mut().insert(order.name.clone(), state);
+    fn insert(&self, retirement: &Object) {
+        let state = read_retirement_state(retirement);
+        self.0.borrow_mut().insert(retirement.name.clone(), state);
     }
 }
 
 impl WatchHandler for Retirements {
     fn on_list(&self, objects: Vec<Object>, _at: u64) {
         self.0.borrow_mut().clear();
-        objects.iter().for_each(|order| self.take(order));
+        objects
+            .iter()
+            .for_each(|retirement| self.insert(retirement));
     }
 
     fn on_events(&self, events: Vec<ObjectEvent>, _at: u64) {
@@ -55,9 +57,9 @@
                     target: "belief",
                     node = event.object.name.as_str(),
                     revision = event.object.revision;
-                    "retirement ordered or changed"
+                    "retirement created or changed"
                 );
-                self.take(&event.object);
+                self.insert(&event.object);
             }
         }
     }
--- a/crates/replica/src/role.rs
+++ b/crates/replica/src/role.rs
@@ -1,4 +1,4 @@
-//! The replica as a process: start, reload, stop.
+//! The replica process: start, reload and shutdown.
 
 use std::cell::Cell;
 use std::path::PathBuf;
@@ -28,13 +28,13 @@
 use crate::metrics::ReplicaMetrics;
 use crate::retirements::Retirements;
 
-/// Part of the process's memory that turns may take, in percent.
+/// Share of the process's memory that turns may take, in percent.
 const TURN_PERCENT: u64 = 45;
 const BYTES_PER_MB: u64 = 1024 * 1024;
-/// Requests that came before the order to stop are answered.
-const STOP_TIME: Duration = Duration::from_millis(300);
+/// Time to reply to requests that arrived before shutdown.
+const SHUTDOWN_TIME: Duration = Duration::from_millis(300);
 
-/// Runs a replica until the platform stops it. Must be called inside a local set of tasks.
+/// Runs a replica until the platform stops it. Must be called inside a `LocalSet`.
 pub async fn run(
     settings: NodeSettings,
     settings_path: PathBuf,
@@ -58,20 +58,20 @@
     let retirements = Retirements::default();
     let store = Rc::clone(&node.store);
     let store_watch = Rc::new(WatchControl::new(WatchTimings::RETIREMENTS));
-    let following = watch_objects(
+    let retirement_watch = watch_objects(
         store,
         ObjectKind::Retirements,
         retirements.clone(),
         Rc::clone(&store_watch),
     );
-    tokio::task::spawn_local(following);
-    tokio::task::spawn_local(Rc::clone(&replica).pass_sets());
+    tokio::task::spawn_local(retirement_watch);
+    tokio::task::spawn_local(Rc::clone(&replica).forward_sets());
     tokio::task::spawn_local(Rc::clone(&replica).tidy_limits());
     tokio::task::spawn_local(copying::run(Rc::clone(&replica)));
     tokio::task::spawn_local(Coordinator::new(replica, retirements, store_watch).run());
     run_until_stopped(&node, &settings_path, &mut orders).await;
     log::info!(target: "process", role = "replica"; "stopping");
-    tokio::time::sleep(STOP_TIME).await;
+    tokio::time::sleep(SHUTDOWN_TIME).await;
     log::info!(target: "process", role = "replica"; "stopped");
     Ok(())
 }
@@ -79,7 +79,7 @@
 fn start_actor(node: &Rc<Node>, folder: PathBuf, metrics: Rc<ReplicaMetrics>) -> Rc<ReplicaHandle> {
     let memory = node.settings.limits.memory_mb * BYTES_PER_MB;
     let max_turn_bytes = memory * TURN_PERCENT / 100;
-    let (news, received) = mpsc::unbounded_channel();
+    let (disk_events, event_receiver) = mpsc::unbounded_channel();
     let status = Rc::new(Cell::new(None));
     let parts = ReplicaParts {
         folder,
@@ -87,7 +87,7 @@
         max_turn_bytes: usize::try_from(max_turn_bytes).unwrap_or(usize::MAX),
         view: Rc::clone(&node.view),
         metrics: Rc::clone(&metrics),
-        news,
+        disk_events,
         status: Rc::clone(&status),
     };
     let actors = ActorRuntime::default();
@@ -97,6 +97,6 @@
     let handle = ReplicaHandle::new(node, metrics, actors.clone(), actor, status);
     let handle = Rc::new(handle);
     tokio::task::spawn_local(actors.run());
-    tokio::task::spawn_local(Rc::clone(&handle).pass_news(received));
+    tokio::task::spawn_local(Rc::clone(&handle).forward_disk_events(event_receiver));
     handle
 }
--- a/crates/replica/tests/golden_records.rs
+++ b/crates/replica/tests/golden_records.rs
@@ -1,8 +1,8 @@
-//! The forms of records on a disk and of objects in the platform's store, kept as files that the first disk version wrote
-//! (`docs/design/versions.md`).
+//! Formats of records on a disk and of objects in the platform's store, checked against files
+//! written by the first disk version (`docs/design/versions.md`).
 
 #[path = "../../resident/tests/support/samples.rs"]
-#[allow(dead_code, reason = "records need a part of it")]
+#[allow(dead_code, reason = "only some samples are used here")]
 mod samples;
 #[path = "support/stored.rs"]
 mod stored;
@@ -23,33 +23,37 @@
 }
 
 #[test]
-fn records_on_a_disk_keep_their_form() {
+fn records_on_a_disk_keep_their_format() {
     for record in stored::stored() {
         let name = stored::stored_name(&record);
         let bytes = golden(&format!("{name}.bin"));
         let read = decode(&bytes).unwrap_or_else(|error| panic!("{name}: {error}"));
-        assert_eq!(read, record, "{name} as it is read");
+        assert_eq!(read, record, "{name} decoded");
         let key = golden(&format!("{name}.key"));
-        let written = operation(&Change::Put(record)).expect("small");
+        let written = operation(&Change::Put(record)).expect("encodes");
         assert_eq!(
             written,
             StoreOperation::PutRecord { key, bytes },
-            "{name} as it is written"
+            "{name} encoded"
         );
     }
 }
 
 #[test]
-fn registered_replica_sets_keep_their_form() {
+fn replica_sets_in_the_store_keep_their_format() {
     for (name, groups) in stored::registered() {
         let file = golden(&format!("{name}.json"));
         let read: ReplicaGroups = serde_json::from_slice(&file).expect("replica sets");
         assert_eq!(read, groups, "{name}");
-        assert_eq!(serde_json::to_vec(&groups).expect("small"), file, "{name}");
+        assert_eq!(
+            serde_json::to_vec(&groups).expect("encodes"),
+            file,
+            "{name}"
+        );
     }
 }
 
-/// A disk as a newer program leaves it that states this version.
+/// A disk that states this version.
 fn disk_of_version(version: &[u8]) -> tempfile::TempDir {
     let folder = tempfile::tempdir().expect("a folder");
     let settings = StoreSettings::new(folder.path(), NODE, StoreCreationId(1));
@@ -63,7 +67,7 @@
     folder
 }
 
-fn refusal(folder: &tempfile::TempDir) -> Option<Option<u16>> {
+fn rejected_version(folder: &tempfile::TempDir) -> Option<Option<u16>> {
     match open(folder.path(), NODE, MAX_TURN_BYTES) {
         Ok(_) => None,
         Err(DiskError::Version(version)) => Some(version),
@@ -71,17 +75,24 @@
     }
 }
 
-/// Records of a form that is not known would be missed or misread, and what was acknowledged would be forgotten.
+/// Records in an unknown format would be missed or misread, and acknowledged changes lost.
 #[test]
-fn a_disk_of_a_newer_version_is_refused_and_others_are_opened() {
+fn a_disk_of_a_newer_version_is_rejected_and_others_are_opened() {
     let newer = DISK_VERSION + 1;
     assert_eq!(
-        refusal(&disk_of_version(&newer.to_le_bytes())),
+        rejected_version(&disk_of_version(&newer.to_le_bytes())),
         Some(Some(newer))
     );
-    assert_eq!(refusal(&disk_of_version(b"")), Some(None));
-    assert_eq!(refusal(&disk_of_version(&DISK_VERSION.to_le_bytes())), None);
+    assert_eq!(rejected_version(&disk_of_version(b"")), Some(None));
+    assert_eq!(
+        rejected_version(&disk_of_version(&DISK_VERSION.to_le_bytes())),
+        None
+    );
     let empty = tempfile::tempdir().expect("a folder");
-    assert_eq!(refusal(&empty), None);
-    assert_eq!(refusal(&empty), None, "a disk that states no version");
+    assert_eq!(rejected_version(&empty), None);
+    assert_eq!(
+        rejected_version(&empty),
+        None,
+        "a disk that states no version"
+    );
 }
--- a/crates/replica/tests/mutated_records.rs
+++ b/crates/replica/tests/mutated_records.rs
@@ -1,12 +1,13 @@
-//! Decoders of records on a disk and of replica sets in the platform's store, on bytes that nobody wrote.
+//! Decoders of records on a disk and of replica sets in the platform's store must not panic on
+//! mutated bytes.
 
 #[path = "../../resident/tests/support/mutation.rs"]
 mod mutation;
 #[path = "../../resident/tests/support/samples.rs"]
-#[allow(dead_code, reason = "records need a part of it")]
+#[allow(dead_code, reason = "only some samples are used here")]
 mod samples;
 #[path = "support/stored.rs"]
-#[allow(dead_code, reason = "names are for files")]
+#[allow(dead_code, reason = "file names are not used here")]
 mod stored;
 
 use ridgeworks_records::{Change, ReplicaGroups};
@@ -22,7 +23,7 @@
 }
 
 #[test]
-fn records() {
+fn mutated_records_are_decoded_without_panic() {
     let operations = stored::stored().into_iter().map(Change::Put);
     let bytes = operations.map(|change| match operation(&change) {
         Ok(StoreOperation::PutRecord { bytes, .. }) => bytes,
@@ -32,8 +33,8 @@
 }
 
 #[test]
-fn replica_sets() {
+fn mutated_replica_sets_are_decoded_without_panic() {
     let registered = stored::registered().into_iter();
-    let bytes = registered.map(|(_, groups)| serde_json::to_vec(&groups).expect("small"));
+    let bytes = registered.map(|(_, groups)| serde_json::to_vec(&groups).expect("encodes"));
     mutation::check(bytes.collect(), read_sets);
 }
--- a/crates/replica/tests/preparation.rs
+++ b/crates/replica/tests/preparation.rs
@@ -1,4 +1,4 @@
-//! What a replica is asked to copy before it joins a set, under virtual time.
+//! Requests to copy before joining a set, under virtual time.
 
 use std::time::Duration;
 
@@ -9,40 +9,40 @@
 const EPOCH: Epoch = Epoch(5);
 
 #[tokio::test(start_paused = true)]
-async fn a_copy_is_wanted_for_as_long_as_somebody_asks() {
+async fn a_copy_is_wanted_while_requests_are_repeated() {
     let preparation = Preparation::default();
-    assert!(!preparation.on_asked(GROUP, EPOCH));
-    preparation.asked().await;
+    assert!(!preparation.on_request(GROUP, EPOCH));
+    preparation.new_request().await;
     for _ in 0..10 {
         tokio::time::sleep(Duration::from_millis(600)).await;
         assert_eq!(preparation.wanted(GROUP), Some(EPOCH));
-        preparation.on_asked(GROUP, EPOCH);
+        preparation.on_request(GROUP, EPOCH);
     }
     preparation.set_ready(GROUP, EPOCH);
-    assert!(preparation.on_asked(GROUP, EPOCH));
+    assert!(preparation.on_request(GROUP, EPOCH));
     tokio::time::sleep(Duration::from_secs(3)).await;
     assert_eq!(preparation.wanted(GROUP), None);
 }
 
-/// The voter came back, and went again later: what the replica held then is long behind, and a set that turned joint on it would be
-/// joint for the whole copy.
+/// A copy whose request lapsed is outdated: a set changed on it would stay joint while everything
+/// is copied.
 #[tokio::test(start_paused = true)]
-async fn a_copy_that_nobody_wanted_for_a_while_is_not_ready_any_more() {
+async fn a_copy_is_not_ready_after_its_request_has_lapsed() {
     let preparation = Preparation::default();
-    preparation.on_asked(GROUP, EPOCH);
+    preparation.on_request(GROUP, EPOCH);
     preparation.set_ready(GROUP, EPOCH);
-    assert!(preparation.on_asked(GROUP, EPOCH));
+    assert!(preparation.on_request(GROUP, EPOCH));
     tokio::time::sleep(Duration::from_secs(3)).await;
-    assert!(!preparation.on_asked(GROUP, EPOCH));
+    assert!(!preparation.on_request(GROUP, EPOCH));
     assert!(!preparation.is_ready(GROUP, EPOCH));
 }
 
 #[tokio::test(start_paused = true)]
-async fn groups_and_epochs_are_told_apart() {
+async fn requests_are_kept_apart_by_group_and_epoch() {
     let preparation = Preparation::default();
-    preparation.on_asked(GROUP, EPOCH);
+    preparation.on_request(GROUP, EPOCH);
     preparation.set_ready(GROUP, EPOCH);
-    assert!(!preparation.on_asked(GroupId(3), EPOCH));
-    assert!(!preparation.on_asked(GROUP, Epoch(6)));
+    assert!(!preparation.on_request(GroupId(3), EPOCH));
+    assert!(!preparation.on_request(GROUP, Epoch(6)));
     assert_eq!(preparation.wanted(GROUP), Some(Epoch(6)));
 }
--- a/crates/replica/tests/restoring.rs
+++ b/crates/replica/tests/restoring.rs
@@ -1,11 +1,11 @@
-//! An actor that takes requests while the turns of its disk are still being read back. In a file of its own:
-//! a process has one actor runtime.
+//! An actor that handles requests while the records of its disk are being restored. In a file of
+//! its own, since a process has one actor runtime.
 
 mod support;
 
 use ridgeworks_records::{Epoch, GroupId, ReplicaReply, ReplicaRequest, TurnId, TurnRecord};
 use ridgeworks_resident::peer::PeerReply;
-use support::{Bed, adopt, charge, on_runtime};
+use support::{ActorHarness, adopt, charge, on_runtime};
 
 fn append(turn: &str) -> ReplicaRequest {
     ReplicaRequest::Append {
@@ -37,51 +37,60 @@
     }
 }
 
-/// A folder with a turn and a ledger on it.
+/// Writes a turn and a ledger to a folder.
 async fn write(folder: &std::path::Path) {
-    let mut bed = Bed::open(folder).await;
-    for request in [adopt(bed.id()), append("t-1"), charge("p", "t-1", 60_000)] {
-        let answered = bed.ask(request);
-        bed.reply(answered).await;
+    let mut harness = ActorHarness::open(folder).await;
+    for request in [
+        adopt(harness.id()),
+        append("t-1"),
+        charge("p", "t-1", 60_000),
+    ] {
+        let answered = harness.ask(request);
+        harness.reply(answered).await;
     }
 }
 
 #[test]
-fn requests_are_taken_before_the_disk_is_read_back() {
+fn requests_are_handled_while_records_are_restored() {
     let folder = tempfile::tempdir().expect("a folder");
     on_runtime(async {
         write(folder.path()).await;
-        let mut bed = Bed::open(folder.path()).await;
-        // No news of what the other thread reads has been taken yet, and a change of the set would copy in vain.
-        assert!(!bed.is_whole());
-        let mut found = bed.ask(read("t-1"));
+        let mut harness = ActorHarness::open(folder.path()).await;
+        // No event of the reading thread has been handled yet, so other replicas couldn't copy
+        // everything.
+        assert!(!harness.is_fully_restored());
+        let mut found = harness.ask(read("t-1"));
         let Ok(PeerReply::Replica(ReplicaReply::Chain { records, missing })) = found.try_recv()
         else {
-            panic!("read from the disk at once");
+            panic!("the turn has to be read from the disk at once");
         };
         assert_eq!((records.len(), missing), (1, None));
-        let mut unknown = bed.ask(read("t-9"));
+        let mut unknown = harness.ask(read("t-9"));
         let Ok(PeerReply::Replica(ReplicaReply::Chain { missing, .. })) = unknown.try_recv() else {
-            panic!("looked for on the disk at once");
+            panic!("the turn has to be looked up on the disk at once");
         };
         assert_eq!(missing, Some(TurnId("t-9".to_owned())));
-        let charged = bed.ask(charge("p", "t-2", 60_000));
-        let ReplicaReply::Charged { ledger } = bed.reply(charged).await else {
-            panic!("the ledger is read from the disk");
+        let charged = harness.ask(charge("p", "t-2", 60_000));
+        let ReplicaReply::Charged { ledger } = harness.reply(charged).await else {
+            panic!("the ledger has to be read from the disk");
         };
-        assert_eq!(ledger.entries.len(), 2, "what was reserved before counts");
-        // A copy for a changed set waits until everything is there.
-        let listed = bed.ask(list());
-        let mut reply = bed.reply(listed).await;
+        assert_eq!(
+            ledger.entries.len(),
+            2,
+            "the earlier reservation is still charged"
+        );
+        // A listing is available once all records are restored.
+        let listed = harness.ask(list());
+        let mut reply = harness.reply(listed).await;
         while reply == ReplicaReply::Unavailable {
-            bed.take_news().await;
-            let listed = bed.ask(list());
-            reply = bed.reply(listed).await;
+            harness.take_disk_event().await;
+            let listed = harness.ask(list());
+            reply = harness.reply(listed).await;
         }
         let ReplicaReply::Listed(listing) = reply else {
             panic!("{reply:?}");
         };
         assert_eq!((listing.turns.len(), listing.ledgers.len()), (1, 1));
-        assert!(bed.is_whole());
+        assert!(harness.is_fully_restored());
     });
 }
--- a/crates/replica/tests/support/mod.rs
+++ b/crates/replica/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! An actor on a real disk, with its timers under virtual time.
-#![allow(dead_code, reason = "each test file uses a part of it")]
+//! An actor on a real disk, with timers under virtual time.
+#![allow(dead_code, reason = "each test file uses only a part")]
 
 use std::cell::Cell;
 use std::future::Future;
@@ -12,7 +12,7 @@
     Epoch, GroupId, LedgerEntry, ProgramId, Replica, ReplicaGroups, ReplicaId, ReplicaReply,
     ReplicaRequest, ReplicaSet, TurnId,
 };
-use ridgeworks_replica::actor::{DiskNews, OpenReplica, ReplicaActor, ReplicaParts};
+use ridgeworks_replica::actor::{DiskEvent, OpenReplica, ReplicaActor, ReplicaParts};
 use ridgeworks_replica::metrics::ReplicaMetrics;
 use ridgeworks_resident::clock::Clock;
 use ridgeworks_resident::peer::PeerReply;
@@ -31,21 +31,21 @@
     tokio::task::LocalSet::new().block_on(&runtime, test)
 }
 
-/// An actor whose timers fire when the test says so.
-pub struct Bed {
+/// An actor whose timers fire when the test advances its time.
+pub struct ActorHarness {
     stakker: Stakker,
     actor: ActorOwn<ReplicaActor>,
     start: Instant,
     at: Duration,
-    news: mpsc::UnboundedReceiver<DiskNews>,
+    disk_events: mpsc::UnboundedReceiver<DiskEvent>,
     status: Rc<Cell<Option<OpenReplica>>>,
 }
 
-impl Bed {
+impl ActorHarness {
     pub async fn open(folder: &Path) -> Self {
         let start = Instant::now();
         let mut stakker = Stakker::new(start);
-        let (sender, news) = mpsc::unbounded_channel();
+        let (sender, disk_events) = mpsc::unbounded_channel();
         let status = Rc::new(Cell::new(None));
         let parts = ReplicaParts {
             folder: folder.to_owned(),
@@ -53,21 +53,21 @@
             max_turn_bytes: MAX_TURN_BYTES,
             view: Rc::new(View::new(Clock::start(), false)),
             metrics: Rc::new(ReplicaMetrics::register(&mut Registry::default())),
-            news: sender,
+            disk_events: sender,
             status: Rc::clone(&status),
         };
         let actor = actor!(stakker, ReplicaActor::init(parts), ret_nop!());
         stakker.run(start, false);
-        let mut bed = Self {
+        let mut harness = Self {
             stakker,
             actor,
             start,
             at: Duration::ZERO,
-            news,
+            disk_events,
             status,
         };
-        bed.take_news().await;
-        bed
+        harness.take_disk_event().await;
+        harness
     }
 
     pub fn run_until(&mut self, at: Duration) {
@@ -75,20 +75,20 @@
         self.stakker.run(self.start + at, false);
     }
 
-    /// Hands the next news of the disk to the actor.
-    pub async fn take_news(&mut self) {
-        let item = self.news.recv().await.expect("the disk says something");
-        call!([self.actor], news(item));
+    /// Passes the next event of the disk to the actor.
+    pub async fn take_disk_event(&mut self) {
+        let event = self.disk_events.recv().await.expect("an event of the disk");
+        call!([self.actor], on_disk_event(event));
         self.run_until(self.at);
     }
 
     pub fn id(&self) -> ReplicaId {
-        self.status.get().expect("an open disk").told.id
+        self.status.get().expect("an open disk").published.id
     }
 
-    /// Whether others may copy it.
-    pub fn is_whole(&self) -> bool {
-        self.status.get().is_some_and(|open| open.is_whole)
+    /// Whether all records are restored, so that other replicas may copy them.
+    pub fn is_fully_restored(&self) -> bool {
+        self.status.get().is_some_and(|open| open.is_fully_restored)
     }
 
     pub fn ask(&mut self, request: ReplicaRequest) -> oneshot::Receiver<PeerReply> {
@@ -99,13 +99,13 @@
         answered
     }
 
-    /// Hands on news until there is a reply.
+    /// Passes on events of the disk until there is a reply.
     pub async fn reply(&mut self, mut answered: oneshot::Receiver<PeerReply>) -> ReplicaReply {
         loop {
             match answered.try_recv() {
                 Ok(PeerReply::Replica(reply)) => return reply,
                 Ok(other) => panic!("{other:?}"),
-                Err(oneshot::error::TryRecvError::Empty) => self.take_news().await,
+                Err(oneshot::error::TryRecvError::Empty) => self.take_disk_event().await,
                 Err(error) => panic!("{error}"),
             }
         }
@@ -126,7 +126,7 @@
     }
 }
 
-/// A set with this replica alone.
+/// A request to adopt a set of this replica alone.
 pub fn adopt(id: ReplicaId) -> ReplicaRequest {
     let replica = Replica {
         id,
--- a/crates/replica/tests/support/stored.rs
+++ b/crates/replica/tests/support/stored.rs
@@ -1,4 +1,4 @@
-//! One record of each kind that the first disk version knows. The golden files were written from these by that version.
+//! One record of each kind in the first disk version, which wrote the golden files from these.
 
 use ridgeworks_records::{Epoch, GroupId, ReplicaGroups, ReplicaSet, StoredRecord};
 
@@ -28,7 +28,8 @@
     ]
 }
 
-/// What it is called in the names of files. A variant more needs a new disk version: the first one could not read it.
+/// Name of the record's golden file. A further variant needs a new disk version, since the first
+/// one can't read it.
 pub fn stored_name(record: &StoredRecord) -> &'static str {
     match record {
         StoredRecord::Turn(..) => "turn",
@@ -39,7 +40,7 @@
     }
 }
 
-/// The replica sets as the platform's store has them: of one group, and of many.
+/// Replica sets in the platform's store: of one group, and of several.
 pub fn registered() -> Vec<(&'static str, ReplicaGroups)> {
     vec![
         ("replica-set-one", ReplicaGroups::single(set())),
