--- a/crates/records/src/chain_read.rs
+++ b/crates/records/src/chain_read.rs
@@ -72,7 +72,7 @@
         };
         self.next_turn = missing;
         self.denied.insert(from);
-        let certain = self.set.has_voter_majority(&self.denied);
-        certain.then(|| ChainOutcome::NoSuchTurn(self.next_turn.clone()))
+        let is_certain = self.set.has_voter_majority(&self.denied);
+        is_certain.then(|| ChainOutcome::NoSuchTurn(self.next_turn.clone()))
     }
 }
--- a/crates/records/src/change_log.rs
+++ b/crates/records/src/change_log.rs
@@ -39,7 +39,8 @@
         }
     }
 
-    /// Records that the record with this key has changed; `last` is the number of its last change.
+    /// Appends a change of the record with this key in place of its earlier one; `last` becomes the
+    /// number of the change.
     pub fn log_change(&mut self, last: &mut ChangeNumber, key: impl FnOnce() -> RecordKey) {
         let earlier = last.and_then(|last| self.keys.remove(&last));
         self.newest += 1;
--- a/crates/records/src/identifiers.rs
+++ b/crates/records/src/identifiers.rs
@@ -90,7 +90,6 @@
     }
 }
 
-/// Key of a record.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord, Archive, Serialize, Deserialize)]
 pub enum RecordKey {
     Turn(TurnId),
--- a/crates/records/src/message.rs
+++ b/crates/records/src/message.rs
@@ -44,7 +44,6 @@
         group: GroupId,
         /// The epoch of the set whose quorum the sender counts.
         epoch: Epoch,
-        /// The program.
         program: ProgramId,
         /// The turn that the tokens are reserved for.
         turn: TurnId,
@@ -60,7 +59,6 @@
         group: GroupId,
         /// The epoch of the set whose quorum the sender counts.
         epoch: Epoch,
-        /// The settlements.
         settlements: Vec<Settlement>,
     },
     Append {
@@ -68,7 +66,6 @@
         group: GroupId,
         /// The epoch of the set whose quorum the sender counts.
         epoch: Epoch,
-        /// The record.
         record: TurnRecord,
         /// How long the record is kept, in milliseconds.
         ttl_ms: u64,
@@ -83,10 +80,7 @@
         turn: TurnId,
     },
     /// Sends newer replica sets.
-    Adopt {
-        /// The sets of all groups.
-        groups: ReplicaGroups,
-    },
+    Adopt { groups: ReplicaGroups },
     /// Lists records that changed after a position, for a replica that copies them.
     List {
         /// The group whose records are copied.
@@ -99,10 +93,7 @@
     /// Asks the replica's node whether a tenant's request may run.
     Admit(Admission),
     /// Reads records of turns, for a replica that copies them.
-    Fetch {
-        /// The turns to read.
-        turns: Vec<TurnId>,
-    },
+    Fetch { turns: Vec<TurnId> },
 }
 
 /// One page of a replica's records, ordered by their last change.
@@ -138,7 +129,6 @@
     Listed(Listing),
     /// The requested records, without those that have expired.
     Fetched {
-        /// The records.
         records: Vec<TurnRecord>,
     },
     /// The tenant's request may run.
--- a/crates/records/src/plan.rs
+++ b/crates/records/src/plan.rs
@@ -89,8 +89,8 @@
             incoming: None,
         }));
     }
-    let retarget = !may_wait && !same_replicas(&wanted, incoming);
-    retarget.then(|| SetStep::Write(joint_set(set, wanted)))
+    let should_retarget = !may_wait && !same_replicas(&wanted, incoming);
+    should_retarget.then(|| SetStep::Write(joint_set(set, wanted)))
 }
 
 fn begin_change(
@@ -180,11 +180,11 @@
 /// nodes. Where there is none, a lost voter stays and a retiring one leaves.
 fn wanted_voters(voters: &[Replica], nodes: &[StorageNode], size: usize) -> Vec<Replica> {
     let staying = voters.iter().filter(|voter| !is_retiring(voter, nodes));
-    let (alive, gone): (Vec<&Replica>, Vec<&Replica>) =
+    let (alive, lost): (Vec<&Replica>, Vec<&Replica>) =
         staying.partition(|voter| is_alive(voter, nodes) || is_starting(voter, nodes));
     let mut wanted: Vec<Replica> = alive.into_iter().cloned().collect();
     add_candidates(&mut wanted, voters, nodes, size);
-    let mut absent: Vec<&Replica> = gone
+    let mut absent: Vec<&Replica> = lost
         .into_iter()
         .filter(|voter| !was_replaced(voter, nodes))
         .collect();
--- a/crates/records/src/replica.rs
+++ b/crates/records/src/replica.rs
@@ -92,21 +92,20 @@
 }
 
 #[derive(Debug, Clone)]
-struct Kept<T> {
+struct Retained<T> {
     value: T,
-    until_ms: u64,
+    expires_at_ms: u64,
     group: GroupId,
     changed: ChangeNumber,
 }
 
-impl<T> Kept<T> {
+impl<T> Retained<T> {
     /// Remaining time to live, in milliseconds.
     fn ttl_ms(&self, now_ms: u64) -> u64 {
-        self.until_ms.saturating_sub(now_ms)
+        self.expires_at_ms.saturating_sub(now_ms)
     }
 }
 
-/// State of one replica.
 #[derive(Debug, Clone)]
 pub struct ReplicaState {
     id: ReplicaId,
@@ -114,8 +113,8 @@
     groups: Option<ReplicaGroups>,
     /// The epoch of the last finished copy of each group.
     copied: BTreeMap<GroupId, Epoch>,
-    turns: BTreeMap<TurnId, Kept<TurnRecord>>,
-    ledgers: BTreeMap<ProgramId, Kept<ProgramLedger>>,
+    turns: BTreeMap<TurnId, Retained<TurnRecord>>,
+    ledgers: BTreeMap<ProgramId, Retained<ProgramLedger>>,
     changes: BTreeMap<GroupId, ChangeLog>,
     turn_bytes: usize,
     max_turn_bytes: usize,
@@ -232,19 +231,19 @@
                 log.remove_change(changed);
             }
         };
-        self.turns.retain(|turn, kept| {
-            let keep = kept.until_ms > now_ms;
+        self.turns.retain(|turn, retained| {
+            let keep = retained.expires_at_ms > now_ms;
             if !keep {
-                remove_from_log(kept.group, kept.changed);
-                *turn_bytes -= kept.value.weight();
+                remove_from_log(retained.group, retained.changed);
+                *turn_bytes -= retained.value.weight();
                 changes.push(Change::Delete(RecordKey::Turn(turn.clone())));
             }
             keep
         });
-        self.ledgers.retain(|program, kept| {
-            let keep = kept.until_ms > now_ms;
+        self.ledgers.retain(|program, retained| {
+            let keep = retained.expires_at_ms > now_ms;
             if !keep {
-                remove_from_log(kept.group, kept.changed);
+                remove_from_log(retained.group, retained.changed);
                 changes.push(Change::Delete(RecordKey::Ledger(program.clone())));
             }
             keep
@@ -295,11 +294,11 @@
         program: ProgramId,
         turn: &TurnId,
         entry: LedgerEntry,
-        until_ms: u64,
+        expires_at_ms: u64,
     ) -> Handled {
-        let change = self.merge_entry(group, &program, turn, entry, until_ms);
-        let kept = ledger_entry(&mut self.ledgers, group, program, until_ms);
-        let ledger = kept.value.clone();
+        let change = self.merge_entry(group, &program, turn, entry, expires_at_ms);
+        let retained = ledger_entry(&mut self.ledgers, group, program, expires_at_ms);
+        let ledger = retained.value.clone();
         let reply = ReplicaReply::Charged { ledger };
         Handled::durable(change.into_iter().collect(), reply)
     }
@@ -313,8 +312,8 @@
                 entry,
                 ttl_ms,
             } = settlement;
-            let until_ms = now_ms + ttl_ms;
-            changes.extend(self.merge_entry(group, &program, &turn, entry, until_ms));
+            let expires_at_ms = now_ms + ttl_ms;
+            changes.extend(self.merge_entry(group, &program, &turn, entry, expires_at_ms));
         }
         Handled {
             changes,
@@ -330,9 +329,9 @@
         program: &ProgramId,
         turn: &TurnId,
         entry: LedgerEntry,
-        until_ms: u64,
+        expires_at_ms: u64,
     ) -> Option<Change> {
-        self.change_ledger(group, program, until_ms, |ledger| {
+        self.change_ledger(group, program, expires_at_ms, |ledger| {
             ledger.merge_entry(turn, entry)
         })
     }
@@ -343,56 +342,62 @@
         group: GroupId,
         program: &ProgramId,
         ledger: &ProgramLedger,
-        until_ms: u64,
+        expires_at_ms: u64,
     ) -> Option<Change> {
-        self.change_ledger(group, program, until_ms, |known| known.merge_ledger(ledger))
+        self.change_ledger(group, program, expires_at_ms, |known| {
+            known.merge_ledger(ledger)
+        })
     }
 
     fn change_ledger(
         &mut self,
         group: GroupId,
         program: &ProgramId,
-        until_ms: u64,
+        expires_at_ms: u64,
         merge: impl FnOnce(&mut ProgramLedger) -> bool,
     ) -> Option<Change> {
-        let kept = ledger_entry(&mut self.ledgers, group, program.clone(), until_ms);
-        let has_changed = merge(&mut kept.value);
-        kept.until_ms = kept.until_ms.max(until_ms);
+        let retained = ledger_entry(&mut self.ledgers, group, program.clone(), expires_at_ms);
+        let has_changed = merge(&mut retained.value);
+        retained.expires_at_ms = retained.expires_at_ms.max(expires_at_ms);
         if !has_changed {
             return None;
         }
         let key = || RecordKey::Ledger(program.clone());
-        let log = change_log(&mut self.changes, self.log_id, kept.group);
-        log.log_change(&mut kept.changed, key);
-        let stored = StoredRecord::Ledger(program.clone(), kept.value.clone(), kept.until_ms);
+        let log = change_log(&mut self.changes, self.log_id, retained.group);
+        log.log_change(&mut retained.changed, key);
+        let stored = StoredRecord::Ledger(
+            program.clone(),
+            retained.value.clone(),
+            retained.expires_at_ms,
+        );
         Some(Change::Put(stored))
     }
 
-    fn append(&mut self, group: GroupId, record: TurnRecord, until_ms: u64) -> Handled {
+    fn append(&mut self, group: GroupId, record: TurnRecord, expires_at_ms: u64) -> Handled {
         if self.turns.contains_key(&record.turn) {
             return Handled::durable(Vec::new(), ReplicaReply::Done);
         }
         if self.turn_bytes + record.weight() > self.max_turn_bytes {
             return Handled::immediate(ReplicaReply::Unavailable);
         }
-        self.put_turn(group, record.clone(), until_ms);
-        let change = Change::Put(StoredRecord::GroupTurn(group, record, until_ms));
+        self.put_turn(group, record.clone(), expires_at_ms);
+        let change = Change::Put(StoredRecord::GroupTurn(group, record, expires_at_ms));
         Handled::durable(vec![change], ReplicaReply::Done)
     }
 
-    fn put_turn(&mut self, group: GroupId, record: TurnRecord, until_ms: u64) {
+    fn put_turn(&mut self, group: GroupId, record: TurnRecord, expires_at_ms: u64) {
         self.turn_bytes += record.weight();
         let turn = record.turn.clone();
-        let mut changed = self.turns.get(&turn).and_then(|kept| kept.changed);
+        let mut changed = self.turns.get(&turn).and_then(|retained| retained.changed);
         let key = || RecordKey::Turn(turn.clone());
         change_log(&mut self.changes, self.log_id, group).log_change(&mut changed, key);
-        let kept = Kept {
+        let retained = Retained {
             value: record,
-            until_ms,
+            expires_at_ms,
             group,
             changed,
         };
-        if let Some(earlier) = self.turns.insert(turn, kept) {
+        if let Some(earlier) = self.turns.insert(turn, retained) {
             self.turn_bytes -= earlier.value.weight();
         }
     }
@@ -401,16 +406,16 @@
         let mut records: Vec<TurnRecord> = Vec::new();
         let mut next = Some(newest);
         while let Some(turn) = next.take() {
-            let kept = self.turns.get(&turn);
-            if kept.is_none() && self.is_restoring && !self.absent.contains(&turn) {
+            let retained = self.turns.get(&turn);
+            if retained.is_none() && self.is_restoring && !self.absent.contains(&turn) {
                 return ReplicaReply::Unavailable;
             }
-            let Some(kept) = kept.filter(|_| records.len() < MAX_CHAIN_RECORDS) else {
+            let Some(retained) = retained.filter(|_| records.len() < MAX_CHAIN_RECORDS) else {
                 let missing = Some(turn);
                 return ReplicaReply::Chain { records, missing };
             };
-            records.push(kept.value.clone());
-            next = kept.value.previous.clone();
+            records.push(retained.value.clone());
+            next = retained.value.previous.clone();
         }
         let missing = None;
         ReplicaReply::Chain { records, missing }
@@ -427,14 +432,14 @@
 }
 
 fn ledger_entry(
-    ledgers: &mut BTreeMap<ProgramId, Kept<ProgramLedger>>,
+    ledgers: &mut BTreeMap<ProgramId, Retained<ProgramLedger>>,
     group: GroupId,
     program: ProgramId,
-    until_ms: u64,
-) -> &mut Kept<ProgramLedger> {
-    ledgers.entry(program).or_insert_with(|| Kept {
+    expires_at_ms: u64,
+) -> &mut Retained<ProgramLedger> {
+    ledgers.entry(program).or_insert_with(|| Retained {
         value: ProgramLedger::default(),
-        until_ms,
+        expires_at_ms,
         group,
         changed: None,
     })
--- a/crates/records/src/replica/copying.rs
+++ b/crates/records/src/replica/copying.rs
@@ -57,12 +57,12 @@
     pub(super) fn fetch(&self, turns: &[TurnId]) -> ReplicaReply {
         let mut records = Vec::new();
         let mut bytes = 0;
-        for kept in turns.iter().filter_map(|turn| self.turns.get(turn)) {
-            bytes += kept.value.weight();
+        for retained in turns.iter().filter_map(|turn| self.turns.get(turn)) {
+            bytes += retained.value.weight();
             if bytes > MAX_FETCH_BYTES && !records.is_empty() {
                 break;
             }
-            records.push(kept.value.clone());
+            records.push(retained.value.clone());
         }
         ReplicaReply::Fetched { records }
     }
@@ -80,13 +80,18 @@
         for key in keys {
             match key {
                 RecordKey::Turn(turn) => {
-                    let kept = self.turns.get(turn);
-                    turns.extend(kept.map(|kept| (turn.clone(), kept.ttl_ms(now_ms))));
+                    let retained = self.turns.get(turn);
+                    turns.extend(retained.map(|retained| (turn.clone(), retained.ttl_ms(now_ms))));
                 }
                 RecordKey::Ledger(program) => {
-                    let kept = self.ledgers.get(program);
-                    let entry =
-                        kept.map(|kept| (program.clone(), kept.value.clone(), kept.ttl_ms(now_ms)));
+                    let retained = self.ledgers.get(program);
+                    let entry = retained.map(|retained| {
+                        (
+                            program.clone(),
+                            retained.value.clone(),
+                            retained.ttl_ms(now_ms),
+                        )
+                    });
                     ledgers.extend(entry);
                 }
             }
--- a/crates/records/src/replica/restoring.rs
+++ b/crates/records/src/replica/restoring.rs
@@ -63,7 +63,7 @@
         let mut next = Some(newest);
         while let Some(turn) = next {
             match self.turns.get(turn) {
-                Some(kept) => next = kept.value.previous.as_ref(),
+                Some(retained) => next = retained.value.previous.as_ref(),
                 None if self.absent.contains(turn) => return None,
                 None => return Some(RecordKey::Turn(turn.clone())),
             }
@@ -88,16 +88,16 @@
     /// Adds a record that was read from the disk.
     pub fn restore(&mut self, record: StoredRecord) {
         match record {
-            StoredRecord::Turn(record, until_ms) => {
-                self.put_turn(GroupId::default(), record, until_ms);
+            StoredRecord::Turn(record, expires_at_ms) => {
+                self.put_turn(GroupId::default(), record, expires_at_ms);
             }
-            StoredRecord::GroupTurn(group, record, until_ms) => {
-                self.put_turn(group, record, until_ms);
+            StoredRecord::GroupTurn(group, record, expires_at_ms) => {
+                self.put_turn(group, record, expires_at_ms);
             }
             // Merged, since the ledger may have changed while the disk was read.
-            StoredRecord::Ledger(program, ledger, until_ms) => {
+            StoredRecord::Ledger(program, ledger, expires_at_ms) => {
                 let group = self.group_of(&program);
-                self.join_ledger(group, &program, &ledger, until_ms);
+                self.join_ledger(group, &program, &ledger, expires_at_ms);
             }
             StoredRecord::Set(set) => self.groups = Some(ReplicaGroups::single(set)),
             StoredRecord::Groups(groups) => self.groups = Some(groups),
--- a/crates/records/tests/groups.rs
+++ b/crates/records/tests/groups.rs
@@ -8,8 +8,8 @@
     StoredRecord, TurnId, TurnRecord, initial_groups, plan_change,
 };
 
-const NOW: u64 = 1_000_000;
-const KEPT: u64 = NOW + 60_000;
+const NOW_MS: u64 = 1_000_000;
+const EXPIRES_AT_MS: u64 = NOW_MS + 60_000;
 
 fn replica(id: u64, zones: u64) -> Replica {
     Replica {
@@ -171,7 +171,7 @@
     let mut second = set(&[1, 4, 5]);
     second.epoch = Epoch(2);
     state.adopt(groups.with_set(GroupId(1), second));
-    let ask = |state: &mut ReplicaState, request| state.handle(request, NOW).reply;
+    let ask = |state: &mut ReplicaState, request| state.handle(request, NOW_MS).reply;
     assert_eq!(
         ask(&mut state, append(GroupId(0), 1, "t-1")),
         ReplicaReply::Done
@@ -208,7 +208,7 @@
 #[test]
 fn copying_a_turn_fails_without_room() {
     let mut state = ReplicaState::new(ReplicaId(1), 4);
-    let copied = state.copy_turn(GroupId(0), record("t-1"), 60_000, NOW);
+    let copied = state.copy_turn(GroupId(0), record("t-1"), 60_000, NOW_MS);
     assert_eq!(copied, None);
 }
 
@@ -222,14 +222,14 @@
     ledger.merge_entry(&TurnId("t-1".to_owned()), entry);
     let mut state = ReplicaState::new(ReplicaId(1), 1_000_000);
     state.restore(StoredRecord::Set(set(&[1, 2, 3])));
-    state.restore(StoredRecord::Ledger(program(1), ledger, KEPT));
-    state.restore(StoredRecord::Turn(record("t-1"), KEPT));
+    state.restore(StoredRecord::Ledger(program(1), ledger, EXPIRES_AT_MS));
+    state.restore(StoredRecord::Turn(record("t-1"), EXPIRES_AT_MS));
     let list = ReplicaRequest::List {
         group: GroupId(0),
         epoch: Epoch(1),
         after: None,
     };
-    let ReplicaReply::Listed(listing) = state.handle(list, NOW).reply else {
+    let ReplicaReply::Listed(listing) = state.handle(list, NOW_MS).reply else {
         panic!("a member lists");
     };
     assert_eq!((listing.turns.len(), listing.ledgers.len()), (1, 1));
--- a/crates/records/tests/restoring.rs
+++ b/crates/records/tests/restoring.rs
@@ -5,8 +5,8 @@
     ReplicaReply, ReplicaRequest, ReplicaSet, ReplicaState, StoredRecord, TurnId, TurnRecord,
 };
 
-const NOW: u64 = 1_000_000;
-const KEPT: u64 = NOW + 60_000;
+const NOW_MS: u64 = 1_000_000;
+const EXPIRES_AT_MS: u64 = NOW_MS + 60_000;
 
 fn turn(id: &str, previous: Option<&str>) -> TurnRecord {
     TurnRecord {
@@ -24,7 +24,7 @@
         spent: Some(spent),
     };
     ledger.merge_entry(&TurnId(turn.to_owned()), entry);
-    StoredRecord::Ledger(ProgramId("p".to_owned()), ledger, KEPT)
+    StoredRecord::Ledger(ProgramId("p".to_owned()), ledger, EXPIRES_AT_MS)
 }
 
 /// A replica of which only the set is restored.
@@ -65,7 +65,7 @@
     let turn = TurnId(turn.to_owned());
     let group = GroupId(0);
     let read = ReplicaRequest::ReadChain { group, epoch, turn };
-    let handled = state.handle(read, NOW);
+    let handled = state.handle(read, NOW_MS);
     handled.reply
 }
 
@@ -76,7 +76,7 @@
     assert_eq!(state.missing_record(&charge("t-2")), Some(key));
     state.restore(ledger("t-1", 7));
     assert_eq!(state.missing_record(&charge("t-2")), None);
-    let ReplicaReply::Charged { ledger } = state.handle(charge("t-2"), NOW).reply else {
+    let ReplicaReply::Charged { ledger } = state.handle(charge("t-2"), NOW_MS).reply else {
         panic!("the ledger is known");
     };
     assert_eq!(ledger.entries.len(), 2, "the earlier turn is still charged");
@@ -90,10 +90,10 @@
         .expect("a missing ledger");
     state.mark_absent(key);
     assert_eq!(state.missing_record(&charge("t-2")), None);
-    state.handle(charge("t-2"), NOW);
+    state.handle(charge("t-2"), NOW_MS);
     // Read from the disk before the reservation, restored after it.
     state.restore(ledger("t-1", 7));
-    let ReplicaReply::Charged { ledger } = state.handle(charge("t-3"), NOW).reply else {
+    let ReplicaReply::Charged { ledger } = state.handle(charge("t-3"), NOW_MS).reply else {
         panic!("the ledger is known");
     };
     assert_eq!(ledger.entries.len(), 3);
@@ -109,7 +109,7 @@
     };
     let key = |turn: &str| Some(RecordKey::Turn(TurnId(turn.to_owned())));
     assert_eq!(state.missing_record(&request), key("t-2"));
-    state.restore(StoredRecord::Turn(turn("t-2", Some("t-1")), KEPT));
+    state.restore(StoredRecord::Turn(turn("t-2", Some("t-1")), EXPIRES_AT_MS));
     assert_eq!(state.missing_record(&request), key("t-1"));
     state.mark_absent(RecordKey::Turn(TurnId("t-1".to_owned())));
     assert_eq!(state.missing_record(&request), None);
@@ -126,14 +126,14 @@
 fn no_turn_is_reported_missing_while_restoring() {
     let mut state = replica();
     assert_eq!(read(&mut state, "t-2"), ReplicaReply::Unavailable);
-    state.restore(StoredRecord::Turn(turn("t-2", Some("t-1")), KEPT));
+    state.restore(StoredRecord::Turn(turn("t-2", Some("t-1")), EXPIRES_AT_MS));
     let half = read(&mut state, "t-2");
     assert_eq!(
         half,
         ReplicaReply::Unavailable,
         "t-1 may still be on the disk"
     );
-    state.restore(StoredRecord::Turn(turn("t-1", None), KEPT));
+    state.restore(StoredRecord::Turn(turn("t-1", None), EXPIRES_AT_MS));
     let ReplicaReply::Chain { records, missing } = read(&mut state, "t-2") else {
         panic!("the chain is complete");
     };
@@ -154,14 +154,14 @@
         after: None,
     };
     assert_eq!(
-        state.handle(list.clone(), NOW).reply,
+        state.handle(list.clone(), NOW_MS).reply,
         ReplicaReply::Unavailable
     );
     let turns = vec![TurnId("t-1".to_owned())];
     let fetch = ReplicaRequest::Fetch { turns };
-    assert_eq!(state.handle(fetch, NOW).reply, ReplicaReply::Unavailable);
+    assert_eq!(state.handle(fetch, NOW_MS).reply, ReplicaReply::Unavailable);
     state.finish_restoring();
-    let listed = state.handle(list, NOW).reply;
+    let listed = state.handle(list, NOW_MS).reply;
     assert!(matches!(listed, ReplicaReply::Listed(_)));
 }
 
@@ -175,8 +175,8 @@
         record: record.clone(),
         ttl_ms: 60_000,
     };
-    assert_eq!(state.handle(append, NOW).reply, ReplicaReply::Done);
-    state.restore(StoredRecord::Turn(record.clone(), KEPT));
+    assert_eq!(state.handle(append, NOW_MS).reply, ReplicaReply::Done);
+    state.restore(StoredRecord::Turn(record.clone(), EXPIRES_AT_MS));
     assert_eq!(state.turn_bytes(), record.weight());
 }
 
--- a/crates/records/tests/simulation.rs
+++ b/crates/records/tests/simulation.rs
@@ -8,7 +8,7 @@
 use simulator::{DisabledMechanism, Outcome};
 
 const SCHEDULES: u64 = 10_000;
-const DISABLED_SCHEDULES: u64 = 1_000;
+const SCHEDULES_PER_MECHANISM: u64 = 1_000;
 const THREADS: u64 = 4;
 const SCHEDULES_VARIABLE: &str = "RIDGEWORKS_SIMULATION_SCHEDULES";
 
@@ -79,7 +79,7 @@
 }
 
 fn run_without(disabled: DisabledMechanism) -> Outcome {
-    let (total, _) = run_all(DISABLED_SCHEDULES, disabled);
+    let (total, _) = run_all(SCHEDULES_PER_MECHANISM, disabled);
     println!("{disabled:?}: {total:?}");
     total
 }
@@ -123,7 +123,7 @@
 /// new members and slows the copy.
 #[test]
 fn most_records_are_copied_before_the_set_changes() {
-    let (total, _) = run_all(DISABLED_SCHEDULES, DisabledMechanism::None);
+    let (total, _) = run_all(SCHEDULES_PER_MECHANISM, DisabledMechanism::None);
     println!("{total:?}");
     assert!(total.prepared_turns > 5 * total.copied_turns, "{total:?}");
 }
--- a/crates/records/tests/simulator/gateway.rs
+++ b/crates/records/tests/simulator/gateway.rs
@@ -5,7 +5,7 @@
     Settlement, TurnId, TurnRecord,
 };
 
-use super::storage::KEEP_MS;
+use super::storage::TTL_MS;
 
 /// Purpose of an operation.
 #[derive(Debug, Clone)]
@@ -47,7 +47,7 @@
 }
 
 #[derive(Debug, Clone)]
-pub enum Machine {
+pub enum StateMachine {
     Write(QuorumWrite),
     Read(ChainRead),
 }
@@ -57,7 +57,7 @@
     pub gateway: usize,
     pub group: GroupId,
     pub purpose: Purpose,
-    pub machine: Machine,
+    pub state_machine: StateMachine,
     pub deadline: u64,
     /// Whether the request was sent before.
     pub is_sent: bool,
@@ -72,9 +72,9 @@
 
 impl Operation {
     pub fn set(&self) -> &ReplicaSet {
-        match &self.machine {
-            Machine::Write(write) => write.set(),
-            Machine::Read(read) => read.set(),
+        match &self.state_machine {
+            StateMachine::Write(write) => write.set(),
+            StateMachine::Read(read) => read.set(),
         }
     }
 
@@ -82,7 +82,7 @@
     pub fn request(&self) -> ReplicaRequest {
         let epoch = self.set().epoch;
         let group = self.group;
-        match (&self.purpose, &self.machine) {
+        match (&self.purpose, &self.state_machine) {
             (Purpose::Reserve { program, turn }, _) => ReplicaRequest::Charge {
                 group,
                 epoch,
@@ -92,7 +92,7 @@
                     reserved_tokens: MAX_TURN_TOKENS,
                     spent: None,
                 },
-                ttl_ms: KEEP_MS,
+                ttl_ms: TTL_MS,
             },
             (
                 Purpose::Settle {
@@ -111,30 +111,30 @@
                         reserved_tokens: MAX_TURN_TOKENS,
                         spent: Some(*spent),
                     },
-                    ttl_ms: KEEP_MS,
+                    ttl_ms: TTL_MS,
                 }],
             },
             (Purpose::Append { record, .. }, _) => ReplicaRequest::Append {
                 group,
                 epoch,
                 record: record.clone(),
-                ttl_ms: KEEP_MS,
+                ttl_ms: TTL_MS,
             },
-            (_, Machine::Read(read)) => ReplicaRequest::ReadChain {
+            (_, StateMachine::Read(read)) => ReplicaRequest::ReadChain {
                 group,
                 epoch,
                 turn: read.next_turn().clone(),
             },
-            (_, Machine::Write(_)) => unreachable!("reads use the state machine of a read"),
+            (_, StateMachine::Write(_)) => unreachable!("reads use the state machine of a read"),
         }
     }
 
     /// Restarts the operation under a newer set.
     pub fn restart(&mut self, set: ReplicaSet) {
-        self.machine = match &self.purpose {
-            Purpose::Read { turn, .. } => Machine::Read(ChainRead::new(set, turn.clone())),
-            Purpose::ReadUnwritten { .. } => Machine::Read(ChainRead::new(set, unwritten())),
-            _ => Machine::Write(QuorumWrite::new(self.group, set)),
+        self.state_machine = match &self.purpose {
+            Purpose::Read { turn, .. } => StateMachine::Read(ChainRead::new(set, turn.clone())),
+            Purpose::ReadUnwritten { .. } => StateMachine::Read(ChainRead::new(set, unwritten())),
+            _ => StateMachine::Write(QuorumWrite::new(self.group, set)),
         };
     }
 }
--- a/crates/records/tests/simulator/storage.rs
+++ b/crates/records/tests/simulator/storage.rs
@@ -11,7 +11,7 @@
 use super::world::Address;
 
 const MAX_TURN_BYTES: usize = 1 << 30;
-pub const KEEP_MS: u64 = 1 << 40;
+pub const TTL_MS: u64 = 1 << 40;
 
 /// Key of a record on the simulated disk.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
@@ -21,7 +21,6 @@
     Record(RecordKey),
 }
 
-/// A reply that waits for the disk.
 pub struct WaitingReply {
     pub batch: u64,
     pub to: Address,
@@ -70,7 +69,7 @@
 
 pub struct StorageNode {
     pub index: usize,
-    pub life: u64,
+    pub incarnation: u64,
     pub running: bool,
     pub state: ReplicaState,
     disk: BTreeMap<DiskKey, StoredRecord>,
@@ -81,7 +80,7 @@
     pub copies: BTreeMap<GroupId, CopyTask>,
     /// Position in the change log of each source.
     pub positions: BTreeMap<(GroupId, ReplicaId), ListPosition>,
-    /// Requested copies before the set of a group changes: the epoch, and when the request expires.
+    /// Copies requested before the set of a group changes: the epoch, and when the request expires.
     pub copy_requests: BTreeMap<GroupId, (Epoch, u64)>,
     /// The epoch of each group at which this node recently held all records of a read quorum.
     pub prepared: BTreeMap<GroupId, Epoch>,
@@ -92,7 +91,7 @@
     pub fn new(index: usize, id: u64, disabled: DisabledMechanism) -> Self {
         Self {
             index,
-            life: 0,
+            incarnation: 0,
             running: true,
             state: ReplicaState::new(ReplicaId(id), MAX_TURN_BYTES),
             disk: BTreeMap::new(),
@@ -154,13 +153,13 @@
     pub fn commit_and_reply(
         &mut self,
         handled: Handled,
-        answer: Option<(Address, u64)>,
+        reply_to: Option<(Address, u64)>,
     ) -> Option<ReplicaReply> {
         if !handled.changes.is_empty() {
             self.submitted += 1;
             self.unsynced.push_back((self.submitted, handled.changes));
         }
-        let (to, operation) = answer?;
+        let (to, operation) = reply_to?;
         let waits = handled.wait != Wait::No && self.disabled != DisabledMechanism::NoSync;
         if waits && self.durable < self.submitted {
             self.waiting.push_back(WaitingReply {
@@ -214,7 +213,7 @@
             }
         }
         self.running = false;
-        self.life += 1;
+        self.incarnation += 1;
         self.unsynced.clear();
         self.waiting.clear();
         self.copies.clear();
@@ -227,7 +226,7 @@
     pub fn start(&mut self) {
         let mut state = ReplicaState::new(self.state.id(), MAX_TURN_BYTES);
         if self.disabled != DisabledMechanism::NoLives {
-            state.set_log_id(self.life);
+            state.set_log_id(self.incarnation);
         }
         for record in self.disk.values() {
             state.restore(record.clone());
--- a/crates/records/tests/simulator/world.rs
+++ b/crates/records/tests/simulator/world.rs
@@ -12,12 +12,12 @@
 use rand_chacha::ChaCha8Rng;
 use ridgeworks_records::{
     ChainOutcome, CopyProgress, Epoch, GroupId, Handled, ProgramLedger, QuorumWrite, ReplicaGroups,
-    ReplicaId, ReplicaReply, ReplicaRequest, ReplicaSet, SetStep, StorageNode as SeenNode, TurnId,
-    TurnRecord, Wait, WriteProgress, assign_groups, plan_change,
+    ReplicaId, ReplicaReply, ReplicaRequest, ReplicaSet, SetStep, StorageNode as ObservedNode,
+    TurnId, TurnRecord, Wait, WriteProgress, assign_groups, plan_change,
 };
 
-use super::gateway::{MAX_TURN_TOKENS, Machine, Operation, Purpose, program_id};
-use super::storage::{CopyTask, KEEP_MS, NO_REQUEST, StorageNode};
+use super::gateway::{MAX_TURN_TOKENS, Operation, Purpose, StateMachine, program_id};
+use super::storage::{CopyTask, NO_REQUEST, StorageNode, TTL_MS};
 use super::{DisabledMechanism, Outcome};
 
 const STORAGE_NODES: usize = 4;
@@ -59,7 +59,7 @@
     },
     Sync {
         node: usize,
-        life: u64,
+        incarnation: u64,
         batch: u64,
     },
     Retry {
@@ -67,7 +67,7 @@
     },
     CopyStep {
         node: usize,
-        life: u64,
+        incarnation: u64,
         group: GroupId,
     },
     Coordinate {
@@ -230,9 +230,17 @@
                 Address::Gateway(_) => self.gateway_reply(from, operation, reply),
                 Address::Storage(node) => self.copy_reply(node, from, operation, reply),
             },
-            Event::Sync { node, life, batch } => self.sync(node, life, batch),
+            Event::Sync {
+                node,
+                incarnation,
+                batch,
+            } => self.sync(node, incarnation, batch),
             Event::Retry { operation } => self.retry(operation),
-            Event::CopyStep { node, life, group } => self.copy_step(node, life, group),
+            Event::CopyStep {
+                node,
+                incarnation,
+                group,
+            } => self.copy_step(node, incarnation, group),
             Event::Coordinate { node } => self.coordinate(node),
             Event::StartTurn { gateway } => self.start_turn(gateway),
             Event::Start { node } => self.start_node(node),
--- a/crates/records/tests/simulator/world/changes.rs
+++ b/crates/records/tests/simulator/world/changes.rs
@@ -22,7 +22,7 @@
     /// Writes the initial sets unless they exist.
     fn create_initial_sets(&mut self, node: usize) {
         if self.register.is_none() {
-            let observed: Vec<SeenNode> = self
+            let observed: Vec<ObservedNode> = self
                 .storage
                 .iter()
                 .map(|storage| self.observe(storage))
@@ -42,7 +42,7 @@
         set: &ReplicaSet,
         groups: &ReplicaGroups,
     ) {
-        let observed: Vec<SeenNode> = self
+        let observed: Vec<ObservedNode> = self
             .storage
             .iter()
             .map(|storage| self.observe(storage))
@@ -97,8 +97,8 @@
             storage.commit_and_reply(handled, None);
             let task = CopyTask::new(group, groups.clone());
             storage.copy_requests.insert(group, (task.set.epoch, until));
-            let begun = storage.copies.get(&group);
-            if begun.is_none_or(|begun| begun.set.epoch < task.set.epoch) {
+            let current = storage.copies.get(&group);
+            if current.is_none_or(|current| current.set.epoch < task.set.epoch) {
                 self.begin_copy(node, task);
             }
             self.schedule_sync(node);
@@ -107,9 +107,16 @@
 
     fn begin_copy(&mut self, node: usize, task: CopyTask) {
         let storage = &mut self.storage[node];
-        let (life, group) = (storage.life, task.group);
+        let (incarnation, group) = (storage.incarnation, task.group);
         storage.copies.insert(group, task);
-        self.schedule(1, Event::CopyStep { node, life, group });
+        self.schedule(
+            1,
+            Event::CopyStep {
+                node,
+                incarnation,
+                group,
+            },
+        );
     }
 
     fn prepared(&self, group: GroupId, epoch: Epoch) -> BTreeSet<ReplicaId> {
@@ -120,8 +127,8 @@
         ready.map(|storage| storage.state.id()).collect()
     }
 
-    pub(super) fn observe(&self, storage: &StorageNode) -> SeenNode {
-        SeenNode {
+    pub(super) fn observe(&self, storage: &StorageNode) -> ObservedNode {
+        ObservedNode {
             replica: storage.replica(),
             alive: storage.running && !self.partitioned.contains(&storage.index),
             starting: false,
@@ -154,18 +161,18 @@
         for (group, set) in groups.iter() {
             let storage = &self.storage[node];
             let is_due = set.is_copier(id) && storage.state.copied(group) < Some(set.epoch);
-            let begun = storage.copies.get(&group);
-            if is_due && begun.is_none_or(|begun| begun.set.epoch != set.epoch) {
+            let current = storage.copies.get(&group);
+            if is_due && current.is_none_or(|current| current.set.epoch != set.epoch) {
                 self.begin_copy(node, CopyTask::new(group, groups.clone()));
             }
         }
         self.schedule_sync(node);
     }
 
-    pub(super) fn copy_step(&mut self, node: usize, life: u64, group: GroupId) {
+    pub(super) fn copy_step(&mut self, node: usize, incarnation: u64, group: GroupId) {
         let now = self.now;
         let storage = &mut self.storage[node];
-        if storage.life != life || !storage.running {
+        if storage.incarnation != incarnation || !storage.running {
             return;
         }
         let me = storage.state.id();
@@ -204,7 +211,14 @@
         } else {
             self.request_page_or_turns(node, group);
         }
-        self.schedule(pause, Event::CopyStep { node, life, group });
+        self.schedule(
+            pause,
+            Event::CopyStep {
+                node,
+                incarnation,
+                group,
+            },
+        );
         self.schedule_sync(node);
     }
 
@@ -301,7 +315,7 @@
                 *copied += records.len() as u64;
                 for record in records {
                     copy.missing.retain(|turn| *turn != record.turn);
-                    let copied = storage.state.copy_turn(group, record, KEEP_MS, 0);
+                    let copied = storage.state.copy_turn(group, record, TTL_MS, 0);
                     changes.extend(copied.expect("the limit isn't reached"));
                 }
             }
--- a/crates/records/tests/simulator/world/gateways.rs
+++ b/crates/records/tests/simulator/world/gateways.rs
@@ -32,13 +32,13 @@
         let number = self.number();
         let group = groups.group_of(Some(&program_id(purpose.program())));
         let set = groups.set(group).expect("the group exists").clone();
-        let machine = Machine::Write(QuorumWrite::new(group, set.clone()));
+        let state_machine = StateMachine::Write(QuorumWrite::new(group, set.clone()));
         let deadline = self.now + OPERATION_TIME;
         let mut operation = Operation {
             gateway,
             group,
             purpose,
-            machine,
+            state_machine,
             deadline,
             is_sent: false,
         };
@@ -59,8 +59,8 @@
         }
         let request = operation.request();
         let is_ledger = !matches!(operation.purpose, Purpose::Append { .. });
-        let replicas = match &operation.machine {
-            Machine::Write(write) => {
+        let replicas = match &operation.state_machine {
+            StateMachine::Write(write) => {
                 let set = write.set();
                 let mut members: Vec<_> = set.members().into_iter().cloned().collect();
                 // As gateways do: requests about ledgers go to a majority of each set first, each
@@ -76,7 +76,7 @@
                 }
                 members
             }
-            Machine::Read(read) => read.candidates(),
+            StateMachine::Read(read) => read.candidates(),
         };
         let from = Address::Gateway(operation.gateway);
         for replica in replicas {
@@ -97,8 +97,8 @@
         let Some(mut operation) = self.operations.remove(&number) else {
             return;
         };
-        let ended = match &mut operation.machine {
-            Machine::Write(write) => {
+        let ended = match &mut operation.state_machine {
+            StateMachine::Write(write) => {
                 let reply_ledger = match &reply {
                     ReplicaReply::Charged { ledger } => Some(ledger.clone()),
                     _ => None,
@@ -106,7 +106,7 @@
                 let progress = write.on_reply(from, reply);
                 self.write_progress(&mut operation, from, progress, reply_ledger)
             }
-            Machine::Read(_) => self.read_reply(&mut operation, from, reply),
+            StateMachine::Read(_) => self.read_reply(&mut operation, from, reply),
         };
         if !ended {
             self.operations.insert(number, operation);
@@ -234,7 +234,7 @@
         from: ReplicaId,
         reply: ReplicaReply,
     ) -> bool {
-        let Machine::Read(read) = &mut operation.machine else {
+        let StateMachine::Read(read) = &mut operation.state_machine else {
             return true;
         };
         match reply {
--- a/crates/records/tests/simulator/world/nodes.rs
+++ b/crates/records/tests/simulator/world/nodes.rs
@@ -30,20 +30,27 @@
     }
 
     pub(super) fn schedule_sync(&mut self, node: usize) {
-        let (life, batch, durable) = {
+        let (incarnation, batch, durable) = {
             let storage = &self.storage[node];
-            (storage.life, storage.submitted, storage.durable)
+            (storage.incarnation, storage.submitted, storage.durable)
         };
         if batch > durable {
             let is_slow = self.random.random_bool(0.02);
             let delay = self.random.random_range(1..if is_slow { 700 } else { 6 });
-            self.schedule(delay, Event::Sync { node, life, batch });
+            self.schedule(
+                delay,
+                Event::Sync {
+                    node,
+                    incarnation,
+                    batch,
+                },
+            );
         }
     }
 
-    pub(super) fn sync(&mut self, node: usize, life: u64, batch: u64) {
+    pub(super) fn sync(&mut self, node: usize, incarnation: u64, batch: u64) {
         let storage = &mut self.storage[node];
-        if storage.life != life || !storage.running {
+        if storage.incarnation != incarnation || !storage.running {
             return;
         }
         let id = storage.state.id();
--- a/crates/replica/src/actor.rs
+++ b/crates/replica/src/actor.rs
@@ -65,7 +65,7 @@
 }
 
 /// A record copied from another replica.
-pub enum Copied {
+pub enum CopiedRecord {
     /// A turn, with its remaining time to live in milliseconds.
     Turn(TurnRecord, u64),
     /// A ledger, with its remaining time to live in milliseconds.
@@ -105,7 +105,7 @@
     /// When the request arrived; `None` if the reply may wait for later changes, so that its
     /// latency says nothing about the replica.
     requested_at: Option<Instant>,
-    answer: oneshot::Sender<PeerReply>,
+    reply_sender: oneshot::Sender<PeerReply>,
     reply: ReplicaReply,
 }
 
@@ -180,26 +180,26 @@
         _cx: CX![],
         to: ReplicaId,
         request: ReplicaRequest,
-        answer: oneshot::Sender<PeerReply>,
+        reply_sender: oneshot::Sender<PeerReply>,
     ) {
         self.latency.on_request(&request);
         let Some(disk) = self.disk.as_mut() else {
-            send(answer, ReplicaReply::Unavailable);
+            send(reply_sender, ReplicaReply::Unavailable);
             return;
         };
         if disk.state.id() != to {
-            send(answer, ReplicaReply::NotMember);
+            send(reply_sender, ReplicaReply::NotMember);
             return;
         }
         if let Err(error) = disk.restore_for(&request) {
             log::error!(target: "dependency", detail:% = error; "a record cannot be read from the disk");
-            send(answer, ReplicaReply::Unavailable);
+            send(reply_sender, ReplicaReply::Unavailable);
             return;
         }
         let epoch_before = disk.state.epoch();
         let handled = disk.state.handle(request, unix_time_ms());
         let has_changed = disk.state.epoch() > epoch_before;
-        self.commit_and_reply(handled, Some(answer));
+        self.commit_and_reply(handled, Some(reply_sender));
         if has_changed {
             self.publish_sets();
             self.publish_status();
@@ -223,11 +223,11 @@
         &mut self,
         _cx: CX![],
         group: GroupId,
-        copied: Vec<Copied>,
-        answer: oneshot::Sender<PeerReply>,
+        copied: Vec<CopiedRecord>,
+        reply_sender: oneshot::Sender<PeerReply>,
     ) {
         let Some(disk) = self.disk.as_mut() else {
-            send(answer, ReplicaReply::Unavailable);
+            send(reply_sender, ReplicaReply::Unavailable);
             return;
         };
         let now = unix_time_ms();
@@ -236,14 +236,14 @@
         for record in copied {
             let state = &mut disk.state;
             match record {
-                Copied::Turn(turn, ttl_ms) => {
+                CopiedRecord::Turn(turn, ttl_ms) => {
                     let copied = state.copy_turn(group, turn, ttl_ms, now);
                     // A copy without this turn is incomplete: the replica would vote without a turn
                     // that was acknowledged.
                     has_room &= copied.is_some();
                     changes.extend(copied.into_iter().flatten());
                 }
-                Copied::Ledger(program, ledger, ttl_ms) => {
+                CopiedRecord::Ledger(program, ledger, ttl_ms) => {
                     changes.extend(state.copy_ledger(group, program, &ledger, ttl_ms, now));
                 }
             }
@@ -258,7 +258,7 @@
             reply,
             wait: Wait::Durable,
         };
-        self.commit_and_reply(handled, Some(answer));
+        self.commit_and_reply(handled, Some(reply_sender));
     }
 
     /// Replies with those of these turns that the replica doesn't have.
@@ -266,13 +266,13 @@
         &mut self,
         _cx: CX![],
         turns: Vec<(TurnId, u64)>,
-        answer: oneshot::Sender<Vec<(TurnId, u64)>>,
+        reply_sender: oneshot::Sender<Vec<(TurnId, u64)>>,
     ) {
         let state = self.disk.as_ref().map(|disk| &disk.state);
         let is_missing = |turn: &TurnId| state.is_none_or(|state| !state.has_turn(turn));
         let missing = turns.into_iter().filter(|(turn, _)| is_missing(turn));
         // The caller may have stopped waiting.
-        let _ = answer.send(missing.collect());
+        let _ = reply_sender.send(missing.collect());
     }
 
     /// Notes that the copy for an epoch is finished and durable.
@@ -365,7 +365,7 @@
                     ControlFlow::Break(())
                 }
             });
-            // The folder has to be closed before it can be opened again.
+            // The store has to be closed before the folder can be opened again.
             drop(store);
             // The process may be shutting down.
             let _ = disk_events.send(DiskEvent::AllRead { opening, outcome });
@@ -451,7 +451,7 @@
         log::error!(target: "dependency", waiting = self.waiting.len(); "disk failed");
         self.parts.metrics.disk_failures.inc();
         for waiting in self.waiting.drain(..) {
-            send(waiting.answer, ReplicaReply::Unavailable);
+            send(waiting.reply_sender, ReplicaReply::Unavailable);
         }
         self.opening += 1;
         self.pending.clear();
@@ -463,7 +463,11 @@
         self.publish_status();
     }
 
-    fn commit_and_reply(&mut self, handled: Handled, answer: Option<oneshot::Sender<PeerReply>>) {
+    fn commit_and_reply(
+        &mut self,
+        handled: Handled,
+        reply_sender: Option<oneshot::Sender<PeerReply>>,
+    ) {
         let Handled {
             changes,
             reply,
@@ -471,24 +475,24 @@
         } = handled;
         self.pending.extend(changes);
         if wait == Wait::Durable && !self.submit_pending() {
-            if let Some(answer) = answer {
-                send(answer, ReplicaReply::Unavailable);
+            if let Some(reply_sender) = reply_sender {
+                send(reply_sender, ReplicaReply::Unavailable);
             }
             return;
         }
-        let Some(answer) = answer else {
+        let Some(reply_sender) = reply_sender else {
             return;
         };
         let is_durable = self.pending.is_empty() && self.durable == self.submitted;
         if wait == Wait::No || is_durable {
-            send(answer, reply);
+            send(reply_sender, reply);
             return;
         }
         let batch = self.submitted + u64::from(!self.pending.is_empty());
         self.waiting.push_back(WaitingReply {
             batch,
             requested_at: (wait == Wait::Durable).then(Instant::now),
-            answer,
+            reply_sender,
             reply,
         });
     }
@@ -576,7 +580,7 @@
                 if let Some(requested_at) = waiting.requested_at {
                     self.latency.on_reply(requested_at.elapsed());
                 }
-                send(waiting.answer, waiting.reply);
+                send(waiting.reply_sender, waiting.reply);
             }
         }
     }
@@ -614,7 +618,7 @@
     }
 }
 
-fn send(answer: oneshot::Sender<PeerReply>, reply: ReplicaReply) {
+fn send(reply_sender: oneshot::Sender<PeerReply>, reply: ReplicaReply) {
     // The caller may have stopped waiting.
-    let _ = answer.send(PeerReply::Replica(reply));
+    let _ = reply_sender.send(PeerReply::Replica(reply));
 }
--- a/crates/replica/src/coordinator.rs
+++ b/crates/replica/src/coordinator.rs
@@ -25,7 +25,7 @@
 use crate::new_members::NewMembers;
 use crate::retirements::Retirements;
 
-const INTERVAL: Duration = Duration::from_millis(200);
+const TICK_INTERVAL: Duration = Duration::from_millis(200);
 /// Additional delay per rank before a node acts.
 const RANK_DELAY: Duration = Duration::from_millis(400);
 /// How long new members copy before the set changes even if they haven't caught up: until the
@@ -38,7 +38,7 @@
 /// How long the number of known storage nodes has to be constant before the initial sets are
 /// written: it determines the number of groups permanently.
 const INITIAL_SET_QUIET_PERIOD: Duration = Duration::from_millis(750);
-const CALL_TIMEOUT: Duration = Duration::from_millis(1_500);
+const STORE_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Minimum time between reads of the register by a member that has lost its read quorum.
 const REGISTER_READ_INTERVAL: Duration = Duration::from_secs(2);
 /// Members of a group that watch the store for retirements: the first in rank, which acts, and one
@@ -89,7 +89,7 @@
     }
 
     pub async fn run(mut self) {
-        let mut ticks = tokio::time::interval(INTERVAL);
+        let mut ticks = tokio::time::interval(TICK_INTERVAL);
         loop {
             ticks.tick().await;
             let Some(groups) = self.replica.node.view.groups() else {
@@ -169,8 +169,8 @@
         if self.discovered.0 != alive.len() {
             self.discovered = (alive.len(), now);
         }
-        let has_few = alive.len() < size && now < INITIAL_SET_TIMEOUT;
-        let Some(me) = self.replica.status().filter(|_| !has_few) else {
+        let has_too_few = alive.len() < size && now < INITIAL_SET_TIMEOUT;
+        let Some(me) = self.replica.status().filter(|_| !has_too_few) else {
             return;
         };
         let rank = alive.iter().take_while(|id| **id < me.id).count();
@@ -185,8 +185,8 @@
         let Some(RegisteredGroups::Missing) = self.replica.node.read_groups().await else {
             return;
         };
-        let call = create(ObjectKind::ReplicaSets, REPLICA_SET_NAME, &groups);
-        if self.call(call).await != Some(StoreOutcome::Done) {
+        let request = create(ObjectKind::ReplicaSets, REPLICA_SET_NAME, &groups);
+        if self.send_to_store(request).await != Some(StoreOutcome::Done) {
             return;
         }
         self.replica.metrics.set_changes.inc();
@@ -194,7 +194,7 @@
             target: "belief",
             epoch = groups.epoch().0,
             groups = groups.iter().count(),
-            voters:? = names(groups.members()),
+            voters:? = node_names(groups.members()),
             storage_nodes = alive.len();
             "replica set changed"
         );
@@ -309,13 +309,13 @@
         }
         let changed = groups.with_set(group, change.clone());
         let revision = Some(revision);
-        let call = replace(
+        let request = replace(
             ObjectKind::ReplicaSets,
             REPLICA_SET_NAME,
             revision,
             &changed,
         );
-        if self.call(call).await != Some(StoreOutcome::Done) {
+        if self.send_to_store(request).await != Some(StoreOutcome::Done) {
             return;
         }
         self.replica.metrics.set_changes.inc();
@@ -323,8 +323,8 @@
             target: "belief",
             group = group.0,
             epoch = change.epoch.0,
-            voters:? = names(&change.voters),
-            incoming:? = change.incoming.as_ref().map(names);
+            voters:? = node_names(&change.voters),
+            incoming:? = change.incoming.as_ref().map(node_names);
             "replica set changed"
         );
         let new_members: Vec<Replica> = change.new_members().into_iter().cloned().collect();
@@ -374,17 +374,17 @@
 
     async fn write_status(&self, node: &str, state: RetirementState) {
         let status = retirement_status(state);
-        let call = set_status(ObjectKind::Retirements, node, &status);
-        if self.call(call).await == Some(StoreOutcome::Done) {
+        let request = set_status(ObjectKind::Retirements, node, &status);
+        if self.send_to_store(request).await == Some(StoreOutcome::Done) {
             log::info!(target: "belief", node = node, state:? = state; "retirement status written");
             self.retirements.on_written(node, state);
         }
     }
 
-    async fn call(&self, call: StoreRequest) -> Option<StoreOutcome> {
-        let answer = self.replica.node.store.call(call, CALL_TIMEOUT).await;
-        match answer {
-            Ok(answer) => Some(answer.outcome),
+    async fn send_to_store(&self, request: StoreRequest) -> Option<StoreOutcome> {
+        let reply = self.replica.node.store.call(request, STORE_TIMEOUT).await;
+        match reply {
+            Ok(reply) => Some(reply.outcome),
             Err(failure) => {
                 log::warn!(
                     target: "dependency",
@@ -398,7 +398,7 @@
     }
 }
 
-fn names<'a>(replicas: impl IntoIterator<Item = &'a Replica>) -> Vec<&'a str> {
+fn node_names<'a>(replicas: impl IntoIterator<Item = &'a Replica>) -> Vec<&'a str> {
     let replicas = replicas.into_iter();
     replicas.map(|replica| replica.node.as_str()).collect()
 }
--- a/crates/replica/src/copying.rs
+++ b/crates/replica/src/copying.rs
@@ -14,7 +14,7 @@
 use ridgeworks_resident::view::Source;
 use tokio::time::Instant;
 
-use crate::actor::Copied;
+use crate::actor::CopiedRecord;
 use crate::handle::ReplicaHandle;
 
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
@@ -159,7 +159,7 @@
         if self.me != me {
             // The records copied to the earlier disk are lost.
             self.positions.clear();
-            self.replica.preparation.forget_all();
+            self.replica.preparation.clear();
             self.me = me;
         }
         let groups = self.replica.node.view.groups();
@@ -228,7 +228,7 @@
             return;
         }
         self.started_at.remove(&job.group);
-        self.replica.preparation.forget(job.group);
+        self.replica.preparation.remove(job.group);
         log::info!(
             target: "belief",
             group = job.group.0,
@@ -300,8 +300,8 @@
             let listing = source.list(after).await?;
             source.copy_turns(listing.turns).await?;
             let ledgers = listing.ledgers.into_iter();
-            let ledgers =
-                ledgers.map(|(program, ledger, ttl_ms)| Copied::Ledger(program, ledger, ttl_ms));
+            let ledgers = ledgers
+                .map(|(program, ledger, ttl_ms)| CopiedRecord::Ledger(program, ledger, ttl_ms));
             if !replica.copy(job.group, ledgers.collect()).await {
                 return Err(CopyError::Disk);
             }
@@ -379,7 +379,7 @@
                 fetched.iter().map(|record| record.turn.clone()).collect();
             let records = fetched.into_iter().map(|record| {
                 let ttl_ms = keep.get(&record.turn).copied().unwrap_or_default();
-                Copied::Turn(record, ttl_ms)
+                CopiedRecord::Turn(record, ttl_ms)
             });
             if !self.replica.copy(self.job.group, records.collect()).await {
                 return Err(CopyError::Disk);
--- a/crates/replica/src/disk.rs
+++ b/crates/replica/src/disk.rs
@@ -188,7 +188,7 @@
     key
 }
 
-/// Decodes a record.
+/// Decodes a record as stored on the disk.
 pub fn decode(bytes: &[u8]) -> Result<StoredRecord, DiskError> {
     let mut aligned = AlignedVec::<16>::with_capacity(bytes.len());
     aligned.extend_from_slice(bytes);
--- a/crates/replica/src/handle.rs
+++ b/crates/replica/src/handle.rs
@@ -15,8 +15,8 @@
 use stakker::{ActorOwn, call};
 use tokio::sync::{mpsc, oneshot};
 
-use crate::actor::{Copied, DiskEvent, OpenReplica, ReplicaActor};
-use crate::limiting::{Limiting, TIDY_INTERVAL};
+use crate::actor::{CopiedRecord, DiskEvent, OpenReplica, ReplicaActor};
+use crate::limiters::{CLEAN_UP_INTERVAL, LocalLimiters};
 use crate::metrics::ReplicaMetrics;
 use crate::preparation::Preparation;
 
@@ -24,11 +24,10 @@
 pub struct ReplicaHandle {
     /// The node that the replica runs on.
     pub node: Rc<Node>,
-    /// Metrics of the replica.
     pub metrics: Rc<ReplicaMetrics>,
     /// Copies requested before the replica joins a set.
     pub preparation: Preparation,
-    limiting: Limiting,
+    limiters: LocalLimiters,
     actors: ActorRuntime,
     actor: ActorOwn<ReplicaActor>,
     status: Rc<Cell<Option<OpenReplica>>>,
@@ -43,12 +42,12 @@
         status: Rc<Cell<Option<OpenReplica>>>,
     ) -> Self {
         let bounds = &node.settings.bounds;
-        let limiting = Limiting::new(bounds.quota(), bounds.warm_up(), bounds.replicas());
+        let limiters = LocalLimiters::new(bounds.quota(), bounds.warm_up(), bounds.replicas());
         Self {
             node,
             metrics,
             preparation: Preparation::default(),
-            limiting,
+            limiters,
             actors,
             actor,
             status,
@@ -69,7 +68,7 @@
     pub fn update_gauges(&self) {
         let epoch = i64::try_from(self.node.view.epoch().0).unwrap_or(i64::MAX);
         self.metrics.replica_set_epoch.set(epoch);
-        let tenants = i64::try_from(self.limiting.tenants()).unwrap_or(i64::MAX);
+        let tenants = i64::try_from(self.limiters.tenants()).unwrap_or(i64::MAX);
         self.metrics.limited_tenants.set(tenants);
     }
 
@@ -95,7 +94,7 @@
                 forwarded = groups.epoch();
                 let node = &self.node;
                 let now = node.clock.now();
-                self.limiting.on_sets(&groups, &node.settings.name, now);
+                self.limiters.adopt_sets(&groups, &node.settings.name, now);
                 self.adopt(ReplicaGroups::clone(&groups));
             }
             if changes.changed().await.is_err() {
@@ -105,11 +104,11 @@
     }
 
     /// Periodically removes full token buckets, until the process ends.
-    pub async fn tidy_limits(self: Rc<Self>) {
-        let mut ticks = tokio::time::interval(TIDY_INTERVAL);
+    pub async fn clean_up_limiters(self: Rc<Self>) {
+        let mut ticks = tokio::time::interval(CLEAN_UP_INTERVAL);
         loop {
             ticks.tick().await;
-            self.limiting.clean_up(self.node.clock.now());
+            self.limiters.clean_up(self.node.clock.now());
         }
     }
 
@@ -119,26 +118,29 @@
     }
 
     /// Adds copied records of a group; returns whether they are durable.
-    pub async fn copy(&self, group: GroupId, copied: Vec<Copied>) -> bool {
-        let (answer, answered) = oneshot::channel();
-        call!([self.actor], copy(group, copied, answer));
+    pub async fn copy(&self, group: GroupId, copied: Vec<CopiedRecord>) -> bool {
+        let (reply_sender, reply_receiver) = oneshot::channel();
+        call!([self.actor], copy(group, copied, reply_sender));
         self.actors.wake();
-        matches!(answered.await, Ok(PeerReply::Replica(ReplicaReply::Done)))
+        matches!(
+            reply_receiver.await,
+            Ok(PeerReply::Replica(ReplicaReply::Done))
+        )
     }
 
     /// Returns those of these turns that the replica doesn't have, each with its time to live in
     /// milliseconds.
     pub async fn missing(&self, turns: Vec<(TurnId, u64)>) -> Vec<(TurnId, u64)> {
-        let (answer, answered) = oneshot::channel();
-        call!([self.actor], missing(turns, answer));
+        let (reply_sender, reply_receiver) = oneshot::channel();
+        call!([self.actor], missing(turns, reply_sender));
         self.actors.wake();
-        answered.await.unwrap_or_default()
+        reply_receiver.await.unwrap_or_default()
     }
 
     /// Decides whether a request may go to an engine that is warming up.
     fn grant(&self, request: &GrantRequest) -> PeerReply {
         self.metrics.grants_asked.inc();
-        let reply = self.limiting.grant(request, self.node.clock.now());
+        let reply = self.limiters.grant(request, self.node.clock.now());
         reply.map_or(PeerReply::Unsupported, |reply| {
             PeerReply::Extension(ExtensionReply::Grant(reply))
         })
@@ -166,31 +168,31 @@
 }
 
 impl PeerService for ReplicaHandle {
-    fn on_request(&self, request: PeerRequest, reply: oneshot::Sender<PeerReply>) {
+    fn on_request(&self, request: PeerRequest, reply_sender: oneshot::Sender<PeerReply>) {
         if let PeerRequest::Replica {
             request: ReplicaRequest::Admit(admission),
             ..
         } = &request
         {
             self.metrics.admissions.inc();
-            let answer = self.limiting.admit(admission, self.node.clock.now());
+            let reply = self.limiters.admit(admission, self.node.clock.now());
             // The caller may have stopped waiting.
-            let _ = reply.send(PeerReply::Replica(answer));
+            let _ = reply_sender.send(PeerReply::Replica(reply));
             return;
         }
         if let PeerRequest::Replica { to, request } = request {
             self.metrics.requests.inc();
-            call!([self.actor], request(to, request, reply));
+            call!([self.actor], request(to, request, reply_sender));
             self.actors.wake();
             return;
         }
-        let answer = match request {
+        let reply = match request {
             PeerRequest::Extension(ExtensionRequest::Grant(request)) => self.grant(&request),
             PeerRequest::Prepare(preparing) => self.prepare(*preparing),
             other => self.node.answer(&other),
         };
         // The caller may have stopped waiting.
-        let _ = reply.send(answer);
+        let _ = reply_sender.send(reply);
     }
 }
 
--- a/crates/replica/src/latency.rs
+++ b/crates/replica/src/latency.rs
@@ -10,10 +10,10 @@
 use ridgeworks_resident::clock::whole_ms;
 
 /// Interval of the log lines of a slow replica.
-const INTERVAL: Duration = Duration::from_secs(1);
+const LOG_INTERVAL: Duration = Duration::from_secs(1);
 /// Latency above which a reply or timer is late. An ordinary reply waits for one or two
 /// transactions, 30 ms at most.
-const LATE: Duration = Duration::from_millis(100);
+const LATE_AFTER: Duration = Duration::from_millis(100);
 
 /// Counts of one interval.
 #[derive(Debug, Default)]
@@ -30,7 +30,7 @@
 
 impl Counts {
     fn is_late(&self) -> bool {
-        self.slowest.max(self.timer_lag) > LATE
+        self.slowest.max(self.timer_lag) > LATE_AFTER
     }
 }
 
@@ -81,7 +81,7 @@
     /// the number of replies that wait for the disk, `commits` the total number of its
     /// transactions.
     pub fn log_if_late(&mut self, now: Instant, waiting: usize, commits: u64) {
-        if now.duration_since(self.interval_start) < INTERVAL {
+        if now.duration_since(self.interval_start) < LOG_INTERVAL {
             return;
         }
         self.interval_start = now;
--- a/crates/replica/src/lib.rs
+++ b/crates/replica/src/lib.rs
@@ -12,7 +12,7 @@
 pub mod disk;
 mod handle;
 mod latency;
-mod limiting;
+mod limiters;
 mod liveness;
 pub mod metrics;
 mod new_members;
--- a/crates/replica/src/limiting.rs
+++ b/crates/replica/src/limiters.rs
@@ -17,7 +17,7 @@
 use ridgeworks_routing::{RateLimit, WarmUpLimit};
 
 /// How often token buckets that are full again are removed.
-pub const TIDY_INTERVAL: Duration = Duration::from_secs(10);
+pub const CLEAN_UP_INTERVAL: Duration = Duration::from_secs(10);
 
 /// This node's limiters as a voter of one group.
 #[derive(Debug)]
@@ -29,7 +29,7 @@
 
 /// The limiters of the groups in which this node is a voter.
 #[derive(Debug)]
-pub struct Limiting {
+pub struct LocalLimiters {
     bounds: QuotaBounds,
     warm_up: Option<WarmUpBounds>,
     /// Number of limiters that share each limit.
@@ -37,7 +37,7 @@
     groups: RefCell<BTreeMap<GroupId, GroupLimiters>>,
 }
 
-impl Limiting {
+impl LocalLimiters {
     pub fn new(bounds: QuotaBounds, warm_up: Option<WarmUpBounds>, limiters: usize) -> Self {
         Self {
             bounds,
@@ -48,7 +48,7 @@
     }
 
     /// Adopts newer replica sets. A new voter starts without the grants of its predecessor.
-    pub fn on_sets(&self, sets: &ReplicaGroups, node: &str, now: Duration) {
+    pub fn adopt_sets(&self, sets: &ReplicaGroups, node: &str, now: Duration) {
         let mut groups = self.groups.borrow_mut();
         for (group, set) in sets.iter() {
             let is_voter = set.voters.iter().any(|voter| voter.node == node);
--- a/crates/replica/src/liveness.rs
+++ b/crates/replica/src/liveness.rs
@@ -21,7 +21,7 @@
 
 /// Last observation of a replica with an open disk.
 #[derive(Debug, Clone, Copy, Default)]
-struct Seen {
+struct LastSeen {
     /// Time since the start of this process.
     at: Duration,
     /// Incarnation of the replica's process.
@@ -33,7 +33,7 @@
     replica: Rc<ReplicaHandle>,
     retirements: Retirements,
     /// Last observation of other members of any group.
-    seen: BTreeMap<ReplicaId, Seen>,
+    last_seen: BTreeMap<ReplicaId, LastSeen>,
 }
 
 impl Liveness {
@@ -41,24 +41,24 @@
         Self {
             replica,
             retirements,
-            seen: BTreeMap::new(),
+            last_seen: BTreeMap::new(),
         }
     }
 
     /// Records which members are alive.
     pub fn note_seen(&mut self, groups: &ReplicaGroups, now: Duration) {
-        self.seen.retain(|id, _| groups.has_member(*id));
+        self.last_seen.retain(|id, _| groups.has_member(*id));
         for member in self.replica.node.gossip.replicas() {
             let status = member.replica.filter(|status| groups.has_member(status.id));
             if let Some(status) = status
                 && member.is_alive(now, DEAD_AFTER)
             {
                 let incarnation = member.incarnation;
-                let seen = Seen {
+                let last_seen = LastSeen {
                     at: now,
                     incarnation,
                 };
-                self.seen.insert(status.id, seen);
+                self.last_seen.insert(status.id, last_seen);
             }
         }
     }
@@ -135,11 +135,11 @@
         let Some(member) = self.replica.node.gossip.heard_member(&voter.node) else {
             return now < START_TIMEOUT;
         };
-        let seen = self.seen.get(&voter.id).copied().unwrap_or_default();
+        let last_seen = self.last_seen.get(&voter.id).copied().unwrap_or_default();
         let is_opening = member.replica.is_none()
             && member.is_alive(now, DEAD_AFTER)
-            && member.incarnation != seen.incarnation;
-        is_opening && now.saturating_sub(seen.at) < START_TIMEOUT
+            && member.incarnation != last_seen.incarnation;
+        is_opening && now.saturating_sub(last_seen.at) < START_TIMEOUT
     }
 }
 
--- a/crates/replica/src/metrics.rs
+++ b/crates/replica/src/metrics.rs
@@ -4,7 +4,7 @@
 use prometheus_client::metrics::gauge::Gauge;
 use prometheus_client::registry::Registry;
 
-/// All metrics of a replica.
+/// The metrics of a replica.
 pub struct ReplicaMetrics {
     /// Requests from other nodes.
     pub requests: Counter,
@@ -35,7 +35,7 @@
 }
 
 impl ReplicaMetrics {
-    /// Registers all metrics.
+    /// Creates the metrics and registers them under their names.
     pub fn register(registry: &mut Registry) -> Self {
         let metrics = Self {
             requests: Counter::default(),
--- a/crates/replica/src/preparation.rs
+++ b/crates/replica/src/preparation.rs
@@ -87,12 +87,12 @@
     }
 
     /// Removes the request for a group, once its copy is complete.
-    pub fn forget(&self, group: GroupId) {
+    pub fn remove(&self, group: GroupId) {
         self.requests.borrow_mut().remove(&group);
     }
 
     /// Removes all requests, when the copied records are lost with the disk.
-    pub fn forget_all(&self) {
+    pub fn clear(&self) {
         self.requests.borrow_mut().clear();
     }
 
--- a/crates/replica/src/role.rs
+++ b/crates/replica/src/role.rs
@@ -29,7 +29,7 @@
 use crate::retirements::Retirements;
 
 /// Share of the process's memory that turns may take, in percent.
-const TURN_PERCENT: u64 = 45;
+const TURN_MEMORY_PERCENT: u64 = 45;
 const BYTES_PER_MB: u64 = 1024 * 1024;
 /// Time to reply to requests that arrived before shutdown.
 const SHUTDOWN_TIME: Duration = Duration::from_millis(300);
@@ -44,7 +44,7 @@
         .data_folder
         .clone()
         .ok_or(RoleError::MissingSetting("data_folder"))?;
-    let mut orders = Signals::listen()?;
+    let mut signals = Signals::listen()?;
     let mut registry = metrics::registry();
     registry.register_collector(Box::new(LogCollector(log_counters)));
     registry.register_collector(Box::new(RejectedMessageCollector));
@@ -53,8 +53,8 @@
     let node = Node::bind(settings, Clock::start()).await?;
     let replica = start_actor(&node, folder, replica_metrics);
     node.start(Rc::clone(&replica), Rc::clone(&replica)).await?;
-    let updated = Rc::clone(&replica);
-    serve_metrics(&node, registry, move || updated.update_gauges()).await?;
+    let gauge_source = Rc::clone(&replica);
+    serve_metrics(&node, registry, move || gauge_source.update_gauges()).await?;
     let retirements = Retirements::default();
     let store = Rc::clone(&node.store);
     let store_watch = Rc::new(WatchControl::new(WatchTimings::RETIREMENTS));
@@ -66,10 +66,10 @@
     );
     tokio::task::spawn_local(retirement_watch);
     tokio::task::spawn_local(Rc::clone(&replica).forward_sets());
-    tokio::task::spawn_local(Rc::clone(&replica).tidy_limits());
+    tokio::task::spawn_local(Rc::clone(&replica).clean_up_limiters());
     tokio::task::spawn_local(copying::run(Rc::clone(&replica)));
     tokio::task::spawn_local(Coordinator::new(replica, retirements, store_watch).run());
-    run_until_stopped(&node, &settings_path, &mut orders).await;
+    run_until_stopped(&node, &settings_path, &mut signals).await;
     log::info!(target: "process", role = "replica"; "stopping");
     tokio::time::sleep(SHUTDOWN_TIME).await;
     log::info!(target: "process", role = "replica"; "stopped");
@@ -78,7 +78,7 @@
 
 fn start_actor(node: &Rc<Node>, folder: PathBuf, metrics: Rc<ReplicaMetrics>) -> Rc<ReplicaHandle> {
     let memory = node.settings.limits.memory_mb * BYTES_PER_MB;
-    let max_turn_bytes = memory * TURN_PERCENT / 100;
+    let max_turn_bytes = memory * TURN_MEMORY_PERCENT / 100;
     let (disk_events, event_receiver) = mpsc::unbounded_channel();
     let status = Rc::new(Cell::new(None));
     let parts = ReplicaParts {
--- a/crates/replica/tests/restoring.rs
+++ b/crates/replica/tests/restoring.rs
@@ -45,8 +45,8 @@
         append("t-1"),
         charge("p", "t-1", 60_000),
     ] {
-        let answered = harness.ask(request);
-        harness.reply(answered).await;
+        let reply_receiver = harness.ask(request);
+        harness.reply(reply_receiver).await;
     }
 }
 
--- a/crates/replica/tests/support/mod.rs
+++ b/crates/replica/tests/support/mod.rs
@@ -92,17 +92,20 @@
     }
 
     pub fn ask(&mut self, request: ReplicaRequest) -> oneshot::Receiver<PeerReply> {
-        let (answer, answered) = oneshot::channel();
+        let (reply_sender, reply_receiver) = oneshot::channel();
         let id = self.id();
-        call!([self.actor], request(id, request, answer));
+        call!([self.actor], request(id, request, reply_sender));
         self.run_until(self.at);
-        answered
+        reply_receiver
     }
 
     /// Passes on events of the disk until there is a reply.
-    pub async fn reply(&mut self, mut answered: oneshot::Receiver<PeerReply>) -> ReplicaReply {
+    pub async fn reply(
+        &mut self,
+        mut reply_receiver: oneshot::Receiver<PeerReply>,
+    ) -> ReplicaReply {
         loop {
-            match answered.try_recv() {
+            match reply_receiver.try_recv() {
                 Ok(PeerReply::Replica(reply)) => return reply,
                 Ok(other) => panic!("{other:?}"),
                 Err(oneshot::error::TryRecvError::Empty) => self.take_disk_event().await,
--- a/crates/replica/tests/support/stored.rs
+++ b/crates/replica/tests/support/stored.rs
@@ -4,7 +4,7 @@
 
 use super::samples::{ledger, program, record, replica};
 
-const UNTIL_MS: u64 = 1_700_000_600_000;
+const EXPIRES_AT_MS: u64 = 1_700_000_600_000;
 
 fn set() -> ReplicaSet {
     ReplicaSet {
@@ -20,11 +20,11 @@
         ..set()
     };
     vec![
-        StoredRecord::Turn(record(), UNTIL_MS),
-        StoredRecord::Ledger(program(), ledger(), UNTIL_MS),
+        StoredRecord::Turn(record(), EXPIRES_AT_MS),
+        StoredRecord::Ledger(program(), ledger(), EXPIRES_AT_MS),
         StoredRecord::Set(set()),
         StoredRecord::Groups(ReplicaGroups::new(vec![settled, set()])),
-        StoredRecord::GroupTurn(GroupId(3), record(), UNTIL_MS),
+        StoredRecord::GroupTurn(GroupId(3), record(), EXPIRES_AT_MS),
     ]
 }
 
