--- a/crates/records/src/message.rs
+++ b/crates/records/src/message.rs
@@ -80,7 +80,10 @@
         turn: TurnId,
     },
     /// Sends newer replica sets.
-    Adopt { groups: ReplicaGroups },
+    Adopt {
+        /// The sets of all groups.
+        groups: ReplicaGroups,
+    },
     /// Lists records that changed after a position, for a replica that copies them.
     List {
         /// The group whose records are copied.
@@ -93,7 +96,10 @@
     /// Asks the replica's node whether a tenant's request may run.
     Admit(Admission),
     /// Reads records of turns, for a replica that copies them.
-    Fetch { turns: Vec<TurnId> },
+    Fetch {
+        /// The turns to read, of any group.
+        turns: Vec<TurnId>,
+    },
 }
 
 /// One page of a replica's records, ordered by their last change.
--- a/crates/replica/src/actor.rs
+++ b/crates/replica/src/actor.rs
@@ -102,7 +102,7 @@
 
 struct WaitingReply {
     batch: u64,
-    /// When the request arrived; `None` if the reply may wait for later changes, so that its
+    /// When the request was handled; `None` if the reply may wait for later changes, so that its
     /// latency says nothing about the replica.
     requested_at: Option<Instant>,
     reply_sender: oneshot::Sender<PeerReply>,
--- a/crates/replica/src/latency.rs
+++ b/crates/replica/src/latency.rs
@@ -66,7 +66,7 @@
         *count += 1;
     }
 
-    /// Counts a reply, with the time since its request.
+    /// Counts a reply, with the time for which it waited for the disk.
     pub fn on_reply(&mut self, latency: Duration) {
         self.counts.answers += 1;
         self.counts.slowest = self.counts.slowest.max(latency);
