--- a/crates/replica/src/liveness.rs
+++ b/crates/replica/src/liveness.rs
@@ -10,10 +10,10 @@
 use crate::retirements::Retirements;
 
 /// Silence after which a storage node counts as lost.
-const DEAD_AFTER: Duration = Duration::from_millis(1_600);
+const LOST_AFTER: Duration = Duration::from_millis(1_600);
 /// The same for nodes that share no group with this one, whose heartbeats arrive in rotation: in a
 /// fleet of 36 storage nodes, every two seconds.
-const OTHER_GROUP_DEAD_AFTER: Duration = Duration::from_secs(5);
+const OTHER_GROUP_LOST_AFTER: Duration = Duration::from_secs(5);
 /// How long a voter counts as starting that hasn't been heard since this node started, or whose
 /// process runs but hasn't opened its disk. Opening takes up to two seconds after a power loss;
 /// replacing such a voter would copy all its records while the other voters are busiest.
@@ -51,7 +51,7 @@
         for member in self.replica.node.gossip.replicas() {
             let status = member.replica.filter(|status| groups.has_member(status.id));
             if let Some(status) = status
-                && member.is_alive(now, DEAD_AFTER)
+                && member.is_alive(now, LOST_AFTER)
             {
                 let incarnation = member.incarnation;
                 let last_seen = LastSeen {
@@ -137,7 +137,7 @@
         };
         let last_seen = self.last_seen.get(&voter.id).copied().unwrap_or_default();
         let is_opening = member.replica.is_none()
-            && member.is_alive(now, DEAD_AFTER)
+            && member.is_alive(now, LOST_AFTER)
             && member.incarnation != last_seen.incarnation;
         is_opening && now.saturating_sub(last_seen.at) < START_TIMEOUT
     }
@@ -147,14 +147,14 @@
 /// this one.
 fn silence_limit(groups: Option<&ReplicaGroups>, me: Option<ReplicaId>, id: ReplicaId) -> Duration {
     let Some((groups, me)) = groups.zip(me) else {
-        return DEAD_AFTER;
+        return LOST_AFTER;
     };
     let its_groups: BTreeSet<_> = groups.groups_of(id).into_iter().collect();
     let mut own_groups = groups.groups_of(me).into_iter();
     if its_groups.is_empty() || own_groups.any(|group| its_groups.contains(&group)) {
-        DEAD_AFTER
+        LOST_AFTER
     } else {
-        OTHER_GROUP_DEAD_AFTER
+        OTHER_GROUP_LOST_AFTER
     }
 }
 
