--- a/crates/replica/src/coordinator.rs
+++ b/crates/replica/src/coordinator.rs
@@ -36,8 +36,8 @@
 /// How long the initial sets wait for as many nodes as one set needs.
 const INITIAL_SET_TIMEOUT: Duration = Duration::from_secs(2);
 /// How long the number of live storage nodes has to be constant before the initial sets are
-/// written: it determines the number of groups permanently. Storage nodes that start together, 36
-/// or fewer, know each other within 2 s.
+/// written: it determines the number of groups permanently. 36 storage nodes hear each other within
+/// 2 s.
 const INITIAL_SET_QUIET_PERIOD: Duration = Duration::from_millis(750);
 const STORE_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Minimum time between reads of the register by a member that has lost its read quorum.
