--- a/crates/replica/src/handle.rs
+++ b/crates/replica/src/handle.rs
@@ -1,4 +1,4 @@
-//! How the rest of the process reaches the replica's actor.
+//! Access to the replica's actor for the rest of the process.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -15,27 +15,25 @@
 use stakker::{ActorOwn, call};
 use tokio::sync::{mpsc, oneshot};
 
-use crate::actor::{Copied, DiskNews, OpenReplica, ReplicaActor};
-use crate::limiting::{Limiting, TIDY_INTERVAL};
+use crate::actor::{CopiedRecord, DiskEvent, OpenReplica, ReplicaActor};
+use crate::limiters::{CLEAN_UP_INTERVAL, LocalLimiters};
 use crate::metrics::ReplicaMetrics;
 use crate::preparation::Preparation;
 
-/// The replica of this process.
+/// Handle of this process's replica.
 pub struct ReplicaHandle {
-    /// The node that it runs on.
+    /// The node that the replica runs on.
     pub node: Rc<Node>,
-    /// Metrics.
     pub metrics: Rc<ReplicaMetrics>,
-    /// What it is asked to copy before it joins the set.
+    /// Copies requested before the replica joins a set.
     pub preparation: Preparation,
-    limiting: Limiting,
+    limiters: LocalLimiters,
     actors: ActorRuntime,
     actor: ActorOwn<ReplicaActor>,
     status: Rc<Cell<Option<OpenReplica>>>,
 }
 
 impl ReplicaHandle {
-    /// A handle on the actor.
     pub fn new(
         node: Rc<Node>,
         metrics: Rc<ReplicaMetrics>,
@@ -44,12 +42,12 @@
         status: Rc<Cell<Option<OpenReplica>>>,
     ) -> Self {
         let bounds = &node.settings.bounds;
-        let limiting = Limiting::new(bounds.quota(), bounds.warm_up(), bounds.replicas());
+        let limiters = LocalLimiters::new(bounds.quota(), bounds.warm_up(), bounds.replicas());
         Self {
             node,
             metrics,
             preparation: Preparation::default(),
-            limiting,
+            limiters,
             actors,
             actor,
             status,
@@ -58,42 +56,45 @@
 
     /// The replica's status; `None` while its disk is not open.
     pub fn status(&self) -> Option<ReplicaStatus> {
-        self.status.get().map(|open| open.told)
+        self.status.get().map(|open| open.published)
     }
 
-    /// Whether all records of the disk are back.
-    pub fn is_whole(&self) -> bool {
-        self.status.get().is_some_and(|open| open.is_whole)
+    /// Whether all records of the disk are restored.
+    pub fn is_fully_restored(&self) -> bool {
+        self.status.get().is_some_and(|open| open.is_fully_restored)
     }
 
-    /// Brings the gauges up to date.
+    /// Updates the gauges that the actor doesn't update.
     pub fn update_gauges(&self) {
         let epoch = i64::try_from(self.node.view.epoch().0).unwrap_or(i64::MAX);
         self.metrics.replica_set_epoch.set(epoch);
-        let tenants = i64::try_from(self.limiting.tenants()).unwrap_or(i64::MAX);
+        let tenants = i64::try_from(self.limiters.tenants()).unwrap_or(i64::MAX);
         self.metrics.limited_tenants.set(tenants);
     }
 
-    /// Hands news of other threads to the actor until the process ends.
-    pub async fn pass_news(self: Rc<Self>, mut news: mpsc::UnboundedReceiver<DiskNews>) {
-        while let Some(item) = news.recv().await {
-            call!([self.actor], news(item));
+    /// Forwards disk events to the actor until the process ends.
+    pub async fn forward_disk_events(
+        self: Rc<Self>,
+        mut disk_events: mpsc::UnboundedReceiver<DiskEvent>,
+    ) {
+        while let Some(event) = disk_events.recv().await {
+            call!([self.actor], on_disk_event(event));
             self.actors.wake();
         }
     }
 
-    /// Hands newer replica sets to the actor until the process ends.
-    pub async fn pass_sets(self: Rc<Self>) {
+    /// Forwards newer replica sets to the actor and the limiters until the process ends.
+    pub async fn forward_sets(self: Rc<Self>) {
         let mut changes = self.node.view.changes();
-        let mut told = Epoch::default();
+        let mut forwarded = Epoch::default();
         loop {
             if let Some(groups) = self.node.view.groups()
-                && groups.epoch() > told
+                && groups.epoch() > forwarded
             {
-                told = groups.epoch();
+                forwarded = groups.epoch();
                 let node = &self.node;
                 let now = node.clock.now();
-                self.limiting.on_sets(&groups, &node.settings.name, now);
+                self.limiters.adopt_sets(&groups, &node.settings.name, now);
                 self.adopt(ReplicaGroups::clone(&groups));
             }
             if changes.changed().await.is_err() {
@@ -102,12 +103,12 @@
         }
     }
 
-    /// Lets go of what is no longer needed of limits, until the process ends.
-    pub async fn tidy_limits(self: Rc<Self>) {
-        let mut ticks = tokio::time::interval(TIDY_INTERVAL);
+    /// Periodically removes full token buckets, until the process ends.
+    pub async fn clean_up_limiters(self: Rc<Self>) {
+        let mut ticks = tokio::time::interval(CLEAN_UP_INTERVAL);
         loop {
             ticks.tick().await;
-            self.limiting.clean_up(self.node.clock.now());
+            self.limiters.clean_up(self.node.clock.now());
         }
     }
 
@@ -116,41 +117,46 @@
         self.actors.wake();
     }
 
-    /// Takes in copied records of a group; says whether they are durable.
-    pub async fn copy(&self, group: GroupId, copied: Vec<Copied>) -> bool {
-        let (answer, answered) = oneshot::channel();
-        call!([self.actor], copy(group, copied, answer));
+    /// Adds copied records of a group; returns whether they are durable.
+    pub async fn copy(&self, group: GroupId, copied: Vec<CopiedRecord>) -> bool {
+        let (reply_sender, reply_receiver) = oneshot::channel();
+        call!([self.actor], copy(group, copied, reply_sender));
         self.actors.wake();
-        matches!(answered.await, Ok(PeerReply::Replica(ReplicaReply::Done)))
+        matches!(
+            reply_receiver.await,
+            Ok(PeerReply::Replica(ReplicaReply::Done))
+        )
     }
 
-    /// Which of these turns the replica does not hold.
+    /// Returns those of these turns that the replica doesn't have, each with its time to live in
+    /// milliseconds.
     pub async fn missing(&self, turns: Vec<(TurnId, u64)>) -> Vec<(TurnId, u64)> {
-        let (answer, answered) = oneshot::channel();
-        call!([self.actor], missing(turns, answer));
+        let (reply_sender, reply_receiver) = oneshot::channel();
+        call!([self.actor], missing(turns, reply_sender));
         self.actors.wake();
-        answered.await.unwrap_or_default()
+        reply_receiver.await.unwrap_or_default()
     }
 
-    /// Whether a request may go to an engine that warms up.
+    /// Decides whether a request may go to an engine that is warming up.
     fn grant(&self, request: &GrantRequest) -> PeerReply {
         self.metrics.grants_asked.inc();
-        let reply = self.limiting.grant(request, self.node.clock.now());
+        let reply = self.limiters.grant(request, self.node.clock.now());
         reply.map_or(PeerReply::Unsupported, |reply| {
             PeerReply::Extension(ExtensionReply::Grant(reply))
         })
     }
 
-    /// Says how far the copy is that is wanted before this replica joins a set.
+    /// Handles a request to copy before this replica joins a set; replies whether the copy is
+    /// ready.
     fn prepare(&self, preparing: PrepareRequest) -> PeerReply {
-        let is_meant = self
+        let is_recipient = self
             .status()
             .is_some_and(|status| status.id == preparing.to);
         let PrepareRequest { group, groups, .. } = preparing;
         let epoch = groups.set(group).map(|set| set.epoch);
         self.node.view.adopt_groups(groups, Source::Peer);
-        let epoch = epoch.filter(|_| is_meant);
-        let is_ready = epoch.is_some_and(|epoch| self.preparation.on_asked(group, epoch));
+        let epoch = epoch.filter(|_| is_recipient);
+        let is_ready = epoch.is_some_and(|epoch| self.preparation.on_request(group, epoch));
         PeerReply::Prepared { is_ready }
     }
 
@@ -162,31 +168,31 @@
 }
 
 impl PeerService for ReplicaHandle {
-    fn on_request(&self, request: PeerRequest, reply: oneshot::Sender<PeerReply>) {
+    fn on_request(&self, request: PeerRequest, reply_sender: oneshot::Sender<PeerReply>) {
         if let PeerRequest::Replica {
             request: ReplicaRequest::Admit(admission),
             ..
         } = &request
         {
             self.metrics.admissions.inc();
-            let answer = self.limiting.admit(admission, self.node.clock.now());
-            // Whoever asked may have given up.
-            let _ = reply.send(PeerReply::Replica(answer));
+            let reply = self.limiters.admit(admission, self.node.clock.now());
+            // The caller may have stopped waiting.
+            let _ = reply_sender.send(PeerReply::Replica(reply));
             return;
         }
         if let PeerRequest::Replica { to, request } = request {
             self.metrics.requests.inc();
-            call!([self.actor], request(to, request, reply));
+            call!([self.actor], request(to, request, reply_sender));
             self.actors.wake();
             return;
         }
-        let answer = match request {
+        let reply = match request {
             PeerRequest::Extension(ExtensionRequest::Grant(request)) => self.grant(&request),
             PeerRequest::Prepare(preparing) => self.prepare(*preparing),
             other => self.node.answer(&other),
         };
-        // Whoever asked may have given up.
-        let _ = reply.send(answer);
+        // The caller may have stopped waiting.
+        let _ = reply_sender.send(reply);
     }
 }
 
--- a/crates/replica/tests/support/stored.rs
+++ b/crates/replica/tests/support/stored.rs
@@ -1,10 +1,10 @@
-//! One record of each kind that the first disk version knows. The golden files were written from these by that version.
+//! One record of each kind in the first disk version, which wrote the golden files from these.
 
 use ridgeworks_records::{Epoch, GroupId, ReplicaGroups, ReplicaSet, StoredRecord};
 
 use super::samples::{ledger, program, record, replica};
 
-const UNTIL_MS: u64 = 1_700_000_600_000;
+const EXPIRES_AT_MS: u64 = 1_700_000_600_000;
 
 fn set() -> ReplicaSet {
     ReplicaSet {
@@ -20,15 +20,16 @@
         ..set()
     };
     vec![
-        StoredRecord::Turn(record(), UNTIL_MS),
-        StoredRecord::Ledger(program(), ledger(), UNTIL_MS),
+        StoredRecord::Turn(record(), EXPIRES_AT_MS),
+        StoredRecord::Ledger(program(), ledger(), EXPIRES_AT_MS),
         StoredRecord::Set(set()),
         StoredRecord::Groups(ReplicaGroups::new(vec![settled, set()])),
-        StoredRecord::GroupTurn(GroupId(3), record(), UNTIL_MS),
+        StoredRecord::GroupTurn(GroupId(3), record(), EXPIRES_AT_MS),
     ]
 }
 
-/// What it is called in the names of files. A variant more needs a new disk version: the first one could not read it.
+/// Name of the record's golden file. A further variant needs a new disk version, since the first
+/// one can't read it.
 pub fn stored_name(record: &StoredRecord) -> &'static str {
     match record {
         StoredRecord::Turn(..) => "turn",
@@ -39,7 +40,7 @@
     }
 }
 
-/// The replica sets as the platform's store has them: of one group, and of many.
+/// Replica sets in the platform's store: of one group, and of several.
 pub fn registered() -> Vec<(&'static str, ReplicaGroups)> {
     vec![
         ("replica-set-one", ReplicaGroups::single(set())),
