--- a/crates/resident/src/drain_follower.rs
+++ b/crates/resident/src/drain_handler.rs
@@ -1,4 +1,4 @@
-//! What the node's view takes in of orders to drain zones.
+//! Applies the zone drains in the platform's store to the node's view.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -9,22 +9,21 @@
 use crate::store_watch::WatchHandler;
 use crate::view::{Source, View};
 
-/// Takes in orders to drain zones.
+/// Applies orders to drain zones.
 ///
-/// An order is the object that bears the zone's name, whatever else it says: another writer's with fields missing or spoiled
-/// names its zone all the same, and to send nothing there is what harms least. One that is about to be deleted stands until it is gone.
-pub struct DrainFollower {
+/// A zone is drained while an object of its name exists, whatever its fields hold: to send nothing to the zone is the safe
+/// reading of an invalid order. An order that is being deleted counts until it is gone.
+pub struct DrainHandler {
     view: Rc<View>,
 }
 
-impl DrainFollower {
-    /// A follower that has read nothing yet.
+impl DrainHandler {
     pub fn new(view: Rc<View>) -> Self {
         Self { view }
     }
 }
 
-impl WatchHandler for DrainFollower {
+impl WatchHandler for DrainHandler {
     fn on_list(&self, objects: Vec<Object>, at: u64) {
         let orders = objects
             .into_iter()
@@ -46,7 +45,7 @@
         self.view.drains.confirm_as_of(age);
     }
 
-    fn on_checked(&self) {
+    fn on_probe_confirmed(&self) {
         self.view.announce_confirmation();
     }
 
@@ -54,7 +53,7 @@
         self.view.drains.confirmation_age()
     }
 
-    fn told_up_to(&self) -> Option<u64> {
+    fn known_revision(&self) -> Option<u64> {
         self.view.drains.at()
     }
 }
--- a/crates/resident/src/http_client.rs
+++ b/crates/resident/src/http_client.rs
@@ -80,12 +80,12 @@
         Ok(Err(error)) => return Err(ConnectError::Refused(error)),
         Err(_) => return Err(ConnectError::TimedOut),
     };
-    notice_silence(&stream).map_err(ConnectError::Refused)?;
+    configure_socket(&stream).map_err(ConnectError::Refused)?;
     Ok(stream)
 }
 
 /// Sets the options by which a socket notices that its peer is gone.
-pub fn notice_silence(stream: &TcpStream) -> io::Result<()> {
+pub fn configure_socket(stream: &TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
     let probes = TcpKeepalive::new()
--- a/crates/resident/src/lib.rs
+++ b/crates/resident/src/lib.rs
@@ -6,8 +6,7 @@
 pub mod actors;
 pub mod build;
 pub mod clock;
-mod drain_follower;
-mod followers;
+mod drain_handler;
 pub mod http_client;
 pub mod http_server;
 pub mod logging;
@@ -21,4 +20,5 @@
 pub mod store_watch;
 pub mod traffic;
 pub mod view;
+mod watch_handlers;
 pub mod watch_policy;
--- a/crates/resident/src/metrics.rs
+++ b/crates/resident/src/metrics.rs
@@ -12,7 +12,7 @@
 
 use crate::http_server::TextResponse;
 use crate::logging::LogCounters;
-use crate::peer::UNREAD;
+use crate::peer::REJECTED;
 
 /// Media type of the text.
 pub const CONTENT_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
@@ -69,12 +69,12 @@
             (
                 "messages_unknown",
                 "Messages of other nodes of a kind that this version does not know",
-                &UNREAD.unknown,
+                &REJECTED.unknown,
             ),
             (
                 "messages_unreadable",
                 "Messages of other nodes that could not be read",
-                &UNREAD.unreadable,
+                &REJECTED.unreadable,
             ),
         ];
         encode_counters(encoder, &counters)
--- a/crates/resident/src/node.rs
+++ b/crates/resident/src/node.rs
@@ -1,4 +1,4 @@
-//! The parts that every role runs on, put together.
+//! A node: settings, view, store client, links and heartbeats that every role shares.
 
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -17,8 +17,7 @@
 
 use crate::build;
 use crate::clock::Clock;
-use crate::drain_follower::DrainFollower;
-use crate::followers::{ConfigurationFollower, ConfirmationLog, EngineFollower};
+use crate::drain_handler::DrainHandler;
 use crate::peer::{
     ExtensionReply, ExtensionRequest, Gossip, GossipSources, MemberInfo, PeerLinks, PeerReply,
     PeerRequest, PeerService, fetch_members, fetch_view,
@@ -28,68 +27,69 @@
 use crate::store_watch::{WatchHandler, list_once, watch_objects};
 use crate::traffic::Traffic;
 use crate::view::{Source, View};
-use crate::watch_policy::{Place, WatchControl, WatchDuty};
+use crate::watch_handlers::{ConfigurationHandler, EngineHandler, OverdueConfirmationLog};
+use crate::watch_policy::{WatchControl, WatchPolicy, WatcherRole};
 
-/// Name of the object that holds the replica sets of all groups.
+/// Name of the store object that holds the replica sets of all groups.
 pub const REPLICA_SET_NAME: &str = "main";
-const CALL_TIMEOUT: Duration = Duration::from_millis(1_500);
-const REGISTER_PAUSE: Duration = Duration::from_millis(300);
-/// How often it is decided whether a node watches the store; four times as often in its first second.
-const DUTY_PAUSE: Duration = Duration::from_millis(100);
-const DUTY_START: Duration = Duration::from_secs(1);
-/// How long a node's place among the watchers holds after its first second.
-const PLACE_LIFETIME: Duration = Duration::from_secs(1);
-/// How long a node waits for others to be heard before it looks for them in the store.
-const MEMBERS_PATIENCE: Duration = Duration::from_millis(1_500);
-/// How often a replica looks for the first sets. Whoever writes them tells the others within a heartbeat, so this is for one that
-/// hears nobody; every 300 ms they made 290 calls of 36 replicas before the first set.
-const REPLICA_PAUSE: Duration = Duration::from_secs(1);
-/// How often a gateway that others tell of changes looks for the replica set itself.
-const REPLICA_SET_PAUSE: Duration = Duration::from_secs(3);
-const SEED_PAUSE: Duration = Duration::from_millis(100);
+const STORE_CALL_TIMEOUT: Duration = Duration::from_millis(1_500);
+const MEMBER_SEARCH_INTERVAL: Duration = Duration::from_millis(300);
+/// How often a node decides whether it watches the store; four times as often in its first second.
+const WATCH_DECISION_INTERVAL: Duration = Duration::from_millis(100);
+const FAST_DECISION_PERIOD: Duration = Duration::from_secs(1);
+/// How long a watcher role is kept before it is computed again, after the node's first second.
+const WATCHER_ROLE_LIFETIME: Duration = Duration::from_secs(1);
+/// How long a node waits for a first heartbeat before it looks for other nodes in the store.
+const STORE_DISCOVERY_DELAY: Duration = Duration::from_millis(1_500);
+/// How often a replica reads the first sets. Their writer announces them in its next heartbeat, so reading matters only to a
+/// replica that receives none; the calls of all replicas add up.
+const REPLICA_SET_READ_INTERVAL: Duration = Duration::from_secs(1);
+/// How often a gateway that doesn't watch the store reads the replica set itself.
+const FALLBACK_REPLICA_SET_READ_INTERVAL: Duration = Duration::from_secs(3);
+const SEED_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What one process shares among its parts.
+/// State and connections that all parts of one process share.
 pub struct Node {
-    /// Its settings at the start.
+    /// Settings at the start; a reload doesn't change them.
     pub settings: NodeSettings,
     /// The regions of the deployment's zones.
     pub regions: ZoneRegions,
-    /// The steady clock.
+    /// The monotonic clock.
     pub clock: Clock,
-    /// What it believes of the deployment.
+    /// What the node knows of the deployment.
     pub view: Rc<View>,
-    /// The platform's store.
+    /// Client of the platform's store.
     pub store: Rc<StoreClient>,
     /// Links to other nodes.
     pub links: Rc<PeerLinks>,
-    /// How far bytes go, where the settings name zones.
+    /// Bytes by purpose and distance; `None` where the settings name no zones.
     pub traffic: Option<Rc<Traffic>>,
     /// Heartbeats.
     pub gossip: Rc<Gossip>,
-    /// Whether this node follows the store itself.
-    pub duty: Rc<WatchControl>,
-    /// Whether it follows the drains of zones there: they have a bound of their own, and so another patience.
-    drain_duty: Rc<WatchControl>,
-    /// The settings as they were last read.
-    reloaded: RefCell<NodeSettings>,
+    /// Whether this node watches the store itself.
+    pub watch_control: Rc<WatchControl>,
+    /// Whether it watches the drains of zones: they have a bound of their own, and so other timings.
+    drain_watch_control: Rc<WatchControl>,
+    /// The settings as last read from the file.
+    current_settings: RefCell<NodeSettings>,
     settings_unreadable: Cell<bool>,
-    /// Revision of the registered replica sets that could not be read last, 0 for none.
+    /// Last revision of the stored replica sets that could not be decoded; 0 for none.
     unreadable_sets: Cell<u64>,
-    /// Whether a seed has answered.
-    is_seeded: Cell<bool>,
+    /// Whether a seed has replied.
+    has_seed_replied: Cell<bool>,
 }
 
-/// Why the settings are read again.
+/// Why the settings are reloaded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReloadReason {
-    /// The platform said that they changed.
+    /// The process received SIGHUP.
     Signal,
-    /// They may change without a signal.
+    /// Periodic check, since they may change without a signal.
     Interval,
 }
 
 impl Node {
-    /// Binds the node's own sockets.
+    /// Binds the socket for heartbeats. [`Node::start`] binds the one for requests.
     pub async fn bind(settings: NodeSettings, clock: Clock) -> io::Result<Rc<Self>> {
         let is_gateway = settings.role == Role::Gateway;
         let view = View::new(clock, is_gateway).needing_extras(settings.need_extras());
@@ -97,10 +97,10 @@
         let view = Rc::new(if has_drains { view.with_drains() } else { view });
         let bound = settings.bounds.configuration();
         let drain_bound = settings.bounds.zone_drain().unwrap_or(bound);
-        let drain_duty = WatchDuty::new(&settings.name, drain_bound);
-        let drain_duty = WatchControl::new(drain_duty.patience(Place::Other));
-        let duty = WatchDuty::new(&settings.name, bound);
-        let duty = Rc::new(WatchControl::new(duty.patience(Place::Other)));
+        let drain_policy = WatchPolicy::new(&settings.name, drain_bound);
+        let drain_watch_control = WatchControl::new(drain_policy.timings(WatcherRole::Other));
+        let policy = WatchPolicy::new(&settings.name, bound);
+        let watch_control = Rc::new(WatchControl::new(policy.timings(WatcherRole::Other)));
         let regions = settings.zone_regions();
         let traffic = Traffic::new(&settings.zone, regions.clone()).map(Rc::new);
         let links = Rc::new(PeerLinks::counting(traffic.clone()));
@@ -112,29 +112,29 @@
             clock,
             Rc::clone(&view),
             Rc::clone(&links),
-            Rc::clone(&duty),
+            Rc::clone(&watch_control),
             bound,
         );
         let gossip = gossip.await?;
         Ok(Rc::new(Self {
             store: Rc::new(StoreClient::new(settings.platform.store)),
             gossip: Rc::new(gossip),
-            reloaded: RefCell::new(settings.clone()),
+            current_settings: RefCell::new(settings.clone()),
             settings_unreadable: Cell::new(false),
             unreadable_sets: Cell::new(0),
             regions,
             traffic,
-            is_seeded: Cell::new(false),
+            has_seed_replied: Cell::new(false),
             settings,
             clock,
             view,
             links,
-            duty,
-            drain_duty: Rc::new(drain_duty),
+            watch_control,
+            drain_watch_control: Rc::new(drain_watch_control),
         }))
     }
 
-    /// Starts heartbeats, the answering of other nodes, and the search for what is newest.
+    /// Starts heartbeats, the service for other nodes, and the discovery of members and replica sets.
     pub async fn start(
         self: &Rc<Self>,
         service: Rc<impl PeerService>,
@@ -143,39 +143,43 @@
         crate::peer::serve(self.settings.peer_address(), service).await?;
         let gossip = Rc::clone(&self.gossip);
         tokio::task::spawn_local(gossip.run(sources));
-        tokio::task::spawn_local(Rc::clone(self).learn_members());
-        tokio::task::spawn_local(Rc::clone(self).learn_replica_set());
+        tokio::task::spawn_local(Rc::clone(self).discover_members());
+        tokio::task::spawn_local(Rc::clone(self).discover_replica_set());
         for seed in self.settings.seed_peers() {
-            tokio::task::spawn_local(Rc::clone(self).learn_from(seed));
+            tokio::task::spawn_local(Rc::clone(self).fetch_view_from(seed));
         }
         Ok(())
     }
 
-    /// Follows the configuration, the engines and the drains of zones, from the store or from other nodes.
+    /// Keeps the configuration, the engines and the drains of zones up to date, from the store or from other nodes.
     pub fn watch_store(self: &Rc<Self>) {
-        tokio::task::spawn_local(Rc::clone(self).decide_duty());
-        let configuration = ConfigurationFollower(Rc::clone(&self.view));
-        self.watch_objects(ObjectKind::Configuration, configuration, &self.duty);
-        let engines = EngineFollower::new(Rc::clone(&self.view));
-        self.watch_objects(ObjectKind::Engines, engines, &self.duty);
+        tokio::task::spawn_local(Rc::clone(self).update_watch_control());
+        let configuration = ConfigurationHandler(Rc::clone(&self.view));
+        self.watch_objects(
+            ObjectKind::Configuration,
+            configuration,
+            &self.watch_control,
+        );
+        let engines = EngineHandler::new(Rc::clone(&self.view));
+        self.watch_objects(ObjectKind::Engines, engines, &self.watch_control);
         if self.view.drains.are_followed() {
-            let drains = DrainFollower::new(Rc::clone(&self.view));
-            self.watch_objects(ObjectKind::ZoneDrains, drains, &self.drain_duty);
+            let drains = DrainHandler::new(Rc::clone(&self.view));
+            self.watch_objects(ObjectKind::ZoneDrains, drains, &self.drain_watch_control);
         }
     }
 
     fn watch_objects(
         &self,
         kind: ObjectKind,
-        follower: impl WatchHandler + 'static,
-        duty: &Rc<WatchControl>,
+        handler: impl WatchHandler + 'static,
+        watch_control: &Rc<WatchControl>,
     ) {
         let store = Rc::clone(&self.store);
-        let duty = Rc::clone(duty);
-        tokio::task::spawn_local(watch_objects(store, kind, follower, duty));
+        let watch_control = Rc::clone(watch_control);
+        tokio::task::spawn_local(watch_objects(store, kind, handler, watch_control));
     }
 
-    /// Answers what every role answers alike, and says of other requests that they are not supported.
+    /// Handles the requests that are common to all roles; any other is [`PeerReply::Unsupported`].
     pub fn answer(&self, request: &PeerRequest) -> PeerReply {
         match request {
             PeerRequest::FetchView(known) => PeerReply::View(self.view.update_since(known)),
@@ -187,71 +191,81 @@
         }
     }
 
-    /// Decides again and again whether this node watches the store.
-    async fn decide_duty(self: Rc<Self>) {
+    /// Decides periodically whether this node watches the store.
+    async fn update_watch_control(self: Rc<Self>) {
         let bound = self.settings.bounds.configuration();
-        let mut duty = WatchDuty::new(&self.settings.name, bound);
+        let mut policy = WatchPolicy::new(&self.settings.name, bound);
         let drain_bound = self.settings.bounds.zone_drain().unwrap_or(bound);
-        let mut drain_duty = WatchDuty::new(&self.settings.name, drain_bound);
+        let mut drain_policy = WatchPolicy::new(&self.settings.name, drain_bound);
         if self.settings.is_seed() {
-            duty.ask_first();
-            drain_duty.ask_first();
+            policy.query_immediately();
+            drain_policy.query_immediately();
         }
-        let mut confirmation = ConfirmationLog::new(bound);
-        let mut place = Place::Other;
-        let mut placed_at = None;
+        let mut overdue_log = OverdueConfirmationLog::new(bound);
+        let mut role = WatcherRole::Other;
+        let mut role_found_at = None;
         loop {
             let now = self.clock.now();
-            // The other nodes change rarely, and a large fleet has many.
-            if now < DUTY_START || placed_at.is_none_or(|at| now - at > PLACE_LIFETIME) {
-                place = self.gossip.place(now);
-                placed_at = Some(now);
+            // The role depends on all members, which are many in a large fleet and change rarely.
+            if now < FAST_DECISION_PERIOD
+                || role_found_at.is_none_or(|at| now - at > WATCHER_ROLE_LIFETIME)
+            {
+                role = self.gossip.watcher_role(now);
+                role_found_at = Some(now);
             }
-            if self.is_seeded.get() {
-                duty.leave_to_seeds();
-                drain_duty.leave_to_seeds();
+            if self.has_seed_replied.get() {
+                policy.defer_to_seeds();
+                drain_policy.defer_to_seeds();
             }
-            self.decide_drain_duty(&mut drain_duty, place, now);
+            self.update_drain_watch_control(&mut drain_policy, role, now);
             let unconfirmed = self.view.confirmation_age();
-            confirmation.tell(unconfirmed, self.view.version());
-            let is_due = duty.is_due(now, place, unconfirmed);
-            if self.duty.set(is_due, duty.patience(place)) {
+            overdue_log.update(unconfirmed, self.view.version());
+            let should_watch = policy.should_watch(now, role, unconfirmed);
+            if self.watch_control.set(should_watch, policy.timings(role)) {
                 log::info!(
                     target: "belief",
-                    watches = is_due,
-                    place:? = place,
+                    watches = should_watch,
+                    place:? = role,
                     unconfirmed_ms:? = unconfirmed.map(|age| age.as_millis());
                     "watching the platform store changed"
                 );
             }
-            let pause = if now < DUTY_START {
-                DUTY_PAUSE / 4
+            let pause = if now < FAST_DECISION_PERIOD {
+                WATCH_DECISION_INTERVAL / 4
             } else {
-                DUTY_PAUSE
+                WATCH_DECISION_INTERVAL
             };
             tokio::time::sleep(pause).await;
         }
     }
 
-    fn decide_drain_duty(&self, duty: &mut WatchDuty, place: Place, now: Duration) {
+    fn update_drain_watch_control(
+        &self,
+        policy: &mut WatchPolicy,
+        role: WatcherRole,
+        now: Duration,
+    ) {
         if !self.view.drains.are_followed() {
             return;
         }
         let unconfirmed = self.view.drains.confirmation_age();
-        let is_due = duty.is_due(now, place, unconfirmed);
-        if self.drain_duty.set(is_due, duty.patience(place)) {
+        let should_watch = policy.should_watch(now, role, unconfirmed);
+        if self
+            .drain_watch_control
+            .set(should_watch, policy.timings(role))
+        {
             log::info!(
                 target: "belief",
-                watches = is_due,
-                place:? = place,
+                watches = should_watch,
+                place:? = role,
                 unconfirmed_ms:? = unconfirmed.map(|age| age.as_millis());
                 "watching for drains of zones changed"
             );
         }
     }
 
-    /// Reads the settings file again, and takes over what may change while the process runs. Says so
-    /// when it was asked to, or when something changed.
+    /// Reads the settings file again and applies what may change while the process runs: the store's address and the seeds. Logs
+    /// the result after a signal or a change.
     pub fn reload(&self, path: &Path, reason: ReloadReason) {
         let settings = match NodeSettings::load(path) {
             Ok(settings) => settings,
@@ -268,7 +282,7 @@
             }
         };
         self.settings_unreadable.set(false);
-        let has_changed = *self.reloaded.borrow() != settings;
+        let has_changed = *self.current_settings.borrow() != settings;
         if has_changed || reason == ReloadReason::Signal {
             self.store.set_address(settings.platform.store);
             self.gossip.set_seeds(settings.seed_peers());
@@ -279,26 +293,26 @@
                 seeds = settings.seeds.len();
                 "settings reloaded"
             );
-            *self.reloaded.borrow_mut() = settings;
+            *self.current_settings.borrow_mut() = settings;
         }
     }
 
-    /// Reads the replica sets and their revision in the store; `None` when the store does not answer.
+    /// Reads the replica sets and their revision from the store; `None` when the store doesn't answer or the object can't be decoded.
     pub async fn read_groups(&self) -> Option<RegisteredGroups> {
         let call = read(ObjectKind::ReplicaSets, REPLICA_SET_NAME);
-        let answer = self.store.call(call, CALL_TIMEOUT).await.ok()?;
+        let answer = self.store.call(call, STORE_CALL_TIMEOUT).await.ok()?;
         match answer.outcome {
             StoreOutcome::NotFound => Some(RegisteredGroups::Missing),
             StoreOutcome::Done => {
                 let object = read_object(&answer.body).ok()?;
                 if let Err(error) = check_format_version(&object.spec) {
-                    self.on_unreadable_sets(object.revision, &error);
+                    self.log_unreadable_sets(object.revision, &error);
                     return None;
                 }
                 let groups = match ReplicaGroups::deserialize(&object.spec) {
                     Ok(groups) => groups,
                     Err(error) => {
-                        self.on_unreadable_sets(object.revision, &error);
+                        self.log_unreadable_sets(object.revision, &error);
                         return None;
                     }
                 };
@@ -310,8 +324,8 @@
         }
     }
 
-    /// Another writer has spoiled the object: nothing of it is believed, and what is known stays in force.
-    fn on_unreadable_sets(&self, revision: u64, error: &dyn std::fmt::Display) {
+    /// Logs, once per revision, that the object can't be decoded. The known sets stay in force.
+    fn log_unreadable_sets(&self, revision: u64, error: &dyn std::fmt::Display) {
         if self.unreadable_sets.replace(revision) != revision {
             log::error!(
                 target: "dependency",
@@ -322,43 +336,43 @@
         }
     }
 
-    /// Registers this node where nodes look for each other that hear nobody; says whether it is there.
+    /// Registers this node in the store, for nodes that receive no heartbeats; returns whether it is registered.
     async fn register(&self) -> bool {
         let record = MemberRecord::of(&self.settings);
         let name = self.settings.name.as_str();
         let call = create(ObjectKind::Members, name, &record);
-        let outcome = self.store.call(call, CALL_TIMEOUT).await;
+        let outcome = self.store.call(call, STORE_CALL_TIMEOUT).await;
         match outcome.map(|answer| answer.outcome) {
             Ok(StoreOutcome::Done) => true,
             Ok(StoreOutcome::Conflict) => {
                 let call = replace(ObjectKind::Members, name, None, &record);
-                let replaced = self.store.call(call, CALL_TIMEOUT).await;
+                let replaced = self.store.call(call, STORE_CALL_TIMEOUT).await;
                 replaced.is_ok_and(|answer| answer.outcome == StoreOutcome::Done)
             }
             _ => false,
         }
     }
 
-    /// Learns of the other nodes from the seeds until one is heard. Nodes that hear nobody for a while meet
-    /// in the store, so that the calls to it do not grow with the fleet. The replicas are met anyway, once
-    /// their set is known: whoever hears them hears of all others.
-    async fn learn_members(self: Rc<Self>) {
-        let begun = self.clock.now();
+    /// Asks the seeds for other nodes until a heartbeat arrives. A node that receives none for a while registers itself in
+    /// the store and looks for others there; the others don't, so that calls to the store don't grow with the fleet. The replicas
+    /// become known with their set in any case, and their heartbeats name the other nodes.
+    async fn discover_members(self: Rc<Self>) {
+        let started_at = self.clock.now();
         let mut is_registered = false;
-        while !self.gossip.hears_others() {
+        while !self.gossip.has_heard_peers() {
             for seed in self.settings.seed_peers() {
                 let known = fetch_members(&self.links, seed).await;
                 self.gossip.add_known(known);
             }
-            if self.clock.now() - begun > MEMBERS_PATIENCE {
+            if self.clock.now() - started_at > STORE_DISCOVERY_DELAY {
                 is_registered = is_registered || self.register().await;
-                self.learn_registered().await;
+                self.add_registered_members().await;
             }
-            pause_about(REGISTER_PAUSE).await;
+            sleep_with_jitter(MEMBER_SEARCH_INTERVAL).await;
         }
     }
 
-    async fn learn_registered(&self) {
+    async fn add_registered_members(&self) {
         let Some(objects) = list_once(&self.store, ObjectKind::Members).await else {
             return;
         };
@@ -367,67 +381,69 @@
             target: "belief",
             registered = nodes.len(),
             unreadable = objects.len() - nodes.len();
-            "no other node heard, looked for them in the platform store"
+            "no heartbeat of another node received; looked up the members registered in the platform store"
         );
         self.gossip.add_known(nodes);
     }
 
-    /// Gateways of a large fleet leave it to the watchers among them; replicas have to see the register.
-    async fn learn_replica_set(self: Rc<Self>) {
+    /// Reads the replica sets until some are known. A gateway that doesn't watch the store relies on those that do; a replica always
+    /// reads the stored sets.
+    async fn discover_replica_set(self: Rc<Self>) {
         let is_replica = self.settings.role == Role::Replica;
         let mut asked_at = Duration::ZERO;
         if is_replica {
-            // What others tell may be old: those who knew of a newer set may all be gone.
+            // Sets from other nodes may be stale: all that knew newer ones may be gone.
             self.read_groups().await;
         }
         while self.view.groups().is_none() {
             let now = self.clock.now();
-            let is_late = now - asked_at > REPLICA_SET_PAUSE;
-            if is_replica || self.duty.is_due() || is_late {
+            let is_late = now - asked_at > FALLBACK_REPLICA_SET_READ_INTERVAL;
+            if is_replica || self.watch_control.should_watch() || is_late {
                 asked_at = now;
                 self.read_groups().await;
             }
             let pause = if is_replica {
-                REPLICA_PAUSE
+                REPLICA_SET_READ_INTERVAL
             } else {
-                REGISTER_PAUSE
+                MEMBER_SEARCH_INTERVAL
             };
-            pause_about(pause).await;
+            sleep_with_jitter(pause).await;
         }
     }
 
-    /// Asks a seed for its view until somebody has told the configuration.
-    async fn learn_from(self: Rc<Self>, seed: SocketAddr) {
-        const TRIES: usize = 20;
-        for _ in 0..TRIES {
+    /// Fetches a seed's view until a configuration is known.
+    async fn fetch_view_from(self: Rc<Self>, seed: SocketAddr) {
+        const MAX_ATTEMPTS: usize = 20;
+        for _ in 0..MAX_ATTEMPTS {
             if self.view.routes().is_some() && self.view.groups().is_some() {
                 return;
             }
             let answered = fetch_view(&self.links, &self.view, seed).await;
-            self.is_seeded.set(answered || self.is_seeded.get());
+            self.has_seed_replied
+                .set(answered || self.has_seed_replied.get());
             if answered && self.view.routes().is_some() {
                 return;
             }
-            pause_about(SEED_PAUSE).await;
+            sleep_with_jitter(SEED_RETRY_INTERVAL).await;
         }
     }
 }
 
-/// The replica sets as the store has them.
+/// The replica sets in the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RegisteredGroups {
-    /// There are none yet.
+    /// None have been written yet.
     Missing,
     /// The sets and the revision of their object.
     Found {
         /// The sets.
         groups: ReplicaGroups,
-        /// Revision to name when it is replaced.
+        /// Expected revision for a compare-and-swap of the object.
         revision: u64,
     },
 }
 
-async fn pause_about(pause: Duration) {
+async fn sleep_with_jitter(pause: Duration) {
     let factor = rand::rng().random_range(0.5..1.5);
     tokio::time::sleep(pause.mul_f64(factor)).await;
 }
@@ -441,10 +457,10 @@
     }
 }
 
-/// A node as it registers itself in the store. Its fields stay (`docs/design/versions.md`).
+/// A node's registration in the store. Its fields must not change (`docs/design/versions.md`).
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberRecord {
-    /// Where other nodes reach it.
+    /// Address of its links and heartbeats.
     pub address: SocketAddr,
     /// Its zone.
     pub zone: String,
--- a/crates/resident/src/peer/confirming.rs
+++ b/crates/resident/src/peer/confirmation_query.rs
@@ -21,7 +21,7 @@
 
 /// How old two nodes' knowledge of the same kind is, as far as it was ever confirmed.
 #[derive(Debug, Clone, Copy)]
-pub struct Ages {
+pub struct ConfirmationAges {
     /// That of this node.
     pub own: Option<Duration>,
     /// What the other one tells of its own.
@@ -30,13 +30,13 @@
 
 /// The question that is open, if any. Times are since the start of the process.
 #[derive(Debug)]
-pub struct Confirming {
+pub struct ConfirmationQuery {
     gain: Duration,
     last: Cell<u64>,
     open: Cell<Option<Question>>,
 }
 
-impl Confirming {
+impl ConfirmationQuery {
     /// Nothing is asked yet, under the bound within which configurations come in force.
     pub fn new(bound: Duration) -> Self {
         Self {
@@ -48,7 +48,7 @@
 
     /// Number of the question to a node whose knowledge of these kinds is so old; `None` where asking is not worth it.
     /// Each kind counts by itself, since the store is asked for each by itself.
-    pub fn ask(&self, kinds: &[Ages], now: Duration) -> Option<u64> {
+    pub fn ask(&self, kinds: &[ConfirmationAges], now: Duration) -> Option<u64> {
         let gains = kinds.iter().any(|ages| self.gains(*ages));
         let is_free = self
             .open
@@ -66,7 +66,7 @@
         Some(number)
     }
 
-    fn gains(&self, ages: Ages) -> bool {
+    fn gains(&self, ages: ConfirmationAges) -> bool {
         ages.told.is_some_and(|told| {
             let least = told + self.gain;
             ages.own.is_none_or(|own| own > least)
--- a/crates/resident/src/peer/encoding.rs
+++ b/crates/resident/src/peer/encoding.rs
@@ -17,10 +17,12 @@
 use rkyv::util::AlignedVec;
 use rkyv::{Archive, Deserialize, Serialize};
 
+use super::extension::{
+    Extension, ExtensionDatagram, ExtensionReply, ExtensionRequest, FIRST_EXTENSION_KIND,
+};
 use super::frame::{FrameError, RawSection, frame, unframe};
-use super::later::{Extension, ExtensionDatagram, ExtensionReply, ExtensionRequest, FIRST_KIND};
 use super::message::{
-    Confirmations, Datagram, DrainNews, Envelope, PeerReply, PeerRequest, ViewUpdate,
+    Confirmations, Datagram, DrainSection, Envelope, PeerReply, PeerRequest, ViewUpdate,
 };
 
 /// What came later than the first protocol version, each with the number of its kind.
@@ -31,7 +33,7 @@
     /// Beside changes of engines.
     EngineStarts(Vec<EngineWarmUp>),
     /// Beside confirmations, a question for the view, or its answer.
-    ZoneDrains(DrainNews),
+    ZoneDrains(DrainSection),
 }
 
 /// Numbers of the kinds of sections. A number is never used again for something else.
@@ -86,13 +88,13 @@
     }
 
     /// Such a kind that travels beside a harmless body.
-    fn later(&self) -> Option<&Self::Extension>;
+    fn extension(&self) -> Option<&Self::Extension>;
 
     /// The body: the message itself, or one that does no harm where the message is not known.
     fn body(&self) -> Cow<'_, Self>;
 
     /// Puts such a kind in place of the body.
-    fn set_later(&mut self, later: Self::Extension);
+    fn set_extension(&mut self, extension: Self::Extension);
 
     /// What nodes of the first protocol version do not know of it.
     fn sections(&self) -> Vec<Section> {
@@ -107,9 +109,9 @@
     const KIND: MessageKind = MessageKind::Datagram;
     type Extension = ExtensionDatagram;
 
-    fn later(&self) -> Option<&ExtensionDatagram> {
+    fn extension(&self) -> Option<&ExtensionDatagram> {
         match self {
-            Self::Extension(later) => Some(later),
+            Self::Extension(extension) => Some(extension),
             _ => None,
         }
     }
@@ -125,8 +127,8 @@
         }
     }
 
-    fn set_later(&mut self, later: ExtensionDatagram) {
-        *self = Self::Extension(later);
+    fn set_extension(&mut self, extension: ExtensionDatagram) {
+        *self = Self::Extension(extension);
     }
 
     fn sections(&self) -> Vec<Section> {
@@ -151,13 +153,13 @@
 
 impl Confirmations {
     fn sections(&self) -> Vec<Section> {
-        let drains = self.drains.map(DrainNews::Known);
+        let drains = self.drains.map(DrainSection::Known);
         drains.map(Section::ZoneDrains).into_iter().collect()
     }
 
     fn set_sections(&mut self, sections: Vec<Section>) {
         for section in sections {
-            if let Section::ZoneDrains(DrainNews::Known(known)) = section {
+            if let Section::ZoneDrains(DrainSection::Known(known)) = section {
                 self.drains = Some(known);
             }
         }
@@ -172,9 +174,9 @@
         self.number
     }
 
-    fn later(&self) -> Option<&ExtensionRequest> {
+    fn extension(&self) -> Option<&ExtensionRequest> {
         match &self.body {
-            PeerRequest::Extension(later) => Some(later),
+            PeerRequest::Extension(extension) => Some(extension),
             _ => None,
         }
     }
@@ -190,14 +192,14 @@
         }
     }
 
-    fn set_later(&mut self, later: ExtensionRequest) {
-        self.body = PeerRequest::Extension(later);
+    fn set_extension(&mut self, extension: ExtensionRequest) {
+        self.body = PeerRequest::Extension(extension);
     }
 
     fn sections(&self) -> Vec<Section> {
         match &self.body {
             PeerRequest::FetchView(position) if position.wants_drains => {
-                vec![Section::ZoneDrains(DrainNews::Wanted)]
+                vec![Section::ZoneDrains(DrainSection::Wanted)]
             }
             _ => Vec::new(),
         }
@@ -205,7 +207,7 @@
 
     fn set_sections(&mut self, _protocol: u16, sections: Vec<Section>) {
         if let PeerRequest::FetchView(position) = &mut self.body {
-            position.wants_drains = sections.contains(&Section::ZoneDrains(DrainNews::Wanted));
+            position.wants_drains = sections.contains(&Section::ZoneDrains(DrainSection::Wanted));
         }
     }
 }
@@ -218,9 +220,9 @@
         self.number
     }
 
-    fn later(&self) -> Option<&ExtensionReply> {
+    fn extension(&self) -> Option<&ExtensionReply> {
         match &self.body {
-            PeerReply::Extension(later) => Some(later),
+            PeerReply::Extension(extension) => Some(extension),
             _ => None,
         }
     }
@@ -235,8 +237,8 @@
         }
     }
 
-    fn set_later(&mut self, later: ExtensionReply) {
-        self.body = PeerReply::Extension(later);
+    fn set_extension(&mut self, extension: ExtensionReply) {
+        self.body = PeerReply::Extension(extension);
     }
 
     fn sections(&self) -> Vec<Section> {
@@ -261,7 +263,7 @@
         let extras = configuration.map(|configuration| configuration.extras());
         let engines = self.engines.as_ref().filter(|_| self.has_starts);
         let warm_ups = engines.map(|engines| engines.warm_ups());
-        let drains = self.drains.as_deref().cloned().map(DrainNews::Told);
+        let drains = self.drains.as_deref().cloned().map(DrainSection::Told);
         extras
             .map(Section::Configuration)
             .into_iter()
@@ -286,7 +288,7 @@
                     }
                 }
                 Section::ZoneDrains(news) => {
-                    if let DrainNews::Told(told) = news {
+                    if let DrainSection::Told(told) = news {
                         self.drains = Some(Box::new(told));
                     }
                 }
@@ -310,7 +312,7 @@
 
 impl MessageError {
     /// Whether what came is not what was sent, so that nothing more is to be expected of the connection.
-    pub fn is_damage(self) -> bool {
+    pub fn is_corruption(self) -> bool {
         matches!(
             self,
             Self::Frame(FrameError::TooShort | FrameError::Checksum)
@@ -347,8 +349,8 @@
     let sections: Result<Vec<(u16, Vec<u8>)>, MessageError> =
         sections.iter().map(Section::encode).collect();
     let mut sections = sections?;
-    if let Some(later) = message.later() {
-        sections.push(later.encode()?);
+    if let Some(extension) = message.extension() {
+        sections.push(extension.encode()?);
     }
     let bytes = frame(T::KIND as u16, message.number(), &sections, &body);
     Ok(Bytes::from(bytes))
@@ -370,14 +372,14 @@
     let sections = frame.sections()?;
     let mut message: T = from_bytes(frame.body)?;
     message.set_sections(frame.protocol, known_sections(&sections)?);
-    if let Some(later) = sections.iter().find(|raw| raw.kind >= FIRST_KIND) {
-        message.set_later(T::Extension::decode(*later)?);
+    if let Some(extension) = sections.iter().find(|raw| raw.kind >= FIRST_EXTENSION_KIND) {
+        message.set_extension(T::Extension::decode(*extension)?);
     }
     Ok(message)
 }
 
 /// Number of the request or reply in a frame whose content cannot be read; `None` where the bytes are no frame.
-pub fn number_of(bytes: &[u8]) -> Option<u64> {
+pub fn frame_number(bytes: &[u8]) -> Option<u64> {
     unframe(bytes).ok()?.map(|frame| frame.number)
 }
 
--- a/crates/resident/src/peer/later.rs
+++ b/crates/resident/src/peer/extension.rs
@@ -14,7 +14,7 @@
 use super::grant::{GrantReply, GrantRequest};
 
 /// Sections from this number on are messages themselves; those below it stand beside a body.
-pub const FIRST_KIND: u16 = 100;
+pub const FIRST_EXTENSION_KIND: u16 = 100;
 
 /// Numbers of the kinds of requests. A number is never used again for something else.
 mod request_kinds {
--- a/crates/resident/src/peer/gossip.rs
+++ b/crates/resident/src/peer/gossip.rs
@@ -18,11 +18,11 @@
 use tokio::net::UdpSocket;
 use tokio::time::{Instant, MissedTickBehavior};
 
-pub use self::reads::Questions;
-use super::confirming::{Ages, Confirming};
+pub use self::reads::PendingQueries;
+use super::confirmation_query::{ConfirmationAges, ConfirmationQuery};
 use super::encoding::{MessageKind, decode, encode};
+use super::extension::ExtensionDatagram;
 use super::frame::PROTOCOL;
-use super::later::ExtensionDatagram;
 use super::links::PeerLinks;
 use super::members::{Member, Members};
 use super::message::{
@@ -30,11 +30,11 @@
     ReplicaStatus,
 };
 use super::purpose;
+use super::rejected::REJECTED;
 use super::targets::{FAN_OUT, targets};
-use super::unread::UNREAD;
 use crate::clock::Clock;
 use crate::view::View;
-use crate::watch_policy::{self, Place, SMALL_FLEET, WatchControl};
+use crate::watch_policy::{self, SMALL_FLEET, WatchControl, WatcherRole};
 
 const INTERVAL: Duration = Duration::from_millis(250);
 /// Other nodes named in a heartbeat.
@@ -50,11 +50,11 @@
 const MAX_SERVICE_ENTRIES: usize = 16;
 const MAX_DATAGRAM: usize = 8 * 1024;
 /// Pause before news are told, so that those of a moment go out together.
-const NEWS_GATHERING: Duration = Duration::from_millis(5);
+const CHANGE_DELAY: Duration = Duration::from_millis(5);
 const FETCH_TIMEOUT: Duration = Duration::from_millis(800);
 /// Engines that another node knows newer are fetched only if they stay newer for so long: the store
 /// tells most nodes at about the same time.
-const ENGINES_PATIENCE: Duration = Duration::from_millis(400);
+const ENGINES_FETCH_DELAY: Duration = Duration::from_millis(400);
 
 /// What a node's role puts into its heartbeats and takes from others'.
 pub trait GossipSources: 'static {
@@ -84,10 +84,10 @@
     engines_behind_since: Cell<Option<Duration>>,
     next_target: Cell<usize>,
     /// Epoch of the replica set whose nodes were taken in last.
-    met_epoch: Cell<Epoch>,
+    added_epoch: Cell<Epoch>,
     duty: Rc<WatchControl>,
-    questions: Questions,
-    confirming: Confirming,
+    queries: PendingQueries,
+    confirmation_query: ConfirmationQuery,
 }
 
 impl Gossip {
@@ -114,10 +114,10 @@
             fetching: Rc::default(),
             engines_behind_since: Cell::new(None),
             next_target: Cell::new(rand::rng().random_range(0..1_024)),
-            met_epoch: Cell::new(Epoch::default()),
+            added_epoch: Cell::new(Epoch::default()),
             duty,
-            questions: Questions::default(),
-            confirming: Confirming::new(bound),
+            queries: PendingQueries::default(),
+            confirmation_query: ConfirmationQuery::new(bound),
         })
     }
 
@@ -127,22 +127,22 @@
         let others = nodes.into_iter().filter(|node| node.name != self.me.name);
         for node in others {
             if let Some(traffic) = self.links.traffic() {
-                traffic.on_machine(node.address.ip(), &node.zone);
+                traffic.set_machine_zone(node.address.ip(), &node.zone);
             }
             self.members.borrow_mut().on_known(node, now);
         }
     }
 
     /// Whether another node has been heard.
-    pub fn hears_others(&self) -> bool {
+    pub fn has_heard_peers(&self) -> bool {
         let members = self.members.borrow();
         members.iter().any(|member| member.heard_at.is_some())
     }
 
     /// Takes in the replicas' nodes. All nodes learn of the replica set, so that they find each other there
     /// when the seeds are gone or old.
-    fn meet_replicas(&self) {
-        if self.met_epoch.replace(self.view.epoch()) == self.view.epoch() {
+    fn add_replicas(&self) {
+        if self.added_epoch.replace(self.view.epoch()) == self.view.epoch() {
             return;
         }
         let Some(groups) = self.view.groups() else {
@@ -185,12 +185,12 @@
     }
 
     /// This node's place among those that may watch the store.
-    pub fn place(&self, now: Duration) -> Place {
+    pub fn watcher_role(&self, now: Duration) -> WatcherRole {
         let members = self.members.borrow();
         // Somebody has to watch whose news are of use here.
         let speaking = members.iter();
-        let speaking = speaking.filter(|member| self.view.speaks_enough(member.protocol));
-        watch_policy::place(&self.me.name, &self.me.zone, speaking, now)
+        let speaking = speaking.filter(|member| self.view.is_protocol_sufficient(member.protocol));
+        watch_policy::watcher_role(&self.me.name, &self.me.zone, speaking, now)
     }
 
     /// Who the other nodes and this one are, for a node that asks.
@@ -213,11 +213,11 @@
                 _ = ticks.tick() => self.send_round(&*sources).await,
                 changed = changes.changed(), if !has_news => if changed.is_ok() {
                     has_news = true;
-                    news_due.as_mut().reset(tokio::time::Instant::now() + NEWS_GATHERING);
+                    news_due.as_mut().reset(tokio::time::Instant::now() + CHANGE_DELAY);
                 },
                 () = news_due.as_mut(), if has_news => {
                     has_news = false;
-                    self.send_news(&*sources).await;
+                    self.announce_change(&*sources).await;
                 }
                 () = self.view.confirmation() => self.send_confirmation(&*sources).await,
                 received = self.socket.recv_from(&mut buffer) => {
@@ -231,14 +231,14 @@
 
     async fn send_round(&self, sources: &impl GossipSources) {
         self.members.borrow_mut().forget_silent(self.clock.now());
-        self.meet_replicas();
+        self.add_replicas();
         self.send_to(self.targets(), sources).await;
     }
 
     /// Tells a few nodes at once that something is newer here. They fetch it and tell others, so that a
     /// large fleet knows long before everybody's turn for a heartbeat has come. In a small one
     /// everybody hears from the store itself.
-    async fn send_news(&self, sources: &impl GossipSources) {
+    async fn announce_change(&self, sources: &impl GossipSources) {
         if self.members.borrow().len() < SMALL_FLEET {
             return;
         }
@@ -347,16 +347,16 @@
                 let read = sources.find_read(part);
                 self.send(from, &Datagram::FoundRead { number, read }).await;
             }
-            Ok(Datagram::FoundRead { number, read }) => self.questions.answer(number, read),
+            Ok(Datagram::FoundRead { number, read }) => self.queries.answer(number, read),
             Ok(Datagram::AskConfirmations { number }) => {
                 let told = self.view.confirmations();
                 self.send(from, &Datagram::Confirmed { number, told }).await;
             }
             Ok(Datagram::Confirmed { number, told }) => self.on_confirmed(number, &told),
             Ok(Datagram::Extension(ExtensionDatagram::Unknown(kind))) => {
-                UNREAD.on_unknown(from.ip(), kind)
+                REJECTED.on_unknown(from.ip(), kind)
             }
-            Err(error) => UNREAD.on_unreadable(from.ip(), MessageKind::Datagram, error),
+            Err(error) => REJECTED.on_unreadable(from.ip(), MessageKind::Datagram, error),
         }
     }
 
@@ -379,7 +379,7 @@
         }
         let now = self.clock.now();
         if let Some(traffic) = self.links.traffic() {
-            traffic.on_machine(heartbeat.from.address.ip(), &heartbeat.from.zone);
+            traffic.set_machine_zone(heartbeat.from.address.ip(), &heartbeat.from.zone);
         }
         let is_new = self.members.borrow_mut().on_heartbeat(&heartbeat, now);
         self.add_known(heartbeat.known.clone());
@@ -397,39 +397,39 @@
         if self.is_behind(&heartbeat, now) {
             self.fetch(heartbeat.from.address);
         } else {
-            self.ask_if_younger(&heartbeat.confirmations, from, now)
+            self.query_if_fresher(&heartbeat.confirmations, from, now)
                 .await;
         }
         sources.on_load(&heartbeat.from.name, heartbeat.load);
     }
 
     /// Asks a node whose knowledge seems to have been confirmed later than this node's own.
-    async fn ask_if_younger(&self, told: &Confirmations, node: SocketAddr, now: Duration) {
+    async fn query_if_fresher(&self, told: &Confirmations, node: SocketAddr, now: Duration) {
         let age = |unconfirmed_ms: Option<u64>| unconfirmed_ms.map(Duration::from_millis);
-        let configuration = Ages {
+        let configuration = ConfirmationAges {
             own: self.view.confirmation_age(),
             told: age(told.unconfirmed_ms),
         };
         let has_engines = self.view.has_engines_up_to(told.engines_newest);
-        let engines = Ages {
-            own: self.view.engines_unconfirmed_for(),
+        let engines = ConfirmationAges {
+            own: self.view.engines_confirmation_age(),
             told: age(told.engines_unconfirmed_ms).filter(|_| has_engines),
         };
         let drains = &self.view.drains;
         let told_drains = told.drains.and_then(|known| known.unconfirmed_ms);
-        let drains = Ages {
+        let drains = ConfirmationAges {
             own: drains.confirmation_age(),
             told: age(told_drains).filter(|_| drains.are_followed()),
         };
         let ages = [configuration, engines, drains];
-        if let Some(number) = self.confirming.ask(&ages, now) {
+        if let Some(number) = self.confirmation_query.ask(&ages, now) {
             self.send(node, &Datagram::AskConfirmations { number })
                 .await;
         }
     }
 
     fn on_confirmed(&self, number: u64, told: &Confirmations) {
-        if let Some(asked) = self.confirming.on_answer(number, self.clock.now()) {
+        if let Some(asked) = self.confirmation_query.on_answer(number, self.clock.now()) {
             self.view.confirm(told, asked);
         }
     }
@@ -437,7 +437,7 @@
     /// Whether the sender knows something newer that is worth fetching from it.
     fn is_behind(&self, heartbeat: &Heartbeat, now: Duration) -> bool {
         let told = &heartbeat.confirmations;
-        let is_useful = self.view.takes_from(heartbeat.protocol);
+        let is_useful = self.view.accepts_views_from(heartbeat.protocol);
         let has_newer = is_useful && told.version > self.view.version();
         if has_newer || heartbeat.epoch > self.view.epoch() {
             return true;
@@ -445,19 +445,22 @@
         if self.me.is_replica || !is_useful {
             return false;
         }
-        if told.drains.is_some_and(|told| self.view.drains.lack(&told)) {
+        if told
+            .drains
+            .is_some_and(|told| self.view.drains.is_behind(&told))
+        {
             return true;
         }
         if told.engines_newest <= self.view.with_engines(|engines| engines.at()) {
             self.engines_behind_since.set(None);
             return false;
         }
-        if !self.view.engines_known() || !self.duty.is_due() {
+        if !self.view.engines_known() || !self.duty.should_watch() {
             return true;
         }
         let since = self.engines_behind_since.get().unwrap_or(now);
         self.engines_behind_since.set(Some(since));
-        now.saturating_sub(since) > ENGINES_PATIENCE
+        now.saturating_sub(since) > ENGINES_FETCH_DELAY
     }
 
     /// Fetches another node's view; one fetch at a time.
--- a/crates/resident/src/peer/gossip/reads.rs
+++ b/crates/resident/src/peer/gossip/reads.rs
@@ -24,7 +24,7 @@
 
 /// Questions that wait for their answers.
 #[derive(Default)]
-pub struct Questions {
+pub struct PendingQueries {
     last: Cell<u64>,
     open: RefCell<HashMap<u64, oneshot::Sender<Answer>>>,
 }
@@ -32,7 +32,7 @@
 /// Open questions from which on those that nobody waits for any more are looked for.
 const MANY_QUESTIONS: usize = 64;
 
-impl Questions {
+impl PendingQueries {
     /// A new question: its number, and where its answer comes. Whoever asked may go away at any moment
     /// without a word, so that questions that nobody waits for are looked for here.
     pub fn ask(&self) -> (u64, oneshot::Receiver<Answer>) {
@@ -86,10 +86,10 @@
 
     /// Asks a directory node for the last read with this last part.
     pub async fn query_prefill(&self, node: SocketAddr, part: u64) -> Option<PrefillRecord> {
-        let (number, answer) = self.questions.ask();
+        let (number, answer) = self.queries.ask();
         self.send(node, &Datagram::FindRead { number, part }).await;
         let answered = tokio::time::timeout(ASK_TIMEOUT, answer).await;
-        self.questions.forget(number);
+        self.queries.forget(number);
         answered.ok()?.ok()?
     }
 
--- a/crates/resident/src/peer/link.rs
+++ b/crates/resident/src/peer/link.rs
@@ -14,10 +14,10 @@
 use tokio_util::codec::Framed;
 
 use super::codec;
-use super::encoding::{MessageKind, decode, encode, number_of};
+use super::encoding::{MessageKind, decode, encode, frame_number};
 use super::message::{Envelope, PeerReply, PeerRequest};
 use super::purpose;
-use super::unread::UNREAD;
+use super::rejected::REJECTED;
 use crate::http_client::connect_tcp;
 use crate::traffic::{Purpose, Traffic};
 
@@ -194,17 +194,17 @@
                 let (number, reply) = match decode::<Envelope<PeerReply>>(&frame) {
                     Ok(envelope) => (Some(envelope.number), Ok(envelope.body)),
                     Err(error) => {
-                        UNREAD.on_unreadable(to.ip(), MessageKind::Reply, error);
-                        if error.is_damage() {
+                        REJECTED.on_unreadable(to.ip(), MessageKind::Reply, error);
+                        if error.is_corruption() {
                             break;
                         }
-                        (number_of(&frame), Err(LinkError::Unreadable))
+                        (frame_number(&frame), Err(LinkError::Unreadable))
                     }
                 };
                 let Some((purpose, waiting)) = number.and_then(|number| open.remove(&number))
                 else {
                     // Nobody waits any more.
-                    count(Purpose::Late, &frame);
+                    count(Purpose::Unclaimed, &frame);
                     continue;
                 };
                 count(purpose, &frame);
--- a/crates/resident/src/peer/links.rs
+++ b/crates/resident/src/peer/links.rs
@@ -28,18 +28,18 @@
 const CHECK_TIME: Duration = Duration::from_secs(2);
 /// A node that takes long for its answers is given this many times as long before its link is checked, so that a check is
 /// made where answers stop and not where they become slower.
-const PACE_FACTOR: u32 = 3;
+const SLOWEST_REPLY_FACTOR: u32 = 3;
 /// After this time a slow answer counts for half.
-const PACE_HALF_LIFE: Duration = Duration::from_secs(5);
+const SLOWEST_REPLY_HALF_LIFE: Duration = Duration::from_secs(5);
 
 /// The slowest answer of a node lately.
 #[derive(Debug, Clone, Copy)]
-struct Pace {
+struct ReplyTimes {
     slowest: Duration,
     at: Instant,
 }
 
-impl Pace {
+impl ReplyTimes {
     fn new() -> Self {
         Self {
             slowest: Duration::ZERO,
@@ -48,7 +48,7 @@
     }
 
     fn slowest(&self) -> Duration {
-        let half_lives = self.at.elapsed().as_secs_f64() / PACE_HALF_LIFE.as_secs_f64();
+        let half_lives = self.at.elapsed().as_secs_f64() / SLOWEST_REPLY_HALF_LIFE.as_secs_f64();
         self.slowest.mul_f64(0.5_f64.powf(half_lives))
     }
 
@@ -63,12 +63,12 @@
 /// How long a node may say nothing whose slowest answer lately took this long, before its silence means anything. At least
 /// this long.
 pub fn silence_timeout(slowest_reply: Duration, least: Duration) -> Duration {
-    least.max(slowest_reply * PACE_FACTOR)
+    least.max(slowest_reply * SLOWEST_REPLY_FACTOR)
 }
 
 struct Peer {
     link: Link,
-    pace: Pace,
+    reply_times: ReplyTimes,
     next_check: Instant,
     is_checking: bool,
 }
@@ -77,15 +77,15 @@
     fn new(to: SocketAddr, traffic: Option<Rc<Traffic>>) -> Self {
         let mut peer = Self {
             link: Link::start(to, traffic),
-            pace: Pace::new(),
+            reply_times: ReplyTimes::new(),
             next_check: Instant::now(),
             is_checking: false,
         };
-        peer.rest();
+        peer.postpone_check();
         peer
     }
 
-    fn rest(&mut self) {
+    fn postpone_check(&mut self) {
         self.next_check = Instant::now() + CHECK_PAUSE;
     }
 }
@@ -126,7 +126,7 @@
         tokio::select! {
             // First: what was open on a link that is replaced ends with it.
             biased;
-            () = self.table.find_replaced(to, &state) => {}
+            () = self.table.wait_until_replaced(to, &state) => {}
             reply = self.table.reply(to, reply, limit) => return reply,
         }
         let (_, reply) = self.table.send(to, request)?;
@@ -170,7 +170,7 @@
             .or_insert_with(|| Peer::new(to, self.traffic.clone()));
         if peer.link.is_closed() {
             peer.link = Link::start(to, self.traffic.clone());
-            peer.rest();
+            peer.postpone_check();
         }
         let reply = peer.link.send(request)?;
         Ok((Rc::clone(&peer.link.state), reply))
@@ -189,13 +189,13 @@
         };
         let reply = reply.unwrap_or(Err(LinkError::Broken))?;
         if let Some(peer) = self.peers.borrow_mut().get_mut(&to) {
-            peer.pace.note(began.elapsed());
+            peer.reply_times.note(began.elapsed());
         }
         Ok(reply)
     }
 
     /// Waits until a link on which an answer is due has said nothing for too long and a new one has taken its place.
-    async fn find_replaced(self: &Rc<Self>, to: SocketAddr, state: &LinkState) {
+    async fn wait_until_replaced(self: &Rc<Self>, to: SocketAddr, state: &LinkState) {
         let mut since = Instant::now();
         loop {
             let patience = silence_timeout(self.slowest_reply(to), SILENCE);
@@ -212,7 +212,7 @@
     fn slowest_reply(&self, to: SocketAddr) -> Duration {
         let peers = self.peers.borrow();
         let peer = peers.get(&to);
-        peer.map_or(Duration::ZERO, |peer| peer.pace.slowest())
+        peer.map_or(Duration::ZERO, |peer| peer.reply_times.slowest())
     }
 
     /// Nobody waits for the answer any more, but the next request had better find a link that is answered.
@@ -236,7 +236,7 @@
         if peer.is_checking || Instant::now() < peer.next_check {
             return;
         }
-        let Ok(old) = peer.link.send(question()) else {
+        let Ok(old) = peer.link.send(probe_request()) else {
             return;
         };
         peer.is_checking = true;
@@ -244,29 +244,35 @@
         let state = Rc::clone(&peer.link.state);
         tokio::task::spawn_local(async move {
             let began = Instant::now();
-            let found = compare(to, old, table.traffic.clone()).await;
+            let found = race_links(to, old, table.traffic.clone()).await;
             table.finish_check(to, &state, found, began);
         });
     }
 
     /// Puts the new link in place of the old one if it was answered first.
-    fn finish_check(&self, to: SocketAddr, state: &Rc<LinkState>, found: Found, began: Instant) {
+    fn finish_check(
+        &self,
+        to: SocketAddr,
+        state: &Rc<LinkState>,
+        found: CheckOutcome,
+        began: Instant,
+    ) {
         let mut peers = self.peers.borrow_mut();
         let Some(peer) = peers.get_mut(&to) else {
             return;
         };
         peer.is_checking = false;
-        peer.rest();
+        peer.postpone_check();
         let link_ms = whole_ms(state.made_at.elapsed());
         let newer = match found {
-            Found::Silent(newer) => newer,
-            Found::Late => {
+            CheckOutcome::NewLinkReplied(newer) => newer,
+            CheckOutcome::OldLinkReplied => {
                 // Requests may have been given up before their answers came.
-                peer.pace.note(SILENCE + began.elapsed());
+                peer.reply_times.note(SILENCE + began.elapsed());
                 log::info!(target: "dependency", node:% = to, link_ms = link_ms; "late link to a node kept");
                 return;
             }
-            Found::Nothing => return,
+            CheckOutcome::NoReply => return,
         };
         // The old one may have ended meanwhile, and another one stand in its place.
         if !Rc::ptr_eq(&peer.link.state, state) {
@@ -280,41 +286,45 @@
 }
 
 /// What a check of a link has found.
-enum Found {
+enum CheckOutcome {
     /// The node answers by it, late.
-    Late,
+    OldLinkReplied,
     /// The node answers by a new link, and not by it.
-    Silent(Link),
+    NewLinkReplied(Link),
     /// The node answers by neither.
-    Nothing,
+    NoReply,
 }
 
 /// Asks by a new link what was just asked by the old one.
-async fn compare(to: SocketAddr, old: ReplyReceiver, traffic: Option<Rc<Traffic>>) -> Found {
+async fn race_links(
+    to: SocketAddr,
+    old: ReplyReceiver,
+    traffic: Option<Rc<Traffic>>,
+) -> CheckOutcome {
     let newer = Link::start(to, traffic);
-    let Ok(answer) = newer.send(question()) else {
+    let Ok(answer) = newer.send(probe_request()) else {
         newer.close();
-        return Found::Nothing;
+        return CheckOutcome::NoReply;
     };
     let found = tokio::select! {
         // A node that answers by both is late, not out of reach.
         biased;
         answer = old => match answer {
-            Ok(Ok(_)) => Found::Late,
-            _ => Found::Nothing,
+            Ok(Ok(_)) => CheckOutcome::OldLinkReplied,
+            _ => CheckOutcome::NoReply,
         },
         answer = answer => match answer {
-            Ok(Ok(_)) => return Found::Silent(newer),
-            _ => Found::Nothing,
+            Ok(Ok(_)) => return CheckOutcome::NewLinkReplied(newer),
+            _ => CheckOutcome::NoReply,
         },
-        () = tokio::time::sleep(CHECK_TIME) => Found::Nothing,
+        () = tokio::time::sleep(CHECK_TIME) => CheckOutcome::NoReply,
     };
     newer.close();
     found
 }
 
 /// A question whose answer is empty: what is newer than everything.
-fn question() -> PeerRequest {
+fn probe_request() -> PeerRequest {
     PeerRequest::FetchView(ViewPosition {
         version: u64::MAX,
         engines: KnownEngines::Unwanted,
--- a/crates/resident/src/peer/message.rs
+++ b/crates/resident/src/peer/message.rs
@@ -16,7 +16,7 @@
 use rkyv::with::Skip;
 use rkyv::{Archive, Deserialize, Serialize};
 
-use super::later::{ExtensionDatagram, ExtensionReply, ExtensionRequest};
+use super::extension::{ExtensionDatagram, ExtensionReply, ExtensionRequest};
 
 /// What one node asks another.
 #[derive(Debug, Clone, PartialEq, Eq, Archive, Serialize, Deserialize)]
@@ -93,7 +93,7 @@
     pub engines: KnownEngines,
     /// The epochs of its newest replica sets together.
     pub epoch: Epoch,
-    /// Whether it has a use for the drains of zones. Travels in a [`DrainNews`].
+    /// Whether it has a use for the drains of zones. Travels in a [`DrainSection`].
     #[rkyv(with = Skip)]
     pub wants_drains: bool,
 }
@@ -122,9 +122,9 @@
     pub unconfirmed_ms: Option<u64>,
     /// The same for its engines.
     pub engines_unconfirmed_ms: Option<u64>,
-    /// The drains of zones that it knows, where they are wanted. Travels in a [`DrainNews`].
+    /// The drains of zones that it knows, where they are wanted. Travels in a [`DrainSection`].
     #[rkyv(with = Skip)]
-    pub drains: Option<Box<ToldDrains>>,
+    pub drains: Option<Box<DrainSnapshot>>,
     /// Version of the protocol that the sender speaks: one that speaks version 0 knows nothing of what came later.
     #[rkyv(with = Skip)]
     pub protocol: u16,
@@ -147,7 +147,7 @@
     pub engines_newest: u64,
     /// Milliseconds for which nobody has confirmed that there is no newer one; `None` when nobody ever did.
     pub engines_unconfirmed_ms: Option<u64>,
-    /// What it knows of the drains of zones, where it follows them. Travels in a [`DrainNews`].
+    /// What it knows of the drains of zones, where it follows them. Travels in a [`DrainSection`].
     #[rkyv(with = Skip)]
     pub drains: Option<KnownDrains>,
 }
@@ -163,7 +163,7 @@
 
 /// The drains of zones, as one node tells them another.
 #[derive(Debug, Clone, PartialEq, Eq, Archive, Serialize, Deserialize)]
-pub struct ToldDrains {
+pub struct DrainSnapshot {
     /// All of them.
     pub table: ZoneDrains,
     /// Milliseconds for which nobody has confirmed that there is no newer change; `None` when nobody ever did.
@@ -172,13 +172,13 @@
 
 /// What nodes say to each other of the drains of zones, beside a message of the first protocol version.
 #[derive(Debug, Clone, PartialEq, Eq, Archive, Serialize, Deserialize)]
-pub enum DrainNews {
+pub enum DrainSection {
     /// Beside confirmations: how far the sender knows them.
     Known(KnownDrains),
     /// Beside a question for the view: the asker wants them.
     Wanted,
     /// Beside the answer.
-    Told(ToldDrains),
+    Told(DrainSnapshot),
 }
 
 /// A request or reply with the number that joins them.
--- a/crates/resident/src/peer/mod.rs
+++ b/crates/resident/src/peer/mod.rs
@@ -1,36 +1,36 @@
 //! What nodes say to each other: requests over framed TCP links, heartbeats over UDP.
 
-mod confirming;
+mod confirmation_query;
 mod encoding;
+mod extension;
 mod frame;
 mod gossip;
 mod grant;
-mod later;
 mod link;
 mod links;
 mod members;
 mod message;
 mod purpose;
+mod rejected;
 mod server;
 mod targets;
-mod unread;
 
-pub use encoding::{Message, MessageError, MessageKind, Section, decode, encode, number_of};
+pub use encoding::{Message, MessageError, MessageKind, Section, decode, encode, frame_number};
+pub use extension::{Build, ExtensionDatagram, ExtensionReply, ExtensionRequest};
 pub use frame::{Frame, FrameError, PROTOCOL, RawSection, frame, unframe};
-pub use gossip::{Gossip, GossipSources, Questions, fetch_members, fetch_view};
+pub use gossip::{Gossip, GossipSources, PendingQueries, fetch_members, fetch_view};
 pub use grant::{GrantReply, GrantRequest};
-pub use later::{Build, ExtensionDatagram, ExtensionReply, ExtensionRequest};
 pub use link::LinkError;
 pub use links::{PeerLinks, silence_timeout};
 pub use members::{Member, Members};
 pub use message::{
-    Confirmations, Datagram, DrainNews, Envelope, Heartbeat, KnownDrains, KnownEngines, LoadReport,
-    MemberInfo, PeerReply, PeerRequest, PrepareRequest, RelayedRequest, ReplicaStatus, ToldDrains,
-    ViewPosition, ViewUpdate,
+    Confirmations, Datagram, DrainSection, DrainSnapshot, Envelope, Heartbeat, KnownDrains,
+    KnownEngines, LoadReport, MemberInfo, PeerReply, PeerRequest, PrepareRequest, RelayedRequest,
+    ReplicaStatus, ViewPosition, ViewUpdate,
 };
+pub use rejected::{REJECTED, RejectedMessages};
 pub use server::{PeerService, serve};
 pub use targets::targets;
-pub use unread::{UNREAD, Unread};
 
 use tokio_util::codec::LengthDelimitedCodec;
 
--- a/crates/resident/src/peer/purpose.rs
+++ b/crates/resident/src/peer/purpose.rs
@@ -2,7 +2,7 @@
 
 use ridgeworks_records::ReplicaRequest;
 
-use super::later::{ExtensionDatagram, ExtensionRequest};
+use super::extension::{ExtensionDatagram, ExtensionRequest};
 use super::message::{Datagram, PeerRequest};
 use crate::traffic::Purpose;
 
@@ -37,9 +37,9 @@
     match datagram {
         Datagram::Heartbeat(_) => Purpose::Heartbeat,
         Datagram::Read(_) | Datagram::FindRead { .. } | Datagram::FoundRead { .. } => {
-            Purpose::Place
+            Purpose::PromptDirectory
         }
-        Datagram::AskConfirmations { .. } | Datagram::Confirmed { .. } => Purpose::Proof,
-        Datagram::Extension(ExtensionDatagram::Unknown(_)) => Purpose::Late,
+        Datagram::AskConfirmations { .. } | Datagram::Confirmed { .. } => Purpose::Confirmation,
+        Datagram::Extension(ExtensionDatagram::Unknown(_)) => Purpose::Unclaimed,
     }
 }
--- a/crates/resident/src/peer/unread.rs
+++ b/crates/resident/src/peer/rejected.rs
@@ -12,7 +12,7 @@
 
 /// Messages that this process has not understood.
 #[derive(Debug, Default)]
-pub struct Unread {
+pub struct RejectedMessages {
     /// Of a kind that this version does not know.
     pub unknown: AtomicU64,
     /// Whose bytes are no message.
@@ -21,13 +21,13 @@
 }
 
 /// Those of this process.
-pub static UNREAD: Unread = Unread {
+pub static REJECTED: RejectedMessages = RejectedMessages {
     unknown: AtomicU64::new(0),
     unreadable: AtomicU64::new(0),
     told: Mutex::new(None),
 };
 
-impl Unread {
+impl RejectedMessages {
     /// A message of a kind that is not known here.
     pub fn on_unknown(&self, from: IpAddr, kind: u16) {
         self.unknown.fetch_add(1, Ordering::Relaxed);
--- a/crates/resident/src/peer/server.rs
+++ b/crates/resident/src/peer/server.rs
@@ -12,11 +12,11 @@
 use tokio_util::codec::Framed;
 
 use super::codec;
-use super::encoding::{MessageKind, decode, encode, number_of};
-use super::later::ExtensionRequest;
+use super::encoding::{MessageKind, decode, encode, frame_number};
+use super::extension::ExtensionRequest;
 use super::message::{Envelope, PeerReply, PeerRequest};
-use super::unread::UNREAD;
-use crate::http_client::notice_silence;
+use super::rejected::REJECTED;
+use crate::http_client::configure_socket;
 
 /// Replies that may wait for a slow reader before its connection is read no further.
 const MAX_WAITING_REPLIES: usize = 256;
@@ -49,7 +49,7 @@
 }
 
 async fn serve_connection(stream: TcpStream, from: IpAddr, service: Rc<impl PeerService>) {
-    if notice_silence(&stream).is_err() {
+    if configure_socket(&stream).is_err() {
         return;
     }
     let (mut writer, mut reader) = Framed::new(stream, codec()).split();
@@ -105,14 +105,14 @@
     match decode::<Envelope<PeerRequest>>(frame) {
         Ok(envelope) => {
             if let PeerRequest::Extension(ExtensionRequest::Unknown(kind)) = envelope.body {
-                UNREAD.on_unknown(from, kind);
+                REJECTED.on_unknown(from, kind);
                 return Some(Request::NotKnown(Some(envelope.number)));
             }
             Some(Request::Known(envelope))
         }
         Err(error) => {
-            UNREAD.on_unreadable(from, MessageKind::Request, error);
-            (!error.is_damage()).then(|| Request::NotKnown(number_of(frame)))
+            REJECTED.on_unreadable(from, MessageKind::Request, error);
+            (!error.is_corruption()).then(|| Request::NotKnown(frame_number(frame)))
         }
     }
 }
--- a/crates/resident/src/process.rs
+++ b/crates/resident/src/process.rs
@@ -14,7 +14,7 @@
 use crate::http_server::{self, TextResponse};
 use crate::metrics;
 use crate::node::{Node, ReloadReason};
-use crate::shutdown::{Order, Signals};
+use crate::shutdown::{ProcessSignal, Signals};
 use crate::traffic::TrafficCollector;
 
 /// How often the settings file is looked at; it may change without a signal.
@@ -87,8 +87,8 @@
     loop {
         tokio::select! {
             order = orders.next() => match order {
-                Order::Reload => node.reload(settings_path, ReloadReason::Signal),
-                Order::Stop => return,
+                ProcessSignal::Reload => node.reload(settings_path, ReloadReason::Signal),
+                ProcessSignal::Stop => return,
             },
             () = tokio::time::sleep(SETTINGS_INTERVAL) => {
                 node.reload(settings_path, ReloadReason::Interval);
--- a/crates/resident/src/settings.rs
+++ b/crates/resident/src/settings.rs
@@ -1,5 +1,4 @@
-//! Settings of a node on the users' platform: one TOML file, filled in by the platform from the
-//! deployment's template.
+//! Settings of a node on the users' platform: one TOML file that the platform renders from the deployment's template.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -11,18 +10,18 @@
 use ridgeworks_routing::ZoneRegions;
 use serde::Deserialize;
 
-/// What a process does.
+/// Role of a process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Role {
-    /// Takes requests of clients.
+    /// Serves requests of clients.
     Gateway,
-    /// Keeps records on its disk.
+    /// Stores records on its disk.
     Replica,
 }
 
 impl Role {
-    /// Name for logs and for other nodes.
+    /// Name in logs.
     pub fn name(self) -> &'static str {
         match self {
             Self::Gateway => "gateway",
@@ -35,69 +34,68 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ListenSettings {
-    /// Where clients connect; a gateway needs it.
+    /// Listener for clients; required for a gateway.
     pub callers: Option<SocketAddr>,
-    /// Where the platform asks for readiness; a gateway needs it.
+    /// Listener for the platform's readiness probes; required for a gateway.
     pub readiness: Option<SocketAddr>,
-    /// Port and path of the metrics, as `PORT/PATH`.
+    /// Port and path of the metrics, as `PORT/PATH`; `None` serves no metrics.
     pub metrics: Option<String>,
 }
 
-/// What the machine allows the process.
+/// Resource limits of the process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LimitSettings {
     /// Memory, in MB.
     pub memory_mb: u64,
-    /// Open descriptors.
+    /// Open file descriptors.
     pub descriptors: u64,
-    /// Disk, in MB; 0 without one.
+    /// Disk space, in MB; 0 without a disk.
     #[serde(default)]
     pub disk_mb: u64,
 }
 
-/// The platform's store.
+/// Services of the platform.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PlatformSettings {
-    /// Its address.
+    /// Address of the platform's store.
     pub store: SocketAddr,
 }
 
-/// Times and counts that the deployment promises to keep.
+/// Bounds that the deployment guarantees.
 #[derive(Debug, Clone, Copy, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct BoundSettings {
-    /// Time from the order to stop until the process is killed, in seconds.
+    /// Time from the stop signal until the process is killed, in seconds.
     pub grace_s: f64,
-    /// Undisturbed time after which a node counts as in touch, in milliseconds.
+    /// Time without a disturbance after which a node counts as in contact, in milliseconds.
     pub contact_ms: f64,
     /// Time within which a configuration has to be in force everywhere, in milliseconds.
     pub configuration_ms: f64,
-    /// Machines with a disk that may be lost at once.
+    /// Number of machines with a disk that may be lost at once.
     pub lost_machines: u32,
-    /// Time after which no request may run any more with a key that was taken away, whatever its gateway has
-    /// heard, in milliseconds; none where that is not promised.
+    /// Time after which no request with a revoked key may run, whatever its gateway has learned, in milliseconds; `None`
+    /// where that is not guaranteed.
     pub key_removal_ms: Option<f64>,
-    /// Time within which the engines of a zone that is drained get nothing more, in milliseconds; none where zones are not
-    /// drained.
+    /// Time after which the engines of a drained zone get no new requests, in milliseconds; `None` where zones are not drained.
     pub zone_drain_ms: Option<f64>,
-    /// How many times what an engine bears while it warms up it may get within a second; none where engines need not warm up.
+    /// Factor by which the requests to a warming engine within a second may exceed its warm-up rate; `None` where engines need no warm-up.
     pub warm_up_factor: Option<f64>,
-    /// Requests that it may get in that time besides.
+    /// Number of requests that it may get within that second beyond the factor.
     pub warm_up_slack: Option<f64>,
-    /// Over how long the requests of a tenant are counted, in seconds.
+    /// Window over which a tenant's requests are counted, in seconds.
     #[serde(default = "default_quota_window_s")]
     pub quota_window_s: f64,
-    /// Part of what a tenant may make in that time by which it may be exceeded.
+    /// Fraction of a tenant's limit by which it may be exceeded within the window.
     #[serde(default = "default_quota_overshoot")]
     pub quota_overshoot: f64,
-    /// Requests of a tenant in that time by which it may be exceeded besides.
+    /// Number of requests by which a tenant's limit may be exceeded within the window beyond that fraction.
     #[serde(default = "default_quota_slack")]
     pub quota_slack: f64,
 }
 
-/// Where nothing is promised of limits they hold about as well as anybody expects of a rate a second.
+/// The quota defaults are what a client may expect of a limit given per second.
 fn default_quota_window_s() -> f64 {
     5.0
 }
@@ -111,7 +109,7 @@
 }
 
 impl BoundSettings {
-    /// Replicas wanted, so that a majority survives the losses.
+    /// Number of replicas of a set: a majority survives the loss of `lost_machines`.
     pub fn replicas(&self) -> usize {
         2 * self.lost_machines.max(1) as usize + 1
     }
@@ -121,13 +119,13 @@
         Duration::from_secs_f64(self.configuration_ms / 1_000.0)
     }
 
-    /// Time after which no request may run any more with a key that was taken away.
+    /// Time after which no request with a revoked key may run; `None` where that is not guaranteed.
     pub fn key_removal(&self) -> Option<Duration> {
         let ms = self.key_removal_ms?;
         Some(Duration::from_secs_f64(ms / 1_000.0))
     }
 
-    /// What is promised of the limits of tenants.
+    /// Guarantees for the limits of tenants.
     pub fn quota(&self) -> QuotaBounds {
         QuotaBounds {
             window: Duration::from_secs_f64(self.quota_window_s),
@@ -136,13 +134,13 @@
         }
     }
 
-    /// Time within which the engines of a zone that is drained get nothing more.
+    /// Time after which the engines of a drained zone get no new requests; `None` where zones are not drained.
     pub fn zone_drain(&self) -> Option<Duration> {
         let ms = self.zone_drain_ms?;
         Some(Duration::from_secs_f64(ms / 1_000.0))
     }
 
-    /// What is promised of engines that warm up; nothing where they need no care.
+    /// Guarantees for engines that warm up; `None` where they need no warm-up.
     pub fn warm_up(&self) -> Option<WarmUpBounds> {
         Some(WarmUpBounds {
             factor: self.warm_up_factor?,
@@ -150,98 +148,98 @@
         })
     }
 
-    /// Time from the order to stop until the process is killed.
+    /// Time from the stop signal until the process is killed.
     pub fn grace(&self) -> Duration {
         Duration::from_secs_f64(self.grace_s)
     }
 }
 
-/// Settings of one process.
+/// Settings of one node.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct NodeSettings {
-    /// What the process does.
+    /// Role of the process.
     pub role: Role,
-    /// Name of the node; no two nodes share it.
+    /// Name of the node, unique in the deployment.
     pub name: String,
     /// Zone of the node.
     pub zone: String,
-    /// The deployment's zones, each with its region; none where all stand in one region.
+    /// Region of each of the deployment's zones; empty where all are in one region.
     #[serde(default)]
     pub zones: BTreeMap<String, String>,
     /// Address of the node.
     pub address: IpAddr,
-    /// Port on which nodes talk to each other, the same on all nodes; TCP and UDP.
+    /// Port for links (TCP) and heartbeats (UDP), the same on all nodes.
     pub peer_port: u16,
-    /// Addresses of some nodes; they may be stale.
+    /// Addresses of some nodes, for discovery; they may be stale.
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
-    /// Folder for records; a replica needs it.
+    /// Directory of records; required for a replica.
     pub data_folder: Option<PathBuf>,
     /// Addresses to listen on.
     pub listen: ListenSettings,
-    /// What the machine allows.
+    /// Resource limits of the process.
     pub limits: LimitSettings,
-    /// The platform's store.
+    /// Services of the platform.
     pub platform: PlatformSettings,
-    /// What the deployment promises.
+    /// Bounds that the deployment guarantees.
     pub bounds: BoundSettings,
 }
 
-/// One value that is not allowed.
+/// One invalid value.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum SettingsFault {
-    /// The role needs this key.
+    /// The role requires this key.
     Missing(&'static str),
-    /// The value must not be empty or 0.
+    /// The value is empty or 0.
     Empty(&'static str),
-    /// The metrics are not given as `PORT/PATH`.
+    /// The value of `listen.metrics` is not `PORT/PATH`.
     MetricsAddress(String),
-    /// A time is negative or no number.
+    /// A time is negative or not finite, or 0 where it must not be.
     Time(&'static str),
-    /// A part or a count is negative or no number.
+    /// A fraction or a count is negative or not finite.
     Share(&'static str),
-    /// The value has to be a number above 0.
+    /// The value is not a finite number above 0.
     NotPositive(&'static str),
 }
 
 impl fmt::Display for SettingsFault {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Missing(key) => write!(formatter, "{key}: the role needs it"),
+            Self::Missing(key) => write!(formatter, "{key}: required for this role"),
             Self::Empty(key) => write!(formatter, "{key}: must not be empty or 0"),
             Self::MetricsAddress(value) => {
                 write!(formatter, "listen.metrics: {value:?} is not PORT/PATH")
             }
             Self::Share(key) => write!(formatter, "{key}: must be 0 or more"),
             Self::Time(key) => write!(formatter, "{key}: must be a time of 0 or more"),
-            Self::NotPositive(key) => write!(formatter, "{key}: must be more than 0"),
+            Self::NotPositive(key) => write!(formatter, "{key}: must be greater than 0"),
         }
     }
 }
 
-/// Why settings could not be loaded.
+/// Error from [`NodeSettings::load`].
 #[derive(Debug)]
 pub enum NodeSettingsError {
-    /// Neither a flag nor the platform names a file.
+    /// Neither a flag nor the platform gives a file.
     NoFile,
     /// The file could not be read.
     Read {
-        /// Its path.
+        /// Path of the file.
         path: PathBuf,
-        /// What the system answered.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// The file is no valid TOML, or has a key that is not known.
+    /// The file is not valid TOML, or has an unknown or missing key.
     Parse(toml::de::Error),
-    /// Values are not allowed; all faults are listed.
+    /// All invalid values.
     Faults(Vec<SettingsFault>),
 }
 
 impl fmt::Display for NodeSettingsError {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::NoFile => write!(formatter, "no settings file is named"),
+            Self::NoFile => write!(formatter, "no settings file is given"),
             Self::Read { path, source } => {
                 write!(formatter, "cannot read {}: {source}", path.display())
             }
@@ -257,7 +255,7 @@
 impl std::error::Error for NodeSettingsError {}
 
 impl NodeSettings {
-    /// Reads and checks a file.
+    /// Reads and validates a file.
     pub fn load(path: &Path) -> Result<Self, NodeSettingsError> {
         let text = std::fs::read_to_string(path).map_err(|source| NodeSettingsError::Read {
             path: path.to_owned(),
@@ -266,7 +264,7 @@
         Self::parse(&text)
     }
 
-    /// Reads and checks the text of a file.
+    /// Parses and validates the text of a file.
     pub fn parse(text: &str) -> Result<Self, NodeSettingsError> {
         let settings: Self = toml::from_str(text).map_err(NodeSettingsError::Parse)?;
         let faults = settings.faults();
@@ -282,18 +280,18 @@
         ZoneRegions::new(self.zones.clone())
     }
 
-    /// Whether what is promised hangs on something that nodes of the first protocol version do not tell of the
-    /// configuration and the engines: regions, and what engines bear while they warm up.
+    /// Whether the guarantees depend on parts of the configuration and the engines that nodes of protocol version 0 don't
+    /// send: regions and warm-up limits.
     pub fn need_extras(&self) -> bool {
         self.zone_regions().has_multiple_regions() || self.bounds.warm_up_factor.is_some()
     }
 
-    /// Where other nodes reach this one.
+    /// Address of this node's links and heartbeats.
     pub fn peer_address(&self) -> SocketAddr {
         SocketAddr::new(self.address, self.peer_port)
     }
 
-    /// Where the seeds are reached by nodes.
+    /// Addresses of the seeds' links and heartbeats, without this node's own.
     pub fn seed_peers(&self) -> Vec<SocketAddr> {
         let others = self.seeds.iter().filter(|seed| seed.ip() != self.address);
         others
@@ -306,7 +304,7 @@
         self.seeds.iter().any(|seed| seed.ip() == self.address)
     }
 
-    /// Port and path of the metrics.
+    /// Port and path of the metrics; `None` where none are served.
     pub fn metrics(&self) -> Option<(u16, String)> {
         let text = self.listen.metrics.as_deref()?;
         parse_metrics(text)
--- a/crates/resident/src/shutdown.rs
+++ b/crates/resident/src/shutdown.rs
@@ -6,7 +6,7 @@
 
 /// What the platform orders by a signal.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Order {
+pub enum ProcessSignal {
     /// End in an orderly way.
     Stop,
     /// Read the settings again.
@@ -32,11 +32,11 @@
     }
 
     /// The next order.
-    pub async fn next(&mut self) -> Order {
+    pub async fn next(&mut self) -> ProcessSignal {
         tokio::select! {
-            _ = self.terminate.recv() => Order::Stop,
-            _ = self.interrupt.recv() => Order::Stop,
-            _ = self.reload.recv() => Order::Reload,
+            _ = self.terminate.recv() => ProcessSignal::Stop,
+            _ = self.interrupt.recv() => ProcessSignal::Stop,
+            _ = self.reload.recv() => ProcessSignal::Reload,
         }
     }
 }
--- a/crates/resident/src/store_watch.rs
+++ b/crates/resident/src/store_watch.rs
@@ -1,11 +1,11 @@
-//! Follows kinds of objects in the platform's store.
+//! Watches kinds of objects in the platform's store.
 //!
-//! A watch waits for a change, and its connection may fall silent for good meanwhile. So the store is asked
-//! beside it when what is known has become too old ([`crate::watch_policy::WatchTimings`]), and a store that did not answer is
-//! asked without waiting until it does.
+//! A watch waits for a change, and its connection may fall silent without an error. So the store is probed beside an open watch
+//! once the known objects have been unconfirmed for too long ([`crate::watch_policy::WatchTimings`]), and after a failure it
+//! is probed with the shortest wait until it answers.
 //!
-//! An answer proves what was newest at some moment between the question and itself. So what is known counts as confirmed from when
-//! the question was asked: an answer may have waited at a process that was frozen, or on its way, for any time.
+//! An answer tells what was newest at some time between the request and itself, and may have been delayed for any time by a
+//! frozen process or on its way. So a confirmation counts from when its request was sent.
 
 use std::cell::Cell;
 use std::fmt;
@@ -24,28 +24,28 @@
 use crate::store_client::{StoreClient, StoreFailure};
 use crate::watch_policy::WatchControl;
 
-/// Pause after changes, so that those of a moment come in one answer.
-const GATHERING: Duration = Duration::from_millis(200);
-/// Time that the store may take beyond the wait.
-pub(crate) const ANSWER_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Time for an answer that waits for nothing. With the longest pause it stays below the bound on configurations after
-/// a silence of the store; a slow store takes up to half a second.
-const CHECK_TIMEOUT: Duration = Duration::from_secs(1);
-/// The least wait of a question that waits for nothing.
-const CHECK_WAIT: Duration = Duration::from_millis(1);
-const FIRST_PAUSE: Duration = Duration::from_millis(50);
-/// Longest pause of a node that has seen no list yet, and so cannot work.
-const LONGEST_FIRST_PAUSE: Duration = Duration::from_millis(200);
+/// Delay after changes, so that changes in quick succession come in one answer.
+const CHANGE_COALESCING_DELAY: Duration = Duration::from_millis(200);
+/// Time that the store may take to answer beyond the wait of the request.
+pub(crate) const REPLY_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Timeout of a probe. Together with the longest backoff it stays below the configuration bound after an outage of the
+/// store; a slow store takes up to half a second.
+const PROBE_TIMEOUT: Duration = Duration::from_secs(1);
+/// Wait of a probe: the least that a watch can have.
+const PROBE_WAIT: Duration = Duration::from_millis(1);
+const FIRST_BACKOFF: Duration = Duration::from_millis(50);
+/// Longest backoff of a node that has no list yet, and so can't work.
+const MAX_FIRST_LIST_BACKOFF: Duration = Duration::from_millis(200);
 
-/// Why the store could not be followed for a moment.
+/// Why a list or a watch failed.
 #[derive(Debug)]
-enum FollowError {
+enum WatchError {
     Failure(StoreFailure),
     Outcome(StoreOutcome),
     Answer(MalformedStoreResponse),
 }
 
-impl FollowError {
+impl WatchError {
     fn name(&self) -> &'static str {
         match self {
             Self::Failure(failure) => failure.name(),
@@ -58,7 +58,7 @@
     }
 }
 
-impl fmt::Display for FollowError {
+impl fmt::Display for WatchError {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Failure(failure) => failure.fmt(formatter),
@@ -68,44 +68,45 @@
     }
 }
 
-impl From<MalformedStoreResponse> for FollowError {
+impl From<MalformedStoreResponse> for WatchError {
     fn from(error: MalformedStoreResponse) -> Self {
         Self::Answer(error)
     }
 }
 
-/// Takes in what the store holds of a kind.
+/// Receives the objects of a watched kind.
 pub trait WatchHandler {
-    /// A complete list as of this revision.
+    /// Receives a complete list as of revision `at`.
     fn on_list(&self, objects: Vec<Object>, at: u64);
-    /// Changes, complete up to this revision.
+    /// Receives changes, complete up to revision `at`.
     fn on_events(&self, events: Vec<ObjectEvent>, at: u64);
-    /// The store confirmed that what is known was the newest this long ago.
+    /// The store confirmed that the known objects were the newest `age` ago.
     fn on_confirmed(&self, age: Duration);
-    /// A question beside a silent watch was answered. Other nodes may want to hear of it.
-    fn on_checked(&self) {}
-    /// Revision up to which other nodes have told everything, if that is known.
-    fn told_up_to(&self) -> Option<u64> {
+    /// The store confirmed the known objects beside an open watch or after an outage, which other nodes may need to learn at once.
+    fn on_probe_confirmed(&self) {}
+    /// Revision up to which all changes are known, also from other nodes; `None` before the first list.
+    fn known_revision(&self) -> Option<u64> {
         None
     }
-    /// Time since the store confirmed, to this node or to one that told it, that nothing newer is there.
+    /// Time since the store confirmed, to this node or to another that told it, that nothing newer exists; `None` where it
+    /// never did.
     fn unconfirmed(&self) -> Option<Duration> {
         None
     }
 }
 
-/// Follows a kind whenever it is this node's duty, until the process ends.
+/// Watches a kind of objects whenever [`WatchControl::should_watch`] holds, until the process ends.
 pub async fn watch_objects(
     store: Rc<StoreClient>,
     kind: ObjectKind,
-    follower: impl WatchHandler,
-    duty: Rc<WatchControl>,
+    handler: impl WatchHandler,
+    control: Rc<WatchControl>,
 ) {
-    let mut state = Following {
+    let mut state = ObjectWatch {
         store,
         kind,
-        follower,
-        duty,
+        handler,
+        control,
         at: None,
         must_list: false,
         failures: 0,
@@ -114,110 +115,111 @@
         lost_at: Instant::now(),
     };
     loop {
-        state.wait_for_duty().await;
+        state.wait_until_watching().await;
         state.asked_at = Instant::now();
         match state.step().await {
-            Ok(()) => state.on_reached(),
+            Ok(()) => state.on_success(),
             Err(error) => state.on_error(&error).await,
         }
     }
 }
 
 /// The store's answer to a watch.
-struct Answered {
+struct WatchReply {
     batch: WatchBatch,
-    /// The changes are complete as of then.
+    /// When the changes were known to be complete.
     as_of: Instant,
 }
 
-struct Following<F> {
+struct ObjectWatch<F> {
     store: Rc<StoreClient>,
     kind: ObjectKind,
-    follower: F,
-    duty: Rc<WatchControl>,
-    /// Revision up to which everything is known; `None` before the first list.
+    handler: F,
+    control: Rc<WatchControl>,
+    /// Revision up to which all changes are known; `None` before the first list.
     at: Option<u64>,
-    /// Whether the history since that revision is gone.
+    /// Whether the store no longer has the history since that revision.
     must_list: bool,
+    /// Consecutive failures.
     failures: u32,
-    /// When the question that is open, or was open last, was sent.
+    /// When the latest list or watch was sent.
     asked_at: Instant,
-    /// As of when the store confirmed what is known.
+    /// When the store last confirmed the known objects.
     confirmed_at: Cell<Instant>,
-    /// When the first of the failures in a row was noticed.
+    /// When the first of the consecutive failures was noticed.
     lost_at: Instant,
 }
 
-impl<F: WatchHandler> Following<F> {
-    /// Other nodes may have told more meanwhile.
-    async fn wait_for_duty(&mut self) {
-        self.duty.wait_until_due().await;
+impl<F: WatchHandler> ObjectWatch<F> {
+    async fn wait_until_watching(&mut self) {
+        self.control.wait_until_watching().await;
+        // Other nodes may have told newer changes meanwhile.
         if !self.must_list {
-            self.at = self.at.max(self.follower.told_up_to());
+            self.at = self.at.max(self.handler.known_revision());
         }
     }
 
-    async fn step(&mut self) -> Result<(), FollowError> {
+    async fn step(&mut self) -> Result<(), WatchError> {
         match self.at {
             None => self.list_all().await,
-            // A watch that is sent into a silence would be waited for long after the store is back.
+            // A watch sent during an outage would block for its whole wait after the store is back.
             Some(at) if self.failures > 0 => {
-                let answer = self.ask_at_once(at).await?;
-                self.take(answer, at).await;
+                let answer = self.probe(at).await?;
+                self.apply_reply(answer, at).await;
                 Ok(())
             }
             Some(at) => self.wait_for_changes(at).await,
         }
     }
 
-    async fn list_all(&mut self) -> Result<(), FollowError> {
+    async fn list_all(&mut self) -> Result<(), WatchError> {
         let asked_at = Instant::now();
         let (objects, at) = list_objects(&self.store, self.kind).await?;
-        self.follower.on_list(objects, at);
+        self.handler.on_list(objects, at);
         self.on_confirmed(asked_at);
         self.at = Some(at);
         self.must_list = false;
         Ok(())
     }
 
-    async fn wait_for_changes(&mut self, at: u64) -> Result<(), FollowError> {
-        let patience = self.duty.patience();
-        // The end of a wait is what confirms that there was no change; after a change the store was asked long before.
-        let wait = patience.wait.saturating_sub(self.unconfirmed());
-        let wait = wait.max(CHECK_WAIT);
-        let watch = self.ask(at, wait, patience.watch_timeout());
+    async fn wait_for_changes(&mut self, at: u64) -> Result<(), WatchError> {
+        let timings = self.control.timings();
+        // Only the end of a wait confirms that there was no change, so a wait ends while the last confirmation is still recent.
+        let wait = timings.wait.saturating_sub(self.unconfirmed());
+        let wait = wait.max(PROBE_WAIT);
+        let watch = self.ask(at, wait, timings.watch_timeout());
         let answer = tokio::select! {
             answer = watch => answer?,
-            missed = self.find_missed(at) => missed?,
+            missed = self.probe_until_missed(at) => missed?,
         };
-        self.take(answer, at).await;
+        self.apply_reply(answer, at).await;
         Ok(())
     }
 
-    /// Asks the store beside a watch that says nothing whenever what is known has become too old, until there are
-    /// changes of which the watch has not told.
-    async fn find_missed(&self, at: u64) -> Result<Answered, FollowError> {
+    /// Probes the store beside an open watch each time the known objects have been unconfirmed for too long, until a probe
+    /// returns changes that the watch has missed.
+    async fn probe_until_missed(&self, at: u64) -> Result<WatchReply, WatchError> {
         loop {
-            self.duty.wait_until_due().await;
-            let check_after = self.duty.patience().check_after;
+            self.control.wait_until_watching().await;
+            let probe_after = self.control.timings().probe_after;
             let age = self.unconfirmed();
-            if age < check_after {
-                tokio::time::sleep(check_after - age).await;
+            if age < probe_after {
+                tokio::time::sleep(probe_after - age).await;
                 continue;
             }
-            let answer = self.ask_at_once(at).await?;
+            let answer = self.probe(at).await?;
             self.store.on_check();
             let changes = answer.batch.events.len();
             if changes > 0 {
-                self.on_missed(changes);
+                self.on_missed_changes(changes);
                 return Ok(answer);
             }
             self.on_confirmed(answer.as_of);
-            self.follower.on_checked();
+            self.handler.on_probe_confirmed();
         }
     }
 
-    fn on_missed(&self, changes: usize) {
+    fn on_missed_changes(&self, changes: usize) {
         self.store.on_silent_watch();
         log::warn!(
             target: "dependency",
@@ -228,16 +230,14 @@
         );
     }
 
-    /// Time since the store last confirmed what is known.
+    /// Time since the store last confirmed the known objects, to this node or to another that told it.
     fn unconfirmed(&self) -> Duration {
         let own = self.confirmed_at.get().elapsed();
-        self.follower
-            .unconfirmed()
-            .map_or(own, |told| told.min(own))
+        self.handler.unconfirmed().map_or(own, |told| told.min(own))
     }
 
-    async fn ask_at_once(&self, at: u64) -> Result<Answered, FollowError> {
-        self.ask(at, CHECK_WAIT, CHECK_TIMEOUT).await
+    async fn probe(&self, at: u64) -> Result<WatchReply, WatchError> {
+        self.ask(at, PROBE_WAIT, PROBE_TIMEOUT).await
     }
 
     async fn ask(
@@ -245,43 +245,43 @@
         at: u64,
         wait: Duration,
         timeout: Duration,
-    ) -> Result<Answered, FollowError> {
+    ) -> Result<WatchReply, WatchError> {
         let call = watch(self.kind, at, wait);
         let asked_at = Instant::now();
         let body = call_store(&self.store, call, timeout).await?;
         let batch = read_watch(&body)?;
-        // The store answers without a change only once the wait is over.
+        // An answer without a change confirms the whole wait: the store sends it only when the wait is over.
         let has_waited = batch.events.is_empty() && asked_at.elapsed() >= wait;
         let as_of = if has_waited {
             asked_at + wait
         } else {
             asked_at
         };
-        Ok(Answered { batch, as_of })
+        Ok(WatchReply { batch, as_of })
     }
 
-    async fn take(&mut self, answer: Answered, at: u64) {
-        let Answered { batch, as_of } = answer;
+    async fn apply_reply(&mut self, answer: WatchReply, at: u64) {
+        let WatchReply { batch, as_of } = answer;
         self.at = Some(batch.at.max(at));
         let has_changes = !batch.events.is_empty();
-        self.follower.on_events(batch.events, batch.at);
-        // Not only once further changes have been gathered.
+        self.handler.on_events(batch.events, batch.at);
+        // Before the delay below, which would add to the age.
         self.on_confirmed(as_of);
         if has_changes {
-            tokio::time::sleep(GATHERING).await;
+            tokio::time::sleep(CHANGE_COALESCING_DELAY).await;
         }
     }
 
     fn on_confirmed(&self, as_of: Instant) {
         let latest = self.confirmed_at.get().max(as_of);
         self.confirmed_at.set(latest);
-        self.follower.on_confirmed(as_of.elapsed());
+        self.handler.on_confirmed(as_of.elapsed());
     }
 
-    fn on_reached(&mut self) {
+    fn on_success(&mut self) {
         if self.failures > 0 {
-            // Others that do not reach the store wait for this.
-            self.follower.on_checked();
+            // Nodes that can't reach the store wait for this confirmation.
+            self.handler.on_probe_confirmed();
             log::info!(
                 target: "dependency",
                 kind:? = self.kind,
@@ -293,9 +293,13 @@
         self.failures = 0;
     }
 
-    async fn on_error(&mut self, error: &FollowError) {
-        if matches!(error, FollowError::Outcome(StoreOutcome::HistoryGone)) {
-            log::info!(target: "dependency", kind:? = self.kind; "history gone, listing anew");
+    async fn on_error(&mut self, error: &WatchError) {
+        if matches!(error, WatchError::Outcome(StoreOutcome::HistoryGone)) {
+            log::info!(
+                target: "dependency",
+                kind:? = self.kind;
+                "platform store no longer has the history since the last known revision; listing again"
+            );
             self.at = None;
             self.must_list = true;
             return;
@@ -313,16 +317,16 @@
         }
         self.failures += 1;
         let longest = match self.at {
-            Some(_) => self.duty.patience().longest_pause,
-            None => LONGEST_FIRST_PAUSE,
+            Some(_) => self.control.timings().max_backoff,
+            None => MAX_FIRST_LIST_BACKOFF,
         };
-        tokio::time::sleep(pause(self.failures, longest)).await;
+        tokio::time::sleep(backoff(self.failures, longest)).await;
     }
 }
 
-/// Grows with the failures in a row; drawn at random so that nodes do not come back together.
-fn pause(failures: u32, longest: Duration) -> Duration {
-    let grown = FIRST_PAUSE.saturating_mul(1 << failures.min(6));
+/// Exponential backoff with jitter, so that nodes don't retry all at once.
+fn backoff(failures: u32, longest: Duration) -> Duration {
+    let grown = FIRST_BACKOFF.saturating_mul(1 << failures.min(6));
     grown
         .min(longest)
         .mul_f64(rand::rng().random_range(0.5..1.0))
@@ -332,26 +336,26 @@
     store: &StoreClient,
     call: StoreRequest,
     timeout: Duration,
-) -> Result<bytes::Bytes, FollowError> {
+) -> Result<bytes::Bytes, WatchError> {
     let answer = store.call(call, timeout).await;
-    let answer = answer.map_err(FollowError::Failure)?;
+    let answer = answer.map_err(WatchError::Failure)?;
     match answer.outcome {
         StoreOutcome::Done => Ok(answer.body),
-        outcome => Err(FollowError::Outcome(outcome)),
+        outcome => Err(WatchError::Outcome(outcome)),
     }
 }
 
-/// Lists all objects of a kind; complete as of the revision that is returned.
+/// Lists all objects of a kind, page by page; the list and the watch from the returned revision on miss no change.
 async fn list_objects(
     store: &StoreClient,
     kind: ObjectKind,
-) -> Result<(Vec<Object>, u64), FollowError> {
+) -> Result<(Vec<Object>, u64), WatchError> {
     let mut objects = Vec::new();
     let mut at = None;
     loop {
         let after = objects.last().map(|last: &Object| last.name.clone());
         let call = list(kind, after.as_deref());
-        let body = call_store(store, call, ANSWER_TIMEOUT).await?;
+        let body = call_store(store, call, REPLY_TIMEOUT).await?;
         let Listing {
             items,
             more,
@@ -359,7 +363,7 @@
         } = read_listing(&body)?;
         let is_empty = items.is_empty();
         objects.extend(items);
-        // Changes after the first page are told by the watch that follows.
+        // The watch that follows returns changes since the first page.
         let at = *at.get_or_insert(page_at);
         if !more || is_empty {
             return Ok((objects, at));
@@ -367,7 +371,7 @@
     }
 }
 
-/// Lists all objects of a kind once; `None` when the store does not answer.
+/// Lists all objects of a kind once, without a retry; `None` when the list fails.
 pub async fn list_once(store: &StoreClient, kind: ObjectKind) -> Option<Vec<Object>> {
     let listed = list_objects(store, kind).await;
     listed.ok().map(|(objects, _)| objects)
--- a/crates/resident/src/traffic.rs
+++ b/crates/resident/src/traffic.rs
@@ -1,7 +1,7 @@
-//! Bytes by what they are for and how far they go: those between zones and regions have a price of their own.
+//! Counts bytes by purpose and distance, since traffic between zones and regions has its own price.
 //!
-//! Whoever asks counts both its request and the answer, so the sum over all nodes has each byte once. Counted where the
-//! settings name zones.
+//! The requester counts both the request and the reply, so that the sum over all nodes has each byte once. Nothing is counted
+//! where the settings name no zones.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -15,38 +15,38 @@
 use prometheus_client::metrics::counter::ConstCounter;
 use ridgeworks_routing::ZoneRegions;
 
-/// Machines whose zones are remembered.
+/// Most machines whose distances are kept; beyond it all are dropped and learned again.
 const MAX_MACHINES: usize = 4_096;
 
-/// What bytes are for.
+/// What bytes are sent for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Purpose {
     /// Bodies of requests to engines.
     EngineRequest,
-    /// Bodies of their answers.
+    /// Bodies of engines' responses.
     EngineAnswer,
-    /// Tokens that are reserved.
+    /// Reservations of tokens.
     Reservation,
-    /// Tokens that turns generated.
+    /// Settlements of reservations with the tokens that were generated.
     Settlement,
-    /// Turns that are written.
+    /// Writes of turns.
     Append,
-    /// Turns that are read.
+    /// Reads of chains of turns.
     Chain,
-    /// Records that replicas copy.
+    /// Copies of records between replicas.
     Copy,
-    /// Limits of tenants and of engines that warm up.
+    /// Rate limits of tenants and of engines that warm up.
     Limit,
     /// Configuration, engines, replica sets, members.
     View,
     /// Heartbeats.
     Heartbeat,
-    /// Where prompts were read.
-    Place,
-    /// Proofs of what is the newest.
-    Proof,
-    /// What nobody waits for any more, or knows.
-    Late,
+    /// The directory of engines that have processed prompts.
+    PromptDirectory,
+    /// Confirmations that a view is the newest.
+    Confirmation,
+    /// Replies that nobody waits for any more, and messages of unknown kinds.
+    Unclaimed,
 }
 
 impl Purpose {
@@ -61,9 +61,9 @@
         Self::Limit,
         Self::View,
         Self::Heartbeat,
-        Self::Place,
-        Self::Proof,
-        Self::Late,
+        Self::PromptDirectory,
+        Self::Confirmation,
+        Self::Unclaimed,
     ];
 
     fn name(self) -> &'static str {
@@ -78,67 +78,72 @@
             Self::Limit => "limit",
             Self::View => "view",
             Self::Heartbeat => "heartbeat",
-            Self::Place => "place",
-            Self::Proof => "proof",
-            Self::Late => "late",
+            Self::PromptDirectory => "place",
+            Self::Confirmation => "proof",
+            Self::Unclaimed => "late",
         }
     }
 }
 
-/// How far bytes go.
+/// Distance between the two ends of a transfer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Reach {
-    /// Within a zone.
-    Zone,
-    /// To another zone of the region.
-    Region,
+pub enum Distance {
+    /// Within one zone.
+    SameZone,
+    /// To another zone of the same region.
+    OtherZone,
     /// To another region.
-    Beyond,
+    OtherRegion,
     /// To a machine whose zone is not known yet.
     Unknown,
 }
 
-impl Reach {
-    const ALL: [Self; 4] = [Self::Zone, Self::Region, Self::Beyond, Self::Unknown];
+impl Distance {
+    const ALL: [Self; 4] = [
+        Self::SameZone,
+        Self::OtherZone,
+        Self::OtherRegion,
+        Self::Unknown,
+    ];
 
     fn name(self) -> &'static str {
         match self {
-            Self::Zone => "zone",
-            Self::Region => "region",
-            Self::Beyond => "beyond",
+            Self::SameZone => "zone",
+            Self::OtherZone => "region",
+            Self::OtherRegion => "beyond",
             Self::Unknown => "unknown",
         }
     }
 }
 
-/// Counted bytes.
+/// Bytes by purpose and distance.
 #[derive(Debug, Default)]
-pub struct TrafficCounts([[AtomicU64; Reach::ALL.len()]; Purpose::ALL.len()]);
+pub struct TrafficCounts([[AtomicU64; Distance::ALL.len()]; Purpose::ALL.len()]);
 
 impl TrafficCounts {
-    /// Bytes so far.
-    pub fn get(&self, purpose: Purpose, reach: Reach) -> u64 {
-        self.0[purpose as usize][reach as usize].load(Ordering::Relaxed)
+    /// Bytes since the start of the process.
+    pub fn get(&self, purpose: Purpose, distance: Distance) -> u64 {
+        self.0[purpose as usize][distance as usize].load(Ordering::Relaxed)
     }
 
-    fn add(&self, purpose: Purpose, reach: Reach, bytes: usize) {
-        let count = &self.0[purpose as usize][reach as usize];
+    fn add(&self, purpose: Purpose, distance: Distance, bytes: usize) {
+        let count = &self.0[purpose as usize][distance as usize];
         count.fetch_add(bytes as u64, Ordering::Relaxed);
     }
 }
 
-/// What one node knows of how far its bytes go.
+/// Counts the bytes of one node.
 #[derive(Debug)]
 pub struct Traffic {
     zone: String,
     regions: ZoneRegions,
-    machines: RefCell<HashMap<IpAddr, Reach>>,
-    /// The counts.
+    machines: RefCell<HashMap<IpAddr, Distance>>,
+    /// Shared with the [`TrafficCollector`].
     pub counts: Arc<TrafficCounts>,
 }
 
 impl Traffic {
-    /// Nothing counted yet, at a node in this zone; `None` where the settings name no zones.
+    /// `zone` is the node's own zone; `None` where the settings name no zones.
     pub fn new(zone: &str, regions: ZoneRegions) -> Option<Self> {
         (!regions.is_empty()).then(|| Self {
             zone: zone.to_owned(),
@@ -148,8 +153,8 @@
         })
     }
 
-    /// A machine stands in this zone.
-    pub fn on_machine(&self, ip: IpAddr, zone: &str) {
+    /// Records the zone of a machine; the first one recorded stays.
+    pub fn set_machine_zone(&self, ip: IpAddr, zone: &str) {
         let mut machines = self.machines.borrow_mut();
         if machines.contains_key(&ip) {
             return;
@@ -157,31 +162,31 @@
         if machines.len() >= MAX_MACHINES {
             machines.clear();
         }
-        machines.insert(ip, self.reach(zone));
+        machines.insert(ip, self.distance_to(zone));
     }
 
     /// Counts bytes to or from another node.
     pub fn add(&self, purpose: Purpose, node: IpAddr, bytes: usize) {
-        let reach = self.machines.borrow().get(&node).copied();
+        let distance = self.machines.borrow().get(&node).copied();
         self.counts
-            .add(purpose, reach.unwrap_or(Reach::Unknown), bytes);
+            .add(purpose, distance.unwrap_or(Distance::Unknown), bytes);
     }
 
     /// Counts bytes to or from an engine in this zone.
     pub fn add_for_zone(&self, purpose: Purpose, zone: &str, bytes: usize) {
-        self.counts.add(purpose, self.reach(zone), bytes);
+        self.counts.add(purpose, self.distance_to(zone), bytes);
     }
 
-    fn reach(&self, zone: &str) -> Reach {
+    fn distance_to(&self, zone: &str) -> Distance {
         match self.regions.distance(&self.zone, zone) {
-            0 => Reach::Zone,
-            1 => Reach::Region,
-            _ => Reach::Beyond,
+            0 => Distance::SameZone,
+            1 => Distance::OtherZone,
+            _ => Distance::OtherRegion,
         }
     }
 }
 
-/// Tells the counts at each request for metrics.
+/// Exports the counts as metrics.
 #[derive(Debug)]
 pub struct TrafficCollector(pub Arc<TrafficCounts>);
 
@@ -191,12 +196,12 @@
         let mut family =
             encoder.encode_descriptor("traffic_bytes", help, None, MetricType::Counter)?;
         for purpose in Purpose::ALL {
-            for reach in Reach::ALL {
-                let bytes = self.0.get(purpose, reach);
+            for distance in Distance::ALL {
+                let bytes = self.0.get(purpose, distance);
                 if bytes == 0 {
                     continue;
                 }
-                let labels = [("purpose", purpose.name()), ("reach", reach.name())];
+                let labels = [("purpose", purpose.name()), ("reach", distance.name())];
                 let metric = family.encode_family(&labels)?;
                 ConstCounter::new(bytes).encode(metric)?;
             }
--- a/crates/resident/src/view.rs
+++ b/crates/resident/src/view.rs
@@ -1,7 +1,6 @@
-//! What a node believes of the deployment: configuration, engines, replica set.
+//! A node's view of the deployment: configuration, engines, replica sets, drains of zones.
 //!
-//! Each part only moves forward. Where it comes from does not matter: the platform's store and other
-//! nodes feed the same view.
+//! Each part only moves to newer versions, whether they come from the platform's store or from other nodes.
 
 mod drains;
 
@@ -18,7 +17,7 @@
 
 pub use self::drains::DrainView;
 
-/// Who told a part of the view.
+/// Where a part of the view came from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Source {
     /// The platform's store.
@@ -36,11 +35,11 @@
     }
 }
 
-/// What a node believes.
+/// What a node knows of the deployment.
 #[derive(Debug)]
 pub struct View {
     clock: Clock,
-    /// Whether the node has a use for engines.
+    /// Whether the node uses engines.
     follows_engines: bool,
     configuration: RefCell<Option<RouteConfiguration>>,
     routes: RefCell<Option<Rc<RouteTable>>>,
@@ -48,38 +47,39 @@
     engines_known: Cell<bool>,
     unreadable_engines: Cell<usize>,
     groups: RefCell<Option<Rc<ReplicaGroups>>>,
-    /// Zones whose engines get nothing more.
+    /// Zones whose engines get no new requests.
     pub drains: DrainView,
-    /// As of when the configuration was last proved to be the newest. Counted from when the question was
-    /// asked that was answered so, here and at every node that passed it on.
+    /// When the configuration was last confirmed to be the newest. Counted from the request whose answer confirmed it, at
+    /// this node and at each that passed the confirmation on.
     confirmed: Cell<Option<Moment>>,
     /// The same for the engines.
     engines_confirmed: Cell<Option<Moment>>,
     changed: watch::Sender<()>,
-    confirmation: Notify,
-    /// Tells of confirmations of the configuration.
-    proofs: Notify,
+    /// Notified when a confirmation is to be announced to other nodes.
+    announcement: Notify,
+    /// Notified at each confirmation of the configuration.
+    confirmed_notify: Notify,
     needs_extras: bool,
-    /// Whether nothing came from a node that does not know all of it.
+    /// Whether the configuration is complete: it did not come, directly or indirectly, from a node of protocol version 0.
     has_extras: Cell<bool>,
     /// The same for the engines.
     has_starts: Cell<bool>,
     refused: Cell<Option<Refusal>>,
 }
 
-/// What another node told without what this one needs of it.
+/// An update that lacked what this node needs.
 #[derive(Debug, Clone, Copy)]
 struct Refusal {
-    /// Version of the configuration, 0 where engines alone were told.
+    /// Version of its configuration; 0 where it had engines only.
     version: u64,
     at: Moment,
 }
 
-/// How long nothing more is fetched from others after they told less than this node needs.
-const REFUSED_PAUSE: Duration = Duration::from_secs(1);
+/// How long no view is fetched from other nodes after a refused update.
+const REFUSAL_BACKOFF: Duration = Duration::from_secs(1);
 
 impl View {
-    /// A view that knows nothing, of a node that has no use for drains of zones.
+    /// An empty view of a node that ignores drains of zones. `follows_engines` says whether it uses engines.
     pub fn new(clock: Clock, follows_engines: bool) -> Self {
         Self {
             clock,
@@ -94,8 +94,8 @@
             confirmed: Cell::new(None),
             engines_confirmed: Cell::new(None),
             changed: watch::Sender::new(()),
-            confirmation: Notify::new(),
-            proofs: Notify::new(),
+            announcement: Notify::new(),
+            confirmed_notify: Notify::new(),
             needs_extras: false,
             has_extras: Cell::new(true),
             has_starts: Cell::new(true),
@@ -103,40 +103,40 @@
         }
     }
 
-    /// The same for a node whose settings promise what nodes of the first protocol version do not know: what those tell of the
-    /// configuration and the engines lacks it and is not taken in (`docs/design/versions.md`, "What rests on all of them").
+    /// Sets whether the node's settings promise something that nodes of protocol version 0 don't know. Their configurations and
+    /// engines lack it and are refused (`docs/design/versions.md`, "What rests on all of them").
     pub fn needing_extras(mut self, needs_extras: bool) -> Self {
         self.needs_extras = needs_extras;
         self
     }
 
-    /// Whether what a node that speaks this protocol may know of the configuration and the engines is enough here.
-    pub fn speaks_enough(&self, protocol: u16) -> bool {
+    /// Whether configurations and engines from a node of this protocol version have all that this node needs.
+    pub fn is_protocol_sufficient(&self, protocol: u16) -> bool {
         !self.needs_extras || protocol > 0
     }
 
-    /// Whether it is worth asking such a node for what it knows.
-    pub fn takes_from(&self, protocol: u16) -> bool {
-        self.speaks_enough(protocol) && !self.refused_lately()
+    /// Whether to fetch the view of a node of this protocol version: its updates would not be refused, and none was lately.
+    pub fn accepts_views_from(&self, protocol: u16) -> bool {
+        self.is_protocol_sufficient(protocol) && !self.was_refused_recently()
     }
 
-    fn refused_lately(&self) -> bool {
+    fn was_refused_recently(&self) -> bool {
         let refused = self.refused.get();
-        refused.is_some_and(|refused| self.clock.since(refused.at) < REFUSED_PAUSE)
+        refused.is_some_and(|refused| self.clock.since(refused.at) < REFUSAL_BACKOFF)
     }
 
-    /// The same for a node that has a use for drains of zones.
+    /// Makes the node follow drains of zones.
     pub fn with_drains(mut self) -> Self {
         self.drains = DrainView::new(self.clock, true);
         self
     }
 
-    /// Tells of changes.
+    /// Receives a notification at each change of the view.
     pub fn changes(&self) -> watch::Receiver<()> {
         self.changed.subscribe()
     }
 
-    /// The routes in force.
+    /// The routes of the configuration in force; `None` before the first one.
     pub fn routes(&self) -> Option<Rc<RouteTable>> {
         self.routes.borrow().clone()
     }
@@ -149,12 +149,12 @@
             .map_or(0, |routes| routes.version())
     }
 
-    /// Gives access to the engines.
+    /// Borrows the engines for `read`, which must not change the view.
     pub fn with_engines<R>(&self, read: impl FnOnce(&EngineTable) -> R) -> R {
         read(&self.engines.borrow())
     }
 
-    /// Whether a list of engines has been seen.
+    /// Whether a complete list of engines has been received.
     pub fn engines_known(&self) -> bool {
         self.engines_known.get()
     }
@@ -164,29 +164,29 @@
         self.engines_known.get() && newest <= self.engines.borrow().at()
     }
 
-    /// Entries of engines that cannot be read, at a node that watches the store.
+    /// Number of stored engines that can't be decoded; kept up to date only while this node watches the store.
     pub fn unreadable_engines(&self) -> usize {
         self.unreadable_engines.get()
     }
 
-    /// Notes how many entries of engines cannot be read.
+    /// See [`View::unreadable_engines`].
     pub fn set_unreadable_engines(&self, count: usize) {
         self.unreadable_engines.set(count);
     }
 
-    /// The newest replica sets that are known.
+    /// The newest known replica sets; `None` before the first ones.
     pub fn groups(&self) -> Option<Rc<ReplicaGroups>> {
         self.groups.borrow().clone()
     }
 
-    /// The newest known set of a group.
+    /// The newest known set of a group; `None` where none is known.
     pub fn replica_set(&self, group: GroupId) -> Option<ReplicaSet> {
         let groups = self.groups.borrow();
         let set = groups.as_ref().and_then(|groups| groups.set(group));
         set.cloned()
     }
 
-    /// The epochs of the newest replica sets together, 0 when there are none.
+    /// Combined epoch of the newest known replica sets; 0 when none are known.
     pub fn epoch(&self) -> Epoch {
         let groups = self.groups.borrow();
         groups
@@ -194,42 +194,42 @@
             .map_or(Epoch::default(), |groups| groups.epoch())
     }
 
-    /// Time since somebody confirmed that the configuration is the newest one.
+    /// Time since the store confirmed, to this node or another, that the configuration is the newest; `None` when it never did.
     pub fn confirmation_age(&self) -> Option<Duration> {
         let confirmed = self.confirmed.get()?;
         Some(self.clock.since(confirmed))
     }
 
-    /// Time since somebody confirmed that no newer change of the engines is there.
-    pub fn engines_unconfirmed_for(&self) -> Option<Duration> {
+    /// Time since the store confirmed, to this node or another, that the engines have no newer change; `None` when it never did.
+    pub fn engines_confirmation_age(&self) -> Option<Duration> {
         let confirmed = self.engines_confirmed.get()?;
         Some(self.clock.since(confirmed))
     }
 
-    /// Notes that the engines that are known were the newest ones this long ago.
+    /// Records that the known engines were the newest `age` ago.
     pub fn confirm_engines_as_of(&self, age: Duration) {
         let at = self.clock.ago(age);
         let confirmed = self.engines_confirmed.get().max(Some(at));
         self.engines_confirmed.set(confirmed);
     }
 
-    /// Waits until the configuration is confirmed anew.
+    /// Waits until the configuration is confirmed again.
     pub async fn wait_for_confirmation(&self) {
-        self.proofs.notified().await;
+        self.confirmed_notify.notified().await;
     }
 
-    /// What this node knows of the deployment and for how long nobody has confirmed it, for a node that asks.
+    /// Versions and confirmation ages of this view, for another node.
     pub fn confirmations(&self) -> Confirmations {
         Confirmations {
             version: self.version(),
             unconfirmed_ms: self.confirmation_age().map(whole_ms),
             engines_newest: self.engines.borrow().newest(),
-            engines_unconfirmed_ms: self.engines_unconfirmed_for().map(whole_ms),
+            engines_unconfirmed_ms: self.engines_confirmation_age().map(whole_ms),
             drains: self.drains.known(),
         }
     }
 
-    /// Takes in what another node answered to a question that was asked this long ago.
+    /// Applies another node's answer to a request that was sent `asked` ago.
     pub fn confirm(&self, told: &Confirmations, asked: Duration) {
         let asked_ms = whole_ms(asked);
         let since_asked = |age: Option<u64>| age.map(|age| age.saturating_add(asked_ms));
@@ -244,17 +244,17 @@
         }
     }
 
-    /// Has other nodes told at once that this node's knowledge was confirmed, before they ask the store too.
+    /// Requests a heartbeat that tells other nodes of a confirmation before they probe the store too.
     pub fn announce_confirmation(&self) {
-        self.confirmation.notify_one();
+        self.announcement.notify_one();
     }
 
-    /// Waits until a confirmation is to be told.
+    /// Waits for [`View::announce_confirmation`].
     pub async fn confirmation(&self) {
-        self.confirmation.notified().await;
+        self.announcement.notified().await;
     }
 
-    /// Takes in that this version was the newest one so many milliseconds ago, if nothing older is in force.
+    /// Confirms the configuration if it is at least the version that was the newest `unconfirmed_ms` ago.
     fn confirm_version(&self, version: u64, unconfirmed_ms: Option<u64>) {
         let age = unconfirmed_ms.filter(|_| version <= self.version());
         if let Some(age) = age {
@@ -262,7 +262,7 @@
         }
     }
 
-    /// Takes in that there was no change of engines after this revision so many milliseconds ago, if all up to it are known.
+    /// Confirms the engines if all changes up to `newest` are known, which was the newest revision `unconfirmed_ms` ago.
     fn confirm_engines(&self, newest: u64, unconfirmed_ms: Option<u64>) {
         let is_known = self.has_engines_up_to(newest);
         if let Some(age) = unconfirmed_ms.filter(|_| is_known) {
@@ -270,14 +270,14 @@
         }
     }
 
-    /// Notes that the configuration was the newest one this long ago.
+    /// Records that the known configuration was the newest `age` ago.
     pub fn confirm_as_of(&self, age: Duration) {
         let at = self.clock.ago(age);
         self.confirmed.set(self.confirmed.get().max(Some(at)));
-        self.proofs.notify_waiters();
+        self.confirmed_notify.notify_waiters();
     }
 
-    /// Takes in a configuration unless it is not newer than the one in force.
+    /// Applies a configuration if it is newer than the one in force.
     pub fn adopt_configuration(&self, configuration: RouteConfiguration, source: Source) {
         let before = self.version();
         if configuration.version <= before {
@@ -299,7 +299,7 @@
         self.announce();
     }
 
-    /// Takes in a complete list of engines.
+    /// Applies a complete list of engines as of revision `at`.
     pub fn adopt_engines(&self, entries: Vec<EngineEntry>, at: u64, source: Source) {
         let changed = self.engines.borrow_mut().replace(entries, at);
         let first = !self.engines_known.replace(true);
@@ -308,7 +308,7 @@
         }
     }
 
-    /// Takes in one change of an engine.
+    /// Applies one new or changed engine.
     pub fn adopt_engine(&self, entry: EngineEntry, source: Source) {
         let state = entry.engine.state;
         let born_ms = entry.engine.born_ms;
@@ -328,7 +328,7 @@
         }
     }
 
-    /// Takes in that an engine is gone, from somebody who knows all changes up to `told_at`.
+    /// Removes an engine, as told by a source that knows all changes up to `told_at`.
     pub fn remove_engine(&self, instance: &str, revision: u64, told_at: u64, source: Source) {
         let removed = self
             .engines
@@ -346,12 +346,12 @@
         }
     }
 
-    /// Notes that all changes of engines up to this revision are in.
+    /// Records that all changes of engines up to this revision are known.
     pub fn advance_engines(&self, at: u64) {
         self.engines.borrow_mut().advance(at);
     }
 
-    /// Takes in replica sets unless they are not newer than the known ones.
+    /// Applies replica sets if they are newer than the known ones.
     pub fn adopt_groups(&self, groups: ReplicaGroups, source: Source) {
         if groups.epoch() <= self.epoch() {
             return;
@@ -370,7 +370,7 @@
         self.announce();
     }
 
-    /// How far this node knows the deployment.
+    /// Versions of this view, for a request for what is newer.
     pub fn position(&self) -> ViewPosition {
         let engines = if !self.follows_engines {
             KnownEngines::Unwanted
@@ -387,7 +387,7 @@
         }
     }
 
-    /// What another node lacks that knows the deployment this far.
+    /// All that is newer here than in the view of a node with this position.
     pub fn update_since(&self, known: &ViewPosition) -> ViewUpdate {
         let configuration = self.configuration.borrow();
         let configuration = configuration
@@ -406,7 +406,7 @@
             engines,
             groups: groups.map(|groups| ReplicaGroups::clone(&groups)),
             unconfirmed_ms: self.confirmation_age().map(whole_ms),
-            engines_unconfirmed_ms: self.engines_unconfirmed_for().map(whole_ms),
+            engines_unconfirmed_ms: self.engines_confirmation_age().map(whole_ms),
             drains: self
                 .drains
                 .told()
@@ -418,7 +418,7 @@
         }
     }
 
-    /// Takes in what another node knows, as it answered to a question that was asked this long ago.
+    /// Applies another node's answer to a request for its view that was sent `asked` ago.
     pub fn adopt_update(&self, update: ViewUpdate, asked: Duration) {
         let asked_ms = whole_ms(asked);
         let since_asked = |age: Option<u64>| age.map(|age| age.saturating_add(asked_ms));
@@ -433,7 +433,7 @@
             has_extras,
             has_starts,
         } = update;
-        // A node that tells no newer configuration knows none that is newer than what this one asked with.
+        // An update without a configuration says that the sender knows none newer than the version in the request.
         let version = configuration
             .as_ref()
             .map_or(0, |configuration| configuration.version);
@@ -468,7 +468,7 @@
         }
     }
 
-    /// Leaves it to the store, or to a node that knows all of it, to tell what another node told in part.
+    /// Notes that an update was refused because it is incomplete. The complete one comes from the store or another node.
     fn refuse(&self, version: u64) {
         let before = self.refused.get();
         let at = self.clock.ago(Duration::ZERO);
@@ -478,14 +478,14 @@
                 target: "belief",
                 version = version,
                 before = self.version();
-                "told by a node of an earlier version without what the settings need, not taken in"
+                "update from a node of an earlier protocol version lacks what the settings need; not applied"
             );
         }
     }
 
     fn adopt_engine_changes(&self, changes: EngineChanges, source: Source) {
         if !self.engines_known.get() && !changes.is_whole {
-            // Changes of a table that this node never had.
+            // Changes to a table that this node doesn't have.
             return;
         }
         let changed = self.engines.borrow_mut().apply_changes(changes);
--- a/crates/resident/src/view/drains.rs
+++ b/crates/resident/src/view/drains.rs
@@ -1,4 +1,4 @@
-//! Zones whose engines get nothing more, as far as a node knows (`docs/design/zone-drains.md`).
+//! Drained zones, whose engines get no new requests, as a node knows them (`docs/design/zone-drains.md`).
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -9,77 +9,77 @@
 
 use super::{Source, View};
 use crate::clock::{Clock, Moment, whole_ms};
-use crate::peer::{KnownDrains, ToldDrains};
+use crate::peer::{DrainSnapshot, KnownDrains};
 
-/// The drains of zones that a node knows.
+/// What a node knows of the drains of zones.
 #[derive(Debug)]
 pub struct DrainView {
     clock: Clock,
-    /// Whether the node has a use for them.
+    /// Whether the node uses them.
     are_followed: bool,
     /// `None` before the first list.
     table: RefCell<Option<Rc<ZoneDrains>>>,
-    /// Since when this node has known of each order.
+    /// When this node learned of each drain, by zone.
     since: RefCell<HashMap<String, Moment>>,
-    /// When this node heard that a zone was taken back.
-    returned: RefCell<HashMap<String, Moment>>,
-    /// As of when it was last proved that there is no newer change.
+    /// When this node last learned that a zone's drain had ended, by zone.
+    restored: RefCell<HashMap<String, Moment>>,
+    /// When the table was last confirmed to have no newer change.
     confirmed: Cell<Option<Moment>>,
 }
 
 impl DrainView {
-    /// A view that knows nothing.
+    /// Drains are unknown at first. `are_followed` says whether the node uses them; otherwise they stay unknown.
     pub fn new(clock: Clock, are_followed: bool) -> Self {
         Self {
             clock,
             are_followed,
             table: RefCell::default(),
             since: RefCell::default(),
-            returned: RefCell::default(),
+            restored: RefCell::default(),
             confirmed: Cell::new(None),
         }
     }
 
-    /// Whether the node has a use for them.
+    /// Whether the node uses drains of zones.
     pub fn are_followed(&self) -> bool {
         self.are_followed
     }
 
-    /// Whether a list of them has been seen.
+    /// Whether a complete list has been received.
     pub fn are_known(&self) -> bool {
         self.table.borrow().is_some()
     }
 
-    /// The orders in force; `None` where no zone is drained.
+    /// The drains in force; `None` where no zone is drained.
     pub fn in_force(&self) -> Option<Rc<ZoneDrains>> {
         let table = self.table.borrow();
         table.as_ref().filter(|table| !table.is_empty()).cloned()
     }
 
-    /// For how long this node has known that a zone is drained.
+    /// How long this node has known that a zone is drained; `None` where it is not.
     pub fn drained_for(&self, zone: &str) -> Option<Duration> {
         let since = self.since.borrow().get(zone).copied()?;
         Some(self.clock.since(since))
     }
 
-    /// Revision as of which all orders are known.
+    /// Revision up to which all changes are known; `None` before the first list.
     pub fn at(&self) -> Option<u64> {
         self.table.borrow().as_ref().map(|table| table.at())
     }
 
-    /// Time since somebody confirmed that there is no newer change.
+    /// Time since the store confirmed, to this node or another, that there is no newer change; `None` when it never did.
     pub fn confirmation_age(&self) -> Option<Duration> {
         let confirmed = self.confirmed.get()?;
         Some(self.clock.since(confirmed))
     }
 
-    /// Notes that what is known was the newest this long ago.
+    /// Records that the known drains were the newest `age` ago.
     pub fn confirm_as_of(&self, age: Duration) {
         let at = self.clock.ago(age);
         self.confirmed.set(self.confirmed.get().max(Some(at)));
     }
 
-    /// Takes in that there was no change after this revision so many milliseconds ago, if all up to it are known.
+    /// Confirms the drains if all changes up to `newest` are known, which was the newest revision `unconfirmed_ms` ago.
     pub fn confirm(&self, newest: u64, unconfirmed_ms: Option<u64>) {
         let is_known = self.at().is_some_and(|at| newest <= at);
         if let Some(age) = unconfirmed_ms.filter(|_| is_known) {
@@ -87,12 +87,12 @@
         }
     }
 
-    /// Whether another node knows a change that this one lacks.
-    pub fn lack(&self, told: &KnownDrains) -> bool {
+    /// Whether another node knows a change that this one doesn't.
+    pub fn is_behind(&self, told: &KnownDrains) -> bool {
         self.are_followed && self.at().is_none_or(|at| told.newest > at)
     }
 
-    /// How far this node knows them, for others.
+    /// Newest revision and confirmation age, for other nodes; `None` before the first list.
     pub fn known(&self) -> Option<KnownDrains> {
         let newest = self.table.borrow().as_ref()?.newest();
         Some(KnownDrains {
@@ -101,17 +101,17 @@
         })
     }
 
-    /// All that this node knows of them, for others.
-    pub fn told(&self) -> Option<ToldDrains> {
+    /// The whole table, for other nodes; `None` before the first list.
+    pub fn told(&self) -> Option<DrainSnapshot> {
         let table = self.table.borrow();
         let table = table.as_ref()?;
-        Some(ToldDrains {
+        Some(DrainSnapshot {
             table: ZoneDrains::clone(table),
             unconfirmed_ms: self.confirmation_age().map(whole_ms),
         })
     }
 
-    /// Takes in a table; says what has changed.
+    /// Merges a table into the known one and returns what has changed.
     fn adopt(&self, told: ZoneDrains) -> Vec<DrainChange> {
         let mut table = self.table.borrow_mut();
         let mut known = table.as_deref().cloned().unwrap_or_default();
@@ -120,21 +120,21 @@
         changes
     }
 
-    /// Since when a zone was drained that is so no more.
-    fn on_returned(&self, zone: &str) -> Option<Moment> {
+    /// Records the end of a zone's drain and returns when this node learned of its begin.
+    fn on_restored(&self, zone: &str) -> Option<Moment> {
         let now = self.clock.ago(Duration::ZERO);
-        self.returned.borrow_mut().insert(zone.to_owned(), now);
+        self.restored.borrow_mut().insert(zone.to_owned(), now);
         self.since.borrow_mut().remove(zone)
     }
 }
 
 impl View {
-    /// When this node heard that a zone was taken back last; its engines may have lost what they held.
+    /// When this node last learned that a zone's drain had ended; `None` when none has. Its engines may have lost their cached state since.
     pub fn zone_restored_at(&self, zone: &str) -> Option<Moment> {
-        self.drains.returned.borrow().get(zone).copied()
+        self.drains.restored.borrow().get(zone).copied()
     }
 
-    /// Takes in all orders as of a revision, unless newer ones are known.
+    /// Applies a complete table unless a newer one is known.
     pub fn adopt_drains(&self, told: ZoneDrains, source: Source) {
         if !self.drains.are_followed {
             return;
@@ -149,27 +149,28 @@
         }
     }
 
-    /// Takes in changes of orders, complete as of a revision: the zone, and the revision of its order or `None` where it is over.
+    /// Applies changes that are complete up to revision `at`: each has the zone and the revision of its drain, or `None`
+    /// where the drain has ended.
     pub fn change_drains(&self, changes: &[(String, Option<u64>)], at: u64, source: Source) {
         let Some(known) = self.drains.table.borrow().clone() else {
-            // Changes of a table that this node never had.
+            // Changes to a table that this node doesn't have.
             return;
         };
         if at < known.at() {
             return;
         }
         let next = known.after(changes, at);
-        let mut is_news = false;
+        let mut has_unseen_end = false;
         for (zone, revision) in changes {
-            // An order of which nothing was heard before its end. What others have told already is none.
-            let is_unheard = !known.is_drained(zone) && !next.is_drained(zone);
-            if revision.is_none() && is_unheard && at > known.at() {
-                self.drains.on_returned(zone);
-                is_news = true;
+            // A drain that began and ended within these changes. One that other nodes told of has been handled before.
+            let was_never_known = !known.is_drained(zone) && !next.is_drained(zone);
+            if revision.is_none() && was_never_known && at > known.at() {
+                self.drains.on_restored(zone);
+                has_unseen_end = true;
             }
         }
         self.adopt_drains(next, source);
-        if is_news {
+        if has_unseen_end {
             self.announce();
         }
     }
@@ -186,7 +187,7 @@
                 self.log_drain(zone, *revision, source, "zone drained, ordered again");
             }
             DrainChange::Ended { zone } => {
-                let since = drains.on_returned(zone);
+                let since = drains.on_restored(zone);
                 let stood_ms = since.map(|since| whole_ms(drains.clock.since(since)));
                 log::info!(
                     target: "belief",
--- a/crates/resident/src/followers.rs
+++ b/crates/resident/src/watch_handlers.rs
@@ -1,4 +1,4 @@
-//! What the node's view takes in of the kinds that it follows in the platform's store.
+//! Applies the configuration and the engines in the platform's store to the node's view.
 
 use std::cell::RefCell;
 use std::collections::BTreeSet;
@@ -14,11 +14,11 @@
 use crate::store_watch::WatchHandler;
 use crate::view::{Source, View};
 
-/// Takes in the configuration.
-pub struct ConfigurationFollower(pub Rc<View>);
+/// Applies the configuration; ignores objects of other names.
+pub struct ConfigurationHandler(pub Rc<View>);
 
-impl ConfigurationFollower {
-    fn take(&self, object: &Object) {
+impl ConfigurationHandler {
+    fn apply(&self, object: &Object) {
         if object.name != CONFIGURATION_NAME {
             return;
         }
@@ -28,27 +28,27 @@
                 target: "belief",
                 revision = object.revision,
                 error:% = error;
-                "configuration unreadable"
+                "configuration in the platform store cannot be decoded"
             ),
         }
     }
 }
 
-impl WatchHandler for ConfigurationFollower {
+impl WatchHandler for ConfigurationHandler {
     fn on_list(&self, objects: Vec<Object>, _at: u64) {
-        objects.iter().for_each(|object| self.take(object));
+        objects.iter().for_each(|object| self.apply(object));
     }
 
     fn on_events(&self, events: Vec<ObjectEvent>, _at: u64) {
         let present = events.iter().filter(|event| !event.gone);
-        present.for_each(|event| self.take(&event.object));
+        present.for_each(|event| self.apply(&event.object));
     }
 
     fn on_confirmed(&self, age: Duration) {
         self.0.confirm_as_of(age);
     }
 
-    fn on_checked(&self) {
+    fn on_probe_confirmed(&self) {
         self.0.announce_confirmation();
     }
 
@@ -57,15 +57,14 @@
     }
 }
 
-/// Takes in the engines.
-pub struct EngineFollower {
+/// Applies the engines.
+pub struct EngineHandler {
     view: Rc<View>,
-    /// Names of entries that could not be read when they last changed.
+    /// Names of the entries whose last change could not be decoded.
     unreadable: RefCell<BTreeSet<String>>,
 }
 
-impl EngineFollower {
-    /// A follower that has read no entry yet.
+impl EngineHandler {
     pub fn new(view: Rc<View>) -> Self {
         Self {
             view,
@@ -73,7 +72,7 @@
         }
     }
 
-    /// The engine that an entry names, if it names any; says so where this has changed.
+    /// Decodes an entry; `None` where that fails. Logs when an entry becomes unreadable or readable again.
     fn read(&self, object: &Object) -> Option<EngineEntry> {
         let read = read_engine(object);
         let mut unreadable = self.unreadable.borrow_mut();
@@ -108,7 +107,7 @@
     }
 }
 
-impl WatchHandler for EngineFollower {
+impl WatchHandler for EngineHandler {
     fn on_list(&self, objects: Vec<Object>, at: u64) {
         let is_listed = |name: &String| objects.iter().any(|object| object.name == *name);
         self.unreadable.borrow_mut().retain(is_listed);
@@ -126,7 +125,7 @@
             } else if let Some(entry) = self.read(&event.object) {
                 self.view.adopt_engine(entry, Source::Store);
             } else {
-                // What it named before may be somebody else's by now.
+                // The engine named before the change may have been replaced by another.
                 self.view.remove_engine(name, *revision, at, Source::Store);
             }
         }
@@ -137,32 +136,32 @@
         self.view.confirm_engines_as_of(age);
     }
 
-    fn on_checked(&self) {
+    fn on_probe_confirmed(&self) {
         self.view.announce_confirmation();
     }
 
     fn unconfirmed(&self) -> Option<Duration> {
-        self.view.engines_unconfirmed_for()
+        self.view.engines_confirmation_age()
     }
 
-    fn told_up_to(&self) -> Option<u64> {
+    fn known_revision(&self) -> Option<u64> {
         self.view
             .engines_known()
             .then(|| self.view.with_engines(|engines| engines.at()))
     }
 }
 
-/// Says once that the configuration has been unconfirmed for longer than the bound within which changes come in
-/// force, and once that it is confirmed again: requests may be handled by an older one in between.
+/// Logs once when the configuration has been unconfirmed for longer than its bound, and once when it is confirmed again. In between,
+/// requests may be handled by an old configuration.
 #[derive(Debug)]
-pub struct ConfirmationLog {
+pub struct OverdueConfirmationLog {
     bound: Duration,
-    /// The longest age since it was last in time.
+    /// The longest age since the bound was exceeded; `None` within the bound.
     overdue: Option<Duration>,
 }
 
-impl ConfirmationLog {
-    /// A log that has said nothing yet.
+impl OverdueConfirmationLog {
+    /// `bound` is the time within which a new configuration must be in force.
     pub fn new(bound: Duration) -> Self {
         Self {
             bound,
@@ -170,8 +169,8 @@
         }
     }
 
-    /// Looks at the time for which the configuration has been unconfirmed; `None` while there is none.
-    pub fn tell(&mut self, unconfirmed: Option<Duration>, version: u64) {
+    /// `unconfirmed` is the age of the last confirmation; `None` while there is no configuration.
+    pub fn update(&mut self, unconfirmed: Option<Duration>, version: u64) {
         let Some(age) = unconfirmed else { return };
         if age > self.bound {
             if self.overdue.is_none() {
--- a/crates/resident/src/watch_policy.rs
+++ b/crates/resident/src/watch_policy.rs
@@ -1,9 +1,9 @@
-//! Which nodes follow the platform's store themselves, and which learn of changes from other nodes.
+//! Decides which nodes watch the platform's store and which learn of changes from other nodes.
 //!
-//! In a small fleet every gateway watches. In a large one a few of each zone do, by a hash of their
-//! names, and tell the others ([`crate::peer::Gossip`]), so that the calls to the store do not grow with
-//! the fleet. Nothing is agreed on: a node whose knowledge has not been confirmed for too long watches
-//! too, for whatever reason the others are silent. See `docs/design/platform.md`, "Who watches the store".
+//! In a small fleet every gateway watches. In a large one a few of each zone do, chosen by a hash of their
+//! names, and tell the others ([`crate::peer::Gossip`]), so that the calls to the store don't grow with
+//! the fleet. The choice needs no agreement: a node whose view has been unconfirmed for too long watches
+//! too, whatever the reason. See `docs/design/platform.md`, "Who watches the store".
 
 use std::cell::Cell;
 use std::time::Duration;
@@ -12,55 +12,55 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::peer::Member;
-use crate::store_watch::ANSWER_TIMEOUT;
+use crate::store_watch::REPLY_TIMEOUT;
 
-/// Gateways up to which all of them watch.
+/// Number of gateways from which on only some of them watch.
 pub const SMALL_FLEET: usize = 12;
-/// Watching gateways wanted in a large fleet, over all zones.
+/// Watching gateways in a large fleet, over all zones.
 const WATCHERS: usize = 6;
-/// Watching gateways wanted in each zone at least.
+/// Least number of watching gateways in each zone.
 const WATCHERS_PER_ZONE: usize = 2;
-/// A node silent for so long no longer counts for the choice of watchers.
+/// A node silent for this long is left out of the choice of watchers.
 const SILENT_AFTER: Duration = Duration::from_secs(20);
-/// Time after the start in which a node hears who the others are. With half of it most of a large fleet took itself for a small one.
+/// Time after its start in which a node collects heartbeats before it relies on its watcher role. A shorter time makes nodes of a
+/// large fleet take it for a small one.
 const SETTLING: Duration = Duration::from_millis(1_200);
-/// When a node asks the store first that has heard of nothing: after this and up to the spread more.
-const FIRST_ASK: Duration = Duration::from_millis(30);
-const FIRST_ASK_SPREAD: Duration = Duration::from_millis(300);
-/// The same where a seed answers, which asks the store itself: without it most of a fleet that starts asks what only a few need to.
-const SEEDED_ASK: Duration = Duration::from_secs(1);
-const SEEDED_ASK_SPREAD: Duration = Duration::from_secs(1);
-/// Part of the bound on configurations after which knowledge counts as stale, and its spread.
-const STALE_SHARE: f64 = 0.6;
+/// When a node without any view first queries the store: after this delay and at most the spread more, by its name.
+const FIRST_QUERY_DELAY: Duration = Duration::from_millis(30);
+const FIRST_QUERY_SPREAD: Duration = Duration::from_millis(300);
+/// The same where a seed replies. The seeds query the store themselves, so that a starting fleet doesn't query it all at once.
+const SEEDED_QUERY_DELAY: Duration = Duration::from_secs(1);
+const SEEDED_QUERY_SPREAD: Duration = Duration::from_secs(1);
+/// Fraction of the configuration bound after which a view counts as stale, and the spread by name.
+const STALE_FRACTION: f64 = 0.6;
 const STALE_SPREAD: f64 = 0.2;
-/// Part of the bound on configurations for which a watch of a large fleet waits at most, and by how much less, drawn by name: watches that a change has
-/// answered together do not all end together from then on, so that some watcher's knowledge is always young.
-const WAIT_SHARE: f64 = 0.6;
+/// Fraction of the configuration bound for which a watch in a large fleet waits at most, and the spread by name that is taken off.
+/// The spread keeps watches that ended together at a change from ending together again, so that some watcher's view is always fresh.
+const WAIT_FRACTION: f64 = 0.6;
 const WAIT_SPREAD: f64 = 0.15;
-/// How long a node goes on watching that found its knowledge stale.
-const STALE_DUTY: Duration = Duration::from_secs(10);
-/// How long a watch waits whose answers nobody waits for.
+/// How long a node keeps watching after its view was stale.
+const STALE_WATCH_TIME: Duration = Duration::from_secs(10);
+/// Wait of a watch in a small fleet, where nothing depends on the end of the wait.
 const LONG_WAIT: Duration = Duration::from_secs(8);
-/// Part of the bound on configurations after which a node of a small fleet asks the store beside its watches, and the
-/// spread by name: mostly one node asks and tells the others, and all together know in time. Without it a change came in
-/// force 5.2 s after a silence of the store of 4 s, for a bound of 2 s (three gateways on loopback).
-const CHECK_SHARE: f64 = 0.4;
-const CHECK_SPREAD: f64 = 0.2;
-/// The same in a large fleet, where watches come back on their own before that.
-const LARGE_CHECK_SHARE: f64 = 0.7;
-const LARGE_CHECK_SPREAD: f64 = 0.1;
-/// How long orders to empty a machine, which take seconds, may be unknown because a watch is silent.
-const RETIREMENT_CHECK: Duration = Duration::from_secs(3);
-/// Longest pause between questions to a store that does not answer; a node asks again, and learns of the
-/// answer, well within the bound on configurations.
-const LONGEST_PAUSE: Duration = Duration::from_millis(800);
-/// The same for nodes that others tell of changes, so that a large fleet does not ask all at once.
-const LONGEST_OTHER_PAUSE: Duration = Duration::from_millis(2_400);
-
-/// A node's place among those that may watch.
+/// Fraction of the configuration bound after which a node of a small fleet probes the store beside its watches, and the
+/// spread by name. The spread lets mostly one node probe and tell the others. Without the probe, a watch whose connection has
+/// silent delays changes past the bound.
+const PROBE_FRACTION: f64 = 0.4;
+const PROBE_SPREAD: f64 = 0.2;
+/// The same in a large fleet, where watches return before that.
+const LARGE_PROBE_FRACTION: f64 = 0.7;
+const LARGE_PROBE_SPREAD: f64 = 0.1;
+/// How long a silent watch may hide an order to empty a machine. Carrying out such an order takes seconds.
+const RETIREMENT_PROBE_DELAY: Duration = Duration::from_secs(3);
+/// Longest backoff while the store doesn't answer: short enough for a retry and its answer within the configuration bound.
+const MAX_BACKOFF: Duration = Duration::from_millis(800);
+/// The same for nodes that other nodes tell of changes, so that a large fleet doesn't retry all at once.
+const MAX_OTHER_BACKOFF: Duration = Duration::from_millis(2_400);
+
+/// Whether a node is one of those that watch the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Place {
-    /// The fleet is small, all watch.
+pub enum WatcherRole {
+    /// The fleet is small and every gateway watches.
     All,
     /// It is one of the watchers of its zone.
     Chosen,
@@ -68,20 +68,20 @@
     Other,
 }
 
-/// Finds the place of a gateway from the other nodes that it knows.
-pub fn place<'a>(
+/// The watcher role of a gateway, from the other nodes that it knows.
+pub fn watcher_role<'a>(
     name: &str,
     zone: &str,
     members: impl Iterator<Item = &'a Member>,
     now: Duration,
-) -> Place {
+) -> WatcherRole {
     let counts = |member: &&Member| {
         let last = member.heard_at.unwrap_or(member.known_since);
         !member.info.is_replica && now.saturating_sub(last) < SILENT_AFTER
     };
     let gateways: Vec<&Member> = members.filter(counts).collect();
     if gateways.len() < SMALL_FLEET {
-        return Place::All;
+        return WatcherRole::All;
     }
     let mut zones: Vec<&str> = gateways
         .iter()
@@ -96,152 +96,157 @@
         .iter()
         .filter(|member| member.info.zone == zone && xxh3_64(member.info.name.as_bytes()) < mine);
     if before.count() < wanted {
-        Place::Chosen
+        WatcherRole::Chosen
     } else {
-        Place::Other
+        WatcherRole::Other
     }
 }
 
-/// Decides whether one node watches. Times are since the start of the process.
+/// Decides whether one node watches the store. Times are since the start of the process.
 #[derive(Debug)]
-pub struct WatchDuty {
-    first_ask: Duration,
-    seeded_ask: Duration,
+pub struct WatchPolicy {
+    first_query_after: Duration,
+    seeded_query_after: Duration,
     stale_after: Duration,
     wait: Duration,
-    check_after: Duration,
-    large_check_after: Duration,
+    probe_after: Duration,
+    large_probe_after: Duration,
+    /// Until when the node watches because its view was stale.
     stale_until: Option<Duration>,
 }
 
-impl WatchDuty {
-    /// The duty of a node under the bound within which configurations come in force.
+impl WatchPolicy {
+    /// `bound` is the time within which a new configuration must be in force. The node's name decides its part of each spread.
     pub fn new(name: &str, bound: Duration) -> Self {
-        let drawn = xxh3_64(name.as_bytes()) as f64 / u64::MAX as f64;
+        let spread_position = xxh3_64(name.as_bytes()) as f64 / u64::MAX as f64;
         Self {
-            first_ask: FIRST_ASK + FIRST_ASK_SPREAD.mul_f64(drawn),
-            seeded_ask: SEEDED_ASK + SEEDED_ASK_SPREAD.mul_f64(drawn),
-            stale_after: bound.mul_f64(STALE_SHARE + STALE_SPREAD * drawn),
-            wait: bound.mul_f64(WAIT_SHARE - WAIT_SPREAD * drawn),
-            check_after: bound.mul_f64(CHECK_SHARE + CHECK_SPREAD * drawn),
-            large_check_after: bound.mul_f64(LARGE_CHECK_SHARE + LARGE_CHECK_SPREAD * drawn),
+            first_query_after: FIRST_QUERY_DELAY + FIRST_QUERY_SPREAD.mul_f64(spread_position),
+            seeded_query_after: SEEDED_QUERY_DELAY + SEEDED_QUERY_SPREAD.mul_f64(spread_position),
+            stale_after: bound.mul_f64(STALE_FRACTION + STALE_SPREAD * spread_position),
+            wait: bound.mul_f64(WAIT_FRACTION - WAIT_SPREAD * spread_position),
+            probe_after: bound.mul_f64(PROBE_FRACTION + PROBE_SPREAD * spread_position),
+            large_probe_after: bound
+                .mul_f64(LARGE_PROBE_FRACTION + LARGE_PROBE_SPREAD * spread_position),
             stale_until: None,
         }
     }
 
-    /// A node that is a seed asks first: others wait for it.
-    pub fn ask_first(&mut self) {
-        self.first_ask = Duration::ZERO;
-        self.seeded_ask = Duration::ZERO;
+    /// Lets a seed query the store without delay, since other nodes wait for it.
+    pub fn query_immediately(&mut self) {
+        self.first_query_after = Duration::ZERO;
+        self.seeded_query_after = Duration::ZERO;
     }
 
-    /// A seed has answered, so that the first question is left to it for a while.
-    pub fn leave_to_seeds(&mut self) {
-        self.first_ask = self.seeded_ask;
+    /// Delays the first query because a seed has replied, which queries the store itself.
+    pub fn defer_to_seeds(&mut self) {
+        self.first_query_after = self.seeded_query_after;
     }
 
-    /// Whether the node watches now. `unconfirmed` is the time since it or another node heard from the
-    /// store that its configuration is the newest one.
-    pub fn is_due(&mut self, now: Duration, place: Place, unconfirmed: Option<Duration>) -> bool {
+    /// Whether the node is to watch now. `unconfirmed` is the time since the store confirmed, to this node or another, that
+    /// its configuration is the newest; `None` where it never did.
+    pub fn should_watch(
+        &mut self,
+        now: Duration,
+        watcher_role: WatcherRole,
+        unconfirmed: Option<Duration>,
+    ) -> bool {
         let Some(age) = unconfirmed else {
-            return now >= self.first_ask;
+            return now >= self.first_query_after;
         };
         if now < SETTLING {
             return false;
         }
-        if place != Place::Other {
+        if watcher_role != WatcherRole::Other {
             return true;
         }
         if age > self.stale_after {
-            self.stale_until = Some(now + STALE_DUTY);
+            self.stale_until = Some(now + STALE_WATCH_TIME);
         }
         self.stale_until.is_some_and(|until| now < until)
     }
 
-    /// How patient the node is with the store. In a large fleet the answers to watches are what keeps the
-    /// knowledge of the others from being stale.
-    pub fn patience(&self, place: Place) -> WatchTimings {
-        match place {
-            Place::All => WatchTimings {
+    /// Times of the node's watches. In a large fleet the answers to watches are what keeps the views of the other nodes confirmed.
+    pub fn timings(&self, watcher_role: WatcherRole) -> WatchTimings {
+        match watcher_role {
+            WatcherRole::All => WatchTimings {
                 wait: LONG_WAIT,
-                check_after: self.check_after,
-                longest_pause: LONGEST_PAUSE,
+                probe_after: self.probe_after,
+                max_backoff: MAX_BACKOFF,
             },
-            Place::Chosen | Place::Other => WatchTimings {
+            WatcherRole::Chosen | WatcherRole::Other => WatchTimings {
                 wait: self.wait.min(LONG_WAIT),
-                check_after: self.large_check_after,
-                longest_pause: match place {
-                    Place::Other => LONGEST_OTHER_PAUSE,
-                    Place::All | Place::Chosen => LONGEST_PAUSE,
+                probe_after: self.large_probe_after,
+                max_backoff: match watcher_role {
+                    WatcherRole::Other => MAX_OTHER_BACKOFF,
+                    WatcherRole::All | WatcherRole::Chosen => MAX_BACKOFF,
                 },
             },
         }
     }
 }
 
-/// How long a node waits for the store. What is known of a kind may become as old as `check_after` while a watch says
-/// nothing; then the store is asked beside it. A watch alone cannot tell "nothing has changed" from a connection that
-/// fell silent.
+/// Times of a watch of the store. Once the known objects of a kind have been unconfirmed for `probe_after`, the store is probed
+/// beside the open watch: a watch alone can't tell "nothing has changed" from a silent connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct WatchTimings {
-    /// How long a watch waits for a change.
+    /// How long the store holds a watch open without a change.
     pub wait: Duration,
-    /// Age of what is known from which on the store is asked beside a watch.
-    pub check_after: Duration,
-    /// Longest pause between questions while the store does not answer.
-    pub longest_pause: Duration,
+    /// Time without a confirmation after which the store is probed beside an open watch.
+    pub probe_after: Duration,
+    /// Longest backoff while the store doesn't answer.
+    pub max_backoff: Duration,
 }
 
 impl WatchTimings {
-    /// For orders to empty a machine.
+    /// For watches of orders to empty a machine.
     pub const RETIREMENTS: Self = Self {
         wait: LONG_WAIT,
-        check_after: RETIREMENT_CHECK,
-        longest_pause: LONGEST_PAUSE,
+        probe_after: RETIREMENT_PROBE_DELAY,
+        max_backoff: MAX_BACKOFF,
     };
 
-    /// How long an answer to a watch may take.
+    /// Deadline of a watch, from when it is sent.
     pub fn watch_timeout(&self) -> Duration {
-        self.wait + ANSWER_TIMEOUT
+        self.wait + REPLY_TIMEOUT
     }
 }
 
-/// The decision in force, for those that follow the store.
+/// The current decision, shared with the tasks that watch the store.
 #[derive(Debug)]
 pub struct WatchControl {
-    is_due: watch::Sender<bool>,
-    patience: Cell<WatchTimings>,
+    should_watch: watch::Sender<bool>,
+    timings: Cell<WatchTimings>,
 }
 
 impl WatchControl {
-    /// A signal that is not due until it is set.
-    pub fn new(patience: WatchTimings) -> Self {
+    /// `should_watch` is false until the first [`WatchControl::set`].
+    pub fn new(timings: WatchTimings) -> Self {
         Self {
-            is_due: watch::Sender::new(false),
-            patience: Cell::new(patience),
+            should_watch: watch::Sender::new(false),
+            timings: Cell::new(timings),
         }
     }
 
-    /// Sets the decision; says whether it is another one than before.
-    pub fn set(&self, is_due: bool, patience: WatchTimings) -> bool {
-        self.patience.set(patience);
-        self.is_due.send_replace(is_due) != is_due
+    /// Sets the decision; returns whether it has changed.
+    pub fn set(&self, should_watch: bool, timings: WatchTimings) -> bool {
+        self.timings.set(timings);
+        self.should_watch.send_replace(should_watch) != should_watch
     }
 
-    /// Whether the node watches now.
-    pub fn is_due(&self) -> bool {
-        *self.is_due.borrow()
+    /// The decision of the last [`WatchControl::set`].
+    pub fn should_watch(&self) -> bool {
+        *self.should_watch.borrow()
     }
 
-    /// How patient the node is with the store.
-    pub fn patience(&self) -> WatchTimings {
-        self.patience.get()
+    /// Timings for the next watch; they may change while one is open.
+    pub fn timings(&self) -> WatchTimings {
+        self.timings.get()
     }
 
-    /// Waits until the node is to watch.
-    pub async fn wait_until_due(&self) {
-        let mut receiver = self.is_due.subscribe();
-        // The sender lives as long as this borrow of it.
-        let _ = receiver.wait_for(|is_due| *is_due).await;
+    /// Returns at once if the node already watches.
+    pub async fn wait_until_watching(&self) {
+        let mut receiver = self.should_watch.subscribe();
+        // Can't fail: `self` holds the sender.
+        let _ = receiver.wait_for(|should_watch| *should_watch).await;
     }
 }
--- a/crates/resident/tests/confirmations.rs
+++ b/crates/resident/tests/confirmations.rs
@@ -3,14 +3,14 @@
 //! An age that a heartbeat told counted from when the heartbeat was read. One that had waited at a process that was frozen made old
 //! knowledge look confirmed, and others took it over from there.
 
-#[path = "support/quiet.rs"]
-mod quiet;
+#[path = "support/idle_node.rs"]
+mod idle_node;
 mod support;
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use quiet::{VERSION, node};
+use idle_node::{VERSION, node};
 use ridgeworks_records::Epoch;
 use ridgeworks_resident::peer::{
     Confirmations, Datagram, Heartbeat, LoadReport, MemberInfo, PROTOCOL, decode, encode,
@@ -104,7 +104,7 @@
         let answer = Datagram::Confirmed { number, told };
         send(&peer, node.settings.peer_address(), &answer).await;
         let confirmed = async {
-            while node.view.engines_unconfirmed_for().is_none() {
+            while node.view.engines_confirmation_age().is_none() {
                 sleep(Duration::from_millis(5)).await;
             }
         };
--- a/crates/resident/tests/drains.rs
+++ b/crates/resident/tests/drains.rs
@@ -87,7 +87,7 @@
     other.confirm(&told, Duration::ZERO);
     assert!(other.drains.confirmation_age().is_none());
     let known = told.drains.expect("a table is known");
-    assert!(other.drains.lack(&known));
+    assert!(other.drains.is_behind(&known));
     fetch(&one, &other, Duration::ZERO);
     assert!(!is_drained(&other));
     assert!(other.drains.confirmation_age().is_some());
--- a/crates/resident/tests/later_messages.rs
+++ b/crates/resident/tests/extension_messages.rs
@@ -12,8 +12,8 @@
 use futures_util::{SinkExt, StreamExt};
 use ridgeworks_resident::peer::{
     Build, Datagram, Envelope, ExtensionDatagram, ExtensionReply, ExtensionRequest, LinkError,
-    MessageKind, PeerLinks, PeerReply, PeerRequest, PeerService, decode, encode, frame, number_of,
-    serve, unframe,
+    MessageKind, PeerLinks, PeerReply, PeerRequest, PeerService, decode, encode, frame,
+    frame_number, serve, unframe,
 };
 use support::{free_address, run};
 use tokio::net::{TcpListener, TcpStream};
@@ -145,7 +145,7 @@
     while numbers.len() < requests {
         let frame = connection.next().await.expect("an open link");
         let frame = frame.expect("a frame");
-        numbers.extend(number_of(&frame));
+        numbers.extend(frame_number(&frame));
     }
     for (place, number) in numbers.into_iter().enumerate() {
         let frame = match place {
--- a/crates/resident/tests/heartbeats.rs
+++ b/crates/resident/tests/heartbeats.rs
@@ -1,12 +1,12 @@
 //! What heartbeats hold.
 
-#[path = "support/quiet.rs"]
-mod quiet;
+#[path = "support/idle_node.rs"]
+mod idle_node;
 mod support;
 
 use std::time::Duration;
 
-use quiet::node;
+use idle_node::node;
 use ridgeworks_records::Epoch;
 use ridgeworks_resident::peer::{
     Confirmations, Datagram, Heartbeat, LoadReport, MemberInfo, PROTOCOL, decode, encode,
--- a/crates/resident/tests/mixed_versions.rs
+++ b/crates/resident/tests/mixed_versions.rs
@@ -26,7 +26,7 @@
 };
 use ridgeworks_resident::settings::NodeSettings;
 use ridgeworks_resident::view::{Source, View};
-use ridgeworks_resident::watch_policy::Place;
+use ridgeworks_resident::watch_policy::WatcherRole;
 use ridgeworks_routing::PrefillRecord;
 use support::{free_address, run};
 use tokio::net::UdpSocket;
@@ -81,7 +81,7 @@
     assert_eq!(view.version(), 42);
     assert!(view.engines_known());
     assert!(view.confirmation_age().is_some());
-    assert!(view.takes_from(0));
+    assert!(view.accepts_views_from(0));
 }
 
 #[test]
@@ -92,7 +92,7 @@
     assert!(!view.engines_known());
     assert_eq!(view.confirmation_age(), None, "nothing is confirmed by it");
     assert_eq!(view.epoch(), samples::groups().epoch(), "sets lack nothing");
-    assert!(!view.takes_from(0));
+    assert!(!view.accepts_views_from(0));
 }
 
 #[test]
@@ -105,7 +105,10 @@
     view.adopt_update(told, Duration::ZERO);
     assert_eq!(view.version(), 0);
     assert!(!view.engines_known());
-    assert!(!view.takes_from(PROTOCOL), "not asked again at once");
+    assert!(
+        !view.accepts_views_from(PROTOCOL),
+        "not asked again at once"
+    );
 }
 
 #[test]
@@ -181,9 +184,9 @@
     }
 }
 
-struct Quiet;
+struct IdleRole;
 
-impl GossipSources for Quiet {
+impl GossipSources for IdleRole {
     fn load(&self) -> LoadReport {
         LoadReport::default()
     }
@@ -209,7 +212,7 @@
     let node = Node::bind(settings, Clock::start()).await;
     let node = node.expect("a free port");
     let service = Asked(Rc::default());
-    let outcome = node.start(Rc::new(service), Rc::new(Quiet)).await;
+    let outcome = node.start(Rc::new(service), Rc::new(IdleRole)).await;
     outcome.expect("a free port");
     (node, address)
 }
@@ -295,7 +298,7 @@
 }
 
 /// The place among the watchers of a node that hears so many older gateways.
-async fn place_among_older(more: &str) -> Place {
+async fn place_among_older(more: &str) -> WatcherRole {
     const OLDER: usize = 60;
     let (node, address) = started(more).await;
     let (socket, _) = other().await;
@@ -306,14 +309,14 @@
         let is_heard = || node.gossip.members().len() > number;
         wait_until("an older node is heard", is_heard).await;
     }
-    node.gossip.place(node.clock.now())
+    node.gossip.watcher_role(node.clock.now())
 }
 
 #[test]
 fn older_nodes_watch_the_store_for_others_only_where_their_news_are_enough() {
     run(async {
-        let place = place_among_older("warm_up_factor = 1.1").await;
-        assert_eq!(place, Place::All);
-        assert_ne!(place_among_older("").await, Place::All);
+        let watcher_role = place_among_older("warm_up_factor = 1.1").await;
+        assert_eq!(watcher_role, WatcherRole::All);
+        assert_ne!(place_among_older("").await, WatcherRole::All);
     });
 }
--- a/crates/resident/tests/mutated_messages.rs
+++ b/crates/resident/tests/mutated_messages.rs
@@ -14,7 +14,7 @@
 use ridgeworks_resident::node::MemberRecord;
 use ridgeworks_resident::peer::{
     Build, Datagram, Envelope, ExtensionReply, ExtensionRequest, MessageKind, PeerReply,
-    PeerRequest, decode, encode, frame, number_of, unframe,
+    PeerRequest, decode, encode, frame, frame_number, unframe,
 };
 use ridgeworks_routing::{Residency, WarmUpLimit};
 use xxhash_rust::xxh3::xxh3_64;
@@ -78,7 +78,7 @@
     let _ = decode::<Envelope<PeerRequest>>(bytes);
     let _ = decode::<Envelope<PeerReply>>(bytes);
     let _ = decode::<Datagram>(bytes);
-    let _ = number_of(bytes);
+    let _ = frame_number(bytes);
 }
 
 /// With a checksum that is right, so that what stands behind it is read.
--- a/crates/resident/tests/questions.rs
+++ b/crates/resident/tests/pending_queries.rs
@@ -1,10 +1,10 @@
 //! Questions to other nodes that wait for their answers.
 
-use ridgeworks_resident::peer::Questions;
+use ridgeworks_resident::peer::PendingQueries;
 
 #[test]
 fn an_answer_reaches_who_asked() {
-    let questions = Questions::default();
+    let questions = PendingQueries::default();
     let (one, _) = questions.ask();
     let (two, mut answer) = questions.ask();
     assert_ne!(one, two);
@@ -15,7 +15,7 @@
 
 #[test]
 fn questions_that_nobody_waits_for_do_not_pile_up() {
-    let questions = Questions::default();
+    let questions = PendingQueries::default();
     for _ in 0..10_000 {
         // Whoever asked goes away at once.
         drop(questions.ask());
--- a/crates/resident/tests/support/quiet.rs
+++ b/crates/resident/tests/support/idle_node.rs
@@ -17,15 +17,15 @@
 pub const VERSION: u64 = 7;
 
 /// A role that has nothing to tell and answers nothing.
-pub struct Quiet;
+pub struct IdleRole;
 
-impl PeerService for Quiet {
+impl PeerService for IdleRole {
     fn on_request(&self, _request: PeerRequest, reply: oneshot::Sender<PeerReply>) {
         drop(reply);
     }
 }
 
-impl GossipSources for Quiet {
+impl GossipSources for IdleRole {
     fn load(&self) -> LoadReport {
         LoadReport::default()
     }
@@ -68,7 +68,7 @@
         tenants: None,
     };
     node.view.adopt_configuration(configuration, Source::Peer);
-    node.start(Rc::new(Quiet), Rc::new(Quiet))
+    node.start(Rc::new(IdleRole), Rc::new(IdleRole))
         .await
         .expect("a free port");
     node
--- a/crates/resident/tests/traffic.rs
+++ b/crates/resident/tests/traffic.rs
@@ -6,7 +6,7 @@
 
 use prometheus_client::registry::Registry;
 use ridgeworks_resident::peer::{PeerLinks, PeerReply, PeerRequest, PeerService, serve};
-use ridgeworks_resident::traffic::{Purpose, Reach, Traffic, TrafficCollector};
+use ridgeworks_resident::traffic::{Distance, Purpose, Traffic, TrafficCollector};
 use ridgeworks_routing::ZoneRegions;
 use tokio::sync::oneshot;
 use tokio::task::LocalSet;
@@ -31,18 +31,18 @@
 fn bytes_count_by_the_zone_of_the_machine() {
     let traffic = traffic();
     for (last, zone) in [(1, "zone-a"), (2, "zone-b"), (3, "zone-c")] {
-        traffic.on_machine(ip(last), zone);
+        traffic.set_machine_zone(ip(last), zone);
         traffic.add(Purpose::Append, ip(last), 10 * usize::from(last));
     }
     traffic.add(Purpose::Append, ip(9), 5);
     traffic.add_for_zone(Purpose::EngineRequest, "zone-c", 7);
     let count = |purpose, reach| traffic.counts.get(purpose, reach);
-    assert_eq!(count(Purpose::Append, Reach::Zone), 10);
-    assert_eq!(count(Purpose::Append, Reach::Region), 20);
-    assert_eq!(count(Purpose::Append, Reach::Beyond), 30);
-    assert_eq!(count(Purpose::Append, Reach::Unknown), 5);
-    assert_eq!(count(Purpose::EngineRequest, Reach::Beyond), 7);
-    assert_eq!(count(Purpose::EngineRequest, Reach::Zone), 0);
+    assert_eq!(count(Purpose::Append, Distance::SameZone), 10);
+    assert_eq!(count(Purpose::Append, Distance::OtherZone), 20);
+    assert_eq!(count(Purpose::Append, Distance::OtherRegion), 30);
+    assert_eq!(count(Purpose::Append, Distance::Unknown), 5);
+    assert_eq!(count(Purpose::EngineRequest, Distance::OtherRegion), 7);
+    assert_eq!(count(Purpose::EngineRequest, Distance::SameZone), 0);
 }
 
 #[test]
@@ -81,18 +81,18 @@
             let node = SocketAddr::new(ip(40), 27_481);
             serve(node, Rc::new(Lists)).await.expect("a free address");
             let traffic = Rc::new(traffic());
-            traffic.on_machine(node.ip(), "zone-b");
+            traffic.set_machine_zone(node.ip(), "zone-b");
             let links = PeerLinks::counting(Some(Rc::clone(&traffic)));
             let patience = Duration::from_secs(5);
             let mut before = 0;
             for _ in 0..3 {
                 let reply = links.call(node, PeerRequest::ListMembers, patience).await;
                 assert_eq!(reply, Ok(PeerReply::Members(Vec::new())));
-                let now = traffic.counts.get(Purpose::View, Reach::Region);
+                let now = traffic.counts.get(Purpose::View, Distance::OtherZone);
                 assert!(now > before + 16, "{now} {before}");
                 before = now;
             }
-            assert_eq!(traffic.counts.get(Purpose::View, Reach::Unknown), 0);
+            assert_eq!(traffic.counts.get(Purpose::View, Distance::Unknown), 0);
         })
         .await;
 }
--- a/crates/resident/tests/watch_policy.rs
+++ b/crates/resident/tests/watch_policy.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use ridgeworks_resident::peer::{Member, MemberInfo};
-use ridgeworks_resident::watch_policy::{Place, WatchDuty, place};
+use ridgeworks_resident::watch_policy::{WatchPolicy, WatcherRole, watcher_role};
 
 const BOUND: Duration = Duration::from_millis(2_000);
 const LATER: Duration = Duration::from_secs(30);
@@ -25,26 +25,32 @@
 }
 
 /// The places of all gateways of a fleet, each knowing all others.
-fn places(gateways: usize, zones: usize) -> Vec<(String, Place)> {
+fn places(gateways: usize, zones: usize) -> Vec<(String, WatcherRole)> {
     let all: Vec<Member> = (0..gateways).map(|number| member(number, zones)).collect();
     let place_of = |me: &Member| {
         let others: Vec<Member> = all.iter().filter(|other| *other != me).cloned().collect();
         let info = &me.info;
-        let found = place(&info.name, &info.zone, others.iter(), LATER);
+        let found = watcher_role(&info.name, &info.zone, others.iter(), LATER);
         (info.zone.clone(), found)
     };
     all.iter().map(place_of).collect()
 }
 
-fn chosen(places: &[(String, Place)]) -> usize {
-    let chosen = places.iter().filter(|(_, place)| *place == Place::Chosen);
+fn chosen(places: &[(String, WatcherRole)]) -> usize {
+    let chosen = places
+        .iter()
+        .filter(|(_, watcher_role)| *watcher_role == WatcherRole::Chosen);
     chosen.count()
 }
 
 #[test]
 fn in_a_small_fleet_all_watch() {
     let places = places(8, 3);
-    assert!(places.iter().all(|(_, place)| *place == Place::All));
+    assert!(
+        places
+            .iter()
+            .all(|(_, watcher_role)| *watcher_role == WatcherRole::All)
+    );
 }
 
 #[test]
@@ -68,21 +74,22 @@
     let mut others: Vec<Member> = (1..60).map(|number| member(number, 1)).collect();
     let long_after = LATER + Duration::from_secs(21);
     let info = &me.info;
-    let place_at = |others: &[Member], now| place(&info.name, &info.zone, others.iter(), now);
-    assert_eq!(place_at(&others, long_after), Place::All);
+    let place_at =
+        |others: &[Member], now| watcher_role(&info.name, &info.zone, others.iter(), now);
+    assert_eq!(place_at(&others, long_after), WatcherRole::All);
     for other in &mut others {
         other.info.is_replica = true;
     }
-    assert_eq!(place_at(&others, LATER), Place::All);
+    assert_eq!(place_at(&others, LATER), WatcherRole::All);
 }
 
 #[test]
 fn a_node_that_has_heard_of_nothing_asks_the_store_soon_and_not_all_at_once() {
     let mut first: Vec<Duration> = Vec::new();
     for number in 0..100 {
-        let mut duty = WatchDuty::new(&format!("gateway-{number}"), BOUND);
+        let mut duty = WatchPolicy::new(&format!("gateway-{number}"), BOUND);
         let asks = (0..1_000).map(Duration::from_millis);
-        let mut asks = asks.filter(|now| duty.is_due(*now, Place::Other, None));
+        let mut asks = asks.filter(|now| duty.should_watch(*now, WatcherRole::Other, None));
         first.push(asks.next().expect("it asks"));
     }
     assert!(
@@ -97,22 +104,22 @@
 }
 
 /// When a node asks first that has heard of nothing.
-fn first_ask(duty: &mut WatchDuty) -> Duration {
+fn first_ask(duty: &mut WatchPolicy) -> Duration {
     let mut times = (0..10_000).map(Duration::from_millis);
-    let first = times.find(|now| duty.is_due(*now, Place::Other, None));
+    let first = times.find(|now| duty.should_watch(*now, WatcherRole::Other, None));
     first.expect("it asks")
 }
 
 #[test]
 fn a_fleet_that_starts_leaves_the_first_question_to_its_seeds_and_asks_if_they_learn_nothing() {
-    let mut seed = WatchDuty::new("gateway-0", BOUND);
-    seed.ask_first();
+    let mut seed = WatchPolicy::new("gateway-0", BOUND);
+    seed.query_immediately();
     // Another seed answers this one.
-    seed.leave_to_seeds();
+    seed.defer_to_seeds();
     assert_eq!(first_ask(&mut seed), Duration::ZERO);
     for number in 1..100 {
-        let mut other = WatchDuty::new(&format!("gateway-{number}"), BOUND);
-        other.leave_to_seeds();
+        let mut other = WatchPolicy::new(&format!("gateway-{number}"), BOUND);
+        other.defer_to_seeds();
         let first = first_ask(&mut other);
         let range = Duration::from_secs(1)..=Duration::from_secs(2);
         assert!(range.contains(&first), "{first:?}");
@@ -121,27 +128,27 @@
 
 #[test]
 fn a_node_whose_knowledge_is_not_confirmed_in_time_watches_for_a_while() {
-    let mut duty = WatchDuty::new("gateway-1", BOUND);
-    let mut is_due = |at: u64, age: u64| {
+    let mut duty = WatchPolicy::new("gateway-1", BOUND);
+    let mut should_watch = |at: u64, age: u64| {
         let age = Some(Duration::from_millis(age));
-        duty.is_due(Duration::from_millis(at), Place::Other, age)
+        duty.should_watch(Duration::from_millis(at), WatcherRole::Other, age)
     };
-    assert!(!is_due(5_000, 900));
+    assert!(!should_watch(5_000, 900));
     // Well within the bound, and whoever confirms it afterwards.
-    assert!(is_due(6_000, 1_700));
-    assert!(is_due(7_000, 0));
-    assert!(is_due(15_900, 0));
-    assert!(!is_due(16_100, 0));
+    assert!(should_watch(6_000, 1_700));
+    assert!(should_watch(7_000, 0));
+    assert!(should_watch(15_900, 0));
+    assert!(!should_watch(16_100, 0));
 }
 
 #[test]
 fn watchers_confirm_often_in_a_large_fleet_only() {
-    let duty = WatchDuty::new("gateway-1", BOUND);
-    let small = duty.patience(Place::All);
+    let duty = WatchPolicy::new("gateway-1", BOUND);
+    let small = duty.timings(WatcherRole::All);
     assert_eq!(small.wait, Duration::from_secs(8));
     let waits = (0..100).map(|number| {
-        let duty = WatchDuty::new(&format!("gateway-{number}"), BOUND);
-        duty.patience(Place::Chosen).wait
+        let duty = WatchPolicy::new(&format!("gateway-{number}"), BOUND);
+        duty.timings(WatcherRole::Chosen).wait
     });
     let waits: Vec<Duration> = waits.collect();
     // As often as before at the least, and a quarter oftener at the most.
@@ -157,15 +164,16 @@
 fn a_silent_watch_is_noticed_within_the_bound_and_not_by_all_at_once() {
     let mut checks = Vec::new();
     for number in 0..100 {
-        let duty = WatchDuty::new(&format!("gateway-{number}"), BOUND);
-        for place in [Place::All, Place::Chosen, Place::Other] {
-            let patience = duty.patience(place);
-            assert!(patience.check_after < BOUND.mul_f64(0.85), "{patience:?}");
+        let duty = WatchPolicy::new(&format!("gateway-{number}"), BOUND);
+        for watcher_role in [WatcherRole::All, WatcherRole::Chosen, WatcherRole::Other] {
+            let timings = duty.timings(watcher_role);
+            assert!(timings.probe_after < BOUND.mul_f64(0.85), "{timings:?}");
             // Watches that come back in time are not doubled.
-            let waits_alone = place == Place::All || patience.check_after > patience.wait;
-            assert!(waits_alone, "{patience:?}");
+            let waits_alone =
+                watcher_role == WatcherRole::All || timings.probe_after > timings.wait;
+            assert!(waits_alone, "{timings:?}");
         }
-        checks.push(duty.patience(Place::All).check_after);
+        checks.push(duty.timings(WatcherRole::All).probe_after);
     }
     let first = checks.iter().min().expect("some");
     let soon = checks
