--- a/crates/resident/src/actors.rs
+++ b/crates/resident/src/actors.rs
@@ -1,4 +1,4 @@
-//! Runs actors of `stakker` on the thread of the networking runtime.
+//! Runs `stakker` actors on the thread of the networking runtime.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -7,7 +7,7 @@
 use stakker::Stakker;
 use tokio::sync::Notify;
 
-/// The actors of a process. Calls that are deferred to actors run once [`ActorRuntime::wake`] is called.
+/// The actor system of a process. Deferred calls run after [`ActorRuntime::wake`].
 #[derive(Clone)]
 pub struct ActorRuntime {
     stakker: Rc<RefCell<Stakker>>,
@@ -24,12 +24,12 @@
 }
 
 impl ActorRuntime {
-    /// Gives access to the actor system, to create actors.
+    /// Borrows the actor system, to create actors.
     pub fn with<R>(&self, create: impl FnOnce(&mut Stakker) -> R) -> R {
         create(&mut self.stakker.borrow_mut())
     }
 
-    /// Says that a call was deferred.
+    /// To be called after a call was deferred; [`ActorRuntime::run`] then runs it.
     pub fn wake(&self) {
         self.wake.notify_one();
     }
--- a/crates/resident/src/build.rs
+++ b/crates/resident/src/build.rs
@@ -1,4 +1,4 @@
-//! What this process runs: for `--version`, the log, metrics and other nodes.
+//! Build information of this process, for `--version`, the log, metrics and other nodes.
 
 use std::fmt;
 use std::sync::OnceLock;
@@ -13,12 +13,12 @@
 
 static COMMIT: OnceLock<&'static str> = OnceLock::new();
 
-/// Tells from which commit the program was built, if that is known; the first word holds.
+/// Sets the commit that the program was built from; `None` where it is unknown. Only the first call counts.
 pub fn set_commit(commit: Option<&'static str>) {
     let _ = COMMIT.set(commit.unwrap_or(UNKNOWN));
 }
 
-/// What this process runs.
+/// Build information of this process.
 pub fn here() -> Build {
     Build {
         commit: (*COMMIT.get().unwrap_or(&UNKNOWN)).to_owned(),
@@ -41,7 +41,7 @@
     }
 }
 
-/// Tells it beside the other metrics.
+/// Registers the build information as a metric.
 pub fn register(registry: &mut Registry) {
     let Build {
         commit,
--- a/crates/resident/src/clock.rs
+++ b/crates/resident/src/clock.rs
@@ -1,15 +1,15 @@
-//! Clocks of a process.
+//! Monotonic and wall clock of a process.
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// The steady clock, counted from the start of the process.
+/// The monotonic clock, counted from the start of the process.
 #[derive(Debug, Clone, Copy)]
 pub struct Clock {
     start: Instant,
 }
 
 impl Clock {
-    /// A clock that starts now.
+    /// Starts the clock at zero.
     pub fn start() -> Self {
         Self {
             start: Instant::now(),
@@ -21,14 +21,14 @@
         self.start.elapsed()
     }
 
-    /// The moment that lies this long back.
+    /// The moment `age` before now.
     pub fn ago(&self, age: Duration) -> Moment {
         let now = Moment::at(self.now());
         let since_start_us = now.since_start_us.saturating_sub(whole_us(age));
         Moment { since_start_us }
     }
 
-    /// Time since a moment.
+    /// Time since a moment; zero where it is in the future.
     pub fn since(&self, moment: Moment) -> Duration {
         let now = Moment::at(self.now());
         let us = now.since_start_us.saturating_sub(moment.since_start_us);
@@ -36,8 +36,7 @@
     }
 }
 
-/// A moment on the steady clock, which may lie before the start of the process: what a node hears when it has just started may
-/// be older than itself.
+/// A moment on the monotonic clock. It may lie before the start of the process, since other nodes send ages that are older than this node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Moment {
     /// Microseconds since the start of the process.
@@ -56,7 +55,7 @@
     i64::try_from(duration.as_micros()).unwrap_or(i64::MAX)
 }
 
-/// Time of day in milliseconds since 1970; machines may not agree on it.
+/// Wall-clock time in milliseconds since the Unix epoch. The clocks of machines may differ.
 pub fn unix_time_ms() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     since.map_or(0, |since| {
@@ -64,7 +63,7 @@
     })
 }
 
-/// A time in whole milliseconds, for messages and logs.
+/// A duration in whole milliseconds, rounded down.
 pub fn whole_ms(duration: Duration) -> u64 {
     u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
 }
--- a/crates/resident/src/http_client.rs
+++ b/crates/resident/src/http_client.rs
@@ -1,4 +1,4 @@
-//! Connections to HTTP servers: the platform's store and the engines.
+//! Client connections to HTTP servers (the platform's store and the engines), and TCP options that are common to all connections.
 
 use std::fmt;
 use std::io;
@@ -12,22 +12,22 @@
 use socket2::{SockRef, TcpKeepalive};
 use tokio::net::TcpStream;
 
-/// A connection on which requests with whole bodies are sent.
+/// A connection for requests with complete bodies.
 pub type Connection = SendRequest<Full<Bytes>>;
 
-/// How long a peer may leave sent bytes or probes unanswered.
+/// How long sent bytes or keepalive probes may stay unacknowledged before the connection is closed.
 const SILENCE_LIMIT: Duration = Duration::from_millis(2_500);
 const PROBE_INTERVAL: Duration = Duration::from_secs(1);
 const PROBES: u32 = 3;
 
-/// Why a connection could not be made; nothing was sent.
+/// Why a connection could not be established; no request was sent.
 #[derive(Debug)]
 pub enum ConnectError {
-    /// The other side refused, or there is no way to it.
+    /// The server refused the connection or is unreachable.
     Refused(io::Error),
-    /// The other side did not answer in time.
+    /// The server did not answer in time.
     TimedOut,
-    /// The HTTP library refused the connection.
+    /// The HTTP handshake failed.
     Handshake(hyper::Error),
 }
 
@@ -46,15 +46,15 @@
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Refused(error) => write!(formatter, "cannot connect: {error}"),
-            Self::TimedOut => write!(formatter, "the connection was not answered in time"),
-            Self::Handshake(error) => write!(formatter, "cannot speak HTTP: {error}"),
+            Self::TimedOut => write!(formatter, "timed out while connecting"),
+            Self::Handshake(error) => write!(formatter, "HTTP handshake failed: {error}"),
         }
     }
 }
 
 impl std::error::Error for ConnectError {}
 
-/// Connects to a server. The connection ends when its handle is dropped.
+/// Connects to a server. The connection closes when the returned handle is dropped.
 pub async fn connect(address: SocketAddr, timeout: Duration) -> Result<Connection, ConnectError> {
     let stream = connect_tcp(address, timeout).await?;
     let handshake = http1::Builder::new()
@@ -69,7 +69,7 @@
     Ok(sender)
 }
 
-/// Connects a socket that notices a silent peer.
+/// Connects a socket and configures it ([`configure_socket`]).
 pub async fn connect_tcp(
     address: SocketAddr,
     timeout: Duration,
@@ -84,7 +84,7 @@
     Ok(stream)
 }
 
-/// Sets the options by which a socket notices that its peer is gone.
+/// Disables Nagle's algorithm and sets the keepalive and timeout by which a dead peer is detected.
 pub fn configure_socket(stream: &TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
--- a/crates/resident/src/http_server.rs
+++ b/crates/resident/src/http_server.rs
@@ -1,4 +1,4 @@
-//! Small HTTP servers for what the platform and on-call ask: readiness and metrics.
+//! A minimal HTTP server for readiness probes and metrics.
 
 use std::io;
 use std::net::SocketAddr;
@@ -14,24 +14,24 @@
 use hyper_util::rt::{TokioIo, TokioTimer};
 use tokio::net::{TcpListener, TcpStream};
 
-/// A connection that sends no whole head for so long is closed.
+/// A connection that sends no complete request head for this long is closed.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(30);
-/// Pause after the system refused to accept a connection.
+/// Delay after a failure to accept a connection, such as a lack of descriptors.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// A short answer.
+/// An HTTP response with a text body.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TextResponse {
-    /// Its status.
+    /// Status of the response.
     pub status: StatusCode,
-    /// Media type of its body.
+    /// Media type of the body.
     pub content_type: &'static str,
-    /// Its body.
+    /// Text of the body.
     pub body: String,
 }
 
 impl TextResponse {
-    /// An answer without a body.
+    /// A response without a body.
     pub fn empty(status: StatusCode) -> Self {
         Self {
             status,
@@ -41,7 +41,7 @@
     }
 }
 
-/// Answers requests by their path until the process ends.
+/// Serves `address` until the process ends; `answer` gets the path of each request.
 pub async fn serve(
     address: SocketAddr,
     answer: impl Fn(&str) -> TextResponse + 'static,
@@ -61,23 +61,23 @@
 
 fn serve_connection(stream: TcpStream, answer: Rc<impl Fn(&str) -> TextResponse + 'static>) {
     let service = service_fn(move |request: Request<Incoming>| {
-        let short = answer(request.uri().path());
-        async move { Ok::<_, std::convert::Infallible>(response(short)) }
+        let text = answer(request.uri().path());
+        async move { Ok::<_, std::convert::Infallible>(response(text)) }
     });
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(HEAD_TIMEOUT)
         .serve_connection(TokioIo::new(stream), service);
     tokio::task::spawn_local(async move {
-        // A connection that breaks off here concerns nobody else.
+        // An error ends this connection only.
         let _ = connection.await;
     });
 }
 
-fn response(short: TextResponse) -> Response<Full<Bytes>> {
-    let mut response = Response::new(Full::new(Bytes::from(short.body)));
-    *response.status_mut() = short.status;
-    let content_type = HeaderValue::from_static(short.content_type);
+fn response(text: TextResponse) -> Response<Full<Bytes>> {
+    let mut response = Response::new(Full::new(Bytes::from(text.body)));
+    *response.status_mut() = text.status;
+    let content_type = HeaderValue::from_static(text.content_type);
     response
         .headers_mut()
         .insert(header::CONTENT_TYPE, content_type);
--- a/crates/resident/src/lib.rs
+++ b/crates/resident/src/lib.rs
@@ -1,7 +1,7 @@
-//! What every role on the users' platform runs on.
+//! Runtime that every role on the users' platform shares.
 //!
-//! One thread does all networking, with `hyper` on `tokio`'s current-thread runtime; actors of `stakker`
-//! run on the same thread. Only logging and the disk have threads of their own.
+//! One thread does all networking, with `hyper` on `tokio`'s current-thread runtime; `stakker` actors
+//! run on the same thread. Only logging and disk access have their own threads.
 
 pub mod actors;
 pub mod build;
--- a/crates/resident/src/logging.rs
+++ b/crates/resident/src/logging.rs
@@ -1,8 +1,8 @@
 //! The log: one JSON object a line on standard output.
 //!
-//! Lines go through a bounded queue to a thread of their own, so that a reader who stalls never blocks
-//! the networking thread. Of each kind of line only so many are taken in a second; what was left out is
-//! counted, and said once the second is over.
+//! Lines go through a bounded queue to a writer thread, so that a stalled reader of the output never blocks the
+//! networking thread. Lines are rate-limited by target and level; the suppressed ones are counted, and their number is logged
+//! with the first line after the second.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -19,13 +19,13 @@
 use log4rs::encode::json::JsonEncoder;
 use log4rs::encode::writer::simple::SimpleWriter;
 
-/// Key of the node's name in a line's context.
+/// Key of the node's name in a line's diagnostic context.
 const NODE_KEY: &str = "node";
 const APPENDER: &str = "log";
 const WRITER_THREAD: &str = "log-writer";
-/// Lines that may wait for the writer.
+/// Capacity of the queue to the writer.
 const MAX_WAITING_LINES: usize = 4_096;
-/// Lines of one kind in one second; warnings and errors have as many again.
+/// Lines of one target and level in one second.
 const MAX_LINES_PER_SECOND: u32 = 300;
 const WINDOW: Duration = Duration::from_secs(1);
 
@@ -34,43 +34,43 @@
 pub struct LogCounters {
     /// Lines handed to the writer.
     pub written: AtomicU64,
-    /// Lines left out because too many of their kind came in one second.
+    /// Lines dropped by the rate limit.
     pub suppressed: AtomicU64,
-    /// Lines lost because the queue was full.
+    /// Lines dropped because the queue was full.
     pub lost: AtomicU64,
     /// Lines that have reached the standard output.
     pub flushed: AtomicU64,
 }
 
 impl LogCounters {
-    /// Waits until all lines so far have reached the standard output, or for this time. For the end of
-    /// the process: its last lines say why it ended.
-    pub fn wait_until_flushed(&self, patience: Duration) {
-        const CHECK: Duration = Duration::from_millis(2);
-        let limit = Instant::now() + patience;
+    /// Blocks until all lines so far have reached the standard output, or until the timeout. To be called before the process
+    /// ends, since its last lines say why.
+    pub fn wait_until_flushed(&self, timeout: Duration) {
+        const CHECK_INTERVAL: Duration = Duration::from_millis(2);
+        let limit = Instant::now() + timeout;
         let is_behind =
             || self.flushed.load(Ordering::Acquire) < self.written.load(Ordering::Acquire);
         while is_behind() && Instant::now() < limit {
-            std::thread::sleep(CHECK);
+            std::thread::sleep(CHECK_INTERVAL);
         }
     }
 }
 
-/// Why the log could not be started.
+/// Error from [`start`].
 #[derive(Debug)]
 pub enum LogError {
-    /// The writer's thread could not be started.
+    /// The writer thread could not be spawned.
     Thread(std::io::Error),
-    /// The library refused the configuration.
+    /// `log4rs` rejected the configuration.
     Configuration(log4rs::config::runtime::ConfigErrors),
-    /// Another log was started before.
+    /// A logger is already installed.
     Started(log::SetLoggerError),
 }
 
 impl fmt::Display for LogError {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Thread(error) => write!(formatter, "cannot start the log's thread: {error}"),
+            Self::Thread(error) => write!(formatter, "cannot start the log writer thread: {error}"),
             Self::Configuration(error) => write!(formatter, "cannot configure the log: {error}"),
             Self::Started(error) => write!(formatter, "cannot start the log: {error}"),
         }
@@ -79,7 +79,7 @@
 
 impl std::error::Error for LogError {}
 
-/// Starts the log of the process; each line names this node.
+/// Starts the log of the process; each line has the node's name.
 pub fn start(node: &str) -> Result<Arc<LogCounters>, LogError> {
     let counters = Arc::<LogCounters>::default();
     let (sender, receiver) = sync_channel(MAX_WAITING_LINES);
@@ -112,18 +112,18 @@
             text.extend_from_slice(&more);
             count += 1;
         }
-        // A reader that has gone away is no reason to stop serving.
+        // The process keeps running when its output has been closed.
         let mut output = std::io::stdout().lock();
         let _ = output.write_all(&text).and_then(|()| output.flush());
         counters.flushed.fetch_add(count, Ordering::AcqRel);
     }
 }
 
-/// Lines of one kind in the present second.
+/// Lines of one target and level in the current second.
 #[derive(Debug)]
 struct Window {
     began: Instant,
-    taken: u32,
+    admitted: u32,
     suppressed: u64,
 }
 
@@ -136,39 +136,39 @@
 }
 
 impl BoundedAppender {
-    /// Whether the line is taken; with the number left out in a second that has just ended.
+    /// Whether the line is within the rate limit, and how many lines were suppressed in the window that has just ended, if one has.
     fn admit(&self, record: &Record<'_>) -> (bool, u64) {
         let now = Instant::now();
         let mut windows = self.windows.lock().unwrap_or_else(PoisonError::into_inner);
         let key = (record.target().to_owned(), record.level());
         let window = windows.entry(key).or_insert(Window {
             began: now,
-            taken: 0,
+            admitted: 0,
             suppressed: 0,
         });
-        let mut told = 0;
+        let mut suppressed = 0;
         if now.duration_since(window.began) >= WINDOW {
-            told = std::mem::take(&mut window.suppressed);
+            suppressed = std::mem::take(&mut window.suppressed);
             window.began = now;
-            window.taken = 0;
+            window.admitted = 0;
         }
-        let taken = window.taken < MAX_LINES_PER_SECOND;
-        if taken {
-            window.taken += 1;
+        let is_admitted = window.admitted < MAX_LINES_PER_SECOND;
+        if is_admitted {
+            window.admitted += 1;
         } else {
             window.suppressed += 1;
         }
-        (taken, told)
+        (is_admitted, suppressed)
     }
 
     fn send(&self, record: &Record<'_>) -> anyhow::Result<()> {
-        // The encoder writes what stands here of the thread, which may be any.
+        // The encoder writes the diagnostic context of the current thread, which may not have the node's name yet.
         if log_mdc::get(NODE_KEY, |node| node.is_none()) {
             log_mdc::insert(NODE_KEY, self.node.as_str());
         }
         let mut line = Vec::new();
         JsonEncoder::new().encode(&mut SimpleWriter(&mut line), record)?;
-        // Counted before the writer can have it, so that it is never flushed before it is written.
+        // Counted before the writer can receive the line, so that `flushed` never exceeds `written`.
         self.counters.written.fetch_add(1, Ordering::AcqRel);
         if self.lines.try_send(line).is_err() {
             self.counters.written.fetch_sub(1, Ordering::AcqRel);
@@ -180,12 +180,12 @@
 
 impl Append for BoundedAppender {
     fn append(&self, record: &Record<'_>) -> anyhow::Result<()> {
-        let (taken, suppressed) = self.admit(record);
+        let (is_admitted, suppressed) = self.admit(record);
         if suppressed > 0 {
             self.counters
                 .suppressed
                 .fetch_add(suppressed, Ordering::Relaxed);
-            let text = format_args!("{suppressed} lines of this kind were left out");
+            let text = format_args!("{suppressed} lines of this target and level were suppressed");
             let note = Record::builder()
                 .target(record.target())
                 .level(record.level())
@@ -193,7 +193,7 @@
                 .build();
             self.send(&note)?;
         }
-        if taken {
+        if is_admitted {
             self.send(record)?;
         }
         Ok(())
--- a/crates/resident/src/metrics.rs
+++ b/crates/resident/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and histograms of a process, as Prometheus text.
+//! Metrics of a process, in the OpenMetrics text format.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -14,16 +14,16 @@
 use crate::logging::LogCounters;
 use crate::peer::REJECTED;
 
-/// Media type of the text.
+/// Media type of the OpenMetrics text format.
 pub const CONTENT_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 const PREFIX: &str = "ridgeworks";
 
-/// A registry with the product's prefix.
+/// A registry whose metrics have the product's name as a prefix.
 pub fn registry() -> Registry {
     Registry::with_prefix(PREFIX)
 }
 
-/// Encodes a registry as an answer.
+/// Encodes a registry as an HTTP response.
 pub fn answer(registry: &Registry) -> TextResponse {
     let mut body = String::new();
     match encode(&mut body, registry) {
@@ -36,7 +36,7 @@
     }
 }
 
-/// Tells the counters of the log at each request for metrics.
+/// Exports the counters of the log.
 #[derive(Debug)]
 pub struct LogCollector(pub Arc<LogCounters>);
 
@@ -59,7 +59,7 @@
     }
 }
 
-/// Tells at each request for metrics how many messages of other nodes were not understood.
+/// Exports the numbers of messages of other nodes that were rejected as unknown or unreadable.
 #[derive(Debug)]
 pub struct RejectedMessageCollector;
 
--- a/crates/resident/src/peer/purpose.rs
+++ b/crates/resident/src/peer/purpose.rs
@@ -37,7 +37,7 @@
     match datagram {
         Datagram::Heartbeat(_) => Purpose::Heartbeat,
         Datagram::Read(_) | Datagram::FindRead { .. } | Datagram::FoundRead { .. } => {
-            Purpose::PromptDirectory
+            Purpose::PrefillDirectory
         }
         Datagram::AskConfirmations { .. } | Datagram::Confirmed { .. } => Purpose::Confirmation,
         Datagram::Extension(ExtensionDatagram::Unknown(_)) => Purpose::Unclaimed,
--- a/crates/resident/src/process.rs
+++ b/crates/resident/src/process.rs
@@ -1,4 +1,4 @@
-//! What every role's process does: tell its metrics, read its settings again, end when it is told to.
+//! Process functions that are common to all roles: metrics, reload of settings, shutdown.
 
 use std::fmt;
 use std::io;
@@ -17,13 +17,13 @@
 use crate::shutdown::{ProcessSignal, Signals};
 use crate::traffic::TrafficCollector;
 
-/// How often the settings file is looked at; it may change without a signal.
+/// How often the settings file is read, since it may change without a signal.
 const SETTINGS_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Why a role could not run.
 #[derive(Debug)]
 pub enum RoleError {
-    /// A socket could not be bound, or signals not received.
+    /// A socket could not be bound or a signal handler not installed.
     Io(io::Error),
     /// The settings lack a key that the role needs.
     MissingSetting(&'static str),
@@ -33,7 +33,7 @@
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Io(error) => write!(formatter, "{error}"),
-            Self::MissingSetting(key) => write!(formatter, "the settings lack {key}"),
+            Self::MissingSetting(key) => write!(formatter, "missing setting {key}"),
         }
     }
 }
@@ -46,7 +46,7 @@
     }
 }
 
-/// Serves a registry at the settings' metrics address, if there is one; `update` brings gauges up to date.
+/// Serves a registry at the address of `listen.metrics`, if it is set. `update` is called before each response to refresh gauges.
 pub async fn serve_metrics(
     node: &Node,
     mut registry: Registry,
@@ -70,9 +70,9 @@
     http_server::serve(address, answer).await
 }
 
-/// Says that the role has started, and reads the settings again whenever they may have changed, until the
-/// platform stops the process.
-pub async fn run_until_stopped(node: &Node, settings_path: &Path, orders: &mut Signals) {
+/// Logs that the role has started, then reloads the settings after signals and periodically, until a signal stops the
+/// process.
+pub async fn run_until_stopped(node: &Node, settings_path: &Path, signals: &mut Signals) {
     let settings = &node.settings;
     let build = build::here();
     log::info!(
@@ -86,7 +86,7 @@
     );
     loop {
         tokio::select! {
-            order = orders.next() => match order {
+            signal = signals.next() => match signal {
                 ProcessSignal::Reload => node.reload(settings_path, ReloadReason::Signal),
                 ProcessSignal::Stop => return,
             },
--- a/crates/resident/src/shutdown.rs
+++ b/crates/resident/src/shutdown.rs
@@ -1,19 +1,19 @@
-//! Signals of the platform.
+//! Signals from the platform to stop the process or to reload its settings.
 
 use std::io;
 
 use tokio::signal::unix::{Signal, SignalKind, signal};
 
-/// What the platform orders by a signal.
+/// Meaning of a received signal.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ProcessSignal {
-    /// End in an orderly way.
+    /// Shut down in order (SIGTERM or SIGINT).
     Stop,
-    /// Read the settings again.
+    /// Reload the settings (SIGHUP).
     Reload,
 }
 
-/// Receives signals.
+/// Receiver of signals.
 #[derive(Debug)]
 pub struct Signals {
     terminate: Signal,
@@ -22,7 +22,7 @@
 }
 
 impl Signals {
-    /// Starts to receive signals.
+    /// Installs the signal handlers.
     pub fn listen() -> io::Result<Self> {
         Ok(Self {
             terminate: signal(SignalKind::terminate())?,
@@ -31,7 +31,7 @@
         })
     }
 
-    /// The next order.
+    /// Waits for the next signal.
     pub async fn next(&mut self) -> ProcessSignal {
         tokio::select! {
             _ = self.terminate.recv() => ProcessSignal::Stop,
--- a/crates/resident/src/store_client.rs
+++ b/crates/resident/src/store_client.rs
@@ -1,5 +1,5 @@
-//! Calls to the platform's store. Each call that waits has a connection of its own; a connection whose
-//! call was not answered is not used again.
+//! Client of the platform's store. Each pending call has its own connection; a connection whose call got no answer is not
+//! reused.
 
 use std::cell::{Cell, RefCell};
 use std::fmt;
@@ -16,30 +16,30 @@
 use crate::http_client::{ConnectError, Connection, connect};
 
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(800);
-/// Connections that are kept for later calls.
+/// Most idle connections that are kept.
 const MAX_IDLE: usize = 3;
-/// How long a kept connection may have rested and still be used: it may have fallen silent for good meanwhile, and a
-/// new one costs less than a call that waits in vain. Calls of a watch follow each other sooner.
+/// How long a connection may be idle and still be reused. It may fall silent without an error meanwhile, and a new connection
+/// costs less than a call that times out. Consecutive calls of a watch come within this time.
 const IDLE_LIMIT: Duration = Duration::from_millis(500);
 const JSON: HeaderValue = HeaderValue::from_static("application/json");
 
 /// The answer to a call.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StoreAnswer {
-    /// What became of the call.
+    /// Outcome of the call, from the HTTP status.
     pub outcome: StoreOutcome,
-    /// The body of the answer.
+    /// Body of the HTTP response.
     pub body: Bytes,
 }
 
-/// Why a call has no answer. It may have been carried out, or may still be.
+/// Why a call has no answer. Unless the connection failed, the store may have executed the call or may still do so.
 #[derive(Debug)]
 pub enum StoreFailure {
-    /// No connection; nothing was sent.
+    /// The connection could not be established; nothing was sent.
     Connect(ConnectError),
-    /// The connection broke.
+    /// The connection broke before the answer was complete.
     Broken(hyper::Error),
-    /// No answer in time.
+    /// The answer did not come in time.
     TimedOut,
 }
 
@@ -76,7 +76,7 @@
     silent_watches: Cell<u64>,
 }
 
-/// A connection whose last call was answered.
+/// A connection without a pending call.
 #[derive(Debug)]
 struct Idle {
     connection: Connection,
@@ -84,7 +84,7 @@
 }
 
 impl StoreClient {
-    /// A client of the store at this address.
+    /// Connects at the first call.
     pub fn new(address: SocketAddr) -> Self {
         Self {
             address: Cell::new(address),
@@ -95,39 +95,39 @@
         }
     }
 
-    /// Calls go to this address from now on.
+    /// Sets the address for later calls; pending calls go on.
     pub fn set_address(&self, address: SocketAddr) {
         if self.address.replace(address) != address {
             self.idle.borrow_mut().clear();
         }
     }
 
-    /// Calls made so far.
+    /// Number of calls sent.
     pub fn calls(&self) -> u64 {
         self.calls.get()
     }
 
-    /// Questions that were asked beside a watch that said nothing.
+    /// Number of probes answered beside an open watch.
     pub fn checks(&self) -> u64 {
         self.checks.get()
     }
 
-    /// Counts such a question.
+    /// Counts a probe; see [`StoreClient::checks`].
     pub fn on_check(&self) {
         self.checks.set(self.checks.get() + 1);
     }
 
-    /// Watches that had missed changes.
+    /// Number of open watches that had missed changes.
     pub fn silent_watches(&self) -> u64 {
         self.silent_watches.get()
     }
 
-    /// Counts such a watch.
+    /// Counts a watch that had missed changes.
     pub fn on_silent_watch(&self) {
         self.silent_watches.set(self.silent_watches.get() + 1);
     }
 
-    /// Makes a call and waits for its answer.
+    /// Sends a call and waits for its answer.
     pub async fn call(
         &self,
         call: StoreRequest,
@@ -136,7 +136,7 @@
         match tokio::time::timeout(timeout, self.exchange(call)).await {
             Ok(answer) => answer,
             Err(_) => {
-                // What has silenced one connection may have silenced those that rest.
+                // Whatever silenced this connection may have silenced the idle ones.
                 self.idle.borrow_mut().clear();
                 Err(StoreFailure::TimedOut)
             }
--- a/crates/resident/src/traffic.rs
+++ b/crates/resident/src/traffic.rs
@@ -41,8 +41,8 @@
     View,
     /// Heartbeats.
     Heartbeat,
-    /// The directory of engines that have processed prompts.
-    PromptDirectory,
+    /// The directory of prefills: which engine has processed which prompt.
+    PrefillDirectory,
     /// Confirmations that a view is the newest.
     Confirmation,
     /// Replies that nobody waits for any more, and messages of unknown kinds.
@@ -61,7 +61,7 @@
         Self::Limit,
         Self::View,
         Self::Heartbeat,
-        Self::PromptDirectory,
+        Self::PrefillDirectory,
         Self::Confirmation,
         Self::Unclaimed,
     ];
@@ -78,7 +78,7 @@
             Self::Limit => "limit",
             Self::View => "view",
             Self::Heartbeat => "heartbeat",
-            Self::PromptDirectory => "place",
+            Self::PrefillDirectory => "place",
             Self::Confirmation => "proof",
             Self::Unclaimed => "late",
         }
