--- a/crates/resident/src/peer/confirmation_query.rs
+++ b/crates/resident/src/peer/confirmation_query.rs
@@ -1,65 +1,65 @@
-//! When another node is asked whether what this one knows is still the newest.
+//! Decides when to ask another node for its confirmations.
 //!
-//! An age that comes unasked proves nothing: the datagram may have waited for any time at a process that was frozen, and what it says would
-//! look as young as it was when it was sent. So it only tells whom to ask. The answer counts from the question, on the clock of
-//! whoever asked, which is as old as the knowledge can be.
+//! The age in a heartbeat proves nothing: the datagram may have been delayed for any time by a frozen process, and would make
+//! an old confirmation look recent. So it only tells whom to query. The answer's age is counted from when the query was sent, on the clock of
+//! the requester, which is an upper bound of the delay.
 
 use std::cell::Cell;
 use std::time::Duration;
 
-/// Part of the bound on configurations by which another node has to know better to be asked: below it the answer is
-/// not worth its two datagrams.
-const GAIN_SHARE: f64 = 0.1;
-/// An answer that takes so long is not waited for any more; another node may be asked.
-const ANSWER_TIME: Duration = Duration::from_millis(300);
+/// Fraction of the configuration bound by which another node's confirmation must be more recent to be worth the two datagrams
+/// of a query.
+const MIN_GAIN_FRACTION: f64 = 0.1;
+/// After this time without an answer another node may be queried.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(300);
 
 #[derive(Debug, Clone, Copy)]
-struct Question {
+struct PendingQuery {
     number: u64,
     asked_at: Duration,
 }
 
-/// How old two nodes' knowledge of the same kind is, as far as it was ever confirmed.
+/// Ages of two nodes' confirmations of the same kind; `None` where there was none.
 #[derive(Debug, Clone, Copy)]
 pub struct ConfirmationAges {
-    /// That of this node.
+    /// Age at this node.
     pub own: Option<Duration>,
-    /// What the other one tells of its own.
+    /// Age at the other node, from its heartbeat.
     pub told: Option<Duration>,
 }
 
-/// The question that is open, if any. Times are since the start of the process.
+/// At most one pending query for confirmations. Times are since the start of the process.
 #[derive(Debug)]
 pub struct ConfirmationQuery {
-    gain: Duration,
+    min_gain: Duration,
     last: Cell<u64>,
-    open: Cell<Option<Question>>,
+    pending: Cell<Option<PendingQuery>>,
 }
 
 impl ConfirmationQuery {
-    /// Nothing is asked yet, under the bound within which configurations come in force.
+    /// `bound` is the time within which a new configuration must be in force.
     pub fn new(bound: Duration) -> Self {
         Self {
-            gain: bound.mul_f64(GAIN_SHARE),
+            min_gain: bound.mul_f64(MIN_GAIN_FRACTION),
             last: Cell::new(0),
-            open: Cell::new(None),
+            pending: Cell::new(None),
         }
     }
 
-    /// Number of the question to a node whose knowledge of these kinds is so old; `None` where asking is not worth it.
-    /// Each kind counts by itself, since the store is asked for each by itself.
-    pub fn ask(&self, kinds: &[ConfirmationAges], now: Duration) -> Option<u64> {
+    /// Starts a query to a node with these ages and returns its number; `None` where a query is pending or the other node's
+    /// confirmations are not recent enough. One kind is enough, since each is confirmed by its own call to the store.
+    pub fn start(&self, kinds: &[ConfirmationAges], now: Duration) -> Option<u64> {
         let gains = kinds.iter().any(|ages| self.gains(*ages));
         let is_free = self
-            .open
+            .pending
             .get()
-            .is_none_or(|open| now.saturating_sub(open.asked_at) > ANSWER_TIME);
+            .is_none_or(|pending| now.saturating_sub(pending.asked_at) > ANSWER_TIMEOUT);
         if !gains || !is_free {
             return None;
         }
         let number = self.last.get() + 1;
         self.last.set(number);
-        self.open.set(Some(Question {
+        self.pending.set(Some(PendingQuery {
             number,
             asked_at: now,
         }));
@@ -68,15 +68,18 @@
 
     fn gains(&self, ages: ConfirmationAges) -> bool {
         ages.told.is_some_and(|told| {
-            let least = told + self.gain;
+            let least = told + self.min_gain;
             ages.own.is_none_or(|own| own > least)
         })
     }
 
-    /// How long ago the question with this number was asked; `None` for any but the one that is open.
+    /// Ends the query with this number and returns the time since it was sent; `None` unless it is the pending one.
     pub fn on_answer(&self, number: u64, now: Duration) -> Option<Duration> {
-        let open = self.open.get().filter(|open| open.number == number)?;
-        self.open.set(None);
-        Some(now.saturating_sub(open.asked_at))
+        let pending = self
+            .pending
+            .get()
+            .filter(|pending| pending.number == number)?;
+        self.pending.set(None);
+        Some(now.saturating_sub(pending.asked_at))
     }
 }
--- a/crates/resident/src/peer/encoding.rs
+++ b/crates/resident/src/peer/encoding.rs
@@ -1,4 +1,4 @@
-//! Encoding of messages between nodes: the body that each version reads, and sections with what came later
+//! Encoding of messages between nodes: a body that every protocol version reads, and sections for what version 0 doesn't have
 //! ([`super::frame`]; `docs/design/versions.md`).
 #![allow(
     missing_docs,
@@ -25,21 +25,21 @@
     Confirmations, Datagram, DrainSection, Envelope, PeerReply, PeerRequest, ViewUpdate,
 };
 
-/// What came later than the first protocol version, each with the number of its kind.
+/// Parts of a message that protocol version 0 doesn't have.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Section {
     /// Beside a configuration.
     Configuration(ConfigurationExtras),
     /// Beside changes of engines.
-    EngineStarts(Vec<EngineWarmUp>),
-    /// Beside confirmations, a question for the view, or its answer.
+    EngineWarmUps(Vec<EngineWarmUp>),
+    /// Beside confirmations, a request for a view, or its reply.
     ZoneDrains(DrainSection),
 }
 
-/// Numbers of the kinds of sections. A number is never used again for something else.
+/// Kinds of sections. A number is never reused.
 mod section_kinds {
     pub const CONFIGURATION: u16 = 1;
-    pub const ENGINE_STARTS: u16 = 2;
+    pub const ENGINE_WARM_UPS: u16 = 2;
     pub const ZONE_DRAINS: u16 = 3;
 }
 
@@ -47,23 +47,23 @@
     fn encode(&self) -> Result<(u16, Vec<u8>), MessageError> {
         Ok(match self {
             Self::Configuration(extras) => (section_kinds::CONFIGURATION, to_bytes(extras)?),
-            Self::EngineStarts(warm_ups) => (section_kinds::ENGINE_STARTS, to_bytes(warm_ups)?),
-            Self::ZoneDrains(news) => (section_kinds::ZONE_DRAINS, to_bytes(news)?),
+            Self::EngineWarmUps(warm_ups) => (section_kinds::ENGINE_WARM_UPS, to_bytes(warm_ups)?),
+            Self::ZoneDrains(drains) => (section_kinds::ZONE_DRAINS, to_bytes(drains)?),
         })
     }
 
-    /// `None` for a kind that this version does not know.
+    /// `None` for an unknown kind.
     fn decode(raw: RawSection<'_>) -> Result<Option<Self>, MessageError> {
         Ok(Some(match raw.kind {
             section_kinds::CONFIGURATION => Self::Configuration(from_bytes(raw.content)?),
-            section_kinds::ENGINE_STARTS => Self::EngineStarts(from_bytes(raw.content)?),
+            section_kinds::ENGINE_WARM_UPS => Self::EngineWarmUps(from_bytes(raw.content)?),
             section_kinds::ZONE_DRAINS => Self::ZoneDrains(from_bytes(raw.content)?),
             _ => return Ok(None),
         }))
     }
 }
 
-/// Numbers of the kinds of messages.
+/// Kind of a message, with its number in a frame.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[repr(u16)]
 pub enum MessageKind {
@@ -75,33 +75,33 @@
     Reply = 3,
 }
 
-/// What nodes send each other.
+/// A message between nodes.
 pub trait Message: Clone {
-    /// Its kind.
+    /// Kind in the frame.
     const KIND: MessageKind;
-    /// Its kinds that the first protocol version does not know.
+    /// Extension messages of this kind.
     type Extension: Extension;
 
-    /// Number that joins a request and its reply.
+    /// Number that correlates a request and its reply; 0 for a datagram.
     fn number(&self) -> u64 {
         0
     }
 
-    /// Such a kind that travels beside a harmless body.
+    /// The extension message, if this is one.
     fn extension(&self) -> Option<&Self::Extension>;
 
-    /// The body: the message itself, or one that does no harm where the message is not known.
+    /// The message for the body: this one, or for an extension message one that is harmless to a node of protocol version 0.
     fn body(&self) -> Cow<'_, Self>;
 
-    /// Puts such a kind in place of the body.
+    /// Replaces the decoded body by the extension message that was sent beside it.
     fn set_extension(&mut self, extension: Self::Extension);
 
-    /// What nodes of the first protocol version do not know of it.
+    /// Parts that are sent beside the body.
     fn sections(&self) -> Vec<Section> {
         Vec::new()
     }
 
-    /// Takes in what came beside the body, from a node that speaks this version of the protocol.
+    /// Adds the parts that were sent beside the body by a node of this protocol version.
     fn set_sections(&mut self, _protocol: u16, _sections: Vec<Section>) {}
 }
 
@@ -118,10 +118,10 @@
 
     fn body(&self) -> Cow<'_, Self> {
         match self {
-            // An answer to a question that nobody asked.
-            Self::Extension(_) => Cow::Owned(Self::FoundRead {
+            // An answer to a query that was never sent.
+            Self::Extension(_) => Cow::Owned(Self::FoundPrefill {
                 number: 0,
-                read: None,
+                prefill: None,
             }),
             _ => Cow::Borrowed(self),
         }
@@ -183,7 +183,7 @@
 
     fn body(&self) -> Cow<'_, Self> {
         match self.body {
-            // Its answer is none to what was asked, and changes nothing.
+            // A request without side effects, whose reply the sender doesn't take for the one it expects.
             PeerRequest::Extension(_) => Cow::Owned(Self {
                 number: self.number,
                 body: PeerRequest::ListMembers,
@@ -257,17 +257,17 @@
 }
 
 impl ViewUpdate {
-    /// A section that is left out says that this node does not know what it would hold.
+    /// An omitted section says that this node doesn't have these parts.
     fn sections(&self) -> Vec<Section> {
         let configuration = self.configuration.as_ref().filter(|_| self.has_extras);
         let extras = configuration.map(|configuration| configuration.extras());
-        let engines = self.engines.as_ref().filter(|_| self.has_starts);
+        let engines = self.engines.as_ref().filter(|_| self.has_warm_ups);
         let warm_ups = engines.map(|engines| engines.warm_ups());
-        let drains = self.drains.as_deref().cloned().map(DrainSection::Told);
+        let drains = self.drains.as_deref().cloned().map(DrainSection::Snapshot);
         extras
             .map(Section::Configuration)
             .into_iter()
-            .chain(warm_ups.map(Section::EngineStarts))
+            .chain(warm_ups.map(Section::EngineWarmUps))
             .chain(drains.map(Section::ZoneDrains))
             .collect()
     }
@@ -281,15 +281,15 @@
                         configuration.set_extras(extras);
                     }
                 }
-                Section::EngineStarts(warm_ups) => {
-                    self.has_starts = true;
+                Section::EngineWarmUps(warm_ups) => {
+                    self.has_warm_ups = true;
                     if let Some(engines) = &mut self.engines {
                         engines.set_warm_ups(warm_ups);
                     }
                 }
-                Section::ZoneDrains(news) => {
-                    if let DrainSection::Told(told) = news {
-                        self.drains = Some(Box::new(told));
+                Section::ZoneDrains(section) => {
+                    if let DrainSection::Snapshot(snapshot) = section {
+                        self.drains = Some(Box::new(snapshot));
                     }
                 }
             }
@@ -297,21 +297,21 @@
     }
 }
 
-/// A message that cannot be encoded or read.
+/// Error of encoding or decoding a message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MessageError {
-    /// It is too large for memory.
+    /// The message is too large, or an extension message of an unknown kind.
     Encode,
-    /// The bytes are no such message.
+    /// The body or a section can't be decoded.
     Decode,
-    /// The bytes are no frame.
+    /// The frame is invalid.
     Frame(FrameError),
-    /// The frame holds a message of another kind.
+    /// The frame has a message of another kind.
     Kind(u16),
 }
 
 impl MessageError {
-    /// Whether what came is not what was sent, so that nothing more is to be expected of the connection.
+    /// Whether the bytes were changed in transit, so that the connection can't be used any more.
     pub fn is_corruption(self) -> bool {
         matches!(
             self,
@@ -324,9 +324,9 @@
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Encode => write!(formatter, "the message cannot be encoded"),
-            Self::Decode => write!(formatter, "the bytes are no such message"),
+            Self::Decode => write!(formatter, "the message cannot be decoded"),
             Self::Frame(error) => error.fmt(formatter),
-            Self::Kind(kind) => write!(formatter, "a message of kind {kind} came instead"),
+            Self::Kind(kind) => write!(formatter, "unexpected message of kind {kind}"),
         }
     }
 }
@@ -339,7 +339,7 @@
     }
 }
 
-/// Encodes a message.
+/// Encodes a message as a frame.
 pub fn encode<T>(message: &T) -> Result<Bytes, MessageError>
 where
     T: Message + for<'a> Serialize<HighSerializer<AlignedVec, ArenaHandle<'a>, Error>>,
@@ -356,7 +356,7 @@
     Ok(Bytes::from(bytes))
 }
 
-/// Reads a message, also one of the first protocol version.
+/// Decodes a message, with or without a frame (protocol version 0).
 pub fn decode<T>(bytes: &[u8]) -> Result<T, MessageError>
 where
     T: Message + Archive,
@@ -378,7 +378,7 @@
     Ok(message)
 }
 
-/// Number of the request or reply in a frame whose content cannot be read; `None` where the bytes are no frame.
+/// Number of the request or reply in a frame whose content can't be decoded; `None` where the frame is invalid.
 pub fn frame_number(bytes: &[u8]) -> Option<u64> {
     unframe(bytes).ok()?.map(|frame| frame.number)
 }
--- a/crates/resident/src/peer/extension.rs
+++ b/crates/resident/src/peer/extension.rs
@@ -1,7 +1,7 @@
-//! Kinds of messages that nodes of the first protocol version do not know.
+//! Extension messages, whose kinds nodes of protocol version 0 don't know.
 //!
-//! Each travels as a section beside a body that does those nodes no harm. Any node answers a kind that it does not
-//! know as such, so that whoever asks does without it (`docs/design/versions.md`, "A new kind of message").
+//! Each is sent as a section beside a body that is harmless to those nodes. Every node answers a request of an unknown kind with
+//! `Unsupported`, so that the requester goes on without it (`docs/design/versions.md`, "A new kind of message").
 #![allow(
     missing_docs,
     reason = "the resolvers that rkyv derives carry undocumented fields"
@@ -13,66 +13,66 @@
 use super::frame::RawSection;
 use super::grant::{GrantReply, GrantRequest};
 
-/// Sections from this number on are messages themselves; those below it stand beside a body.
+/// Sections of this kind and above are extension messages; those below add to the message in the body.
 pub const FIRST_EXTENSION_KIND: u16 = 100;
 
-/// Numbers of the kinds of requests. A number is never used again for something else.
+/// Kinds of requests. A number is never reused.
 mod request_kinds {
     pub const FETCH_BUILD: u16 = 100;
     pub const GRANT: u16 = 104;
 }
 
-/// Numbers of the kinds of replies.
+/// Kinds of replies. A number is never reused.
 mod reply_kinds {
     pub const BUILD: u16 = 200;
     pub const GRANT: u16 = 204;
 }
 
-/// What one node asks another.
+/// An extension request to another node.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ExtensionRequest {
-    /// Something that this version does not know, with the number of its kind. It is never sent.
+    /// Received with this kind, which this version doesn't know. It can't be encoded.
     Unknown(u16),
-    /// Asks what the node runs.
+    /// Asks for the node's build information.
     FetchBuild,
     /// Asks for a grant for a request to an engine that warms up.
     Grant(GrantRequest),
 }
 
-/// What a node answers.
+/// A reply to an [`ExtensionRequest`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ExtensionReply {
-    /// Something that this version does not know, with the number of its kind. It is never sent.
+    /// Received with this kind, which this version doesn't know. It can't be encoded.
     Unknown(u16),
-    /// What the node runs.
+    /// The node's build information.
     Build(Build),
-    /// Whether a request may go to an engine that warms up.
+    /// Whether the request may be sent to the engine.
     Grant(GrantReply),
 }
 
-/// What nodes say to each other over UDP.
+/// An extension message over UDP.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ExtensionDatagram {
-    /// Something that this version does not know, with the number of its kind. It is never sent.
+    /// Received with this kind, which this version doesn't know. It can't be encoded.
     Unknown(u16),
 }
 
-/// What a node runs.
+/// Build information of a node.
 #[derive(Debug, Clone, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct Build {
-    /// Commit that the program was built from, `unknown` where the build was not told.
+    /// Commit that the program was built from; `unknown` where the build didn't set it.
     pub commit: String,
-    /// Version of the protocol that it speaks.
+    /// Protocol version of the node.
     pub protocol: u16,
-    /// Newest form of records on a disk that it reads.
+    /// Newest version of the disk format that it reads.
     pub disk: u16,
 }
 
-/// A message of such a kind.
+/// An extension message of one direction.
 pub trait Extension: Sized {
-    /// The section that carries it, with the number of its kind.
+    /// Kind and content of the section; an error for an unknown kind.
     fn encode(&self) -> Result<(u16, Vec<u8>), MessageError>;
-    /// Reads it, also where this version does not know its kind.
+    /// Decodes a section. An unknown kind is no error.
     fn decode(raw: RawSection<'_>) -> Result<Self, MessageError>;
 }
 
--- a/crates/resident/src/peer/frame.rs
+++ b/crates/resident/src/peer/frame.rs
@@ -1,34 +1,33 @@
-//! Frames: the form of all that nodes send each other, so that versions can run side by side
-//! (`docs/design/versions.md`).
+//! Frames of messages between nodes, which let protocol versions run side by side (`docs/design/versions.md`).
 //!
-//! A message has a *body*, the form that nodes of the first protocol version read, and *sections* of numbered kinds with what
-//! came later. Those first nodes look for the body at the end of what they get, so that head and sections
-//! stand before it and are passed over there. A node that does not know a section passes over it as well.
+//! A message has a *body*, in the layout that nodes of protocol version 0 read, and *sections* of numbered kinds for what that
+//! version doesn't have. Nodes of version 0 read the body from the end of the bytes and ignore anything before it, so the header and
+//! the sections come first. A node ignores sections of unknown kinds.
 
 use std::fmt;
 
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Version of the protocol that this program speaks. Version 0 has no frames: its messages are bodies alone.
+/// Protocol version of this program. Version 0 has no frames; its messages are bodies alone.
 pub const PROTOCOL: u16 = 1;
 
 const MAGIC: [u8; 8] = *b"\xf7rwnode\x01";
-/// Bodies and sections begin at multiples of this, as the serializer wants it.
+/// Bodies and sections begin at multiples of this many bytes, as rkyv requires.
 const ALIGNMENT: usize = 16;
-const HEAD_BYTES: usize = 32;
-const SECTION_HEAD_BYTES: usize = 16;
+const HEADER_BYTES: usize = 32;
+const SECTION_HEADER_BYTES: usize = 16;
 const CHECKSUM_AT: usize = 24;
 
-/// What stands before a body.
+/// A decoded frame.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Frame<'a> {
-    /// Version of the protocol that the sender speaks.
+    /// Protocol version of the sender.
     pub protocol: u16,
-    /// What kind of message the body is.
+    /// Kind of the message in the body.
     pub kind: u16,
-    /// Number that joins a request and its reply, also where the body cannot be read.
+    /// Number that correlates a request and its reply, known even where the body can't be decoded.
     pub number: u64,
-    /// The body, as nodes of version 0 read it.
+    /// The body, in the layout of protocol version 0.
     pub body: &'a [u8],
     sections: &'a [u8],
 }
@@ -36,47 +35,47 @@
 /// One section of a frame.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RawSection<'a> {
-    /// Its kind.
+    /// Kind of the section.
     pub kind: u16,
-    /// Its content.
+    /// Encoded content, without padding.
     pub content: &'a [u8],
 }
 
-/// Bytes that are no frame although they begin as one.
+/// Why bytes that begin with a frame's magic number are not a valid frame.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FrameError {
-    /// They end before what their head announces.
+    /// The bytes end before the header or the sections do.
     TooShort,
-    /// They have changed on their way.
+    /// The checksum doesn't match.
     Checksum,
-    /// A section reaches beyond the sections' end.
+    /// A section extends past the end of the sections.
     Section,
 }
 
 impl fmt::Display for FrameError {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(match self {
-            Self::TooShort => "the frame is cut off",
-            Self::Checksum => "the frame has changed on its way",
-            Self::Section => "a section reaches beyond its frame",
+            Self::TooShort => "the frame is truncated",
+            Self::Checksum => "the frame's checksum does not match",
+            Self::Section => "a section extends past its frame",
         })
     }
 }
 
 impl std::error::Error for FrameError {}
 
-/// Puts a body into a frame.
+/// Encodes a frame; `sections` are pairs of kind and content.
 pub fn frame(kind: u16, number: u64, sections: &[(u16, Vec<u8>)], body: &[u8]) -> Vec<u8> {
     let lengths = sections.iter();
-    let lengths = lengths.map(|(_, content)| SECTION_HEAD_BYTES + padded(content.len()));
+    let lengths = lengths.map(|(_, content)| SECTION_HEADER_BYTES + padded(content.len()));
     let length: usize = lengths.sum();
-    let mut bytes = Vec::with_capacity(HEAD_BYTES + length + body.len());
+    let mut bytes = Vec::with_capacity(HEADER_BYTES + length + body.len());
     bytes.extend_from_slice(&MAGIC);
     bytes.extend_from_slice(&PROTOCOL.to_le_bytes());
     bytes.extend_from_slice(&kind.to_le_bytes());
     bytes.extend_from_slice(&(length as u32).to_le_bytes());
     bytes.extend_from_slice(&number.to_le_bytes());
-    bytes.extend_from_slice(&[0; HEAD_BYTES - CHECKSUM_AT]);
+    bytes.extend_from_slice(&[0; HEADER_BYTES - CHECKSUM_AT]);
     for (kind, content) in sections {
         bytes.extend_from_slice(&kind.to_le_bytes());
         bytes.extend_from_slice(&[0; 2]);
@@ -87,31 +86,32 @@
     }
     bytes.extend_from_slice(body);
     let checksum = checksum(&bytes);
-    bytes[CHECKSUM_AT..HEAD_BYTES].copy_from_slice(&checksum.to_le_bytes());
+    bytes[CHECKSUM_AT..HEADER_BYTES].copy_from_slice(&checksum.to_le_bytes());
     bytes
 }
 
-/// Takes a frame apart; `None` for a message of version 0, which has none.
+/// Decodes a frame; `None` for a message of protocol version 0, which has none.
 pub fn unframe(bytes: &[u8]) -> Result<Option<Frame<'_>>, FrameError> {
     if !bytes.starts_with(&MAGIC) {
         return Ok(None);
     }
-    let head = bytes.get(..HEAD_BYTES).ok_or(FrameError::TooShort)?;
-    if checksum(bytes).to_le_bytes() != head[CHECKSUM_AT..] {
+    let header = bytes.get(..HEADER_BYTES).ok_or(FrameError::TooShort)?;
+    if checksum(bytes).to_le_bytes() != header[CHECKSUM_AT..] {
         return Err(FrameError::Checksum);
     }
-    let length = u32::from_le_bytes([head[12], head[13], head[14], head[15]]) as usize;
+    let length = u32::from_le_bytes([header[12], header[13], header[14], header[15]]) as usize;
     let number = u64::from_le_bytes([
-        head[16], head[17], head[18], head[19], head[20], head[21], head[22], head[23],
+        header[16], header[17], header[18], header[19], header[20], header[21], header[22],
+        header[23],
     ]);
-    let rest = &bytes[HEAD_BYTES..];
+    let rest = &bytes[HEADER_BYTES..];
     if length > rest.len() {
         return Err(FrameError::TooShort);
     }
     let (sections, body) = rest.split_at(length);
     Ok(Some(Frame {
-        protocol: u16::from_le_bytes([head[8], head[9]]),
-        kind: u16::from_le_bytes([head[10], head[11]]),
+        protocol: u16::from_le_bytes([header[8], header[9]]),
+        kind: u16::from_le_bytes([header[10], header[11]]),
         number,
         body,
         sections,
@@ -119,7 +119,7 @@
 }
 
 impl<'a> Frame<'a> {
-    /// Its sections, in order.
+    /// Splits the sections, in their order.
     pub fn sections(&self) -> Result<Vec<RawSection<'a>>, FrameError> {
         let mut rest = self.sections;
         let mut sections = Vec::new();
@@ -133,11 +133,11 @@
 }
 
 fn next_section(bytes: &[u8]) -> Option<(RawSection<'_>, &[u8])> {
-    let head = bytes.get(..SECTION_HEAD_BYTES)?;
-    let kind = u16::from_le_bytes([head[0], head[1]]);
-    let length = u32::from_le_bytes([head[4], head[5], head[6], head[7]]) as usize;
-    let content = bytes.get(SECTION_HEAD_BYTES..SECTION_HEAD_BYTES.checked_add(length)?)?;
-    let after = bytes.get(SECTION_HEAD_BYTES + padded(length)..)?;
+    let header = bytes.get(..SECTION_HEADER_BYTES)?;
+    let kind = u16::from_le_bytes([header[0], header[1]]);
+    let length = u32::from_le_bytes([header[4], header[5], header[6], header[7]]) as usize;
+    let content = bytes.get(SECTION_HEADER_BYTES..SECTION_HEADER_BYTES.checked_add(length)?)?;
+    let after = bytes.get(SECTION_HEADER_BYTES + padded(length)..)?;
     Some((RawSection { kind, content }, after))
 }
 
@@ -145,8 +145,8 @@
     length.next_multiple_of(ALIGNMENT)
 }
 
-/// Of all but the checksum itself.
+/// Checksum of all bytes but its own.
 fn checksum(bytes: &[u8]) -> u64 {
     let before = xxh3_64(&bytes[..CHECKSUM_AT]);
-    xxh3_64(&bytes[HEAD_BYTES..]) ^ before.rotate_left(1)
+    xxh3_64(&bytes[HEADER_BYTES..]) ^ before.rotate_left(1)
 }
--- a/crates/resident/src/peer/gossip.rs
+++ b/crates/resident/src/peer/gossip.rs
@@ -1,9 +1,9 @@
-//! Heartbeats between nodes: who is there, what is newest, how loaded engines are.
+//! Heartbeats between nodes: membership, versions of views, load of engines.
 //!
-//! Nothing that must be safe rests on them. A node that hears of something newer than it knows fetches
-//! it from whoever told it; so a node follows the configuration while it cannot reach the store.
+//! No safety property depends on them. A node that learns of a newer version than its own fetches it from the sender of the
+//! heartbeat, so it stays up to date while it can't reach the store.
 
-mod reads;
+mod prefill_directory;
 
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -18,7 +18,7 @@
 use tokio::net::UdpSocket;
 use tokio::time::{Instant, MissedTickBehavior};
 
-pub use self::reads::PendingQueries;
+pub use self::prefill_directory::PendingQueries;
 use super::confirmation_query::{ConfirmationAges, ConfirmationQuery};
 use super::encoding::{MessageKind, decode, encode};
 use super::extension::ExtensionDatagram;
@@ -36,37 +36,37 @@
 use crate::view::View;
 use crate::watch_policy::{self, SMALL_FLEET, WatchControl, WatcherRole};
 
-const INTERVAL: Duration = Duration::from_millis(250);
-/// Other nodes named in a heartbeat.
-const KNOWN_REPLICAS: usize = 5;
-const KNOWN_OTHERS: usize = 2;
-/// Heartbeats between two that name other nodes. Names are most of a heartbeat's bytes, and who is there changes rarely.
-const KNOWN_ROUNDS: usize = 8;
-/// For so long after its start a node names others in every heartbeat, so that a fleet that starts finds together.
-const KNOWN_START: Duration = Duration::from_secs(5);
-/// Engines named in a heartbeat, so that it fits one packet.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(250);
+/// Numbers of other nodes named in a heartbeat.
+const NAMED_REPLICAS: usize = 5;
+const NAMED_GATEWAYS: usize = 2;
+/// One in this many rounds of heartbeats names other nodes. The names are most of a heartbeat's bytes, and members change rarely.
+const ROUNDS_PER_NAMING: usize = 8;
+/// For this long after its start a node names others in every heartbeat, so that the nodes of a starting fleet find each other.
+const NAMING_START: Duration = Duration::from_secs(5);
+/// Most engines in a heartbeat, so that it fits in one packet.
 const MAX_LOAD_ENTRIES: usize = 56;
-/// Services named in a heartbeat.
+/// Most services in a heartbeat.
 const MAX_SERVICE_ENTRIES: usize = 16;
 const MAX_DATAGRAM: usize = 8 * 1024;
-/// Pause before news are told, so that those of a moment go out together.
+/// Delay before a change is announced, so that changes in quick succession go out together.
 const CHANGE_DELAY: Duration = Duration::from_millis(5);
 const FETCH_TIMEOUT: Duration = Duration::from_millis(800);
-/// Engines that another node knows newer are fetched only if they stay newer for so long: the store
-/// tells most nodes at about the same time.
+/// A node that watches the store fetches newer engines from another node only if it has been behind for this long, since the
+/// store tells all watchers at about the same time.
 const ENGINES_FETCH_DELAY: Duration = Duration::from_millis(400);
 
-/// What a node's role puts into its heartbeats and takes from others'.
+/// Supplies the role's part of heartbeats and handles that of other nodes.
 pub trait GossipSources: 'static {
-    /// What this node tells of the engines.
+    /// This node's observations of the engines.
     fn load(&self) -> LoadReport;
-    /// The replica that runs here.
+    /// This node's replica, if it runs one.
     fn replica(&self) -> Option<ReplicaStatus>;
-    /// What another node tells of the engines.
+    /// Handles another node's observations of the engines; `from` is its name.
     fn on_load(&self, from: &str, load: LoadReport);
-    /// An engine reads a prompt that this node keeps track of.
-    fn on_prefill(&self, read: PrefillRecord);
-    /// The last read with this last part that was told to this node.
+    /// Records a prefill of a prompt whose directory node this is.
+    fn on_prefill(&self, prefill: PrefillRecord);
+    /// The last recorded prefill of a prompt with this last part.
     fn find_read(&self, part: u64) -> Option<PrefillRecord>;
 }
 
@@ -82,23 +82,23 @@
     seeds: RefCell<Vec<SocketAddr>>,
     fetching: Rc<Cell<bool>>,
     engines_behind_since: Cell<Option<Duration>>,
-    next_target: Cell<usize>,
-    /// Epoch of the replica set whose nodes were taken in last.
+    next_offset: Cell<usize>,
+    /// Combined epoch of the replica sets whose nodes were last added to the members.
     added_epoch: Cell<Epoch>,
-    duty: Rc<WatchControl>,
+    watch_control: Rc<WatchControl>,
     queries: PendingQueries,
     confirmation_query: ConfirmationQuery,
 }
 
 impl Gossip {
-    /// Binds the socket, under the bound within which configurations come in force.
+    /// Binds the UDP socket. `bound` is the time within which a new configuration must be in force.
     pub async fn bind(
         me: MemberInfo,
         seeds: Vec<SocketAddr>,
         clock: Clock,
         view: Rc<View>,
         links: Rc<PeerLinks>,
-        duty: Rc<WatchControl>,
+        watch_control: Rc<WatchControl>,
         bound: Duration,
     ) -> io::Result<Self> {
         let socket = UdpSocket::bind(me.address).await?;
@@ -113,15 +113,15 @@
             seeds: RefCell::new(seeds),
             fetching: Rc::default(),
             engines_behind_since: Cell::new(None),
-            next_target: Cell::new(rand::rng().random_range(0..1_024)),
+            next_offset: Cell::new(rand::rng().random_range(0..1_024)),
             added_epoch: Cell::new(Epoch::default()),
-            duty,
+            watch_control,
             queries: PendingQueries::default(),
             confirmation_query: ConfirmationQuery::new(bound),
         })
     }
 
-    /// Takes in nodes that others have heard of.
+    /// Adds nodes that other nodes know to the members.
     pub fn add_known(&self, nodes: Vec<MemberInfo>) {
         let now = self.clock.now();
         let others = nodes.into_iter().filter(|node| node.name != self.me.name);
@@ -133,14 +133,14 @@
         }
     }
 
-    /// Whether another node has been heard.
+    /// Whether a heartbeat of another node has been received.
     pub fn has_heard_peers(&self) -> bool {
         let members = self.members.borrow();
         members.iter().any(|member| member.heard_at.is_some())
     }
 
-    /// Takes in the replicas' nodes. All nodes learn of the replica set, so that they find each other there
-    /// when the seeds are gone or old.
+    /// Adds the replicas' nodes to the members. All nodes know the replica sets, so they find each other through the replicas
+    /// when the seeds are gone or stale.
     fn add_replicas(&self) {
         if self.added_epoch.replace(self.view.epoch()) == self.view.epoch() {
             return;
@@ -164,62 +164,62 @@
         *self.seeds.borrow_mut() = seeds;
     }
 
-    /// The other nodes.
+    /// The other nodes, in the order of their names.
     pub fn members(&self) -> Vec<Member> {
         self.members.borrow().iter().cloned().collect()
     }
 
-    /// Another node that was heard.
+    /// A node by name; `None` where no heartbeat of it has been received.
     pub fn heard_member(&self, name: &str) -> Option<Member> {
         let members = self.members.borrow();
         let mut heard = members.iter().filter(|member| member.heard_at.is_some());
         heard.find(|member| member.info.name == name).cloned()
     }
 
-    /// The other nodes that run a replica, as far as they have said so. They are few; coordinators ask several times a
-    /// second.
+    /// The other nodes whose heartbeats name a replica. Cheaper than all members for coordinators, which call this several times
+    /// a second.
     pub fn replicas(&self) -> Vec<Member> {
         let members = self.members.borrow();
         let replicas = members.iter().filter(|member| member.replica.is_some());
         replicas.cloned().collect()
     }
 
-    /// This node's place among those that may watch the store.
+    /// Whether this node is one of those that watch the store.
     pub fn watcher_role(&self, now: Duration) -> WatcherRole {
         let members = self.members.borrow();
-        // Somebody has to watch whose news are of use here.
-        let speaking = members.iter();
-        let speaking = speaking.filter(|member| self.view.is_protocol_sufficient(member.protocol));
-        watch_policy::watcher_role(&self.me.name, &self.me.zone, speaking, now)
+        // Nodes whose views this one refuses don't count as watchers.
+        let usable = members.iter();
+        let usable = usable.filter(|member| self.view.is_protocol_sufficient(member.protocol));
+        watch_policy::watcher_role(&self.me.name, &self.me.zone, usable, now)
     }
 
-    /// Who the other nodes and this one are, for a node that asks.
+    /// The other nodes and this one, for a reply to [`PeerRequest::ListMembers`].
     pub fn known(&self) -> Vec<MemberInfo> {
         let members = self.members.borrow();
         let others = members.iter().map(|member| member.info.clone());
         others.chain([self.me.clone()]).collect()
     }
 
-    /// Exchanges heartbeats until the process ends.
+    /// Sends and receives datagrams until the process ends.
     pub async fn run(self: Rc<Self>, sources: Rc<impl GossipSources>) {
-        let mut ticks = tokio::time::interval(INTERVAL);
+        let mut ticks = tokio::time::interval(HEARTBEAT_INTERVAL);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         let mut buffer = vec![0; MAX_DATAGRAM];
         let mut changes = self.view.changes();
-        let mut news_due = std::pin::pin!(tokio::time::sleep(Duration::ZERO));
-        let mut has_news = false;
+        let mut announcement_due = std::pin::pin!(tokio::time::sleep(Duration::ZERO));
+        let mut has_change = false;
         loop {
             tokio::select! {
-                _ = ticks.tick() => self.send_round(&*sources).await,
-                changed = changes.changed(), if !has_news => if changed.is_ok() {
-                    has_news = true;
-                    news_due.as_mut().reset(tokio::time::Instant::now() + CHANGE_DELAY);
+                _ = ticks.tick() => self.send_heartbeats(&*sources).await,
+                changed = changes.changed(), if !has_change => if changed.is_ok() {
+                    has_change = true;
+                    announcement_due.as_mut().reset(tokio::time::Instant::now() + CHANGE_DELAY);
                 },
-                () = news_due.as_mut(), if has_news => {
-                    has_news = false;
+                () = announcement_due.as_mut(), if has_change => {
+                    has_change = false;
                     self.announce_change(&*sources).await;
                 }
-                () = self.view.confirmation() => self.send_confirmation(&*sources).await,
+                () = self.view.confirmation() => self.announce_confirmation(&*sources).await,
                 received = self.socket.recv_from(&mut buffer) => {
                     if let Ok((length, from)) = received {
                         self.on_datagram(&buffer[..length], from, &*sources).await;
@@ -229,30 +229,30 @@
         }
     }
 
-    async fn send_round(&self, sources: &impl GossipSources) {
+    async fn send_heartbeats(&self, sources: &impl GossipSources) {
         self.members.borrow_mut().forget_silent(self.clock.now());
         self.add_replicas();
         self.send_to(self.targets(), sources).await;
     }
 
-    /// Tells a few nodes at once that something is newer here. They fetch it and tell others, so that a
-    /// large fleet knows long before everybody's turn for a heartbeat has come. In a small one
-    /// everybody hears from the store itself.
+    /// Sends a heartbeat to a few nodes at once after a change. They fetch the change and announce it in turn, so it spreads faster
+    /// than by periodic heartbeats. In a small fleet every gateway watches the store itself.
     async fn announce_change(&self, sources: &impl GossipSources) {
         if self.members.borrow().len() < SMALL_FLEET {
             return;
         }
-        self.send_to(self.some_members(FAN_OUT), sources).await;
+        self.send_to(self.random_members(FAN_OUT), sources).await;
     }
 
-    /// Tells that the store has just confirmed what this node knows: everybody in a small fleet, so that one question
-    /// does for all.
-    async fn send_confirmation(&self, sources: &impl GossipSources) {
-        self.send_to(self.some_members(SMALL_FLEET), sources).await;
+    /// Sends a heartbeat after the store has confirmed this node's view. In a small fleet it goes to all nodes, so that one probe
+    /// of the store is enough for all.
+    async fn announce_confirmation(&self, sources: &impl GossipSources) {
+        self.send_to(self.random_members(SMALL_FLEET), sources)
+            .await;
     }
 
-    /// Addresses of so many other nodes, drawn at random.
-    fn some_members(&self, most: usize) -> Vec<SocketAddr> {
+    /// Addresses of at most this many other nodes, chosen at random.
+    fn random_members(&self, most: usize) -> Vec<SocketAddr> {
         let members = self.members.borrow();
         let all: Vec<&Member> = members.iter().collect();
         let some = all.sample(&mut rand::rng(), most);
@@ -263,14 +263,14 @@
         if targets.is_empty() {
             return;
         }
-        let names_others = self.names_others();
-        let heartbeat = Datagram::Heartbeat(Box::new(self.heartbeat(sources, names_others)));
+        let should_name_members = self.should_name_members();
+        let heartbeat = Datagram::Heartbeat(Box::new(self.heartbeat(sources, should_name_members)));
         let Ok(datagram) = encode(&heartbeat) else {
             return;
         };
         for target in targets {
             self.count(&heartbeat, target, datagram.len());
-            // A datagram that is lost is replaced by the next one.
+            // A lost heartbeat is made up for by the next one.
             let _ = self.socket.send_to(&datagram, target).await;
         }
     }
@@ -281,13 +281,13 @@
         }
     }
 
-    /// Those whose turn it is; seeds as long as nobody is known.
+    /// Targets of the next heartbeat. The seeds are among them while fewer than two others are known.
     fn targets(&self) -> Vec<SocketAddr> {
         let members = self.members.borrow();
         let groups = self.view.groups();
-        let begin = self.next_target.get();
-        self.next_target.set(begin.wrapping_add(FAN_OUT));
-        let mut targets = targets(&self.me, members.iter(), groups.as_deref(), begin);
+        let offset = self.next_offset.get();
+        self.next_offset.set(offset.wrapping_add(FAN_OUT));
+        let mut targets = targets(&self.me, members.iter(), groups.as_deref(), offset);
         if targets.len() < 2 {
             targets.extend(self.seeds.borrow().iter().copied());
         }
@@ -295,12 +295,12 @@
     }
 
     /// Whether the next heartbeat names other nodes.
-    fn names_others(&self) -> bool {
-        let round = self.next_target.get() / FAN_OUT;
-        self.clock.now() < KNOWN_START || round.is_multiple_of(KNOWN_ROUNDS)
+    fn should_name_members(&self) -> bool {
+        let round = self.next_offset.get() / FAN_OUT;
+        self.clock.now() < NAMING_START || round.is_multiple_of(ROUNDS_PER_NAMING)
     }
 
-    fn heartbeat(&self, sources: &impl GossipSources, names_others: bool) -> Heartbeat {
+    fn heartbeat(&self, sources: &impl GossipSources, should_name_members: bool) -> Heartbeat {
         let mut load = sources.load();
         load.open.truncate(MAX_LOAD_ENTRIES);
         load.suspects.truncate(MAX_SUSPECTS);
@@ -312,8 +312,8 @@
             epoch: self.view.epoch(),
             replica: sources.replica(),
             load,
-            known: if names_others {
-                self.some_known()
+            known: if should_name_members {
+                self.sample_members()
             } else {
                 Vec::new()
             },
@@ -321,7 +321,7 @@
         }
     }
 
-    fn some_known(&self) -> Vec<MemberInfo> {
+    fn sample_members(&self) -> Vec<MemberInfo> {
         let members = self.members.borrow();
         let heard: Vec<&Member> = members
             .iter()
@@ -330,9 +330,9 @@
         let (replicas, others): (Vec<&Member>, Vec<&Member>) =
             heard.into_iter().partition(|member| member.info.is_replica);
         let mut random = rand::rng();
-        let replicas = replicas.sample(&mut random, KNOWN_REPLICAS);
+        let replicas = replicas.sample(&mut random, NAMED_REPLICAS);
         let mut known: Vec<MemberInfo> = replicas.map(|member| member.info.clone()).collect();
-        let others = others.sample(&mut random, KNOWN_OTHERS);
+        let others = others.sample(&mut random, NAMED_GATEWAYS);
         known.extend(others.map(|member| member.info.clone()));
         known
     }
@@ -342,12 +342,13 @@
             Ok(Datagram::Heartbeat(heartbeat)) => {
                 self.on_heartbeat(*heartbeat, from, sources).await;
             }
-            Ok(Datagram::Read(read)) => sources.on_prefill(read),
-            Ok(Datagram::FindRead { number, part }) => {
-                let read = sources.find_read(part);
-                self.send(from, &Datagram::FoundRead { number, read }).await;
+            Ok(Datagram::Prefill(prefill)) => sources.on_prefill(prefill),
+            Ok(Datagram::FindPrefill { number, part }) => {
+                let prefill = sources.find_read(part);
+                self.send(from, &Datagram::FoundPrefill { number, prefill })
+                    .await;
             }
-            Ok(Datagram::FoundRead { number, read }) => self.queries.answer(number, read),
+            Ok(Datagram::FoundPrefill { number, prefill }) => self.queries.answer(number, prefill),
             Ok(Datagram::AskConfirmations { number }) => {
                 let told = self.view.confirmations();
                 self.send(from, &Datagram::Confirmed { number, told }).await;
@@ -363,7 +364,7 @@
     async fn send(&self, to: SocketAddr, datagram: &Datagram) {
         if let Ok(bytes) = encode(datagram) {
             self.count(datagram, to, bytes.len());
-            // A datagram that is lost is repeated or missed without harm.
+            // A lost datagram does no harm.
             let _ = self.socket.send_to(&bytes, to).await;
         }
     }
@@ -403,7 +404,7 @@
         sources.on_load(&heartbeat.from.name, heartbeat.load);
     }
 
-    /// Asks a node whose knowledge seems to have been confirmed later than this node's own.
+    /// Queries a node whose view seems to have been confirmed more recently than this node's.
     async fn query_if_fresher(&self, told: &Confirmations, node: SocketAddr, now: Duration) {
         let age = |unconfirmed_ms: Option<u64>| unconfirmed_ms.map(Duration::from_millis);
         let configuration = ConfirmationAges {
@@ -422,7 +423,7 @@
             told: age(told_drains).filter(|_| drains.are_followed()),
         };
         let ages = [configuration, engines, drains];
-        if let Some(number) = self.confirmation_query.ask(&ages, now) {
+        if let Some(number) = self.confirmation_query.start(&ages, now) {
             self.send(node, &Datagram::AskConfirmations { number })
                 .await;
         }
@@ -434,7 +435,7 @@
         }
     }
 
-    /// Whether the sender knows something newer that is worth fetching from it.
+    /// Whether the sender has a newer view that should be fetched from it.
     fn is_behind(&self, heartbeat: &Heartbeat, now: Duration) -> bool {
         let told = &heartbeat.confirmations;
         let is_useful = self.view.accepts_views_from(heartbeat.protocol);
@@ -455,7 +456,7 @@
             self.engines_behind_since.set(None);
             return false;
         }
-        if !self.view.engines_known() || !self.duty.should_watch() {
+        if !self.view.engines_known() || !self.watch_control.should_watch() {
             return true;
         }
         let since = self.engines_behind_since.get().unwrap_or(now);
@@ -463,7 +464,7 @@
         now.saturating_sub(since) > ENGINES_FETCH_DELAY
     }
 
-    /// Fetches another node's view; one fetch at a time.
+    /// Starts to fetch another node's view, unless a fetch is running.
     fn fetch(&self, from: SocketAddr) {
         if self.fetching.replace(true) {
             return;
@@ -479,7 +480,7 @@
     }
 }
 
-/// Fetches a node's view and takes it in; says whether the node answered.
+/// Fetches a node's view and applies it; returns whether the node replied.
 pub async fn fetch_view(links: &PeerLinks, view: &View, from: SocketAddr) -> bool {
     let request = PeerRequest::FetchView(view.position());
     let asked_at = Instant::now();
@@ -493,7 +494,7 @@
     }
 }
 
-/// Asks a node which others it has heard of; nobody when it does not answer.
+/// Fetches the nodes that another node knows; empty when it doesn't reply.
 pub async fn fetch_members(links: &PeerLinks, from: SocketAddr) -> Vec<MemberInfo> {
     let reply = links
         .call(from, PeerRequest::ListMembers, FETCH_TIMEOUT)
--- a/crates/resident/src/peer/grant.rs
+++ b/crates/resident/src/peer/grant.rs
@@ -7,31 +7,31 @@
 use ridgeworks_records::GroupId;
 use rkyv::{Archive, Deserialize, Serialize};
 
-/// Asks a limiter whether a request may go to an engine that warms up.
+/// Asks a limiter for permission to send a request to an engine that warms up.
 #[derive(Debug, Clone, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct GrantRequest {
-    /// The group whose voters share what the engine bears.
+    /// The group whose voters share the engine's warm-up rate.
     pub group: GroupId,
-    /// The engine's instance.
+    /// Instance of the engine.
     pub engine: String,
-    /// Requests that it bears in a thousand seconds.
+    /// Warm-up rate of the engine, in requests per 1,000 seconds.
     pub per_ks: u64,
-    /// Version of the configuration that says so.
+    /// Version of the configuration that sets this rate.
     pub version: u64,
 }
 
-/// What a limiter answers.
+/// A limiter's decision.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub enum GrantReply {
-    /// The request may go there.
+    /// The request may be sent.
     Granted,
-    /// Nothing is left here.
+    /// This limiter's share of the rate is used up.
     Exhausted {
         /// Milliseconds until the next request can be granted.
         next_ms: u64,
-        /// Milliseconds until this one can, if all that were turned away before come back first.
+        /// Milliseconds until this request can be granted, if all that were rejected before it are retried first.
         retry_ms: u64,
     },
-    /// The node is no voter of the group.
+    /// The node is not a voter of the group.
     NotMember,
 }
--- a/crates/resident/src/peer/link.rs
+++ b/crates/resident/src/peer/link.rs
@@ -1,4 +1,4 @@
-//! One connection to another node, with many requests at once.
+//! One connection to another node, with many in-flight requests.
 
 use std::cell::Cell;
 use std::collections::HashMap;
@@ -22,27 +22,27 @@
 use crate::traffic::{Purpose, Traffic};
 
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(600);
-/// Requests that may wait for a link.
-const MAX_WAITING: usize = 1_024;
-/// Bytes of a frame's length before it.
+/// Capacity of a link's queue of requests.
+const QUEUE_CAPACITY: usize = 1_024;
+/// Bytes of the length before each frame.
 const LENGTH_BYTES: usize = 4;
-/// A link that nobody uses for so long is closed.
+/// A link without a request or a reply for this long is closed.
 const IDLE_LIMIT: Duration = Duration::from_secs(20);
 
-/// Why a request to another node has no reply. It may have been carried out.
+/// Why a request to another node has no reply. The node may have executed it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LinkError {
-    /// No connection could be made.
+    /// No connection could be established.
     Unreachable,
     /// The connection broke.
     Broken,
-    /// Too many requests wait for the link.
+    /// The link's queue is full.
     Full,
-    /// No reply in time.
+    /// The reply did not come in time.
     TimedOut,
-    /// The node that was to pass the request on does not reach its receiver either.
+    /// The relaying node could not reach the target of the request.
     RelayTargetUnreachable,
-    /// The reply cannot be read.
+    /// The reply can't be decoded.
     Unreadable,
 }
 
@@ -71,43 +71,43 @@
 type ReplySender = oneshot::Sender<Result<PeerReply, LinkError>>;
 pub(super) type ReplyReceiver = oneshot::Receiver<Result<PeerReply, LinkError>>;
 
-struct Waiting {
+struct QueuedRequest {
     request: PeerRequest,
     reply: ReplySender,
 }
 
-/// What those who wait for answers need to know of a link.
+/// State of a link, shared with the callers that wait for replies.
 pub(super) struct LinkState {
     pub made_at: Instant,
-    /// When something last came from the other node.
+    /// When a frame was last received.
     heard_at: Cell<Option<Instant>>,
     is_replaced: watch::Sender<bool>,
 }
 
 impl LinkState {
-    /// When something last came from the other node, if that was after this.
-    pub fn heard_after(&self, since: Instant) -> Option<Instant> {
+    /// When a frame was last received, if that was at `since` or later.
+    pub fn received_since(&self, since: Instant) -> Option<Instant> {
         self.heard_at.get().filter(|at| *at >= since)
     }
 
-    /// Waits until another link has taken the place of this one.
+    /// Waits until another link has replaced this one.
     pub async fn replaced(&self) {
         let mut receiver = self.is_replaced.subscribe();
-        // The sender lives as long as this borrow of it.
+        // Can't fail: `self` holds the sender.
         let _ = receiver.wait_for(|is_replaced| *is_replaced).await;
     }
 }
 
-/// A connection, made when the link is.
+/// A connection to another node. It is established in the background; requests are queued until then.
 pub(super) struct Link {
-    requests: mpsc::Sender<Waiting>,
+    requests: mpsc::Sender<QueuedRequest>,
     pub state: Rc<LinkState>,
     running: JoinHandle<()>,
 }
 
 impl Link {
     pub fn start(to: SocketAddr, traffic: Option<Rc<Traffic>>) -> Self {
-        let (requests, receiver) = mpsc::channel(MAX_WAITING);
+        let (requests, receiver) = mpsc::channel(QUEUE_CAPACITY);
         let state = Rc::new(LinkState {
             made_at: Instant::now(),
             heard_at: Cell::new(None),
@@ -128,20 +128,20 @@
 
     pub fn send(&self, request: PeerRequest) -> Result<ReplyReceiver, LinkError> {
         let (reply, receiver) = oneshot::channel();
-        let waiting = Waiting { request, reply };
+        let queued = QueuedRequest { request, reply };
         self.requests
-            .try_send(waiting)
+            .try_send(queued)
             .map_err(|_| LinkError::Full)?;
         Ok(receiver)
     }
 
-    /// Ends the connection, and tells those who wait that another link has taken its place.
+    /// Closes the connection and notifies the waiting callers that another link has replaced it.
     pub fn replace(self) {
         self.state.is_replaced.send_replace(true);
         self.running.abort();
     }
 
-    /// Ends a connection on which nobody waits.
+    /// Closes a connection on which no caller waits.
     pub fn close(self) {
         self.running.abort();
     }
@@ -149,7 +149,7 @@
 
 async fn run_link(
     to: SocketAddr,
-    mut requests: mpsc::Receiver<Waiting>,
+    mut requests: mpsc::Receiver<QueuedRequest>,
     state: Rc<LinkState>,
     traffic: Option<Rc<Traffic>>,
 ) {
@@ -158,31 +158,31 @@
             traffic.add(purpose, to.ip(), frame.len() + LENGTH_BYTES);
         }
     };
-    // Ends, and with it the receiver, when the connection does; the next request makes a new link.
+    // Returning drops `requests`, which closes the link; the next request starts a new one.
     let Ok(stream) = connect_tcp(to, CONNECT_TIMEOUT).await else {
         requests.close();
-        while let Ok(waiting) = requests.try_recv() {
-            let _ = waiting.reply.send(Err(LinkError::Unreachable));
+        while let Ok(queued) = requests.try_recv() {
+            let _ = queued.reply.send(Err(LinkError::Unreachable));
         }
         return;
     };
     let (mut writer, mut reader) = Framed::new(stream, codec()).split();
-    let mut open: HashMap<u64, (Purpose, ReplySender)> = HashMap::new();
+    let mut in_flight: HashMap<u64, (Purpose, ReplySender)> = HashMap::new();
     let mut number = 0;
     loop {
         tokio::select! {
-            waiting = requests.recv() => {
-                let Some(waiting) = waiting else { break };
-                if waiting.reply.is_closed() {
-                    // Nobody waits any more: a node that does not keep up is spared what it has not been sent yet.
+            queued = requests.recv() => {
+                let Some(queued) = queued else { break };
+                if queued.reply.is_closed() {
+                    // The caller has given up: don't load a slow node with a request that nobody waits for.
                     continue;
                 }
                 number += 1;
-                let purpose = purpose::of_request(&waiting.request);
-                let envelope = Envelope { number, body: waiting.request };
+                let purpose = purpose::of_request(&queued.request);
+                let envelope = Envelope { number, body: queued.request };
                 let Ok(frame) = encode(&envelope) else { continue };
-                open.retain(|_, (_, reply)| !reply.is_closed());
-                open.insert(number, (purpose, waiting.reply));
+                in_flight.retain(|_, (_, reply)| !reply.is_closed());
+                in_flight.insert(number, (purpose, queued.reply));
                 count(purpose, &frame);
                 if writer.send(frame).await.is_err() {
                     break;
@@ -201,14 +201,14 @@
                         (frame_number(&frame), Err(LinkError::Unreadable))
                     }
                 };
-                let Some((purpose, waiting)) = number.and_then(|number| open.remove(&number))
+                let Some((purpose, caller)) = number.and_then(|number| in_flight.remove(&number))
                 else {
-                    // Nobody waits any more.
+                    // The caller has given up.
                     count(Purpose::Unclaimed, &frame);
                     continue;
                 };
                 count(purpose, &frame);
-                let _ = waiting.send(reply);
+                let _ = caller.send(reply);
             }
             () = tokio::time::sleep(IDLE_LIMIT) => break,
         }
--- a/crates/resident/src/peer/links.rs
+++ b/crates/resident/src/peer/links.rs
@@ -1,9 +1,9 @@
-//! All links of a node, one to each other node.
+//! The links of a node, one to each other node.
 //!
-//! A connection may fall silent for good while new ones work, and a node may be late because it has too much to do. From one
-//! connection both look alike, and what helps against the first feeds the second: a new connection and everything
-//! asked once more. So a link that says nothing is held against a new one: both ask the node the same, and only if the new one is answered
-//! first is the old one replaced (`docs/operations/silence.md`).
+//! A connection may fall silent without an error while new ones work, or a node may be slow because it is overloaded. One
+//! connection can't tell these apart, and the remedy for the first, a new connection with all requests sent again, makes the
+//! second worse. So a silent link is checked against a new one: the same probe is sent on both, and the old link is replaced only if the
+//! new one is answered first (`docs/operations/silence.md`).
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -19,20 +19,20 @@
 use crate::clock::whole_ms;
 use crate::traffic::Traffic;
 
-/// How long nothing may come by a link on which an answer is due, before it is held against a new one. Without a bound a silent
-/// connection answered nobody for as long as the process lived, with it a request is answered in under 0.8 s (loopback).
+/// How long a link with pending replies may be silent before it is checked. Without the check, requests on a silent connection would
+/// time out for as long as the process runs.
 const SILENCE: Duration = Duration::from_millis(350);
-/// A link is not held against a new one sooner after it was made or checked.
-const CHECK_PAUSE: Duration = Duration::from_secs(2);
-/// How long a check goes on where neither link is answered.
-const CHECK_TIME: Duration = Duration::from_secs(2);
-/// A node that takes long for its answers is given this many times as long before its link is checked, so that a check is
-/// made where answers stop and not where they become slower.
+/// Least time between the start or a check of a link and its next check.
+const MIN_CHECK_INTERVAL: Duration = Duration::from_secs(2);
+/// Timeout of a check.
+const CHECK_TIMEOUT: Duration = Duration::from_secs(2);
+/// A link may be silent for this many times the node's recent slowest reply, so that it is checked when replies stop and not
+/// when they become slower.
 const SLOWEST_REPLY_FACTOR: u32 = 3;
-/// After this time a slow answer counts for half.
+/// Half-life of the slowest reply's duration.
 const SLOWEST_REPLY_HALF_LIFE: Duration = Duration::from_secs(5);
 
-/// The slowest answer of a node lately.
+/// The slowest recent reply of a node.
 #[derive(Debug, Clone, Copy)]
 struct ReplyTimes {
     slowest: Duration,
@@ -52,7 +52,7 @@
         self.slowest.mul_f64(0.5_f64.powf(half_lives))
     }
 
-    fn note(&mut self, taken: Duration) {
+    fn record(&mut self, taken: Duration) {
         if taken >= self.slowest() {
             self.slowest = taken;
             self.at = Instant::now();
@@ -60,8 +60,7 @@
     }
 }
 
-/// How long a node may say nothing whose slowest answer lately took this long, before its silence means anything. At least
-/// this long.
+/// How long a node with this slowest recent reply may be silent before its link is suspect; at least `least`.
 pub fn silence_timeout(slowest_reply: Duration, least: Duration) -> Duration {
     least.max(slowest_reply * SLOWEST_REPLY_FACTOR)
 }
@@ -86,7 +85,7 @@
     }
 
     fn postpone_check(&mut self) {
-        self.next_check = Instant::now() + CHECK_PAUSE;
+        self.next_check = Instant::now() + MIN_CHECK_INTERVAL;
     }
 }
 
@@ -97,7 +96,7 @@
 }
 
 impl PeerLinks {
-    /// Links whose bytes are counted here.
+    /// Links whose bytes are counted in `traffic`; `None` counts nothing.
     pub fn counting(traffic: Option<Rc<Traffic>>) -> Self {
         let table = Table {
             traffic,
@@ -108,13 +107,13 @@
         }
     }
 
-    /// How far bytes go, where that is counted.
+    /// The byte counts; `None` where nothing is counted.
     pub(super) fn traffic(&self) -> Option<&Traffic> {
         self.table.traffic.as_deref()
     }
 
-    /// Asks another node and waits for its reply. A request may reach the node twice: it is sent again where the link
-    /// has fallen silent and a new one has not.
+    /// Sends a request to another node and waits for its reply. The node may receive the request twice: it is sent again when a
+    /// silent link is replaced.
     pub async fn call(
         &self,
         to: SocketAddr,
@@ -124,7 +123,7 @@
         let limit = Instant::now() + timeout;
         let (state, reply) = self.table.send(to, request.clone())?;
         tokio::select! {
-            // First: what was open on a link that is replaced ends with it.
+            // Polled first, because a replaced link also fails its pending replies.
             biased;
             () = self.table.wait_until_replaced(to, &state) => {}
             reply = self.table.reply(to, reply, limit) => return reply,
@@ -133,19 +132,19 @@
         self.table.reply(to, reply, limit).await
     }
 
-    /// Links that were replaced because they were silent.
+    /// Number of links that were replaced because they were silent.
     pub fn replaced(&self) -> u64 {
         self.table.replaced.get()
     }
 
-    /// Whether anything has come from another node since then, also an answer that nobody waits for any more.
+    /// Whether another node has sent a frame since then on its current link, even a reply that nobody waits for any more.
     pub fn has_received_since(&self, node: SocketAddr, since: Instant) -> bool {
         let peers = self.table.peers.borrow();
         let peer = peers.get(&node);
-        peer.is_some_and(|peer| peer.link.state.heard_after(since).is_some())
+        peer.is_some_and(|peer| peer.link.state.received_since(since).is_some())
     }
 
-    /// How long another node's slowest answer took lately, earlier ones counting for less.
+    /// Duration of another node's slowest recent reply, with older ones counting for less; zero for an unknown node.
     pub fn slowest_reply(&self, node: SocketAddr) -> Duration {
         self.table.slowest_reply(node)
     }
@@ -189,18 +188,18 @@
         };
         let reply = reply.unwrap_or(Err(LinkError::Broken))?;
         if let Some(peer) = self.peers.borrow_mut().get_mut(&to) {
-            peer.reply_times.note(began.elapsed());
+            peer.reply_times.record(began.elapsed());
         }
         Ok(reply)
     }
 
-    /// Waits until a link on which an answer is due has said nothing for too long and a new one has taken its place.
+    /// Waits until a link with a pending reply has been silent for too long and a new one has replaced it.
     async fn wait_until_replaced(self: &Rc<Self>, to: SocketAddr, state: &LinkState) {
         let mut since = Instant::now();
         loop {
-            let patience = silence_timeout(self.slowest_reply(to), SILENCE);
-            sleep_until(since + patience).await;
-            match state.heard_after(since) {
+            let timeout = silence_timeout(self.slowest_reply(to), SILENCE);
+            sleep_until(since + timeout).await;
+            match state.received_since(since) {
                 Some(heard_at) => since = heard_at,
                 None => break,
             }
@@ -215,19 +214,19 @@
         peer.map_or(Duration::ZERO, |peer| peer.reply_times.slowest())
     }
 
-    /// Nobody waits for the answer any more, but the next request had better find a link that is answered.
+    /// Checks a silent link after a timeout, for the sake of later requests.
     fn check_if_silent(self: &Rc<Self>, to: SocketAddr, since: Instant) {
         let is_silent = {
             let peers = self.peers.borrow();
             let peer = peers.get(&to);
-            peer.is_some_and(|peer| peer.link.state.heard_after(since).is_none())
+            peer.is_some_and(|peer| peer.link.state.received_since(since).is_none())
         };
         if is_silent && since.elapsed() >= SILENCE {
             self.check(to);
         }
     }
 
-    /// Holds the link against a new one, unless that was done just now.
+    /// Starts a check of the link, unless one is running or was done recently.
     fn check(self: &Rc<Self>, to: SocketAddr) {
         let mut peers = self.peers.borrow_mut();
         let Some(peer) = peers.get_mut(&to) else {
@@ -236,7 +235,7 @@
         if peer.is_checking || Instant::now() < peer.next_check {
             return;
         }
-        let Ok(old) = peer.link.send(probe_request()) else {
+        let Ok(old_reply) = peer.link.send(probe_request()) else {
             return;
         };
         peer.is_checking = true;
@@ -244,17 +243,17 @@
         let state = Rc::clone(&peer.link.state);
         tokio::task::spawn_local(async move {
             let began = Instant::now();
-            let found = race_links(to, old, table.traffic.clone()).await;
-            table.finish_check(to, &state, found, began);
+            let outcome = race_links(to, old_reply, table.traffic.clone()).await;
+            table.finish_check(to, &state, outcome, began);
         });
     }
 
-    /// Puts the new link in place of the old one if it was answered first.
+    /// Replaces the old link by the new one if that was answered first.
     fn finish_check(
         &self,
         to: SocketAddr,
         state: &Rc<LinkState>,
-        found: CheckOutcome,
+        outcome: CheckOutcome,
         began: Instant,
     ) {
         let mut peers = self.peers.borrow_mut();
@@ -264,66 +263,66 @@
         peer.is_checking = false;
         peer.postpone_check();
         let link_ms = whole_ms(state.made_at.elapsed());
-        let newer = match found {
-            CheckOutcome::NewLinkReplied(newer) => newer,
+        let new_link = match outcome {
+            CheckOutcome::NewLinkReplied(new_link) => new_link,
             CheckOutcome::OldLinkReplied => {
-                // Requests may have been given up before their answers came.
-                peer.reply_times.note(SILENCE + began.elapsed());
+                // Requests that were given up before their reply are not recorded.
+                peer.reply_times.record(SILENCE + began.elapsed());
                 log::info!(target: "dependency", node:% = to, link_ms = link_ms; "late link to a node kept");
                 return;
             }
             CheckOutcome::NoReply => return,
         };
-        // The old one may have ended meanwhile, and another one stand in its place.
+        // The old link may have been replaced meanwhile.
         if !Rc::ptr_eq(&peer.link.state, state) {
-            newer.close();
+            new_link.close();
             return;
         }
         self.replaced.set(self.replaced.get() + 1);
         log::info!(target: "dependency", node:% = to, link_ms = link_ms; "silent link to a node replaced");
-        std::mem::replace(&mut peer.link, newer).replace();
+        std::mem::replace(&mut peer.link, new_link).replace();
     }
 }
 
-/// What a check of a link has found.
+/// Result of a check of a link.
 enum CheckOutcome {
-    /// The node answers by it, late.
+    /// The old link works, but the node is slow.
     OldLinkReplied,
-    /// The node answers by a new link, and not by it.
+    /// Only the new link works.
     NewLinkReplied(Link),
-    /// The node answers by neither.
+    /// Neither link was answered.
     NoReply,
 }
 
-/// Asks by a new link what was just asked by the old one.
+/// Sends the probe on a new link and waits for the first reply on either.
 async fn race_links(
     to: SocketAddr,
-    old: ReplyReceiver,
+    old_reply: ReplyReceiver,
     traffic: Option<Rc<Traffic>>,
 ) -> CheckOutcome {
-    let newer = Link::start(to, traffic);
-    let Ok(answer) = newer.send(probe_request()) else {
-        newer.close();
+    let new_link = Link::start(to, traffic);
+    let Ok(new_reply) = new_link.send(probe_request()) else {
+        new_link.close();
         return CheckOutcome::NoReply;
     };
-    let found = tokio::select! {
-        // A node that answers by both is late, not out of reach.
+    let outcome = tokio::select! {
+        // If both links are answered, the old one works.
         biased;
-        answer = old => match answer {
+        reply = old_reply => match reply {
             Ok(Ok(_)) => CheckOutcome::OldLinkReplied,
             _ => CheckOutcome::NoReply,
         },
-        answer = answer => match answer {
-            Ok(Ok(_)) => return CheckOutcome::NewLinkReplied(newer),
+        reply = new_reply => match reply {
+            Ok(Ok(_)) => return CheckOutcome::NewLinkReplied(new_link),
             _ => CheckOutcome::NoReply,
         },
-        () = tokio::time::sleep(CHECK_TIME) => CheckOutcome::NoReply,
+        () = tokio::time::sleep(CHECK_TIMEOUT) => CheckOutcome::NoReply,
     };
-    newer.close();
-    found
+    new_link.close();
+    outcome
 }
 
-/// A question whose answer is empty: what is newer than everything.
+/// A request with an empty reply: nothing is newer than the highest versions.
 fn probe_request() -> PeerRequest {
     PeerRequest::FetchView(ViewPosition {
         version: u64::MAX,
--- a/crates/resident/src/peer/members.rs
+++ b/crates/resident/src/peer/members.rs
@@ -1,46 +1,46 @@
-//! The other nodes that a node has heard of.
+//! Membership table of the other nodes.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use super::message::{Heartbeat, MemberInfo, ReplicaStatus};
 
-/// A node that was silent for so long is forgotten.
+/// A node without a heartbeat for this long is removed.
 const FORGET_AFTER: Duration = Duration::from_secs(60);
 
 /// Another node.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Member {
-    /// Who it is.
+    /// Identity and location.
     pub info: MemberInfo,
-    /// When it was first heard of, since the start of this process.
+    /// When it was first learned of, as time since the start of this process.
     pub known_since: Duration,
-    /// When its last heartbeat came, since the start of this process.
+    /// When its last heartbeat came, as time since the start of this process; `None` before the first.
     pub heard_at: Option<Duration>,
-    /// Number of its life.
+    /// Start time of its process, from its heartbeats; 0 before the first.
     pub incarnation: u64,
     /// Its replica, as of its last heartbeat.
     pub replica: Option<ReplicaStatus>,
-    /// Version of the protocol that it spoke last.
+    /// Protocol version of its last heartbeat; 0 before the first.
     pub protocol: u16,
 }
 
 impl Member {
-    /// Whether a heartbeat came within this time.
+    /// Whether its last heartbeat is less than `within` old.
     pub fn is_alive(&self, now: Duration, within: Duration) -> bool {
         self.heard_at
             .is_some_and(|heard| now.saturating_sub(heard) < within)
     }
 }
 
-/// All nodes that a node has heard of, by name.
+/// All other nodes that are known, by name.
 #[derive(Debug, Default)]
 pub struct Members {
     by_name: BTreeMap<String, Member>,
 }
 
 impl Members {
-    /// Takes in a node that others know of.
+    /// Adds a node that other nodes know; a known one is not changed.
     pub fn on_known(&mut self, info: MemberInfo, now: Duration) {
         let name = info.name.clone();
         self.by_name.entry(name).or_insert(Member {
@@ -53,7 +53,7 @@
         });
     }
 
-    /// Takes in a heartbeat; says whether it begins a life that was not known.
+    /// Applies a heartbeat, unless it is from an earlier incarnation. Returns whether the incarnation is new.
     pub fn on_heartbeat(&mut self, heartbeat: &Heartbeat, now: Duration) -> bool {
         self.on_known(heartbeat.from.clone(), now);
         let Some(member) = self.by_name.get_mut(&heartbeat.from.name) else {
@@ -71,7 +71,7 @@
         is_new
     }
 
-    /// Forgets nodes that were silent for long.
+    /// Removes nodes without a heartbeat for a minute.
     pub fn forget_silent(&mut self, now: Duration) {
         self.by_name.retain(|_, member| {
             let last = member.heard_at.unwrap_or(member.known_since);
@@ -79,7 +79,7 @@
         });
     }
 
-    /// All nodes.
+    /// Iterates in the order of names.
     pub fn iter(&self) -> impl Iterator<Item = &Member> {
         self.by_name.values()
     }
--- a/crates/resident/src/peer/message.rs
+++ b/crates/resident/src/peer/message.rs
@@ -1,7 +1,7 @@
-//! Messages between nodes. Their encoding stands in [`super::encoding`].
+//! Messages between nodes, encoded by [`super::encoding`].
 //!
-//! The archived form of each is frozen: nodes of the first protocol version read it. What comes later is a field that the form
-//! skips, and travels in a section of the frame.
+//! The archived layout of each is frozen, since nodes of protocol version 0 read it. A later field is skipped in the layout
+//! and sent in a section of the frame.
 #![allow(
     missing_docs,
     reason = "the resolvers that rkyv derives carry undocumented fields"
@@ -18,184 +18,184 @@
 
 use super::extension::{ExtensionDatagram, ExtensionReply, ExtensionRequest};
 
-/// What one node asks another.
+/// A request to another node.
 #[derive(Debug, Clone, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub enum PeerRequest {
-    /// For the replica that runs there.
+    /// For the replica on that node.
     Replica {
-        /// The replica that is meant: another life of the disk must not answer for it.
+        /// Identity of the replica; a replica on a wiped disk has a new one and must not answer for the old one.
         to: ReplicaId,
         /// The request.
         request: ReplicaRequest,
     },
-    /// Asks for what the node knows of the deployment that is newer than this.
+    /// Asks for the parts of the node's view that are newer than this position.
     FetchView(ViewPosition),
-    /// Asks which nodes it has heard of.
+    /// Asks which nodes it knows.
     ListMembers,
-    /// For a replica elsewhere that the sender does not reach itself.
+    /// For a replica on a third node that the sender can't reach directly.
     Relay(Box<RelayedRequest>),
-    /// Asks a replica to copy before it joins the set, and how far it is.
+    /// Asks a replica to copy a group's records before it joins the set, and whether it has finished.
     Prepare(Box<PrepareRequest>),
-    /// What nodes of the first protocol version do not know; no body ever holds it.
+    /// A request that nodes of protocol version 0 don't know; it is sent in a section and never in a body.
     Extension(#[rkyv(with = Skip)] ExtensionRequest),
 }
 
-/// A copy that a replica is to make before it joins a set.
+/// Asks a replica to copy a group's records before it joins the group's set.
 #[derive(Debug, Clone, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct PrepareRequest {
-    /// The replica that is meant.
+    /// Identity of the replica.
     pub to: ReplicaId,
     /// The group whose records it copies.
     pub group: GroupId,
-    /// The sets in force.
+    /// The replica sets in force.
     pub groups: ReplicaGroups,
 }
 
-/// A request that a node is to pass on to a replica.
+/// A request that a node is to relay to a replica.
 #[derive(Debug, Clone, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct RelayedRequest {
-    /// Where the replica's node is reached.
+    /// Address of the replica's node.
     pub address: SocketAddr,
-    /// The replica that is meant.
+    /// Identity of the replica.
     pub to: ReplicaId,
     /// The request.
     pub request: ReplicaRequest,
 }
 
-/// What a node answers.
+/// A reply to a [`PeerRequest`].
 #[derive(Debug, Clone, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub enum PeerReply {
     /// From the replica.
     Replica(ReplicaReply),
-    /// What the node knows.
+    /// The newer parts of the node's view.
     View(ViewUpdate),
-    /// Nodes that it has heard of.
+    /// The nodes that it knows, itself included.
     Members(Vec<MemberInfo>),
-    /// The node's role does not answer this.
+    /// The node's role or version doesn't handle the request.
     Unsupported,
-    /// The node does not reach the replica that it was to pass a request on to.
+    /// The relaying node could not reach the replica.
     RelayFailed,
-    /// How far a replica is that is to join the set.
+    /// State of the copy of a replica that is to join a set.
     Prepared {
-        /// Whether it holds what a read quorum of the voters held moments ago.
+        /// Whether it holds the records that a read quorum of the voters held moments ago.
         is_ready: bool,
     },
-    /// What nodes of the first protocol version do not know; no body ever holds it.
+    /// A reply that nodes of protocol version 0 don't know; it is sent in a section and never in a body.
     Extension(#[rkyv(with = Skip)] ExtensionReply),
 }
 
-/// How far a node knows the deployment.
+/// Versions of a node's view.
 #[derive(Debug, Clone, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct ViewPosition {
     /// Version of its configuration, 0 when it has none.
     pub version: u64,
-    /// What it knows of the engines.
+    /// Which changes of the engines it knows.
     pub engines: KnownEngines,
-    /// The epochs of its newest replica sets together.
+    /// Combined epoch of its newest replica sets.
     pub epoch: Epoch,
-    /// Whether it has a use for the drains of zones. Travels in a [`DrainSection`].
+    /// Whether it uses the drains of zones. Sent in a [`DrainSection`].
     #[rkyv(with = Skip)]
     pub wants_drains: bool,
 }
 
-/// How far a node knows the engines.
+/// Which changes of the engines a node knows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub enum KnownEngines {
-    /// It has no use for them.
+    /// It doesn't use engines.
     Unwanted,
-    /// It has seen no list.
+    /// It has received no list yet.
     Nothing,
     /// All changes up to this revision.
     UpTo(u64),
 }
 
-/// What one node knows of the deployment and another one does not.
+/// The parts of a node's view that are newer than a [`ViewPosition`].
 #[derive(Debug, Clone, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct ViewUpdate {
     /// A newer configuration.
     pub configuration: Option<RouteConfiguration>,
-    /// Changes of the engines; `None` when the node has seen no list or none are wanted.
+    /// Changes of the engines; `None` when the sender has received no list or the requester doesn't use engines.
     pub engines: Option<EngineChanges>,
     /// Newer replica sets.
     pub groups: Option<ReplicaGroups>,
-    /// Milliseconds since the store last confirmed the node's configuration; `None` when it never did.
+    /// Milliseconds since the store last confirmed the sender's configuration; `None` when it never did.
     pub unconfirmed_ms: Option<u64>,
     /// The same for its engines.
     pub engines_unconfirmed_ms: Option<u64>,
-    /// The drains of zones that it knows, where they are wanted. Travels in a [`DrainSection`].
+    /// The sender's drains of zones, where the requester uses them. Sent in a [`DrainSection`].
     #[rkyv(with = Skip)]
     pub drains: Option<Box<DrainSnapshot>>,
-    /// Version of the protocol that the sender speaks: one that speaks version 0 knows nothing of what came later.
+    /// Protocol version of the sender; version 0 sends no sections.
     #[rkyv(with = Skip)]
     pub protocol: u16,
-    /// Whether the configuration is told with all that nodes of the first protocol version do not know of it.
+    /// Whether the configuration includes the parts that protocol version 0 doesn't have.
     #[rkyv(with = Skip)]
     pub has_extras: bool,
-    /// Whether the engines are told with how long they warm up.
+    /// Whether the engines include their warm-up times.
     #[rkyv(with = Skip)]
-    pub has_starts: bool,
+    pub has_warm_ups: bool,
 }
 
-/// What a node knows of the deployment and for how long nobody has confirmed that it is the newest.
+/// Versions of a node's view, with the time since the store confirmed that each is the newest.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct Confirmations {
     /// Version of its configuration, 0 when it has none.
     pub version: u64,
-    /// Milliseconds for which nobody has confirmed that; `None` when nobody ever did.
+    /// Milliseconds since that was confirmed; `None` when it never was.
     pub unconfirmed_ms: Option<u64>,
     /// Revision of the newest change of the engines that it knows.
     pub engines_newest: u64,
-    /// Milliseconds for which nobody has confirmed that there is no newer one; `None` when nobody ever did.
+    /// Milliseconds since it was confirmed that there is no newer one; `None` when it never was.
     pub engines_unconfirmed_ms: Option<u64>,
-    /// What it knows of the drains of zones, where it follows them. Travels in a [`DrainSection`].
+    /// Its drains of zones; `None` where it doesn't use them or has no list. Sent in a [`DrainSection`].
     #[rkyv(with = Skip)]
     pub drains: Option<KnownDrains>,
 }
 
-/// How far a node knows the drains of zones.
+/// Version of a node's drains of zones.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct KnownDrains {
     /// Revision of the newest change that it knows.
     pub newest: u64,
-    /// Milliseconds for which nobody has confirmed that there is no newer one; `None` when nobody ever did.
+    /// Milliseconds since it was confirmed that there is no newer one; `None` when it never was.
     pub unconfirmed_ms: Option<u64>,
 }
 
-/// The drains of zones, as one node tells them another.
+/// A node's drains of zones.
 #[derive(Debug, Clone, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct DrainSnapshot {
-    /// All of them.
+    /// The complete table.
     pub table: ZoneDrains,
-    /// Milliseconds for which nobody has confirmed that there is no newer change; `None` when nobody ever did.
+    /// Milliseconds since it was confirmed that there is no newer change; `None` when it never was.
     pub unconfirmed_ms: Option<u64>,
 }
 
-/// What nodes say to each other of the drains of zones, beside a message of the first protocol version.
+/// Section about the drains of zones, beside the body of another message.
 #[derive(Debug, Clone, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub enum DrainSection {
-    /// Beside confirmations: how far the sender knows them.
+    /// Beside [`Confirmations`]: version of the sender's drains.
     Known(KnownDrains),
-    /// Beside a question for the view: the asker wants them.
+    /// Beside [`PeerRequest::FetchView`]: the requester uses drains.
     Wanted,
-    /// Beside the answer.
-    Told(DrainSnapshot),
+    /// Beside [`PeerReply::View`]: the sender's drains.
+    Snapshot(DrainSnapshot),
 }
 
-/// A request or reply with the number that joins them.
+/// A request or reply with the number that correlates them.
 #[derive(Debug, Clone, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct Envelope<T> {
     /// Number of the request, unique on its connection.
     pub number: u64,
-    /// The message.
+    /// The request or reply.
     pub body: T,
 }
 
-/// Who a node is.
+/// Identity and location of a node.
 #[derive(Debug, Clone, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct MemberInfo {
-    /// Its name.
+    /// Name of the node, unique in the deployment.
     pub name: String,
-    /// Where other nodes reach it.
+    /// Address of its links and heartbeats.
     pub address: SocketAddr,
     /// Its zone.
     pub zone: String,
@@ -203,81 +203,81 @@
     pub is_replica: bool,
 }
 
-/// How the replica of a node stands.
+/// State of a node's replica.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct ReplicaStatus {
-    /// Its identity.
+    /// Identity of the replica.
     pub id: ReplicaId,
-    /// A group whose set is changing and whose copy it has finished, with the set's epoch.
+    /// A group whose set is changing and whose records it has copied, with the set's epoch.
     pub copied: Option<(GroupId, Epoch)>,
 }
 
-/// What a gateway tells others of the engines.
+/// A gateway's observations of the engines.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// Its open requests by engine.
+    /// Its in-flight requests by engine.
     pub open: Vec<(u64, u32)>,
-    /// How its requests ended at engines that fail some.
+    /// Outcomes of its requests at engines that failed some.
     pub suspects: Vec<ReportedOutcomes>,
-    /// What it has learned of the services.
+    /// Its measurements of the services.
     pub services: Vec<ServiceSummary>,
 }
 
-/// What a node tells others a few times a second.
+/// State that a node sends to others a few times a second.
 #[derive(Debug, Clone, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// The node.
+    /// The sender.
     pub from: MemberInfo,
-    /// Number of its life, drawn at its start.
+    /// Start time of its process; a restart has a higher one.
     pub incarnation: u64,
-    /// What it knows of the deployment. The ages only tell whom to ask: a heartbeat may have waited for any time.
+    /// Versions of its view. The ages only tell whom to query, since a heartbeat may have been delayed for any time.
     pub confirmations: Confirmations,
-    /// The epochs of the newest replica sets that it knows together.
+    /// Combined epoch of the newest replica sets that it knows.
     pub epoch: Epoch,
     /// Its replica, if it runs one.
     pub replica: Option<ReplicaStatus>,
-    /// What it tells of the engines.
+    /// Its observations of the engines.
     pub load: LoadReport,
     /// Some other nodes that it knows.
     pub known: Vec<MemberInfo>,
-    /// Version of the protocol that it speaks.
+    /// Protocol version of the sender.
     #[rkyv(with = Skip)]
     pub protocol: u16,
 }
 
-/// What nodes say to each other over UDP. Nothing that must be safe rests on it.
+/// Messages over UDP. They may be lost, so no safety property depends on them.
 #[derive(Debug, Clone, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub enum Datagram {
-    /// A few times a second.
+    /// Sent a few times a second.
     Heartbeat(Box<Heartbeat>),
-    /// An engine reads a prompt; told to the prompt's directory node.
-    Read(PrefillRecord),
-    /// Asks that node who has read prompts with this last part.
-    FindRead {
-        /// Number of the question, unique at whoever asks.
+    /// Tells a prompt's directory node that an engine processes the prompt.
+    Prefill(PrefillRecord),
+    /// Asks a directory node for the last prefill of prompts with this last part.
+    FindPrefill {
+        /// Number of the query, unique at its sender.
         number: u64,
         /// Hash of the last part.
         part: u64,
     },
-    /// Asks a node for how long nobody has confirmed what it knows.
+    /// Asks a node for its [`Confirmations`].
     AskConfirmations {
-        /// Number of the question, unique at whoever asks.
+        /// Number of the query, unique at its sender.
         number: u64,
     },
-    /// The answer.
+    /// Answer to [`Datagram::AskConfirmations`].
     Confirmed {
-        /// Number of the question.
+        /// Number of the query.
         number: u64,
-        /// What the node knows.
+        /// Versions of the node's view.
         told: Confirmations,
     },
-    /// The answer to a question for a read.
-    FoundRead {
-        /// Number of the question.
+    /// Answer to [`Datagram::FindPrefill`].
+    FoundPrefill {
+        /// Number of the query.
         number: u64,
-        /// The last read, if there was one.
-        read: Option<PrefillRecord>,
+        /// The last prefill; `None` where none is known.
+        prefill: Option<PrefillRecord>,
     },
-    /// What nodes of the first protocol version do not know; no body ever holds it.
+    /// A datagram that nodes of protocol version 0 don't know; it is sent in a section and never in a body.
     Extension(#[rkyv(with = Skip)] ExtensionDatagram),
 }
--- a/crates/resident/src/peer/mod.rs
+++ b/crates/resident/src/peer/mod.rs
@@ -1,4 +1,4 @@
-//! What nodes say to each other: requests over framed TCP links, heartbeats over UDP.
+//! Communication between nodes: requests over framed TCP links, heartbeats over UDP.
 
 mod confirmation_query;
 mod encoding;
@@ -34,7 +34,7 @@
 
 use tokio_util::codec::LengthDelimitedCodec;
 
-/// Largest frame; a longer one breaks the connection.
+/// Longest frame; a longer one closes the connection.
 const MAX_FRAME_BYTES: usize = 64 * 1024 * 1024;
 
 fn codec() -> LengthDelimitedCodec {
--- a/crates/resident/src/peer/purpose.rs
+++ b/crates/resident/src/peer/purpose.rs
@@ -1,4 +1,4 @@
-//! What messages between nodes are for.
+//! Maps messages between nodes to the purposes that traffic is counted by.
 
 use ridgeworks_records::ReplicaRequest;
 
@@ -6,11 +6,11 @@
 use super::message::{Datagram, PeerRequest};
 use crate::traffic::Purpose;
 
-/// What a request is for, and the answer to it. One that is passed on counts like the request itself.
+/// Purpose of a request and its reply. A relayed request counts like the request itself.
 pub fn of_request(request: &PeerRequest) -> Purpose {
     match request {
         PeerRequest::Replica { request, .. } => of_replica_request(request),
-        PeerRequest::Relay(passed) => of_replica_request(&passed.request),
+        PeerRequest::Relay(relayed) => of_replica_request(&relayed.request),
         PeerRequest::FetchView(_) | PeerRequest::ListMembers => Purpose::View,
         PeerRequest::Extension(ExtensionRequest::Grant(_)) => Purpose::Limit,
         PeerRequest::Extension(ExtensionRequest::FetchBuild | ExtensionRequest::Unknown(_)) => {
@@ -32,11 +32,11 @@
     }
 }
 
-/// What a datagram is for.
+/// Purpose of a datagram.
 pub fn of_datagram(datagram: &Datagram) -> Purpose {
     match datagram {
         Datagram::Heartbeat(_) => Purpose::Heartbeat,
-        Datagram::Read(_) | Datagram::FindRead { .. } | Datagram::FoundRead { .. } => {
+        Datagram::Prefill(_) | Datagram::FindPrefill { .. } | Datagram::FoundPrefill { .. } => {
             Purpose::PrefillDirectory
         }
         Datagram::AskConfirmations { .. } | Datagram::Confirmed { .. } => Purpose::Confirmation,
--- a/crates/resident/src/peer/rejected.rs
+++ b/crates/resident/src/peer/rejected.rs
@@ -1,4 +1,4 @@
-//! Messages of other nodes that this one cannot read or does not know, counted and logged.
+//! Counts and logs messages of other nodes that can't be decoded or are of an unknown kind.
 
 use std::collections::HashSet;
 use std::net::IpAddr;
@@ -7,28 +7,28 @@
 
 use super::encoding::{MessageError, MessageKind};
 
-/// Kinds and nodes that a line is kept for.
-const MAX_TOLD: usize = 1_024;
+/// Most pairs of a node and a kind that are logged.
+const MAX_LOGGED_SOURCES: usize = 1_024;
 
-/// Messages that this process has not understood.
+/// Counters of rejected messages.
 #[derive(Debug, Default)]
 pub struct RejectedMessages {
-    /// Of a kind that this version does not know.
+    /// Messages of a kind that this version doesn't know.
     pub unknown: AtomicU64,
-    /// Whose bytes are no message.
+    /// Messages that can't be decoded.
     pub unreadable: AtomicU64,
-    told: Mutex<Option<HashSet<(IpAddr, u16)>>>,
+    logged: Mutex<Option<HashSet<(IpAddr, u16)>>>,
 }
 
-/// Those of this process.
+/// Counters of this process.
 pub static REJECTED: RejectedMessages = RejectedMessages {
     unknown: AtomicU64::new(0),
     unreadable: AtomicU64::new(0),
-    told: Mutex::new(None),
+    logged: Mutex::new(None),
 };
 
 impl RejectedMessages {
-    /// A message of a kind that is not known here.
+    /// Counts a message of an unknown kind.
     pub fn on_unknown(&self, from: IpAddr, kind: u16) {
         self.unknown.fetch_add(1, Ordering::Relaxed);
         if self.is_first(from, kind) {
@@ -36,12 +36,12 @@
                 target: "dependency",
                 node:% = from,
                 kind = kind;
-                "a node sends messages of a kind that this version does not know"
+                "received a message of an unknown kind; further ones of this kind from this node are only counted"
             );
         }
     }
 
-    /// A message that cannot be read.
+    /// Counts a message that can't be decoded.
     pub fn on_unreadable(&self, from: IpAddr, kind: MessageKind, error: MessageError) {
         self.unreadable.fetch_add(1, Ordering::Relaxed);
         if self.is_first(from, kind as u16) {
@@ -50,17 +50,17 @@
                 node:% = from,
                 kind:? = kind,
                 detail:% = error;
-                "a node sends messages that cannot be read"
+                "received a message that cannot be decoded; further ones of this kind from this node are only counted"
             );
         }
     }
 
-    /// Whether it is the first of its kind from there: one line tells of all.
+    /// Whether this is the first rejected message of its kind from this node, so that each pair is logged once.
     fn is_first(&self, from: IpAddr, kind: u16) -> bool {
-        let Ok(mut told) = self.told.lock() else {
+        let Ok(mut logged) = self.logged.lock() else {
             return false;
         };
-        let told = told.get_or_insert_default();
-        told.len() < MAX_TOLD && told.insert((from, kind))
+        let logged = logged.get_or_insert_default();
+        logged.len() < MAX_LOGGED_SOURCES && logged.insert((from, kind))
     }
 }
--- a/crates/resident/src/peer/server.rs
+++ b/crates/resident/src/peer/server.rs
@@ -1,4 +1,4 @@
-//! Answers requests of other nodes.
+//! Serves requests of other nodes.
 
 use std::io;
 use std::net::{IpAddr, SocketAddr};
@@ -18,20 +18,20 @@
 use super::rejected::REJECTED;
 use crate::http_client::configure_socket;
 
-/// Replies that may wait for a slow reader before its connection is read no further.
+/// Most in-flight requests of a connection; no more are read until replies have been sent.
 const MAX_WAITING_REPLIES: usize = 256;
-/// A link by which nothing is asked for so long is closed, somewhat later than whoever asks closes it: its connection may
-/// have fallen silent for good, and would be held for ever.
+/// A connection without a request for this long is closed, since it may have fallen silent without an error and would
+/// stay open for ever. Longer than the idle limit of the requester.
 const IDLE_LIMIT: Duration = Duration::from_secs(30);
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// Takes requests of other nodes.
+/// Handler of requests of other nodes.
 pub trait PeerService: 'static {
-    /// Answers through `reply`, now or later.
+    /// Handles a request and sends its reply through `reply`, now or later. If `reply` is dropped, the requester gets none.
     fn on_request(&self, request: PeerRequest, reply: oneshot::Sender<PeerReply>);
 }
 
-/// Listens until the process ends.
+/// Binds `address` and serves it until the process ends.
 pub async fn serve(address: SocketAddr, service: Rc<impl PeerService>) -> io::Result<()> {
     let listener = TcpListener::bind(address).await?;
     tokio::task::spawn_local(async move {
@@ -70,14 +70,14 @@
         };
         let (number, request) = match request {
             Request::Known(envelope) => (envelope.number, envelope.body),
-            Request::NotKnown(Some(number)) => {
+            Request::Unrecognized(Some(number)) => {
                 let body = PeerReply::Unsupported;
                 if let Ok(frame) = encode(&Envelope { number, body }) {
                     permit.send(frame);
                 }
                 continue;
             }
-            Request::NotKnown(None) => continue,
+            Request::Unrecognized(None) => continue,
         };
         let (reply, answered) = oneshot::channel();
         service.on_request(request, reply);
@@ -92,27 +92,27 @@
     let _ = writing.await;
 }
 
-/// What has come by a connection.
+/// A received request.
 enum Request {
     Known(Envelope<PeerRequest>),
-    /// Something that this version does not know or cannot read, with its number where that can be told.
-    NotKnown(Option<u64>),
+    /// A request that is unknown or can't be decoded, with its number where the frame has one.
+    Unrecognized(Option<u64>),
 }
 
-/// Reads a request; `None` where the connection is of no use any more. What cannot be read costs whoever asked that one
-/// answer: others may wait for theirs by the same connection.
+/// Decodes a request; `None` where the connection can't be used any more. One that can't be decoded doesn't close the connection,
+/// which other requests may be using.
 fn read(frame: &[u8], from: IpAddr) -> Option<Request> {
     match decode::<Envelope<PeerRequest>>(frame) {
         Ok(envelope) => {
             if let PeerRequest::Extension(ExtensionRequest::Unknown(kind)) = envelope.body {
                 REJECTED.on_unknown(from, kind);
-                return Some(Request::NotKnown(Some(envelope.number)));
+                return Some(Request::Unrecognized(Some(envelope.number)));
             }
             Some(Request::Known(envelope))
         }
         Err(error) => {
             REJECTED.on_unreadable(from, MessageKind::Request, error);
-            (!error.is_corruption()).then(|| Request::NotKnown(frame_number(frame)))
+            (!error.is_corruption()).then(|| Request::Unrecognized(frame_number(frame)))
         }
     }
 }
--- a/crates/resident/src/peer/targets.rs
+++ b/crates/resident/src/peer/targets.rs
@@ -1,10 +1,10 @@
-//! Who gets a node's heartbeats.
+//! Chooses the targets of a node's heartbeats.
 //!
-//! All nodes in turn, a few at each interval, so that a node's messages do not grow with the fleet. Whether a
-//! replica lives has to be known within a second or two, though, and in a large fleet a node's turn comes every
-//! ten. The members of a group's replica set decide on that for each other, so every member sends to all of its groups at each interval, and
-//! one that belongs to no group, and may take anybody's place, to the members of all (`docs/design/large-fleets.md`, "Who says that a
-//! replica is gone").
+//! A node sends to all others in rotation, a few at each interval, so that its messages don't grow with the fleet. In a large
+//! fleet each turn comes only about every ten seconds, but a dead replica must be detected within a second or two. The members of a
+//! group's replica set decide on the liveness of each other, so every member also sends to all members of its groups at each interval. A
+//! replica without a group, which may replace a member of any, sends to the members of all groups
+//! (`docs/design/large-fleets.md`, "Who says that a replica is gone").
 
 use std::net::SocketAddr;
 
@@ -15,70 +15,72 @@
 use super::members::Member;
 use super::message::MemberInfo;
 
-/// Nodes that get a heartbeat in turn at each interval.
+/// Number of nodes in rotation that get a heartbeat at each interval.
 pub const FAN_OUT: usize = 8;
-/// Nodes of other zones among them, in a fleet that has too many for one round: requests mostly stay in the zone of their gateway, so
-/// that news of its own zone is what a choice rests on, and the way between zones is the dear one.
-const FAR_FAN_OUT: usize = 3;
-/// Rounds that reach every node of a small fleet, as often as if no zone came first.
-const SMALL_ROUNDS: usize = 2;
-/// Replicas that another one sends to in turn at each interval as long as no set is known.
+/// How many of them are in other zones where there are too many nodes for a few rounds. Requests mostly stay in the zone of their
+/// gateway, so state of its own zone matters most to it, and traffic between zones costs more.
+const REMOTE_ZONE_FAN_OUT: usize = 3;
+/// Up to as many nodes as this many rounds reach, zones are not weighted.
+const UNWEIGHTED_ROUNDS: usize = 2;
+/// Number of replicas in rotation that a replica sends to at each interval while no set is known.
 const REPLICA_FAN_OUT: usize = 8;
-/// Replicas of other groups that a member sends to in turn at each interval: each hears it every 2 s where there are 36.
-const FOREIGN_FAN_OUT: usize = 4;
+/// Number of replicas of other groups in rotation that a member sends to at each interval. With 36 replicas, each of them gets
+/// a heartbeat every 2 s.
+const OTHER_GROUP_FAN_OUT: usize = 4;
 
-/// The nodes that get a heartbeat of `me` now. `begin` is where the turn begins, and grows by [`FAN_OUT`] from
-/// interval to interval.
+/// The nodes that get a heartbeat of `me` now. `offset` is where the rotation begins; it grows by [`FAN_OUT`] at each interval.
 pub fn targets<'a>(
     me: &MemberInfo,
     members: impl Iterator<Item = &'a Member>,
     groups: Option<&ReplicaGroups>,
-    begin: usize,
+    offset: usize,
 ) -> Vec<SocketAddr> {
     let (replicas, mut others): (Vec<&Member>, Vec<&Member>) =
         members.partition(|member| me.is_replica && member.info.is_replica);
     let mut targets = match groups {
         Some(groups) => {
-            let deciding = deciding(me, groups);
-            let (deciding, foreign): (Vec<&Member>, Vec<&Member>) = replicas
+            let liveness_voters = liveness_voters(me, groups);
+            let (liveness_voters, other_groups): (Vec<&Member>, Vec<&Member>) = replicas
                 .into_iter()
-                .partition(|member| deciding.contains(member.info.name.as_str()));
-            let mut targets: Vec<SocketAddr> =
-                deciding.iter().map(|member| member.info.address).collect();
+                .partition(|member| liveness_voters.contains(member.info.name.as_str()));
+            let mut targets: Vec<SocketAddr> = liveness_voters
+                .iter()
+                .map(|member| member.info.address)
+                .collect();
             if groups.iter().count() > 1 {
-                // Where the turn begins grows by as many as get a heartbeat.
-                let begin = begin / FAN_OUT * FOREIGN_FAN_OUT;
-                targets.extend(in_turn(&foreign, begin, FOREIGN_FAN_OUT));
+                // Here the offset grows by the number of replicas that get a heartbeat.
+                let offset = offset / FAN_OUT * OTHER_GROUP_FAN_OUT;
+                targets.extend(round_robin(&other_groups, offset, OTHER_GROUP_FAN_OUT));
             } else {
-                others.extend(foreign);
+                others.extend(other_groups);
             }
             targets
         }
-        None => in_turn(&replicas, begin, REPLICA_FAN_OUT),
+        None => round_robin(&replicas, offset, REPLICA_FAN_OUT),
     };
-    targets.extend(by_zone(me, others, begin));
+    targets.extend(zone_weighted(me, others, offset));
     targets
 }
 
-/// Nodes in turn, those of the own zone more often where there are many.
-fn by_zone(me: &MemberInfo, others: Vec<&Member>, begin: usize) -> Vec<SocketAddr> {
-    if others.len() <= SMALL_ROUNDS * FAN_OUT {
-        return in_turn(&others, begin, FAN_OUT);
+/// Nodes in rotation. Where there are many, those of the own zone come more often.
+fn zone_weighted(me: &MemberInfo, others: Vec<&Member>, offset: usize) -> Vec<SocketAddr> {
+    if others.len() <= UNWEIGHTED_ROUNDS * FAN_OUT {
+        return round_robin(&others, offset, FAN_OUT);
     }
     let (near, far): (Vec<&Member>, Vec<&Member>) = others
         .into_iter()
         .partition(|member| member.info.zone == me.zone);
-    let far_least = far.len().min(FAR_FAN_OUT);
+    let far_least = far.len().min(REMOTE_ZONE_FAN_OUT);
     let near_count = near.len().min(FAN_OUT - far_least);
-    let rounds = begin / FAN_OUT;
-    let mut targets = in_turn(&near, rounds * near_count, near_count);
+    let rounds = offset / FAN_OUT;
+    let mut targets = round_robin(&near, rounds * near_count, near_count);
     let far_count = FAN_OUT - near_count;
-    targets.extend(in_turn(&far, rounds * far_count, far_count));
+    targets.extend(round_robin(&far, rounds * far_count, far_count));
     targets
 }
 
-/// Names of the nodes that decide whether `me` is gone, or whether it may take a place.
-fn deciding<'a>(me: &MemberInfo, groups: &'a ReplicaGroups) -> BTreeSet<&'a str> {
+/// Names of the nodes that decide whether `me` is alive or, if it has no group, whether it may join one.
+fn liveness_voters<'a>(me: &MemberInfo, groups: &'a ReplicaGroups) -> BTreeSet<&'a str> {
     let mut own = BTreeSet::new();
     let mut all = BTreeSet::new();
     for (_, set) in groups.iter() {
@@ -93,8 +95,8 @@
     if own.is_empty() { all } else { own }
 }
 
-fn in_turn(members: &[&Member], begin: usize, most: usize) -> Vec<SocketAddr> {
+fn round_robin(members: &[&Member], offset: usize, most: usize) -> Vec<SocketAddr> {
     let count = members.len();
-    let places = (0..count.min(most)).map(|index| begin.wrapping_add(index) % count);
+    let places = (0..count.min(most)).map(|index| offset.wrapping_add(index) % count);
     places.map(|place| members[place].info.address).collect()
 }
--- a/crates/resident/src/view.rs
+++ b/crates/resident/src/view.rs
@@ -63,7 +63,7 @@
     /// Whether the configuration is complete: it did not come, directly or indirectly, from a node of protocol version 0.
     has_extras: Cell<bool>,
     /// The same for the engines.
-    has_starts: Cell<bool>,
+    has_warm_ups: Cell<bool>,
     refused: Cell<Option<Refusal>>,
 }
 
@@ -98,7 +98,7 @@
             confirmed_notify: Notify::new(),
             needs_extras: false,
             has_extras: Cell::new(true),
-            has_starts: Cell::new(true),
+            has_warm_ups: Cell::new(true),
             refused: Cell::new(None),
         }
     }
@@ -414,7 +414,7 @@
                 .map(Box::new),
             protocol: PROTOCOL,
             has_extras: self.has_extras.get(),
-            has_starts: self.has_starts.get(),
+            has_warm_ups: self.has_warm_ups.get(),
         }
     }
 
@@ -431,19 +431,19 @@
             drains,
             protocol: _,
             has_extras,
-            has_starts,
+            has_warm_ups,
         } = update;
         // An update without a configuration says that the sender knows none newer than the version in the request.
         let version = configuration
             .as_ref()
             .map_or(0, |configuration| configuration.version);
         let lacks_extras = configuration.is_some() && !has_extras;
-        let lacks_starts = engines.is_some() && !has_starts;
-        if self.needs_extras && (lacks_extras || lacks_starts) {
+        let lacks_warm_ups = engines.is_some() && !has_warm_ups;
+        if self.needs_extras && (lacks_extras || lacks_warm_ups) {
             self.refuse(version);
         }
         let configuration = configuration.filter(|_| !(self.needs_extras && lacks_extras));
-        let engines = engines.filter(|_| !(self.needs_extras && lacks_starts));
+        let engines = engines.filter(|_| !(self.needs_extras && lacks_warm_ups));
         if let Some(configuration) = configuration {
             if version > self.version() {
                 self.has_extras.set(has_extras);
@@ -453,7 +453,8 @@
         self.confirm_version(version, since_asked(unconfirmed_ms));
         if let Some(engines) = engines {
             let told_at = engines.at;
-            self.has_starts.set(has_starts && self.has_starts.get());
+            self.has_warm_ups
+                .set(has_warm_ups && self.has_warm_ups.get());
             self.adopt_engine_changes(engines, Source::Peer);
             self.confirm_engines(told_at, since_asked(engines_unconfirmed_ms));
         }
--- a/crates/resident/tests/extension_messages.rs
+++ b/crates/resident/tests/extension_messages.rs
@@ -175,9 +175,9 @@
 
 #[test]
 fn a_datagram_that_is_not_known_is_read_as_such() {
-    let harmless = Datagram::FoundRead {
+    let harmless = Datagram::FoundPrefill {
         number: 0,
-        read: None,
+        prefill: None,
     };
     let bytes = foreign(MessageKind::Datagram, &encode(&harmless).expect("small"));
     let read: Datagram = decode(&bytes).expect("a datagram");
--- a/crates/resident/tests/golden_messages.rs
+++ b/crates/resident/tests/golden_messages.rs
@@ -157,7 +157,7 @@
         drains: None,
         protocol: 1,
         has_extras: true,
-        has_starts: true,
+        has_warm_ups: true,
     };
     change(&mut update);
     enveloped(PeerReply::View(update))
--- a/crates/resident/tests/mutated_messages.rs
+++ b/crates/resident/tests/mutated_messages.rs
@@ -34,7 +34,7 @@
         panic!("not a view: {reply:?}");
     };
     update.has_extras = true;
-    update.has_starts = true;
+    update.has_warm_ups = true;
     let configuration = update.configuration.as_mut().expect("a configuration");
     configuration.routes[0].residency = Residency::within(["north".to_owned()]);
     configuration.services[0].warm_up = Some(WarmUpLimit {
@@ -93,7 +93,7 @@
 }
 
 /// Bodies that sections stand beside, with the kind of their messages.
-static BESIDE: LazyLock<Vec<(MessageKind, Vec<u8>)>> = LazyLock::new(|| {
+static SECTION_BODIES: LazyLock<Vec<(MessageKind, Vec<u8>)>> = LazyLock::new(|| {
     let bodies = [
         (
             MessageKind::Request,
@@ -115,7 +115,7 @@
 
 /// As the content of a section of each kind. (Numbers beyond those that are in use are not known, and read as such.)
 fn read_as_section(bytes: &[u8]) {
-    for (message, body) in BESIDE.iter() {
+    for (message, body) in SECTION_BODIES.iter() {
         for kind in (1..8).chain([100, 101, 200, 201, 300, 301]) {
             let bytes = frame(*message as u16, 7, &[(kind, bytes.to_vec())], body);
             match message {
--- a/crates/resident/tests/pending_queries.rs
+++ b/crates/resident/tests/pending_queries.rs
@@ -4,21 +4,21 @@
 
 #[test]
 fn an_answer_reaches_who_asked() {
-    let questions = PendingQueries::default();
-    let (one, _) = questions.ask();
-    let (two, mut answer) = questions.ask();
+    let queries = PendingQueries::default();
+    let (one, _) = queries.start();
+    let (two, mut answer) = queries.start();
     assert_ne!(one, two);
-    questions.answer(two, None);
+    queries.answer(two, None);
     assert_eq!(answer.try_recv(), Ok(None));
-    questions.answer(99, None);
+    queries.answer(99, None);
 }
 
 #[test]
 fn questions_that_nobody_waits_for_do_not_pile_up() {
-    let questions = PendingQueries::default();
+    let queries = PendingQueries::default();
     for _ in 0..10_000 {
         // Whoever asked goes away at once.
-        drop(questions.ask());
+        drop(queries.start());
     }
-    assert!(questions.len() <= 64, "{} questions", questions.len());
+    assert!(queries.len() <= 64, "{} queries", queries.len());
 }
--- a/crates/resident/tests/support/samples.rs
+++ b/crates/resident/tests/support/samples.rs
@@ -372,10 +372,10 @@
         groups: Some(groups()),
         unconfirmed_ms: Some(120),
         engines_unconfirmed_ms: Some(80),
-        drains: None,      // not in version 0
-        protocol: 0,       // not in version 0
-        has_extras: false, // not in version 0
-        has_starts: false, // not in version 0
+        drains: None,        // not in version 0
+        protocol: 0,         // not in version 0
+        has_extras: false,   // not in version 0
+        has_warm_ups: false, // not in version 0
     };
     let empty = ViewUpdate {
         configuration: None,
@@ -383,10 +383,10 @@
         groups: None,
         unconfirmed_ms: None,
         engines_unconfirmed_ms: None,
-        drains: None,      // not in version 0
-        protocol: 0,       // not in version 0
-        has_extras: false, // not in version 0
-        has_starts: false, // not in version 0
+        drains: None,        // not in version 0
+        protocol: 0,         // not in version 0
+        has_extras: false,   // not in version 0
+        has_warm_ups: false, // not in version 0
     };
     let others = [
         PeerReply::View(whole),
@@ -460,8 +460,8 @@
             known: vec![member()],
             protocol: 0, // not in version 0
         })),
-        Datagram::Read(read()),
-        Datagram::FindRead {
+        Datagram::Prefill(read()),
+        Datagram::FindPrefill {
             number: 5,
             part: 88,
         },
@@ -470,9 +470,9 @@
             number: 6,
             told: confirmations(),
         },
-        Datagram::FoundRead {
+        Datagram::FoundPrefill {
             number: 5,
-            read: Some(read()),
+            prefill: Some(read()),
         },
     ]
 }
@@ -480,11 +480,11 @@
 pub fn datagram_name(datagram: &Datagram) -> &'static str {
     match datagram {
         Datagram::Heartbeat(_) => "heartbeat",
-        Datagram::Read(_) => "read",
-        Datagram::FindRead { .. } => "find-read",
+        Datagram::Prefill(_) => "read",
+        Datagram::FindPrefill { .. } => "find-read",
         Datagram::AskConfirmations { .. } => "ask-confirmations",
         Datagram::Confirmed { .. } => "confirmed",
-        Datagram::FoundRead { .. } => "found-read",
+        Datagram::FoundPrefill { .. } => "found-read",
         Datagram::Extension(_) => "later", // not in version 0
     }
 }
