--- a/crates/resident/tests/confirmations.rs
+++ b/crates/resident/tests/confirmations.rs
@@ -1,7 +1,6 @@
-//! Ages of what a node knows, as other nodes tell them.
+//! Ages of confirmations from other nodes.
 //!
-//! An age that a heartbeat told counted from when the heartbeat was read. One that had waited at a process that was frozen made old
-//! knowledge look confirmed, and others took it over from there.
+//! A heartbeat delayed by a frozen process must not make an old view look confirmed, here and at the nodes that learn it from here.
 
 #[path = "support/idle_node.rs"]
 mod idle_node;
@@ -20,7 +19,7 @@
 use tokio::net::UdpSocket;
 use tokio::time::{sleep, timeout};
 
-const PATIENCE: Duration = Duration::from_secs(5);
+const TIMEOUT: Duration = Duration::from_secs(5);
 
 fn told(unconfirmed_ms: u64) -> Confirmations {
     Confirmations {
@@ -32,7 +31,7 @@
     }
 }
 
-/// A heartbeat of another node, to which this socket belongs.
+/// A heartbeat of another node with this address.
 fn heartbeat(from: SocketAddr, unconfirmed_ms: u64) -> Datagram {
     heartbeat_of(from, told(unconfirmed_ms))
 }
@@ -60,11 +59,11 @@
     socket
         .send_to(&bytes, to)
         .await
-        .expect("loopback takes datagrams");
+        .expect("loopback accepts datagrams");
 }
 
-/// Number of the next question for confirmations.
-async fn question(socket: &UdpSocket) -> u64 {
+/// Waits for the next query for confirmations and returns its number.
+async fn next_query(socket: &UdpSocket) -> u64 {
     let mut buffer = vec![0; 8 * 1024];
     let asked = async {
         loop {
@@ -74,12 +73,14 @@
             }
         }
     };
-    timeout(PATIENCE, asked).await.expect("the node asks")
+    timeout(TIMEOUT, asked)
+        .await
+        .expect("the node sends a query")
 }
 
-/// The store is asked for each kind by itself, so a node may know the engines better than this one, and the configuration no better.
+/// Each kind is confirmed by itself, so another node may have a more recent confirmation of the engines but not of the configuration.
 #[test]
-fn a_node_that_knows_only_the_engines_better_is_asked() {
+fn a_node_with_more_recent_engines_alone_is_queried() {
     run(async {
         let node = node("127.78.3.1").await;
         node.view.adopt_engines(Vec::new(), 3, Source::Peer);
@@ -91,7 +92,7 @@
         let told = |engines_newest| Confirmations {
             engines_newest,
             engines_unconfirmed_ms: Some(10),
-            ..told(PATIENCE.as_millis() as u64)
+            ..told(TIMEOUT.as_millis() as u64)
         };
         send(
             &peer,
@@ -99,7 +100,7 @@
             &heartbeat_of(from, told(3)),
         )
         .await;
-        let number = question(&peer).await;
+        let number = next_query(&peer).await;
         let told = told(3);
         let answer = Datagram::Confirmed { number, told };
         send(&peer, node.settings.peer_address(), &answer).await;
@@ -108,14 +109,14 @@
                 sleep(Duration::from_millis(5)).await;
             }
         };
-        timeout(PATIENCE, confirmed)
+        timeout(TIMEOUT, confirmed)
             .await
             .expect("the engines are confirmed");
     });
 }
 
 #[test]
-fn an_age_that_comes_unasked_confirms_nothing() {
+fn an_age_in_a_heartbeat_confirms_nothing() {
     run(async {
         let node = node("127.78.1.1").await;
         let peer = UdpSocket::bind("127.78.1.2:27395")
@@ -123,14 +124,14 @@
             .expect("a free port");
         let from = peer.local_addr().expect("a bound socket");
         send(&peer, node.settings.peer_address(), &heartbeat(from, 0)).await;
-        // The node has read it once it asks.
-        question(&peer).await;
+        // The query shows that the node has received the heartbeat.
+        next_query(&peer).await;
         assert_eq!(node.view.confirmation_age(), None);
     });
 }
 
 #[test]
-fn an_answer_counts_from_its_question() {
+fn an_answer_counts_from_its_query_and_only_once() {
     run(async {
         let node = node("127.78.2.1").await;
         let address = node.settings.peer_address();
@@ -139,7 +140,7 @@
             .expect("a free port");
         let from = peer.local_addr().expect("a bound socket");
         send(&peer, address, &heartbeat(from, 0)).await;
-        let number = question(&peer).await;
+        let number = next_query(&peer).await;
         let late = Duration::from_millis(200);
         sleep(late).await;
         let unknown = Datagram::Confirmed {
@@ -157,12 +158,12 @@
                 sleep(Duration::from_millis(1)).await;
             }
         };
-        timeout(PATIENCE, confirmed)
+        timeout(TIMEOUT, confirmed)
             .await
-            .expect("the node takes the answer");
+            .expect("the node applies the answer");
         let age = node.view.confirmation_age().expect("just confirmed");
         assert!(age >= Duration::from_millis(500) + late, "{age:?}");
-        // A second answer to the same question counts for nothing.
+        // A second answer to the same query is ignored.
         let again = Datagram::Confirmed {
             number,
             told: told(0),
--- a/crates/resident/tests/drains.rs
+++ b/crates/resident/tests/drains.rs
@@ -1,4 +1,4 @@
-//! Drains of zones as nodes tell them each other: what is newer, and how old its proof is.
+//! Exchange of zone drains between nodes: newer changes and ages of confirmations.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -29,31 +29,31 @@
     drains.is_some_and(|drains| drains.is_drained(ZONE))
 }
 
-/// What a node takes from another one, by the bytes that pass between them.
+/// Fetches a node's view over encoded messages; the request was sent `asked` ago.
 fn fetch(from: &View, to: &View, asked: Duration) {
-    let question = Envelope {
+    let request = Envelope {
         number: 1,
         body: PeerRequest::FetchView(to.position()),
     };
-    let bytes = encode(&question).expect("a question");
-    let read: Envelope<PeerRequest> = decode(&bytes).expect("a question");
+    let bytes = encode(&request).expect("a request");
+    let read: Envelope<PeerRequest> = decode(&bytes).expect("a request");
     let PeerRequest::FetchView(position) = read.body else {
-        panic!("another question");
+        panic!("unexpected request");
     };
-    let answer = Envelope {
+    let reply = Envelope {
         number: 1,
         body: PeerReply::View(from.update_since(&position)),
     };
-    let bytes = encode(&answer).expect("an answer");
-    let read: Envelope<PeerReply> = decode(&bytes).expect("an answer");
+    let bytes = encode(&reply).expect("a reply");
+    let read: Envelope<PeerReply> = decode(&bytes).expect("a reply");
     let PeerReply::View(update) = read.body else {
-        panic!("another answer");
+        panic!("unexpected reply");
     };
     to.adopt_update(update, asked);
 }
 
 #[test]
-fn orders_and_their_ends_come_from_other_nodes() {
+fn drains_and_their_ends_are_learned_from_other_nodes() {
     let (one, other) = (view(), view());
     one.adopt_drains(listed(&[ZONE], 10), Source::Store);
     fetch(&one, &other, Duration::ZERO);
@@ -65,20 +65,20 @@
     assert!(other.zone_restored_at(ZONE).is_some());
 }
 
-/// An answer may have waited for any time at a process that was frozen.
+/// A reply may have been delayed by a frozen process, so its age counts from the request.
 #[test]
-fn an_age_counts_from_the_question() {
+fn a_confirmation_age_counts_from_the_request() {
     let (one, other) = (view(), view());
     one.adopt_drains(listed(&[], 10), Source::Store);
     one.drains.confirm_as_of(Duration::ZERO);
     fetch(&one, &other, AGE);
-    let age = other.drains.confirmation_age().expect("a proof");
+    let age = other.drains.confirmation_age().expect("a confirmation");
     assert!(age >= AGE, "{age:?}");
 }
 
-/// Whoever knows a later change says nothing of what is known here.
+/// A confirmation of a newer table must not confirm an older one.
 #[test]
-fn a_proof_of_another_table_is_none() {
+fn a_confirmation_of_a_newer_table_confirms_nothing() {
     let (one, other) = (view(), view());
     other.adopt_drains(listed(&[ZONE], 10), Source::Store);
     one.adopt_drains(listed(&[], 20), Source::Store);
@@ -93,9 +93,9 @@
     assert!(other.drains.confirmation_age().is_some());
 }
 
-/// A node that the store and others have told the same by turns, the older after the newer.
+/// Older changes and tables may arrive after newer ones, since the store and other nodes send them independently.
 #[test]
-fn what_comes_late_changes_nothing() {
+fn older_changes_and_tables_are_ignored() {
     let view = view();
     view.adopt_drains(listed(&[], 20), Source::Peer);
     view.change_drains(&[(ZONE.to_owned(), Some(9))], 15, Source::Store);
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn an_order_that_is_heard_of_only_after_its_end_leaves_a_zone_that_came_back() {
+fn a_drain_learned_of_only_after_its_end_counts_as_restored() {
     let view = view();
     view.adopt_drains(listed(&[], 10), Source::Store);
     let both = [(ZONE.to_owned(), Some(11)), (ZONE.to_owned(), None)];
@@ -114,17 +114,17 @@
 }
 
 #[test]
-fn an_end_that_was_heard_of_after_its_order_is_told_to_those_who_follow_changes() {
+fn the_end_of_a_drain_never_seen_notifies_subscribers() {
     let view = view();
     view.adopt_drains(listed(&[], 10), Source::Store);
     let changes = view.changes();
     let both = [(ZONE.to_owned(), Some(11)), (ZONE.to_owned(), None)];
     view.change_drains(&both, 12, Source::Store);
-    assert!(changes.has_changed().expect("the view lives"));
+    assert!(changes.has_changed().expect("the view exists"));
 }
 
 #[test]
-fn an_end_that_others_told_before_the_store_does_not_come_twice() {
+fn an_end_learned_from_peers_is_not_applied_again_from_the_store() {
     let view = view();
     view.adopt_drains(listed(&[ZONE], 10), Source::Store);
     view.adopt_drains(listed(&[], 12), Source::Peer);
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn a_node_without_a_use_for_drains_neither_asks_nor_tells() {
+fn a_node_that_ignores_drains_neither_requests_nor_sends_them() {
     let plain = View::new(Clock::start(), true);
     plain.adopt_drains(listed(&[ZONE], 10), Source::Peer);
     assert!(!is_drained(&plain));
@@ -160,7 +160,7 @@
 }
 
 #[test]
-fn messages_carry_it_only_where_it_is_known() {
+fn messages_have_a_drain_section_only_where_needed() {
     let known = KnownDrains {
         newest: 4,
         unconfirmed_ms: Some(5),
@@ -181,7 +181,7 @@
     let length = |position: ViewPosition| {
         let body = PeerRequest::FetchView(position);
         encode(&Envelope { number: 1, body })
-            .expect("a question")
+            .expect("a request")
             .len()
     };
     let wanting = ViewPosition {
--- a/crates/resident/tests/extension_messages.rs
+++ b/crates/resident/tests/extension_messages.rs
@@ -1,6 +1,6 @@
-//! Kinds of messages that one of two nodes does not know, and messages that one cannot read.
+//! Extension messages, messages of unknown kinds and messages that can't be decoded.
 //!
-//! A message that could not be read ended the connection, and with it every request that waited for its answer there.
+//! A message that can't be decoded must not close the connection, which would fail all requests in flight there.
 
 mod support;
 
@@ -22,7 +22,7 @@
 
 const TIMEOUT: Duration = Duration::from_secs(2);
 /// No version sends this kind.
-const FOREIGN: u16 = 65_000;
+const UNKNOWN_KIND: u16 = 65_000;
 
 fn build() -> Build {
     Build {
@@ -32,10 +32,10 @@
     }
 }
 
-/// Knows one later kind.
-struct Known;
+/// Handles one kind of extension request.
+struct ExtensionAware;
 
-impl PeerService for Known {
+impl PeerService for ExtensionAware {
     fn on_request(&self, request: PeerRequest, reply: oneshot::Sender<PeerReply>) {
         let answer = match request {
             PeerRequest::ListMembers => PeerReply::Members(Vec::new()),
@@ -44,14 +44,16 @@
             }
             _ => PeerReply::Unsupported,
         };
-        // Whoever asked may be gone.
+        // The requester may have given up.
         let _ = reply.send(answer);
     }
 }
 
 async fn node() -> SocketAddr {
     let address = free_address();
-    serve(address, Rc::new(Known)).await.expect("a free port");
+    serve(address, Rc::new(ExtensionAware))
+        .await
+        .expect("a free port");
     address
 }
 
@@ -61,27 +63,27 @@
 }
 
 fn request(number: u64, body: PeerRequest) -> Bytes {
-    encode(&Envelope { number, body }).expect("small")
+    encode(&Envelope { number, body }).expect("a message that can be encoded")
 }
 
 fn reply(number: u64, body: PeerReply) -> Bytes {
-    encode(&Envelope { number, body }).expect("small")
+    encode(&Envelope { number, body }).expect("a message that can be encoded")
 }
 
-/// The same frame with another kind of message beside its body.
-fn foreign(kind: MessageKind, harmless: &[u8]) -> Bytes {
-    let parts = unframe(harmless).expect("whole").expect("framed");
-    let sections = [(FOREIGN, vec![1, 2, 3])];
+/// The same frame with an extension message of an unknown kind beside its body.
+fn with_unknown_kind(kind: MessageKind, harmless: &[u8]) -> Bytes {
+    let parts = unframe(harmless).expect("a valid frame").expect("a frame");
+    let sections = [(UNKNOWN_KIND, vec![1, 2, 3])];
     Bytes::from(frame(kind as u16, parts.number, &sections, parts.body))
 }
 
-/// A frame whose body is no message.
-fn unreadable(kind: MessageKind, number: u64) -> Bytes {
+/// A frame whose body can't be decoded.
+fn unreadable_frame(kind: MessageKind, number: u64) -> Bytes {
     Bytes::from(frame(kind as u16, number, &[], &[0xff; 24]))
 }
 
 #[test]
-fn a_later_request_is_answered_where_it_is_known() {
+fn a_known_extension_request_is_answered() {
     run(async {
         let node = node().await;
         let links = PeerLinks::default();
@@ -92,29 +94,30 @@
     });
 }
 
-/// What a node of the first protocol version reads is the body alone.
+/// A node of protocol version 0 reads only the body.
 #[test]
-fn a_later_message_stands_beside_a_body_that_does_no_harm() {
+fn an_extension_message_has_a_harmless_body_for_version_0() {
     let bytes = request(7, PeerRequest::Extension(ExtensionRequest::FetchBuild));
-    let parts = unframe(&bytes).expect("whole").expect("framed");
-    let body: Envelope<PeerRequest> = decode(parts.body).expect("a message of the first version");
+    let parts = unframe(&bytes).expect("a valid frame").expect("a frame");
+    let body: Envelope<PeerRequest> = decode(parts.body).expect("a version 0 message");
     assert_eq!(body.body, PeerRequest::ListMembers);
     assert_eq!(body.number, 7);
     let bytes = reply(7, PeerReply::Extension(ExtensionReply::Build(build())));
-    let parts = unframe(&bytes).expect("whole").expect("framed");
-    let body: Envelope<PeerReply> = decode(parts.body).expect("a message of the first version");
+    let parts = unframe(&bytes).expect("a valid frame").expect("a frame");
+    let body: Envelope<PeerReply> = decode(parts.body).expect("a version 0 message");
     assert_eq!(body.body, PeerReply::Unsupported);
 }
 
 #[test]
-fn a_request_that_is_not_known_or_unreadable_is_answered_so_and_others_go_on() {
+fn unknown_and_unreadable_requests_are_unsupported_and_others_succeed() {
     run(async {
         let mut connection = connect(node().await).await;
-        let unknown = foreign(MessageKind::Request, &request(1, PeerRequest::ListMembers));
+        let unknown =
+            with_unknown_kind(MessageKind::Request, &request(1, PeerRequest::ListMembers));
         for frame in [
             unknown,
-            unreadable(MessageKind::Request, 2),
-            unreadable(MessageKind::Reply, 3),
+            unreadable_frame(MessageKind::Request, 2),
+            unreadable_frame(MessageKind::Reply, 3),
             request(4, PeerRequest::ListMembers),
         ] {
             connection.send(frame).await.expect("an open connection");
@@ -137,8 +140,8 @@
     });
 }
 
-/// Answers the first request with bytes that cannot be read, and the others well, all at the end.
-async fn answer_badly_once(listener: TcpListener, requests: usize) {
+/// Receives all requests, then answers the first with an undecodable reply and the others correctly.
+async fn reply_unreadably_once(listener: TcpListener, requests: usize) {
     let (stream, _) = listener.accept().await.expect("a link");
     let mut connection = Framed::new(stream, LengthDelimitedCodec::new());
     let mut numbers = Vec::new();
@@ -147,23 +150,23 @@
         let frame = frame.expect("a frame");
         numbers.extend(frame_number(&frame));
     }
-    for (place, number) in numbers.into_iter().enumerate() {
-        let frame = match place {
-            0 => unreadable(MessageKind::Reply, number),
+    for (index, number) in numbers.into_iter().enumerate() {
+        let frame = match index {
+            0 => unreadable_frame(MessageKind::Reply, number),
             _ => reply(number, PeerReply::Members(Vec::new())),
         };
         connection.send(frame).await.expect("an open link");
     }
-    // Open until whoever asked has closed it.
+    // Keep the connection open until the requester closes it.
     while connection.next().await.is_some() {}
 }
 
 #[test]
-fn a_reply_that_cannot_be_read_fails_its_request_alone() {
+fn an_unreadable_reply_fails_only_its_request() {
     run(async {
         let node = free_address();
         let listener = TcpListener::bind(node).await.expect("a free port");
-        tokio::task::spawn_local(answer_badly_once(listener, 3));
+        tokio::task::spawn_local(reply_unreadably_once(listener, 3));
         let links = PeerLinks::default();
         let ask = || links.call(node, PeerRequest::ListMembers, TIMEOUT);
         let (first, second, third) = tokio::join!(ask(), ask(), ask());
@@ -174,15 +177,18 @@
 }
 
 #[test]
-fn a_datagram_that_is_not_known_is_read_as_such() {
+fn a_datagram_of_an_unknown_kind_decodes_as_unknown() {
     let harmless = Datagram::FoundPrefill {
         number: 0,
         prefill: None,
     };
-    let bytes = foreign(MessageKind::Datagram, &encode(&harmless).expect("small"));
+    let bytes = with_unknown_kind(
+        MessageKind::Datagram,
+        &encode(&harmless).expect("a message that can be encoded"),
+    );
     let read: Datagram = decode(&bytes).expect("a datagram");
     assert_eq!(
         read,
-        Datagram::Extension(ExtensionDatagram::Unknown(FOREIGN))
+        Datagram::Extension(ExtensionDatagram::Unknown(UNKNOWN_KIND))
     );
 }
--- a/crates/resident/tests/golden_messages.rs
+++ b/crates/resident/tests/golden_messages.rs
@@ -1,7 +1,7 @@
-//! The forms of messages, kept as files: those of the first protocol version were written by it, those of frames by the version
-//! that began them (`docs/design/versions.md`).
+//! Encodings of messages against golden files. Those of protocol version 0 were written by that version, those of frames by the
+//! version that introduced them (`docs/design/versions.md`).
 //!
-//! A field more in any of these types made the bytes unreadable to nodes of another version, or worse, readable as something else.
+//! An added field in any of these types would make the bytes undecodable for nodes of another version, or decodable as something else.
 
 #[path = "support/samples.rs"]
 mod samples;
@@ -19,7 +19,7 @@
 use rkyv::rancor::Error;
 use rkyv::util::AlignedVec;
 
-/// Names a variable with which files that are missing are written; those that are there never are.
+/// Environment variable that makes the tests write missing golden files. Existing ones are never overwritten.
 const WRITE_MISSING: &str = "RIDGEWORKS_WRITE_GOLDEN";
 const NUMBER: u64 = 7;
 
@@ -38,13 +38,13 @@
     aligned
 }
 
-/// A message with the number of the protocol as its reader would find it.
-trait Spoken {
-    fn spoken(self, protocol: u16) -> Self;
+/// Sets the sender's protocol version in a message, as decoding does.
+trait WithProtocol {
+    fn with_protocol(self, protocol: u16) -> Self;
 }
 
-impl Spoken for Datagram {
-    fn spoken(mut self, protocol: u16) -> Self {
+impl WithProtocol for Datagram {
+    fn with_protocol(mut self, protocol: u16) -> Self {
         if let Self::Heartbeat(heartbeat) = &mut self {
             heartbeat.protocol = protocol;
         }
@@ -52,14 +52,14 @@
     }
 }
 
-impl Spoken for Envelope<PeerRequest> {
-    fn spoken(self, _protocol: u16) -> Self {
+impl WithProtocol for Envelope<PeerRequest> {
+    fn with_protocol(self, _protocol: u16) -> Self {
         self
     }
 }
 
-impl Spoken for Envelope<PeerReply> {
-    fn spoken(mut self, protocol: u16) -> Self {
+impl WithProtocol for Envelope<PeerReply> {
+    fn with_protocol(mut self, protocol: u16) -> Self {
         if let PeerReply::View(update) = &mut self.body {
             update.protocol = protocol;
         }
@@ -67,59 +67,63 @@
     }
 }
 
-/// Checks one message of the first version: its file is read, its body is written byte by byte as there, and a node of that
-/// version reads it from the whole frame. (A macro, since the bounds of rkyv would be longer than what it checks.)
-macro_rules! check_first_version {
+/// Checks one message of version 0: its golden file is decoded, its body is encoded to the same bytes, and a node of that
+/// version decodes the whole frame. A macro, because a generic function would need long rkyv bounds.
+macro_rules! check_version_0 {
     ($type:ty, $name:expr, $message:expr) => {{
         let (name, message): (String, $type) = ($name, $message);
         let file = golden(0, &format!("{name}.bin"));
         let read: $type = decode(&file).unwrap_or_else(|error| panic!("{name}: {error}"));
-        assert_eq!(read, message, "{name} as the first version wrote it");
-        let bytes = encode(&message).expect("small");
-        let frame = unframe(&bytes).expect("whole").expect("framed");
-        assert_eq!(frame.body, file, "{name} as the first version writes it");
+        assert_eq!(read, message, "{name} as version 0 encoded it");
+        let bytes = encode(&message).expect("a message that can be encoded");
+        let frame = unframe(&bytes).expect("a valid frame").expect("a frame");
+        assert_eq!(frame.body, file, "{name} as version 0 encodes it");
         let read = rkyv::from_bytes::<$type, Error>(&aligned(&bytes));
         assert_eq!(
             read.ok().as_ref(),
             Some(&message),
-            "{name} read by the first version"
+            "{name} decoded by version 0"
         );
         let read: $type = decode(&bytes).expect("a message");
-        assert_eq!(read, message.spoken(1), "{name} read by this version");
+        assert_eq!(
+            read,
+            message.with_protocol(1),
+            "{name} decoded by this version"
+        );
     }};
 }
 
-fn enveloped<T>(body: T) -> Envelope<T> {
+fn envelope<T>(body: T) -> Envelope<T> {
     let number = NUMBER;
     Envelope { number, body }
 }
 
 #[test]
-fn requests_keep_the_form_of_the_first_version() {
+fn requests_keep_their_version_0_encoding() {
     for request in samples::requests() {
         let name = format!("request-{}", samples::request_name(&request));
-        check_first_version!(Envelope<PeerRequest>, name, enveloped(request));
+        check_version_0!(Envelope<PeerRequest>, name, envelope(request));
     }
 }
 
 #[test]
-fn replies_keep_the_form_of_the_first_version() {
+fn replies_keep_their_version_0_encoding() {
     for reply in samples::replies() {
         let name = format!("reply-{}", samples::reply_name(&reply));
-        check_first_version!(Envelope<PeerReply>, name, enveloped(reply));
+        check_version_0!(Envelope<PeerReply>, name, envelope(reply));
     }
 }
 
 #[test]
-fn datagrams_keep_the_form_of_the_first_version() {
+fn datagrams_keep_their_version_0_encoding() {
     for datagram in samples::datagrams() {
         let name = format!("datagram-{}", samples::datagram_name(&datagram));
-        check_first_version!(Datagram, name, datagram);
+        check_version_0!(Datagram, name, datagram);
     }
 }
 
 #[test]
-fn a_member_is_registered_as_the_first_version_does() {
+fn member_records_keep_their_version_0_encoding() {
     let member = MemberRecord {
         address: "10.1.2.3:7000".parse().expect("an address"),
         zone: "zone-a".to_owned(),
@@ -128,22 +132,25 @@
     let file = golden(0, "member.json");
     let read: MemberRecord = serde_json::from_slice(&file).expect("a member");
     assert_eq!(read, member);
-    assert_eq!(serde_json::to_vec(&member).expect("small"), file);
+    assert_eq!(
+        serde_json::to_vec(&member).expect("a message that can be encoded"),
+        file
+    );
 }
 
-/// Checks a message with sections against its whole frame.
+/// Checks a framed message with its sections against its golden file.
 macro_rules! check_frame {
     ($type:ty, $name:expr, $message:expr) => {{
         let (name, message): (&str, $type) = ($name, $message);
         let name = format!("{name}.bin");
-        let bytes = encode(&message).expect("small");
+        let bytes = encode(&message).expect("a message that can be encoded");
         if std::env::var_os(WRITE_MISSING).is_some() && !path(1, &name).exists() {
-            fs::write(path(1, &name), &bytes).expect("a file that is new");
+            fs::write(path(1, &name), &bytes).expect("the folder is writable");
         }
         let file = golden(1, &name);
-        assert_eq!(bytes, file, "{name} as it is written");
+        assert_eq!(bytes, file, "{name} as encoded");
         let read: $type = decode(&file).unwrap_or_else(|error| panic!("{name}: {error}"));
-        assert_eq!(read, message.spoken(1), "{name} as it is read");
+        assert_eq!(read, message.with_protocol(1), "{name} as decoded");
     }};
 }
 
@@ -160,11 +167,11 @@
         has_warm_ups: true,
     };
     change(&mut update);
-    enveloped(PeerReply::View(update))
+    envelope(PeerReply::View(update))
 }
 
 #[test]
-fn sections_keep_their_form() {
+fn sections_keep_their_encoding() {
     let extended = view(|update| {
         let configuration = update.configuration.as_mut().expect("a configuration");
         let home = Residency::within(["north".to_owned(), "south".to_owned()]);
@@ -185,15 +192,15 @@
 }
 
 #[test]
-fn later_kinds_keep_their_form() {
-    let asked = enveloped(PeerRequest::Extension(ExtensionRequest::FetchBuild));
+fn extension_messages_keep_their_encoding() {
+    let asked = envelope(PeerRequest::Extension(ExtensionRequest::FetchBuild));
     check_frame!(Envelope<PeerRequest>, "request-fetch-build", asked);
     let build = Build {
         commit: "c0ffee".to_owned(),
         protocol: 1,
         disk: 0,
     };
-    let told = enveloped(PeerReply::Extension(ExtensionReply::Build(build)));
+    let told = envelope(PeerReply::Extension(ExtensionReply::Build(build)));
     check_frame!(Envelope<PeerReply>, "reply-build", told);
     let grant = GrantRequest {
         group: GroupId(2),
@@ -201,7 +208,7 @@
         per_ks: 19_000,
         version: 9,
     };
-    let asked = enveloped(PeerRequest::Extension(ExtensionRequest::Grant(grant)));
+    let asked = envelope(PeerRequest::Extension(ExtensionRequest::Grant(grant)));
     check_frame!(Envelope<PeerRequest>, "request-grant", asked);
     for (name, reply) in [
         ("reply-grant-granted", GrantReply::Granted),
@@ -214,7 +221,7 @@
         ),
         ("reply-grant-not-member", GrantReply::NotMember),
     ] {
-        let told = enveloped(PeerReply::Extension(ExtensionReply::Grant(reply)));
+        let told = envelope(PeerReply::Extension(ExtensionReply::Grant(reply)));
         check_frame!(Envelope<PeerReply>, name, told);
     }
 }
--- a/crates/resident/tests/heartbeats.rs
+++ b/crates/resident/tests/heartbeats.rs
@@ -1,4 +1,4 @@
-//! What heartbeats hold.
+//! Content of heartbeats.
 
 #[path = "support/idle_node.rs"]
 mod idle_node;
@@ -15,10 +15,10 @@
 use tokio::net::UdpSocket;
 use tokio::time::{Instant, timeout_at};
 
-/// Longer than a node that starts names others all the time.
-const STARTED: Duration = Duration::from_millis(5_500);
-/// Two of the times between heartbeats that name others.
-const WATCHED: Duration = Duration::from_secs(4);
+/// Longer than the time after its start in which a node names others in every heartbeat.
+const NAMING_START_OVER: Duration = Duration::from_millis(5_500);
+/// Twice the time between heartbeats that name others.
+const OBSERVATION_TIME: Duration = Duration::from_secs(4);
 
 fn heartbeat(socket: &UdpSocket, name: &str) -> Datagram {
     Datagram::Heartbeat(Box::new(Heartbeat {
@@ -44,8 +44,8 @@
     }))
 }
 
-/// Heartbeats that come until then, and those of them that name others.
-async fn heard(socket: &UdpSocket, until: Instant) -> (usize, usize) {
+/// Number of heartbeats received until then, and of those that name others.
+async fn count_heartbeats(socket: &UdpSocket, until: Instant) -> (usize, usize) {
     let mut buffer = vec![0; 8 * 1024];
     let (mut all, mut naming) = (0, 0);
     while let Ok(received) = timeout_at(until, socket.recv_from(&mut buffer)).await {
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn a_node_names_others_often_while_it_starts_and_rarely_afterwards() {
+fn heartbeats_name_other_nodes_often_at_start_and_rarely_later() {
     run(async {
         let node = node("127.78.9.1").await;
         let begun = Instant::now();
@@ -67,11 +67,12 @@
         let datagram = encode(&heartbeat(&peer, "gateway-2")).expect("a datagram");
         let to = node.settings.peer_address();
         peer.send_to(&datagram, to).await.expect("loopback");
-        let (all, naming) = heard(&peer, begun + Duration::from_secs(4)).await;
-        // Until then the node may not have heard of anybody.
+        let (all, naming) = count_heartbeats(&peer, begun + Duration::from_secs(4)).await;
+        // The first heartbeat may be sent before the node knows any other.
         assert!(naming + 1 >= all && all > 8, "{naming} of {all}");
-        heard(&peer, begun + STARTED).await;
-        let (all, naming) = heard(&peer, begun + STARTED + WATCHED).await;
+        count_heartbeats(&peer, begun + NAMING_START_OVER).await;
+        let (all, naming) =
+            count_heartbeats(&peer, begun + NAMING_START_OVER + OBSERVATION_TIME).await;
         assert!(all > 8, "{all}");
         assert!((1..=3).contains(&naming), "{naming} of {all}");
     });
--- a/crates/resident/tests/mixed_versions.rs
+++ b/crates/resident/tests/mixed_versions.rs
@@ -1,12 +1,12 @@
-//! What a node takes in of the deployment from nodes of an earlier version.
+//! Updates of the view from nodes of protocol version 0.
 //!
-//! Those tell a configuration without the regions of its routes, and engines without how long they warm up. Put in force, it would let
-//! requests leave their regions, and engines that warm up get what warm ones bear.
+//! They lack the regions of routes and the warm-up times of engines. If they were applied where settings rely on these, requests could
+//! leave their regions and warming engines could get the load of warm ones.
 
 mod support;
 
 #[path = "support/samples.rs"]
-#[allow(dead_code, reason = "a view is enough")]
+#[allow(dead_code, reason = "only the view is used")]
 mod samples;
 
 use std::cell::Cell;
@@ -33,7 +33,7 @@
 use tokio::sync::oneshot;
 use tokio::time::{sleep, timeout};
 
-const NOTHING: ViewPosition = ViewPosition {
+const EMPTY: ViewPosition = ViewPosition {
     version: 0,
     engines: KnownEngines::Nothing,
     epoch: Epoch(0),
@@ -44,28 +44,28 @@
     let reply: Envelope<PeerReply> = decode(bytes).expect("a reply");
     match reply.body {
         PeerReply::View(update) => update,
-        other => panic!("{other:?}"),
+        other_node => panic!("{other_node:?}"),
     }
 }
 
-/// A view as a node of the first version told it.
-fn first_version() -> ViewUpdate {
+/// An update as a node of version 0 sent it.
+fn version_0_update() -> ViewUpdate {
     let file = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/golden/v0/reply-view.bin");
     read(&fs::read(file).expect("the file"))
 }
 
-/// What a node tells somebody who knows nothing, as it is read there.
-fn told_by(view: &View) -> ViewUpdate {
-    let body = PeerReply::View(view.update_since(&NOTHING));
-    read(&encode(&Envelope { number: 7, body }).expect("small"))
+/// The update that a node sends to one with an empty view, as decoded there.
+fn update_from(view: &View) -> ViewUpdate {
+    let body = PeerReply::View(view.update_since(&EMPTY));
+    read(&encode(&Envelope { number: 7, body }).expect("a message that can be encoded"))
 }
 
 fn view(needs_extras: bool) -> View {
     View::new(Clock::start(), true).needing_extras(needs_extras)
 }
 
-/// A node that has everything from the store.
-fn informed() -> View {
+/// The view of a node that has everything from the store.
+fn complete_view() -> View {
     let view = view(true);
     view.adopt_configuration(samples::configuration(), Source::Store);
     let engines = samples::engines();
@@ -75,9 +75,9 @@
 }
 
 #[test]
-fn where_nothing_of_it_is_promised_all_is_taken_in() {
+fn incomplete_updates_are_applied_where_settings_do_not_need_more() {
     let view = view(false);
-    view.adopt_update(first_version(), Duration::ZERO);
+    view.adopt_update(version_0_update(), Duration::ZERO);
     assert_eq!(view.version(), 42);
     assert!(view.engines_known());
     assert!(view.confirmation_age().is_some());
@@ -85,21 +85,29 @@
 }
 
 #[test]
-fn where_it_is_promised_what_lacks_it_is_not_taken_in() {
+fn incomplete_updates_are_refused_where_settings_need_more() {
     let view = view(true);
-    view.adopt_update(first_version(), Duration::ZERO);
+    view.adopt_update(version_0_update(), Duration::ZERO);
     assert_eq!(view.version(), 0);
     assert!(!view.engines_known());
-    assert_eq!(view.confirmation_age(), None, "nothing is confirmed by it");
-    assert_eq!(view.epoch(), samples::groups().epoch(), "sets lack nothing");
+    assert_eq!(
+        view.confirmation_age(),
+        None,
+        "a refused update confirms nothing"
+    );
+    assert_eq!(
+        view.epoch(),
+        samples::groups().epoch(),
+        "replica sets are always complete"
+    );
     assert!(!view.accepts_views_from(0));
 }
 
 #[test]
-fn what_lacks_it_stays_so_when_a_node_of_this_version_passes_it_on() {
-    let carrier = view(false);
-    carrier.adopt_update(first_version(), Duration::ZERO);
-    let told = told_by(&carrier);
+fn an_incomplete_update_passed_on_by_a_current_node_is_refused() {
+    let relay = view(false);
+    relay.adopt_update(version_0_update(), Duration::ZERO);
+    let told = update_from(&relay);
     assert_eq!(told.protocol, PROTOCOL);
     let view = view(true);
     view.adopt_update(told, Duration::ZERO);
@@ -107,30 +115,33 @@
     assert!(!view.engines_known());
     assert!(
         !view.accepts_views_from(PROTOCOL),
-        "not asked again at once"
+        "no new fetch right after a refusal"
     );
 }
 
 #[test]
-fn what_a_node_of_this_version_has_from_the_store_is_taken_in() {
+fn a_complete_update_from_a_current_node_is_applied() {
     let view = view(true);
-    view.adopt_update(told_by(&informed()), Duration::ZERO);
+    view.adopt_update(update_from(&complete_view()), Duration::ZERO);
     assert_eq!(view.version(), 42);
     assert!(view.engines_known());
     assert!(view.confirmation_age().is_some());
 }
 
 #[test]
-fn a_newer_configuration_from_the_store_may_be_passed_on_again() {
-    let carrier = view(false);
-    carrier.adopt_update(first_version(), Duration::ZERO);
+fn a_newer_configuration_from_the_store_is_complete_again() {
+    let relay = view(false);
+    relay.adopt_update(version_0_update(), Duration::ZERO);
     let mut newer = samples::configuration();
     newer.version = 43;
-    carrier.adopt_configuration(newer, Source::Store);
+    relay.adopt_configuration(newer, Source::Store);
     let view = view(true);
-    view.adopt_update(told_by(&carrier), Duration::ZERO);
+    view.adopt_update(update_from(&relay), Duration::ZERO);
     assert_eq!(view.version(), 43);
-    assert!(!view.engines_known(), "its engines came from elsewhere");
+    assert!(
+        !view.engines_known(),
+        "its engines came from the incomplete update"
+    );
 }
 
 const SETTINGS: &str = r#"
@@ -154,13 +165,13 @@
 lost_machines = 1
 "#;
 
-fn need_extras(more: &str) -> bool {
-    let settings = NodeSettings::parse(&format!("{SETTINGS}{more}"));
+fn need_extras(extra_lines: &str) -> bool {
+    let settings = NodeSettings::parse(&format!("{SETTINGS}{extra_lines}"));
     settings.expect("settings").need_extras()
 }
 
 #[test]
-fn settings_tell_whether_it_is_promised() {
+fn regions_and_warm_up_bounds_need_extras() {
     assert!(!need_extras(""));
     assert!(!need_extras("zone_drain_ms = 2000.0"));
     assert!(need_extras("warm_up_factor = 1.1"));
@@ -168,18 +179,18 @@
     assert!(need_extras("[zones]\na = \"north\"\nb = \"south\""));
 }
 
-const PATIENCE: Duration = Duration::from_secs(5);
+const TIMEOUT: Duration = Duration::from_secs(5);
 const PAUSE: Duration = Duration::from_millis(10);
 
-/// Counts the requests for a view.
-struct Asked(Rc<Cell<usize>>);
+/// Counts requests for a view.
+struct RequestCounter(Rc<Cell<usize>>);
 
-impl PeerService for Asked {
+impl PeerService for RequestCounter {
     fn on_request(&self, request: PeerRequest, reply: oneshot::Sender<PeerReply>) {
         if matches!(request, PeerRequest::FetchView(_)) {
             self.0.set(self.0.get() + 1);
         }
-        // Whoever asked may be gone.
+        // The requester may have given up.
         let _ = reply.send(PeerReply::Unsupported);
     }
 }
@@ -204,30 +215,30 @@
     }
 }
 
-/// A node that knows nothing yet, and where it hears others.
-async fn started(more: &str) -> (Rc<Node>, SocketAddr) {
-    let mut settings = NodeSettings::parse(&format!("{SETTINGS}{more}")).expect("settings");
+/// Starts a node with an empty view; returns it and its address.
+async fn start_node(extra_lines: &str) -> (Rc<Node>, SocketAddr) {
+    let mut settings = NodeSettings::parse(&format!("{SETTINGS}{extra_lines}")).expect("settings");
     settings.peer_port = free_address().port();
     let address = settings.peer_address();
     let node = Node::bind(settings, Clock::start()).await;
     let node = node.expect("a free port");
-    let service = Asked(Rc::default());
+    let service = RequestCounter(Rc::default());
     let outcome = node.start(Rc::new(service), Rc::new(IdleRole)).await;
     outcome.expect("a free port");
     (node, address)
 }
 
-/// Another node: its socket, and how often it was asked for its view.
-async fn other() -> (UdpSocket, Rc<Cell<usize>>) {
+/// Another node: its socket and the number of requests for its view.
+async fn other_node() -> (UdpSocket, Rc<Cell<usize>>) {
     let address = free_address();
     let socket = UdpSocket::bind(address).await.expect("a free port");
-    let asked = Rc::<Cell<usize>>::default();
-    let service = Asked(Rc::clone(&asked));
+    let requests = Rc::<Cell<usize>>::default();
+    let service = RequestCounter(Rc::clone(&requests));
     serve(address, Rc::new(service)).await.expect("a free port");
-    (socket, asked)
+    (socket, requests)
 }
 
-/// A heartbeat that tells of a newer configuration.
+/// A heartbeat with a newer configuration.
 fn heartbeat(name: &str, from: &UdpSocket) -> Vec<u8> {
     let datagram = Datagram::Heartbeat(Box::new(Heartbeat {
         from: MemberInfo {
@@ -250,13 +261,15 @@
         known: Vec::new(),
         protocol: PROTOCOL,
     }));
-    encode(&datagram).expect("small").to_vec()
+    encode(&datagram)
+        .expect("a message that can be encoded")
+        .to_vec()
 }
 
-/// The same from a node of the first version.
-fn first_heartbeat(name: &str, from: &UdpSocket) -> Vec<u8> {
+/// The same from a node of version 0.
+fn version_0_heartbeat(name: &str, from: &UdpSocket) -> Vec<u8> {
     let bytes = heartbeat(name, from);
-    let frame = unframe(&bytes).expect("whole").expect("framed");
+    let frame = unframe(&bytes).expect("a valid frame").expect("a frame");
     frame.body.to_vec()
 }
 
@@ -266,57 +279,67 @@
             sleep(PAUSE).await;
         }
     };
-    timeout(PATIENCE, waited).await.expect(what);
+    timeout(TIMEOUT, waited).await.expect(what);
 }
 
 #[test]
-fn a_node_asks_those_who_tell_all_of_it() {
+fn a_node_that_needs_extras_fetches_only_from_current_nodes() {
     run(async {
-        let (node, address) = started("warm_up_factor = 1.1").await;
-        let (older, asked_older) = other().await;
-        let (newer, asked_newer) = other().await;
-        let bytes = first_heartbeat("older", &older);
-        older.send_to(&bytes, address).await.expect("loopback");
-        let older_is_heard = || node.gossip.heard_member("older").is_some();
-        wait_until("the older node is heard", older_is_heard).await;
-        let bytes = heartbeat("newer", &newer);
-        newer.send_to(&bytes, address).await.expect("loopback");
-        wait_until("the newer node is asked", || asked_newer.get() > 0).await;
-        assert_eq!(asked_older.get(), 0);
+        let (node, address) = start_node("warm_up_factor = 1.1").await;
+        let (version_0, version_0_requests) = other_node().await;
+        let (current, current_requests) = other_node().await;
+        let bytes = version_0_heartbeat("version-0", &version_0);
+        version_0.send_to(&bytes, address).await.expect("loopback");
+        let version_0_is_known = || node.gossip.heard_member("version-0").is_some();
+        wait_until(
+            "the heartbeat of the version 0 node is received",
+            version_0_is_known,
+        )
+        .await;
+        let bytes = heartbeat("current", &current);
+        current.send_to(&bytes, address).await.expect("loopback");
+        wait_until("the current node gets a request for its view", || {
+            current_requests.get() > 0
+        })
+        .await;
+        assert_eq!(version_0_requests.get(), 0);
     });
 }
 
 #[test]
-fn a_node_asks_anybody_where_nothing_of_it_is_promised() {
+fn a_node_without_need_for_extras_fetches_from_version_0_nodes() {
     run(async {
-        let (_node, address) = started("").await;
-        let (older, asked) = other().await;
-        let bytes = first_heartbeat("older", &older);
-        older.send_to(&bytes, address).await.expect("loopback");
-        wait_until("the older node is asked", || asked.get() > 0).await;
+        let (_node, address) = start_node("").await;
+        let (version_0, requests) = other_node().await;
+        let bytes = version_0_heartbeat("version-0", &version_0);
+        version_0.send_to(&bytes, address).await.expect("loopback");
+        wait_until("the version 0 node gets a request for its view", || {
+            requests.get() > 0
+        })
+        .await;
     });
 }
 
-/// The place among the watchers of a node that hears so many older gateways.
-async fn place_among_older(more: &str) -> WatcherRole {
-    const OLDER: usize = 60;
-    let (node, address) = started(more).await;
-    let (socket, _) = other().await;
-    for number in 0..OLDER {
-        let bytes = first_heartbeat(&format!("older-{number}"), &socket);
+/// The watcher role of a node that knows 60 other gateways, all of version 0.
+async fn role_among_version_0_nodes(extra_lines: &str) -> WatcherRole {
+    const VERSION_0_NODES: usize = 60;
+    let (node, address) = start_node(extra_lines).await;
+    let (socket, _) = other_node().await;
+    for number in 0..VERSION_0_NODES {
+        let bytes = version_0_heartbeat(&format!("version-0-{number}"), &socket);
         socket.send_to(&bytes, address).await.expect("loopback");
-        // So that the node's socket never overflows.
+        // Sent one by one, so that the node's socket buffer never overflows.
         let is_heard = || node.gossip.members().len() > number;
-        wait_until("an older node is heard", is_heard).await;
+        wait_until("the heartbeat of a version 0 node is received", is_heard).await;
     }
     node.gossip.watcher_role(node.clock.now())
 }
 
 #[test]
-fn older_nodes_watch_the_store_for_others_only_where_their_news_are_enough() {
+fn version_0_nodes_count_as_watchers_only_where_their_updates_suffice() {
     run(async {
-        let watcher_role = place_among_older("warm_up_factor = 1.1").await;
+        let watcher_role = role_among_version_0_nodes("warm_up_factor = 1.1").await;
         assert_eq!(watcher_role, WatcherRole::All);
-        assert_ne!(place_among_older("").await, WatcherRole::All);
+        assert_ne!(role_among_version_0_nodes("").await, WatcherRole::All);
     });
 }
--- a/crates/resident/tests/mutated_messages.rs
+++ b/crates/resident/tests/mutated_messages.rs
@@ -1,12 +1,12 @@
-//! Decoders of messages on bytes that nobody sent.
+//! Decoders of messages on random changes of valid messages.
 //!
-//! What comes from another node is read before anything is known of it. A decoder that panicked would end the process, and
-//! one that believed a length could ask for any amount of memory.
+//! Bytes from other nodes are decoded before they can be trusted. A decoder must not panic, which would end the process, nor
+//! allocate memory for a length that it has not checked.
 
 #[path = "support/mutation.rs"]
 mod mutation;
 #[path = "support/samples.rs"]
-#[allow(dead_code, reason = "names are for files")]
+#[allow(dead_code, reason = "only the golden files need names")]
 mod samples;
 
 use std::sync::LazyLock;
@@ -19,16 +19,16 @@
 use ridgeworks_routing::{Residency, WarmUpLimit};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// A case reads its bytes as sections of all kinds, so fewer cases do.
-const SECTION_SHARE: u64 = 10;
+/// Each case decodes its bytes as sections of all kinds, so the number of cases is divided by this.
+const SECTION_CASE_DIVISOR: u64 = 10;
 const CHECKSUM: std::ops::Range<usize> = 24..32;
 
-fn enveloped<T>(body: T) -> Envelope<T> {
+fn envelope<T>(body: T) -> Envelope<T> {
     Envelope { number: 7, body }
 }
 
-/// A view with every section.
-fn extended() -> PeerReply {
+/// A reply with a view and every section.
+fn view_with_sections() -> PeerReply {
     let mut reply = samples::replies().swap_remove(11);
     let PeerReply::View(update) = &mut reply else {
         panic!("not a view: {reply:?}");
@@ -46,75 +46,78 @@
     reply
 }
 
-fn framed() -> Vec<Vec<u8>> {
+fn encoded_messages() -> Vec<Vec<u8>> {
     let later = PeerRequest::Extension(ExtensionRequest::FetchBuild);
     let requests = samples::requests().into_iter().chain([later]);
-    let requests = requests.map(|request| encode(&enveloped(request)));
+    let requests = requests.map(|request| encode(&envelope(request)));
     let build = Build {
         commit: "c0ffee".to_owned(),
         protocol: 1,
         disk: 0,
     };
     let later = PeerReply::Extension(ExtensionReply::Build(build));
-    let replies = samples::replies().into_iter().chain([later, extended()]);
-    let replies = replies.map(|reply| encode(&enveloped(reply)));
+    let replies = samples::replies()
+        .into_iter()
+        .chain([later, view_with_sections()]);
+    let replies = replies.map(|reply| encode(&envelope(reply)));
     let datagrams = samples::datagrams();
     let datagrams = datagrams.iter().map(encode);
     let all = requests.chain(replies).chain(datagrams);
-    all.map(|bytes| bytes.expect("small").to_vec()).collect()
+    all.map(|bytes| bytes.expect("a message that can be encoded").to_vec())
+        .collect()
 }
 
 fn bodies() -> Vec<Vec<u8>> {
-    let framed = framed().into_iter();
-    let bodies = framed.map(|bytes| {
-        let frame = unframe(&bytes).expect("whole").expect("framed");
+    let encoded_messages = encoded_messages().into_iter();
+    let bodies = encoded_messages.map(|bytes| {
+        let frame = unframe(&bytes).expect("a valid frame").expect("a frame");
         frame.body.to_vec()
     });
     bodies.collect()
 }
 
-/// Reads bytes as every kind of message; which of them are readable does not matter.
-fn read(bytes: &[u8]) {
+/// Decodes bytes as every kind of message and ignores errors.
+fn decode_all(bytes: &[u8]) {
     let _ = decode::<Envelope<PeerRequest>>(bytes);
     let _ = decode::<Envelope<PeerReply>>(bytes);
     let _ = decode::<Datagram>(bytes);
     let _ = frame_number(bytes);
 }
 
-/// With a checksum that is right, so that what stands behind it is read.
-fn read_checked(bytes: &[u8]) {
+/// Decodes bytes after setting a valid checksum, so that the sections and the body are reached.
+fn decode_with_valid_checksum(bytes: &[u8]) {
     let mut bytes = bytes.to_vec();
     if bytes.len() >= CHECKSUM.end {
         let before = xxh3_64(&bytes[..CHECKSUM.start]);
         let checksum = xxh3_64(&bytes[CHECKSUM.end..]) ^ before.rotate_left(1);
         bytes[CHECKSUM].copy_from_slice(&checksum.to_le_bytes());
     }
-    read(&bytes);
+    decode_all(&bytes);
 }
 
-/// Bodies that sections stand beside, with the kind of their messages.
+/// Bodies to send sections beside, with their kinds of messages.
 static SECTION_BODIES: LazyLock<Vec<(MessageKind, Vec<u8>)>> = LazyLock::new(|| {
     let bodies = [
         (
             MessageKind::Request,
-            encode(&enveloped(PeerRequest::ListMembers)),
+            encode(&envelope(PeerRequest::ListMembers)),
         ),
-        (MessageKind::Reply, encode(&enveloped(extended()))),
+        (MessageKind::Reply, encode(&envelope(view_with_sections()))),
         (
             MessageKind::Datagram,
             encode(&samples::datagrams().swap_remove(0)),
         ),
     ];
     let bodies = bodies.into_iter().map(|(kind, bytes)| {
-        let bytes = bytes.expect("small");
-        let frame = unframe(&bytes).expect("whole").expect("framed");
+        let bytes = bytes.expect("a message that can be encoded");
+        let frame = unframe(&bytes).expect("a valid frame").expect("a frame");
         (kind, frame.body.to_vec())
     });
     bodies.collect()
 });
 
-/// As the content of a section of each kind. (Numbers beyond those that are in use are not known, and read as such.)
-fn read_as_section(bytes: &[u8]) {
+/// Decodes bytes as the content of a section of each kind, unused kinds included.
+fn decode_as_section(bytes: &[u8]) {
     for (message, body) in SECTION_BODIES.iter() {
         for kind in (1..8).chain([100, 101, 200, 201, 300, 301]) {
             let bytes = frame(*message as u16, 7, &[(kind, bytes.to_vec())], body);
@@ -127,38 +130,38 @@
     }
 }
 
-fn read_member(bytes: &[u8]) {
+fn decode_member(bytes: &[u8]) {
     let _ = serde_json::from_slice::<MemberRecord>(bytes);
 }
 
 #[test]
-fn frames() {
-    mutation::check(framed(), read);
+fn frames_with_random_changes() {
+    mutation::check(encoded_messages(), decode_all);
 }
 
 #[test]
-fn frames_with_a_checksum_that_is_right() {
-    mutation::check(framed(), read_checked);
+fn frames_with_random_changes_and_a_valid_checksum() {
+    mutation::check(encoded_messages(), decode_with_valid_checksum);
 }
 
 #[test]
-fn messages_of_the_first_version() {
-    mutation::check(bodies(), read);
+fn version_0_messages_with_random_changes() {
+    mutation::check(bodies(), decode_all);
 }
 
 #[test]
-fn sections() {
-    let framed = framed();
-    let frames = framed.iter().map(|bytes| unframe(bytes));
-    let frames = frames.map(|frame| frame.expect("whole").expect("framed"));
-    let sections = frames.flat_map(|frame| frame.sections().expect("whole"));
+fn sections_with_random_changes() {
+    let encoded_messages = encoded_messages();
+    let frames = encoded_messages.iter().map(|bytes| unframe(bytes));
+    let frames = frames.map(|frame| frame.expect("a valid frame").expect("a frame"));
+    let sections = frames.flat_map(|frame| frame.sections().expect("a valid frame"));
     let mut samples: Vec<Vec<u8>> = sections.map(|raw| raw.content.to_vec()).collect();
     samples.push(Vec::new());
-    mutation::check_some(samples, read_as_section, SECTION_SHARE);
+    mutation::check_fraction(samples, decode_as_section, SECTION_CASE_DIVISOR);
 }
 
 #[test]
-fn registered_members() {
+fn registered_members_with_random_changes() {
     let member = br#"{"address":"10.1.2.3:7000","zone":"zone-a","is_replica":true}"#;
-    mutation::check(vec![member.to_vec()], read_member);
+    mutation::check(vec![member.to_vec()], decode_member);
 }
--- a/crates/resident/tests/pending_queries.rs
+++ b/crates/resident/tests/pending_queries.rs
@@ -1,9 +1,9 @@
-//! Questions to other nodes that wait for their answers.
+//! Pending queries to other nodes.
 
 use ridgeworks_resident::peer::PendingQueries;
 
 #[test]
-fn an_answer_reaches_who_asked() {
+fn an_answer_reaches_its_query() {
     let queries = PendingQueries::default();
     let (one, _) = queries.start();
     let (two, mut answer) = queries.start();
@@ -14,10 +14,10 @@
 }
 
 #[test]
-fn questions_that_nobody_waits_for_do_not_pile_up() {
+fn abandoned_queries_are_removed() {
     let queries = PendingQueries::default();
     for _ in 0..10_000 {
-        // Whoever asked goes away at once.
+        // The caller gives up at once.
         drop(queries.start());
     }
     assert!(queries.len() <= 64, "{} queries", queries.len());
--- a/crates/resident/tests/silent_links.rs
+++ b/crates/resident/tests/silent_links.rs
@@ -1,7 +1,6 @@
-//! Links to other nodes whose connections fall silent for good while new ones work.
+//! Links whose connections fall silent without an error while new ones work.
 //!
-//! A link was kept until its connection broke. One that fell silent without a break answered nobody any more, and every
-//! request to that node timed out for as long as the process lived.
+//! Such a link must be replaced, or every request to that node would time out for as long as the process runs.
 
 mod support;
 
@@ -11,22 +10,22 @@
 
 use ridgeworks_platform_stand_ins::{Link, LinkFault};
 use ridgeworks_resident::peer::{LinkError, PeerLinks, PeerReply, PeerRequest, PeerService, serve};
-use support::{IP, SETTLED, free_address, run};
+use support::{CHECKABLE_AFTER, IP, free_address, run};
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
 const TIMEOUT: Duration = Duration::from_millis(800);
 
-struct NobodyKnown;
+struct EmptyMembers;
 
-impl PeerService for NobodyKnown {
+impl PeerService for EmptyMembers {
     fn on_request(&self, _request: PeerRequest, reply: oneshot::Sender<PeerReply>) {
-        // Whoever asked may be gone.
+        // The requester may have given up.
         let _ = reply.send(PeerReply::Members(Vec::new()));
     }
 }
 
-/// Answers late, and counts what it was asked.
+/// Answers slowly and counts its requests.
 struct Slow(Rc<Cell<usize>>);
 
 impl PeerService for Slow {
@@ -34,7 +33,7 @@
         self.0.set(self.0.get() + 1);
         tokio::task::spawn_local(async move {
             tokio::time::sleep(Duration::from_millis(500)).await;
-            // Whoever asked may be gone.
+            // The requester may have given up.
             let _ = reply.send(PeerReply::Members(Vec::new()));
         });
     }
@@ -51,7 +50,7 @@
     }
 }
 
-async fn linked(service: impl PeerService) -> Link {
+async fn start_behind_link(service: impl PeerService) -> Link {
     let address = free_address();
     serve(address, Rc::new(service)).await.expect("a free port");
     Link::start(IP, address)
@@ -64,12 +63,12 @@
 }
 
 #[test]
-fn a_link_that_fell_silent_is_replaced_and_its_requests_are_sent_again() {
+fn a_silent_link_is_replaced_and_its_requests_are_resent() {
     run(async {
-        let link = linked(NobodyKnown).await;
+        let link = start_behind_link(EmptyMembers).await;
         let links = PeerLinks::default();
         assert!(ask(&links, &link).await.is_ok());
-        tokio::time::sleep(SETTLED).await;
+        tokio::time::sleep(CHECKABLE_AFTER).await;
         assert!(ask(&links, &link).await.is_ok());
         link.set_fault(LinkFault::Stalled);
         tokio::time::sleep(Duration::from_millis(50)).await;
@@ -89,25 +88,25 @@
 }
 
 #[test]
-fn a_slow_node_is_not_asked_twice_by_a_link_that_was_just_made() {
+fn a_slow_node_gets_a_request_once_on_a_new_link() {
     run(async {
-        let asked = Rc::<Cell<usize>>::default();
-        let link = linked(Slow(Rc::clone(&asked))).await;
+        let requests = Rc::<Cell<usize>>::default();
+        let link = start_behind_link(Slow(Rc::clone(&requests))).await;
         let links = PeerLinks::default();
         assert!(ask(&links, &link).await.is_ok());
-        assert_eq!(asked.get(), 1);
+        assert_eq!(requests.get(), 1);
     });
 }
 
 #[test]
-fn a_node_that_does_not_answer_is_not_connected_to_again_and_again() {
+fn links_to_an_unresponsive_node_are_rarely_replaced() {
     run(async {
-        let link = linked(Never).await;
+        let link = start_behind_link(Never).await;
         let links = PeerLinks::default();
         for _ in 0..10 {
             assert_eq!(ask(&links, &link).await, Err(LinkError::TimedOut));
         }
-        // Eight seconds, and a replacement each two at most.
+        // The calls take eight seconds, and a link is replaced at most every two seconds.
         assert!(links.replaced() <= 4, "{}", links.replaced());
     });
 }
--- a/crates/resident/tests/support/idle_node.rs
+++ b/crates/resident/tests/support/idle_node.rs
@@ -1,4 +1,4 @@
-//! A node that knows little and hears what a test tells it.
+//! A node whose role sends and answers nothing, for tests that send it datagrams.
 #![allow(dead_code, reason = "each test file uses its own part of the support")]
 
 use std::rc::Rc;
@@ -13,10 +13,10 @@
 use ridgeworks_routing::{CallerLimits, PrefillRecord, RouteConfiguration};
 use tokio::sync::oneshot;
 
-/// Version of its configuration.
+/// Version of the node's configuration.
 pub const VERSION: u64 = 7;
 
-/// A role that has nothing to tell and answers nothing.
+/// A role that reports nothing and answers no request.
 pub struct IdleRole;
 
 impl PeerService for IdleRole {
@@ -43,7 +43,7 @@
     }
 }
 
-/// A node that knows a configuration which nobody has confirmed.
+/// Starts a node with a configuration that has never been confirmed.
 pub async fn node(ip: &str) -> Rc<Node> {
     let text = format!(
         "role = \"gateway\"\nname = \"gateway-1\"\nzone = \"zone-a\"\naddress = \"{ip}\"\n\
--- a/crates/resident/tests/support/samples.rs
+++ b/crates/resident/tests/support/samples.rs
@@ -1,5 +1,4 @@
-//! One message of each kind that nodes of the first protocol version know, with every field in use. The golden files were
-//! written from these by that version.
+//! One message of each kind of protocol version 0, with every field set. That version encoded the golden files from these.
 
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -136,7 +135,7 @@
     ]
 }
 
-/// What it is called in the names of files. A variant more has no place here: nodes of the first version could not read it.
+/// Name in the golden files. A new variant must not be added here, since nodes of version 0 couldn't decode it.
 pub fn replica_request_name(request: &ReplicaRequest) -> &'static str {
     match request {
         ReplicaRequest::Charge { .. } => "charge",
@@ -199,8 +198,8 @@
 }
 
 pub fn requests() -> Vec<PeerRequest> {
-    let to_replica = replica_requests().into_iter();
-    let to_replica = to_replica.map(|request| PeerRequest::Replica {
+    let replica_requests = replica_requests().into_iter();
+    let replica_requests = replica_requests.map(|request| PeerRequest::Replica {
         to: REPLICA,
         request,
     });
@@ -232,7 +231,7 @@
             groups: groups(),
         })),
     ];
-    to_replica.chain(fetches).chain(others).collect()
+    replica_requests.chain(fetches).chain(others).collect()
 }
 
 pub fn request_name(request: &PeerRequest) -> String {
@@ -251,7 +250,7 @@
         PeerRequest::ListMembers => "list-members".to_owned(),
         PeerRequest::Relay(_) => "pass-on".to_owned(),
         PeerRequest::Prepare(_) => "prepare".to_owned(),
-        PeerRequest::Extension(_) => "later".to_owned(), // not in version 0
+        PeerRequest::Extension(_) => "extension".to_owned(), // not in version 0
     }
 }
 
@@ -365,7 +364,7 @@
 }
 
 pub fn replies() -> Vec<PeerReply> {
-    let of_replica = replica_replies().into_iter().map(PeerReply::Replica);
+    let replica_replies = replica_replies().into_iter().map(PeerReply::Replica);
     let whole = ViewUpdate {
         configuration: Some(configuration()),
         engines: Some(engines()),
@@ -396,7 +395,7 @@
         PeerReply::RelayFailed,
         PeerReply::Prepared { is_ready: true },
     ];
-    of_replica.chain(others).collect()
+    replica_replies.chain(others).collect()
 }
 
 pub fn reply_name(reply: &PeerReply) -> String {
@@ -408,7 +407,7 @@
         PeerReply::Unsupported => "unsupported".to_owned(),
         PeerReply::RelayFailed => "unreached".to_owned(),
         PeerReply::Prepared { .. } => "prepared".to_owned(),
-        PeerReply::Extension(_) => "later".to_owned(), // not in version 0
+        PeerReply::Extension(_) => "extension".to_owned(), // not in version 0
     }
 }
 
@@ -422,7 +421,7 @@
     }
 }
 
-fn read() -> PrefillRecord {
+fn prefill() -> PrefillRecord {
     PrefillRecord {
         engine: 77,
         parts: vec![PromptPart {
@@ -460,7 +459,7 @@
             known: vec![member()],
             protocol: 0, // not in version 0
         })),
-        Datagram::Prefill(read()),
+        Datagram::Prefill(prefill()),
         Datagram::FindPrefill {
             number: 5,
             part: 88,
@@ -472,7 +471,7 @@
         },
         Datagram::FoundPrefill {
             number: 5,
-            prefill: Some(read()),
+            prefill: Some(prefill()),
         },
     ]
 }
@@ -485,6 +484,6 @@
         Datagram::AskConfirmations { .. } => "ask-confirmations",
         Datagram::Confirmed { .. } => "confirmed",
         Datagram::FoundPrefill { .. } => "found-read",
-        Datagram::Extension(_) => "later", // not in version 0
+        Datagram::Extension(_) => "extension", // not in version 0
     }
 }
--- a/crates/resident/tests/targets.rs
+++ b/crates/resident/tests/targets.rs
@@ -1,4 +1,4 @@
-//! Who gets heartbeats, in fleets of any size.
+//! Targets of heartbeats in fleets of different sizes.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -10,8 +10,8 @@
 use ridgeworks_resident::peer::{Member, MemberInfo, targets};
 
 const INTERVAL: Duration = Duration::from_millis(250);
-/// After this much silence a replica is taken for gone.
-const GONE_AFTER: Duration = Duration::from_millis(1_600);
+/// A replica without a heartbeat for this long is taken for dead.
+const LIVENESS_TIMEOUT: Duration = Duration::from_millis(1_600);
 
 fn info(number: u16, is_replica: bool) -> MemberInfo {
     let role = if is_replica { "storage" } else { "front" };
@@ -36,7 +36,7 @@
     all.map(member).collect()
 }
 
-/// A set of the last of the replicas by name.
+/// A set of the last `size` replicas by name.
 fn set(fleet: &[Member], size: usize) -> ReplicaGroups {
     let last = fleet.iter().rev().take(size);
     let replica = |member: &Member| Replica {
@@ -52,8 +52,8 @@
     })
 }
 
-/// The longest time between two heartbeats to each address.
-fn longest_silences(
+/// Longest time between two heartbeats to each address.
+fn longest_gaps(
     me: &Member,
     fleet: &[Member],
     set: Option<&ReplicaGroups>,
@@ -74,17 +74,17 @@
 }
 
 #[test]
-fn the_members_of_the_set_hear_every_replica_all_the_time() {
+fn set_members_get_frequent_heartbeats_of_every_replica() {
     for (gateways, replicas) in [(8, 3), (16, 7), (80, 12), (259, 36), (389, 60)] {
         let fleet = fleet(gateways, replicas);
         let set = set(&fleet, replicas.min(5).into());
         for me in fleet.iter().filter(|member| member.info.is_replica) {
-            let silences = longest_silences(me, &fleet, Some(&set));
+            let silences = longest_gaps(me, &fleet, Some(&set));
             let voters = set.members().into_iter();
             for voter in voters.filter(|voter| voter.node != me.info.name) {
                 let address: SocketAddr = voter.address.parse().unwrap();
                 let silence = silences.get(&address);
-                let is_heard = silence.is_some_and(|silence| *silence < GONE_AFTER / 2);
+                let is_heard = silence.is_some_and(|silence| *silence < LIVENESS_TIMEOUT / 2);
                 assert!(is_heard, "{} to {address}: {silence:?}", me.info.name);
             }
         }
@@ -92,13 +92,13 @@
 }
 
 #[test]
-fn everybody_hears_everybody_and_nobody_sends_more_in_a_larger_fleet() {
+fn all_nodes_get_heartbeats_and_their_number_is_bounded() {
     for (gateways, replicas) in [(8, 3), (80, 12), (259, 36)] {
         let fleet = fleet(gateways, replicas);
         let set = set(&fleet, replicas.min(5).into());
         for set in [None, Some(&set)] {
             for me in [&fleet[0], &fleet[usize::from(gateways)]] {
-                let silences = longest_silences(me, &fleet, set);
+                let silences = longest_gaps(me, &fleet, set);
                 assert_eq!(silences.len(), fleet.len() - 1);
                 let most = targets(&me.info, fleet.iter(), set, 3).len();
                 assert!(most <= 16, "{most}");
@@ -107,7 +107,7 @@
     }
 }
 
-/// Seven groups of five, and one replica that belongs to none.
+/// With 36 replicas: seven groups of five, and one replica without a group.
 fn groups(fleet: &[Member]) -> ReplicaGroups {
     let replicas = fleet.iter().filter(|member| member.info.is_replica);
     let node = |member: &Member| StorageNode {
@@ -127,23 +127,23 @@
     initial_groups(&nodes, 5).expect("replicas that live")
 }
 
-/// Replicas of other groups hear each other so often: half of the silence after which one may take nobody's place, so that one heartbeat may
-/// be lost.
-const CANDIDATE_SILENCE: Duration = Duration::from_millis(2_500);
+/// Longest time between heartbeats of replicas of different groups: half of the time without one after which a replica may not replace
+/// another, so that one heartbeat may be lost.
+const CANDIDATE_GAP: Duration = Duration::from_millis(2_500);
 
 #[test]
-fn members_of_a_group_hear_each_other_all_the_time_and_others_now_and_then() {
+fn group_members_get_frequent_heartbeats_and_other_replicas_occasional_ones() {
     let fleet = fleet(259, 36);
     let groups = groups(&fleet);
     for me in fleet.iter().filter(|member| member.info.is_replica) {
         let id = ReplicaId(u64::from(me.info.address.port()));
         let own = groups.groups_of(id);
-        let silences = longest_silences(me, &fleet, Some(&groups));
+        let silences = longest_gaps(me, &fleet, Some(&groups));
         for (group, set) in groups.iter() {
             let bound = if own.is_empty() || own.contains(&group) {
-                GONE_AFTER / 2
+                LIVENESS_TIMEOUT / 2
             } else {
-                CANDIDATE_SILENCE
+                CANDIDATE_GAP
             };
             for voter in set.voters.iter().filter(|voter| voter.id != id) {
                 let address: SocketAddr = voter.address.parse().unwrap();
@@ -156,9 +156,9 @@
     }
 }
 
-/// Bytes between zones are dear, and what a gateway chooses among is mostly in its own zone.
+/// Traffic between zones costs more, and a gateway mostly chooses among engines of its own zone.
 #[test]
-fn in_a_large_fleet_most_heartbeats_of_a_gateway_stay_in_its_zone() {
+fn most_heartbeats_in_a_large_fleet_stay_in_the_zone() {
     let fleet = fleet(80, 12);
     let set = set(&fleet, 5);
     let me = &fleet[0];
@@ -176,12 +176,12 @@
         assert_eq!(sent.len(), 8);
         assert!(far.count() <= 3);
     }
-    let silences = longest_silences(me, &fleet, Some(&set));
+    let silences = longest_gaps(me, &fleet, Some(&set));
     let near = silences
         .iter()
         .filter(|(address, _)| zone_of(address) == Some(me.info.zone.as_str()));
     for (address, silence) in near {
-        // A report counts for two seconds.
+        // A load report is used for two seconds.
         assert!(*silence <= Duration::from_secs(1), "{address}: {silence:?}");
     }
 }
--- a/crates/resident/tests/traffic.rs
+++ b/crates/resident/tests/traffic.rs
@@ -1,4 +1,4 @@
-//! Bytes by what they are for and how far they go.
+//! Byte counts by purpose and distance.
 
 use std::net::{IpAddr, SocketAddr};
 use std::rc::Rc;
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn bytes_count_by_the_zone_of_the_machine() {
+fn bytes_are_counted_by_the_zone_of_the_machine() {
     let traffic = traffic();
     for (last, zone) in [(1, "zone-a"), (2, "zone-b"), (3, "zone-c")] {
         traffic.set_machine_zone(ip(last), zone);
@@ -36,7 +36,7 @@
     }
     traffic.add(Purpose::Append, ip(9), 5);
     traffic.add_for_zone(Purpose::EngineRequest, "zone-c", 7);
-    let count = |purpose, reach| traffic.counts.get(purpose, reach);
+    let count = |purpose, distance| traffic.counts.get(purpose, distance);
     assert_eq!(count(Purpose::Append, Distance::SameZone), 10);
     assert_eq!(count(Purpose::Append, Distance::OtherZone), 20);
     assert_eq!(count(Purpose::Append, Distance::OtherRegion), 30);
@@ -46,12 +46,12 @@
 }
 
 #[test]
-fn nothing_is_counted_where_the_settings_name_no_zone() {
+fn nothing_is_counted_without_zones_in_the_settings() {
     assert!(Traffic::new("zone-a", ZoneRegions::default()).is_none());
 }
 
 #[test]
-fn the_counts_are_told_with_their_labels() {
+fn counts_are_exported_with_their_labels() {
     let traffic = traffic();
     traffic.add_for_zone(Purpose::Chain, "zone-c", 41);
     let mut registry = Registry::default();
@@ -59,34 +59,36 @@
     let mut text = String::new();
     prometheus_client::encoding::text::encode(&mut text, &registry).expect("a text");
     let line = "traffic_bytes_total{purpose=\"chain\",reach=\"beyond\"} 41";
-    assert!(text.lines().any(|told| told == line), "{text}");
+    assert!(text.lines().any(|actual| actual == line), "{text}");
     assert_eq!(text.matches("traffic_bytes_total{").count(), 1, "{text}");
 }
 
-struct Lists;
+struct EmptyMembers;
 
-impl PeerService for Lists {
+impl PeerService for EmptyMembers {
     fn on_request(&self, _request: PeerRequest, reply: oneshot::Sender<PeerReply>) {
-        // Whoever asked may have given up.
+        // The requester may have given up.
         let _ = reply.send(PeerReply::Members(Vec::new()));
     }
 }
 
-/// Whoever asks counts both ways, so that no byte counts twice.
+/// The requester counts both directions, so that no byte is counted twice.
 #[tokio::test]
-async fn a_link_counts_what_is_asked_and_answered() {
+async fn a_link_counts_requests_and_replies() {
     let local = LocalSet::new();
     local
         .run_until(async {
             let node = SocketAddr::new(ip(40), 27_481);
-            serve(node, Rc::new(Lists)).await.expect("a free address");
+            serve(node, Rc::new(EmptyMembers))
+                .await
+                .expect("a free address");
             let traffic = Rc::new(traffic());
             traffic.set_machine_zone(node.ip(), "zone-b");
             let links = PeerLinks::counting(Some(Rc::clone(&traffic)));
-            let patience = Duration::from_secs(5);
+            let timeout = Duration::from_secs(5);
             let mut before = 0;
             for _ in 0..3 {
-                let reply = links.call(node, PeerRequest::ListMembers, patience).await;
+                let reply = links.call(node, PeerRequest::ListMembers, timeout).await;
                 assert_eq!(reply, Ok(PeerReply::Members(Vec::new())));
                 let now = traffic.counts.get(Purpose::View, Distance::OtherZone);
                 assert!(now > before + 16, "{now} {before}");
