--- a/crates/resident/src/node.rs
+++ b/crates/resident/src/node.rs
@@ -390,16 +390,16 @@
     /// reads the stored sets.
     async fn discover_replica_set(self: Rc<Self>) {
         let is_replica = self.settings.role == Role::Replica;
-        let mut asked_at = Duration::ZERO;
+        let mut read_at = Duration::ZERO;
         if is_replica {
             // Sets from other nodes may be stale: all that knew newer ones may be gone.
             self.read_groups().await;
         }
         while self.view.groups().is_none() {
             let now = self.clock.now();
-            let is_late = now - asked_at > FALLBACK_REPLICA_SET_READ_INTERVAL;
+            let is_late = now - read_at > FALLBACK_REPLICA_SET_READ_INTERVAL;
             if is_replica || self.watch_control.should_watch() || is_late {
-                asked_at = now;
+                read_at = now;
                 self.read_groups().await;
             }
             let pause = if is_replica {
--- a/crates/resident/src/peer/confirmation_query.rs
+++ b/crates/resident/src/peer/confirmation_query.rs
@@ -1,8 +1,8 @@
 //! Decides when to ask another node for its confirmations.
 //!
 //! The age in a heartbeat proves nothing: the datagram may have been delayed for any time by a frozen process, and would make
-//! an old confirmation look recent. So it only tells whom to query. The answer's age is counted from when the query was sent, on the clock of
-//! the requester, which is an upper bound of the delay.
+//! an old confirmation look recent. So it only selects the node to query. The answer's age is counted from when the query was
+//! sent, on the clock of the requester, which includes any delay.
 
 use std::cell::Cell;
 use std::time::Duration;
@@ -16,7 +16,7 @@
 #[derive(Debug, Clone, Copy)]
 struct PendingQuery {
     number: u64,
-    asked_at: Duration,
+    sent_at: Duration,
 }
 
 /// Ages of two nodes' confirmations of the same kind; `None` where there was none.
@@ -25,7 +25,7 @@
     /// Age at this node.
     pub own: Option<Duration>,
     /// Age at the other node, from its heartbeat.
-    pub told: Option<Duration>,
+    pub peer: Option<Duration>,
 }
 
 /// At most one pending query for confirmations. Times are since the start of the process.
@@ -53,7 +53,7 @@
         let is_free = self
             .pending
             .get()
-            .is_none_or(|pending| now.saturating_sub(pending.asked_at) > ANSWER_TIMEOUT);
+            .is_none_or(|pending| now.saturating_sub(pending.sent_at) > ANSWER_TIMEOUT);
         if !gains || !is_free {
             return None;
         }
@@ -61,14 +61,14 @@
         self.last.set(number);
         self.pending.set(Some(PendingQuery {
             number,
-            asked_at: now,
+            sent_at: now,
         }));
         Some(number)
     }
 
     fn gains(&self, ages: ConfirmationAges) -> bool {
-        ages.told.is_some_and(|told| {
-            let least = told + self.min_gain;
+        ages.peer.is_some_and(|peer| {
+            let least = peer + self.min_gain;
             ages.own.is_none_or(|own| own > least)
         })
     }
@@ -80,6 +80,6 @@
             .get()
             .filter(|pending| pending.number == number)?;
         self.pending.set(None);
-        Some(now.saturating_sub(pending.asked_at))
+        Some(now.saturating_sub(pending.sent_at))
     }
 }
--- a/crates/resident/src/peer/encoding.rs
+++ b/crates/resident/src/peer/encoding.rs
@@ -119,9 +119,9 @@
     fn body(&self) -> Cow<'_, Self> {
         match self {
             // An answer to a query that was never sent.
-            Self::Extension(_) => Cow::Owned(Self::FoundPrefill {
+            Self::Extension(_) => Cow::Owned(Self::FoundRead {
                 number: 0,
-                prefill: None,
+                read: None,
             }),
             _ => Cow::Borrowed(self),
         }
@@ -261,9 +261,9 @@
     fn sections(&self) -> Vec<Section> {
         let configuration = self.configuration.as_ref().filter(|_| self.has_extras);
         let extras = configuration.map(|configuration| configuration.extras());
-        let engines = self.engines.as_ref().filter(|_| self.has_warm_ups);
+        let engines = self.engines.as_ref().filter(|_| self.has_starts);
         let warm_ups = engines.map(|engines| engines.warm_ups());
-        let drains = self.drains.as_deref().cloned().map(DrainSection::Snapshot);
+        let drains = self.drains.as_deref().cloned().map(DrainSection::Told);
         extras
             .map(Section::Configuration)
             .into_iter()
@@ -282,13 +282,13 @@
                     }
                 }
                 Section::EngineWarmUps(warm_ups) => {
-                    self.has_warm_ups = true;
+                    self.has_starts = true;
                     if let Some(engines) = &mut self.engines {
                         engines.set_warm_ups(warm_ups);
                     }
                 }
                 Section::ZoneDrains(section) => {
-                    if let DrainSection::Snapshot(snapshot) = section {
+                    if let DrainSection::Told(snapshot) = section {
                         self.drains = Some(Box::new(snapshot));
                     }
                 }
--- a/crates/resident/src/peer/gossip.rs
+++ b/crates/resident/src/peer/gossip.rs
@@ -342,13 +342,12 @@
             Ok(Datagram::Heartbeat(heartbeat)) => {
                 self.on_heartbeat(*heartbeat, from, sources).await;
             }
-            Ok(Datagram::Prefill(prefill)) => sources.on_prefill(prefill),
-            Ok(Datagram::FindPrefill { number, part }) => {
-                let prefill = sources.find_read(part);
-                self.send(from, &Datagram::FoundPrefill { number, prefill })
-                    .await;
+            Ok(Datagram::Read(prefill)) => sources.on_prefill(prefill),
+            Ok(Datagram::FindRead { number, part }) => {
+                let read = sources.find_read(part);
+                self.send(from, &Datagram::FoundRead { number, read }).await;
             }
-            Ok(Datagram::FoundPrefill { number, prefill }) => self.queries.answer(number, prefill),
+            Ok(Datagram::FoundRead { number, read }) => self.queries.answer(number, read),
             Ok(Datagram::AskConfirmations { number }) => {
                 let told = self.view.confirmations();
                 self.send(from, &Datagram::Confirmed { number, told }).await;
@@ -405,22 +404,22 @@
     }
 
     /// Queries a node whose view seems to have been confirmed more recently than this node's.
-    async fn query_if_fresher(&self, told: &Confirmations, node: SocketAddr, now: Duration) {
+    async fn query_if_fresher(&self, reported: &Confirmations, node: SocketAddr, now: Duration) {
         let age = |unconfirmed_ms: Option<u64>| unconfirmed_ms.map(Duration::from_millis);
         let configuration = ConfirmationAges {
             own: self.view.confirmation_age(),
-            told: age(told.unconfirmed_ms),
+            peer: age(reported.unconfirmed_ms),
         };
-        let has_engines = self.view.has_engines_up_to(told.engines_newest);
+        let has_engines = self.view.has_engines_up_to(reported.engines_newest);
         let engines = ConfirmationAges {
             own: self.view.engines_confirmation_age(),
-            told: age(told.engines_unconfirmed_ms).filter(|_| has_engines),
+            peer: age(reported.engines_unconfirmed_ms).filter(|_| has_engines),
         };
         let drains = &self.view.drains;
-        let told_drains = told.drains.and_then(|known| known.unconfirmed_ms);
+        let reported_drains = reported.drains.and_then(|known| known.unconfirmed_ms);
         let drains = ConfirmationAges {
             own: drains.confirmation_age(),
-            told: age(told_drains).filter(|_| drains.are_followed()),
+            peer: age(reported_drains).filter(|_| drains.are_followed()),
         };
         let ages = [configuration, engines, drains];
         if let Some(number) = self.confirmation_query.start(&ages, now) {
@@ -429,30 +428,30 @@
         }
     }
 
-    fn on_confirmed(&self, number: u64, told: &Confirmations) {
-        if let Some(asked) = self.confirmation_query.on_answer(number, self.clock.now()) {
-            self.view.confirm(told, asked);
+    fn on_confirmed(&self, number: u64, confirmations: &Confirmations) {
+        if let Some(query_age) = self.confirmation_query.on_answer(number, self.clock.now()) {
+            self.view.confirm(confirmations, query_age);
         }
     }
 
     /// Whether the sender has a newer view that should be fetched from it.
     fn is_behind(&self, heartbeat: &Heartbeat, now: Duration) -> bool {
-        let told = &heartbeat.confirmations;
+        let reported = &heartbeat.confirmations;
         let is_useful = self.view.accepts_views_from(heartbeat.protocol);
-        let has_newer = is_useful && told.version > self.view.version();
+        let has_newer = is_useful && reported.version > self.view.version();
         if has_newer || heartbeat.epoch > self.view.epoch() {
             return true;
         }
         if self.me.is_replica || !is_useful {
             return false;
         }
-        if told
+        if reported
             .drains
-            .is_some_and(|told| self.view.drains.is_behind(&told))
+            .is_some_and(|reported| self.view.drains.is_behind(&reported))
         {
             return true;
         }
-        if told.engines_newest <= self.view.with_engines(|engines| engines.at()) {
+        if reported.engines_newest <= self.view.with_engines(|engines| engines.at()) {
             self.engines_behind_since.set(None);
             return false;
         }
@@ -483,11 +482,11 @@
 /// Fetches a node's view and applies it; returns whether the node replied.
 pub async fn fetch_view(links: &PeerLinks, view: &View, from: SocketAddr) -> bool {
     let request = PeerRequest::FetchView(view.position());
-    let asked_at = Instant::now();
+    let sent_at = Instant::now();
     let reply = links.call(from, request, FETCH_TIMEOUT).await;
     match reply {
         Ok(PeerReply::View(update)) => {
-            view.adopt_update(update, asked_at.elapsed());
+            view.adopt_update(update, sent_at.elapsed());
             true
         }
         _ => false,
--- a/crates/resident/src/peer/gossip/prefill_directory.rs
+++ b/crates/resident/src/peer/gossip/prefill_directory.rs
@@ -78,7 +78,7 @@
         match self.directory_node(key) {
             None => Some(prefill),
             Some(node) => {
-                self.send(node, &Datagram::Prefill(prefill)).await;
+                self.send(node, &Datagram::Read(prefill)).await;
                 None
             }
         }
@@ -88,8 +88,7 @@
     /// answer in time.
     pub async fn query_prefill(&self, node: SocketAddr, part: u64) -> Option<PrefillRecord> {
         let (number, answer) = self.queries.start();
-        self.send(node, &Datagram::FindPrefill { number, part })
-            .await;
+        self.send(node, &Datagram::FindRead { number, part }).await;
         let answered = tokio::time::timeout(QUERY_TIMEOUT, answer).await;
         self.queries.forget(number);
         answered.ok()?.ok()?
--- a/crates/resident/src/peer/message.rs
+++ b/crates/resident/src/peer/message.rs
@@ -23,7 +23,7 @@
 pub enum PeerRequest {
     /// For the replica on that node.
     Replica {
-        /// Identity of the replica; a replica on a wiped disk has a new one and must not answer for the old one.
+        /// Identity of the replica; a replica on a new or wiped disk has another one and must not answer for this one.
         to: ReplicaId,
         /// The request.
         request: ReplicaRequest,
@@ -133,7 +133,7 @@
     pub has_extras: bool,
     /// Whether the engines include their warm-up times.
     #[rkyv(with = Skip)]
-    pub has_warm_ups: bool,
+    pub has_starts: bool,
 }
 
 /// Versions of a node's view, with the time since the store confirmed that each is the newest.
@@ -178,7 +178,7 @@
     /// Beside [`PeerRequest::FetchView`]: the requester uses drains.
     Wanted,
     /// Beside [`PeerReply::View`]: the sender's drains.
-    Snapshot(DrainSnapshot),
+    Told(DrainSnapshot),
 }
 
 /// A request or reply with the number that correlates them.
@@ -230,7 +230,7 @@
     pub from: MemberInfo,
     /// Start time of its process; a restart has a higher one.
     pub incarnation: u64,
-    /// Versions of its view. The ages only tell whom to query, since a heartbeat may have been delayed for any time.
+    /// Versions of its view. The ages only select nodes to query, since a heartbeat may have been delayed for any time.
     pub confirmations: Confirmations,
     /// Combined epoch of the newest replica sets that it knows.
     pub epoch: Epoch,
@@ -251,9 +251,9 @@
     /// Sent a few times a second.
     Heartbeat(Box<Heartbeat>),
     /// Tells a prompt's directory node that an engine processes the prompt.
-    Prefill(PrefillRecord),
+    Read(PrefillRecord),
     /// Asks a directory node for the last prefill of prompts with this last part.
-    FindPrefill {
+    FindRead {
         /// Number of the query, unique at its sender.
         number: u64,
         /// Hash of the last part.
@@ -271,12 +271,12 @@
         /// Versions of the node's view.
         told: Confirmations,
     },
-    /// Answer to [`Datagram::FindPrefill`].
-    FoundPrefill {
+    /// Answer to [`Datagram::FindRead`].
+    FoundRead {
         /// Number of the query.
         number: u64,
         /// The last prefill; `None` where none is known.
-        prefill: Option<PrefillRecord>,
+        read: Option<PrefillRecord>,
     },
     /// A datagram that nodes of protocol version 0 don't know; it is sent in a section and never in a body.
     Extension(#[rkyv(with = Skip)] ExtensionDatagram),
--- a/crates/resident/src/peer/purpose.rs
+++ b/crates/resident/src/peer/purpose.rs
@@ -36,7 +36,7 @@
 pub fn of_datagram(datagram: &Datagram) -> Purpose {
     match datagram {
         Datagram::Heartbeat(_) => Purpose::Heartbeat,
-        Datagram::Prefill(_) | Datagram::FindPrefill { .. } | Datagram::FoundPrefill { .. } => {
+        Datagram::Read(_) | Datagram::FindRead { .. } | Datagram::FoundRead { .. } => {
             Purpose::PrefillDirectory
         }
         Datagram::AskConfirmations { .. } | Datagram::Confirmed { .. } => Purpose::Confirmation,
--- a/crates/resident/src/settings.rs
+++ b/crates/resident/src/settings.rs
@@ -198,7 +198,7 @@
     /// A time is negative or not finite, or 0 where it must not be.
     Time(&'static str),
     /// A fraction or a count is negative or not finite.
-    Share(&'static str),
+    NegativeNumber(&'static str),
     /// The value is not a finite number above 0.
     NotPositive(&'static str),
 }
@@ -211,7 +211,7 @@
             Self::MetricsAddress(value) => {
                 write!(formatter, "listen.metrics: {value:?} is not PORT/PATH")
             }
-            Self::Share(key) => write!(formatter, "{key}: must be 0 or more"),
+            Self::NegativeNumber(key) => write!(formatter, "{key}: must be 0 or more"),
             Self::Time(key) => write!(formatter, "{key}: must be a time of 0 or more"),
             Self::NotPositive(key) => write!(formatter, "{key}: must be greater than 0"),
         }
@@ -350,16 +350,22 @@
             SettingsFault::NotPositive("bounds.warm_up_factor"),
         );
         let bad_warm_slack = !self.bounds.warm_up_slack.is_none_or(is_time);
-        check(bad_warm_slack, SettingsFault::Share("bounds.warm_up_slack"));
+        check(
+            bad_warm_slack,
+            SettingsFault::NegativeNumber("bounds.warm_up_slack"),
+        );
         let bad_window = !is_positive(self.bounds.quota_window_s);
         check(bad_window, SettingsFault::Time("bounds.quota_window_s"));
         let bad_overshoot = !is_time(self.bounds.quota_overshoot);
         check(
             bad_overshoot,
-            SettingsFault::Share("bounds.quota_overshoot"),
+            SettingsFault::NegativeNumber("bounds.quota_overshoot"),
         );
         let bad_slack = !is_time(self.bounds.quota_slack);
-        check(bad_slack, SettingsFault::Share("bounds.quota_slack"));
+        check(
+            bad_slack,
+            SettingsFault::NegativeNumber("bounds.quota_slack"),
+        );
         if let Some(text) = &self.listen.metrics {
             let unreadable = parse_metrics(text).is_none();
             check(unreadable, SettingsFault::MetricsAddress(text.clone()));
--- a/crates/resident/src/store_watch.rs
+++ b/crates/resident/src/store_watch.rs
@@ -88,8 +88,7 @@
     fn known_revision(&self) -> Option<u64> {
         None
     }
-    /// Time since the store confirmed, to this node or to another that told it, that nothing newer exists; `None` where it
-    /// never did.
+    /// Time since the store confirmed, to this node or another, that nothing newer exists; `None` where it never did.
     fn unconfirmed(&self) -> Option<Duration> {
         None
     }
@@ -108,15 +107,15 @@
         handler,
         control,
         at: None,
-        must_list: false,
+        history_gone: false,
         failures: 0,
-        asked_at: Instant::now(),
+        sent_at: Instant::now(),
         confirmed_at: Cell::new(Instant::now()),
-        lost_at: Instant::now(),
+        failing_since: Instant::now(),
     };
     loop {
         state.wait_until_watching().await;
-        state.asked_at = Instant::now();
+        state.sent_at = Instant::now();
         match state.step().await {
             Ok(()) => state.on_success(),
             Err(error) => state.on_error(&error).await,
@@ -139,22 +138,22 @@
     /// Revision up to which all changes are known; `None` before the first list.
     at: Option<u64>,
     /// Whether the store no longer has the history since that revision.
-    must_list: bool,
+    history_gone: bool,
     /// Consecutive failures.
     failures: u32,
     /// When the latest list or watch was sent.
-    asked_at: Instant,
-    /// When the store last confirmed the known objects.
+    sent_at: Instant,
+    /// When the store last confirmed the known objects to this node.
     confirmed_at: Cell<Instant>,
     /// When the first of the consecutive failures was noticed.
-    lost_at: Instant,
+    failing_since: Instant,
 }
 
 impl<F: WatchHandler> ObjectWatch<F> {
     async fn wait_until_watching(&mut self) {
         self.control.wait_until_watching().await;
-        // Other nodes may have told newer changes meanwhile.
-        if !self.must_list {
+        // Newer changes may have come from other nodes meanwhile.
+        if !self.history_gone {
             self.at = self.at.max(self.handler.known_revision());
         }
     }
@@ -173,12 +172,12 @@
     }
 
     async fn list_all(&mut self) -> Result<(), WatchError> {
-        let asked_at = Instant::now();
+        let sent_at = Instant::now();
         let (objects, at) = list_objects(&self.store, self.kind).await?;
         self.handler.on_list(objects, at);
-        self.on_confirmed(asked_at);
+        self.on_confirmed(sent_at);
         self.at = Some(at);
-        self.must_list = false;
+        self.history_gone = false;
         Ok(())
     }
 
@@ -187,7 +186,7 @@
         // Only the end of a wait confirms that there was no change, so a wait ends while the last confirmation is still recent.
         let wait = timings.wait.saturating_sub(self.unconfirmed());
         let wait = wait.max(PROBE_WAIT);
-        let watch = self.ask(at, wait, timings.watch_timeout());
+        let watch = self.send_watch(at, wait, timings.watch_timeout());
         let answer = tokio::select! {
             answer = watch => answer?,
             missed = self.probe_until_missed(at) => missed?,
@@ -225,38 +224,34 @@
             target: "dependency",
             kind:? = self.kind,
             changes = changes,
-            silent_ms = whole_ms(self.asked_at.elapsed());
+            silent_ms = whole_ms(self.sent_at.elapsed());
             "silent watch of the platform store replaced"
         );
     }
 
-    /// Time since the store last confirmed the known objects, to this node or to another that told it.
+    /// Time since the store last confirmed the known objects, to this node or another.
     fn unconfirmed(&self) -> Duration {
         let own = self.confirmed_at.get().elapsed();
         self.handler.unconfirmed().map_or(own, |told| told.min(own))
     }
 
     async fn probe(&self, at: u64) -> Result<WatchReply, WatchError> {
-        self.ask(at, PROBE_WAIT, PROBE_TIMEOUT).await
+        self.send_watch(at, PROBE_WAIT, PROBE_TIMEOUT).await
     }
 
-    async fn ask(
+    async fn send_watch(
         &self,
         at: u64,
         wait: Duration,
         timeout: Duration,
     ) -> Result<WatchReply, WatchError> {
         let call = watch(self.kind, at, wait);
-        let asked_at = Instant::now();
+        let sent_at = Instant::now();
         let body = call_store(&self.store, call, timeout).await?;
         let batch = read_watch(&body)?;
         // An answer without a change confirms the whole wait: the store sends it only when the wait is over.
-        let has_waited = batch.events.is_empty() && asked_at.elapsed() >= wait;
-        let as_of = if has_waited {
-            asked_at + wait
-        } else {
-            asked_at
-        };
+        let has_waited = batch.events.is_empty() && sent_at.elapsed() >= wait;
+        let as_of = if has_waited { sent_at + wait } else { sent_at };
         Ok(WatchReply { batch, as_of })
     }
 
@@ -265,7 +260,7 @@
         self.at = Some(batch.at.max(at));
         let has_changes = !batch.events.is_empty();
         self.handler.on_events(batch.events, batch.at);
-        // Before the delay below, which would add to the age.
+        // Confirmed before the delay, so that other parts of the node see it at once.
         self.on_confirmed(as_of);
         if has_changes {
             tokio::time::sleep(CHANGE_COALESCING_DELAY).await;
@@ -285,7 +280,7 @@
             log::info!(
                 target: "dependency",
                 kind:? = self.kind,
-                lost_ms = whole_ms(self.lost_at.elapsed()),
+                lost_ms = whole_ms(self.failing_since.elapsed()),
                 failures = self.failures;
                 "platform store regained"
             );
@@ -301,16 +296,16 @@
                 "platform store no longer has the history since the last known revision; listing again"
             );
             self.at = None;
-            self.must_list = true;
+            self.history_gone = true;
             return;
         }
         if self.failures == 0 {
-            self.lost_at = Instant::now();
+            self.failing_since = Instant::now();
             log::warn!(
                 target: "dependency",
                 kind:? = self.kind,
                 reason = error.name(),
-                waited_ms = whole_ms(self.asked_at.elapsed()),
+                waited_ms = whole_ms(self.sent_at.elapsed()),
                 detail:% = error;
                 "platform store lost"
             );
--- a/crates/resident/src/view.rs
+++ b/crates/resident/src/view.rs
@@ -63,7 +63,7 @@
     /// Whether the configuration is complete: it did not come, directly or indirectly, from a node of protocol version 0.
     has_extras: Cell<bool>,
     /// The same for the engines.
-    has_warm_ups: Cell<bool>,
+    has_starts: Cell<bool>,
     refused: Cell<Option<Refusal>>,
 }
 
@@ -98,7 +98,7 @@
             confirmed_notify: Notify::new(),
             needs_extras: false,
             has_extras: Cell::new(true),
-            has_warm_ups: Cell::new(true),
+            has_starts: Cell::new(true),
             refused: Cell::new(None),
         }
     }
@@ -229,18 +229,18 @@
         }
     }
 
-    /// Applies another node's answer to a request that was sent `asked` ago.
-    pub fn confirm(&self, told: &Confirmations, asked: Duration) {
-        let asked_ms = whole_ms(asked);
-        let since_asked = |age: Option<u64>| age.map(|age| age.saturating_add(asked_ms));
-        self.confirm_version(told.version, since_asked(told.unconfirmed_ms));
+    /// Applies another node's answer to a request that was sent `request_age` ago.
+    pub fn confirm(&self, received: &Confirmations, request_age: Duration) {
+        let request_age_ms = whole_ms(request_age);
+        let plus_request_age = |age: Option<u64>| age.map(|age| age.saturating_add(request_age_ms));
+        self.confirm_version(received.version, plus_request_age(received.unconfirmed_ms));
         self.confirm_engines(
-            told.engines_newest,
-            since_asked(told.engines_unconfirmed_ms),
+            received.engines_newest,
+            plus_request_age(received.engines_unconfirmed_ms),
         );
-        if let Some(known) = told.drains {
+        if let Some(known) = received.drains {
             self.drains
-                .confirm(known.newest, since_asked(known.unconfirmed_ms));
+                .confirm(known.newest, plus_request_age(known.unconfirmed_ms));
         }
     }
 
@@ -328,12 +328,12 @@
         }
     }
 
-    /// Removes an engine, as told by a source that knows all changes up to `told_at`.
-    pub fn remove_engine(&self, instance: &str, revision: u64, told_at: u64, source: Source) {
+    /// Removes an engine, as told by a source that knows all changes up to `complete_at`.
+    pub fn remove_engine(&self, instance: &str, revision: u64, complete_at: u64, source: Source) {
         let removed = self
             .engines
             .borrow_mut()
-            .remove(instance, revision, told_at);
+            .remove(instance, revision, complete_at);
         if removed {
             log::info!(
                 target: "belief",
@@ -409,19 +409,19 @@
             engines_unconfirmed_ms: self.engines_confirmation_age().map(whole_ms),
             drains: self
                 .drains
-                .told()
+                .snapshot()
                 .filter(|_| known.wants_drains)
                 .map(Box::new),
             protocol: PROTOCOL,
             has_extras: self.has_extras.get(),
-            has_warm_ups: self.has_warm_ups.get(),
+            has_starts: self.has_starts.get(),
         }
     }
 
-    /// Applies another node's answer to a request for its view that was sent `asked` ago.
-    pub fn adopt_update(&self, update: ViewUpdate, asked: Duration) {
-        let asked_ms = whole_ms(asked);
-        let since_asked = |age: Option<u64>| age.map(|age| age.saturating_add(asked_ms));
+    /// Applies another node's answer to a request for its view that was sent `request_age` ago.
+    pub fn adopt_update(&self, update: ViewUpdate, request_age: Duration) {
+        let request_age_ms = whole_ms(request_age);
+        let plus_request_age = |age: Option<u64>| age.map(|age| age.saturating_add(request_age_ms));
         let ViewUpdate {
             configuration,
             engines,
@@ -431,14 +431,14 @@
             drains,
             protocol: _,
             has_extras,
-            has_warm_ups,
+            has_starts,
         } = update;
         // An update without a configuration says that the sender knows none newer than the version in the request.
         let version = configuration
             .as_ref()
             .map_or(0, |configuration| configuration.version);
         let lacks_extras = configuration.is_some() && !has_extras;
-        let lacks_warm_ups = engines.is_some() && !has_warm_ups;
+        let lacks_warm_ups = engines.is_some() && !has_starts;
         if self.needs_extras && (lacks_extras || lacks_warm_ups) {
             self.refuse(version);
         }
@@ -450,22 +450,21 @@
             }
             self.adopt_configuration(configuration, Source::Peer);
         }
-        self.confirm_version(version, since_asked(unconfirmed_ms));
+        self.confirm_version(version, plus_request_age(unconfirmed_ms));
         if let Some(engines) = engines {
-            let told_at = engines.at;
-            self.has_warm_ups
-                .set(has_warm_ups && self.has_warm_ups.get());
+            let complete_at = engines.at;
+            self.has_starts.set(has_starts && self.has_starts.get());
             self.adopt_engine_changes(engines, Source::Peer);
-            self.confirm_engines(told_at, since_asked(engines_unconfirmed_ms));
+            self.confirm_engines(complete_at, plus_request_age(engines_unconfirmed_ms));
         }
         if let Some(groups) = groups {
             self.adopt_groups(groups, Source::Peer);
         }
-        if let Some(told) = drains {
-            let newest = told.table.newest();
-            self.adopt_drains(told.table, Source::Peer);
+        if let Some(received) = drains {
+            let newest = received.table.newest();
+            self.adopt_drains(received.table, Source::Peer);
             self.drains
-                .confirm(newest, since_asked(told.unconfirmed_ms));
+                .confirm(newest, plus_request_age(received.unconfirmed_ms));
         }
     }
 
--- a/crates/resident/src/view/drains.rs
+++ b/crates/resident/src/view/drains.rs
@@ -88,8 +88,8 @@
     }
 
     /// Whether another node knows a change that this one doesn't.
-    pub fn is_behind(&self, told: &KnownDrains) -> bool {
-        self.are_followed && self.at().is_none_or(|at| told.newest > at)
+    pub fn is_behind(&self, received: &KnownDrains) -> bool {
+        self.are_followed && self.at().is_none_or(|at| received.newest > at)
     }
 
     /// Newest revision and confirmation age, for other nodes; `None` before the first list.
@@ -102,7 +102,7 @@
     }
 
     /// The whole table, for other nodes; `None` before the first list.
-    pub fn told(&self) -> Option<DrainSnapshot> {
+    pub fn snapshot(&self) -> Option<DrainSnapshot> {
         let table = self.table.borrow();
         let table = table.as_ref()?;
         Some(DrainSnapshot {
@@ -112,10 +112,10 @@
     }
 
     /// Merges a table into the known one and returns what has changed.
-    fn adopt(&self, told: ZoneDrains) -> Vec<DrainChange> {
+    fn adopt(&self, received: ZoneDrains) -> Vec<DrainChange> {
         let mut table = self.table.borrow_mut();
         let mut known = table.as_deref().cloned().unwrap_or_default();
-        let changes = known.take(told);
+        let changes = known.take(received);
         *table = Some(Rc::new(known));
         changes
     }
@@ -135,12 +135,12 @@
     }
 
     /// Applies a complete table unless a newer one is known.
-    pub fn adopt_drains(&self, told: ZoneDrains, source: Source) {
+    pub fn adopt_drains(&self, received: ZoneDrains, source: Source) {
         if !self.drains.are_followed {
             return;
         }
         let is_first = !self.drains.are_known();
-        let changes = self.drains.adopt(told);
+        let changes = self.drains.adopt(received);
         for change in &changes {
             self.on_drain_change(change, source);
         }
@@ -162,7 +162,7 @@
         let next = known.after(changes, at);
         let mut has_unseen_end = false;
         for (zone, revision) in changes {
-            // A drain that began and ended within these changes. One that other nodes told of has been handled before.
+            // A drain that began and ended within these changes. One that is known from other nodes has been handled before.
             let was_never_known = !known.is_drained(zone) && !next.is_drained(zone);
             if revision.is_none() && was_never_known && at > known.at() {
                 self.drains.on_restored(zone);
--- a/crates/resident/tests/extension_messages.rs
+++ b/crates/resident/tests/extension_messages.rs
@@ -178,9 +178,9 @@
 
 #[test]
 fn a_datagram_of_an_unknown_kind_decodes_as_unknown() {
-    let harmless = Datagram::FoundPrefill {
+    let harmless = Datagram::FoundRead {
         number: 0,
-        prefill: None,
+        read: None,
     };
     let bytes = with_unknown_kind(
         MessageKind::Datagram,
--- a/crates/resident/tests/golden_messages.rs
+++ b/crates/resident/tests/golden_messages.rs
@@ -164,7 +164,7 @@
         drains: None,
         protocol: 1,
         has_extras: true,
-        has_warm_ups: true,
+        has_starts: true,
     };
     change(&mut update);
     envelope(PeerReply::View(update))
--- a/crates/resident/tests/mutated_messages.rs
+++ b/crates/resident/tests/mutated_messages.rs
@@ -34,7 +34,7 @@
         panic!("not a view: {reply:?}");
     };
     update.has_extras = true;
-    update.has_warm_ups = true;
+    update.has_starts = true;
     let configuration = update.configuration.as_mut().expect("a configuration");
     configuration.routes[0].residency = Residency::within(["north".to_owned()]);
     configuration.services[0].warm_up = Some(WarmUpLimit {
--- a/crates/resident/tests/support/samples.rs
+++ b/crates/resident/tests/support/samples.rs
@@ -371,10 +371,10 @@
         groups: Some(groups()),
         unconfirmed_ms: Some(120),
         engines_unconfirmed_ms: Some(80),
-        drains: None,        // not in version 0
-        protocol: 0,         // not in version 0
-        has_extras: false,   // not in version 0
-        has_warm_ups: false, // not in version 0
+        drains: None,      // not in version 0
+        protocol: 0,       // not in version 0
+        has_extras: false, // not in version 0
+        has_starts: false, // not in version 0
     };
     let empty = ViewUpdate {
         configuration: None,
@@ -382,10 +382,10 @@
         groups: None,
         unconfirmed_ms: None,
         engines_unconfirmed_ms: None,
-        drains: None,        // not in version 0
-        protocol: 0,         // not in version 0
-        has_extras: false,   // not in version 0
-        has_warm_ups: false, // not in version 0
+        drains: None,      // not in version 0
+        protocol: 0,       // not in version 0
+        has_extras: false, // not in version 0
+        has_starts: false, // not in version 0
     };
     let others = [
         PeerReply::View(whole),
@@ -459,8 +459,8 @@
             known: vec![member()],
             protocol: 0, // not in version 0
         })),
-        Datagram::Prefill(prefill()),
-        Datagram::FindPrefill {
+        Datagram::Read(prefill()),
+        Datagram::FindRead {
             number: 5,
             part: 88,
         },
@@ -469,9 +469,9 @@
             number: 6,
             told: confirmations(),
         },
-        Datagram::FoundPrefill {
+        Datagram::FoundRead {
             number: 5,
-            prefill: Some(prefill()),
+            read: Some(prefill()),
         },
     ]
 }
@@ -479,11 +479,11 @@
 pub fn datagram_name(datagram: &Datagram) -> &'static str {
     match datagram {
         Datagram::Heartbeat(_) => "heartbeat",
-        Datagram::Prefill(_) => "read",
-        Datagram::FindPrefill { .. } => "find-read",
+        Datagram::Read(_) => "read",
+        Datagram::FindRead { .. } => "find-read",
         Datagram::AskConfirmations { .. } => "ask-confirmations",
         Datagram::Confirmed { .. } => "confirmed",
-        Datagram::FoundPrefill { .. } => "found-read",
+        Datagram::FoundRead { .. } => "found-read",
         Datagram::Extension(_) => "extension", // not in version 0
     }
 }
