--- a/crates/resident/src/node.rs
+++ b/crates/resident/src/node.rs
@@ -33,7 +33,7 @@
 /// Name of the store object that holds the replica sets of all groups.
 pub const REPLICA_SET_NAME: &str = "main";
 const STORE_CALL_TIMEOUT: Duration = Duration::from_millis(1_500);
-const MEMBER_SEARCH_INTERVAL: Duration = Duration::from_millis(300);
+const DISCOVERY_INTERVAL: Duration = Duration::from_millis(300);
 /// How often a node decides whether it watches the store; four times as often in its first second.
 const WATCH_DECISION_INTERVAL: Duration = Duration::from_millis(100);
 const FAST_DECISION_PERIOD: Duration = Duration::from_secs(1);
@@ -368,7 +368,7 @@
                 is_registered = is_registered || self.register().await;
                 self.add_registered_members().await;
             }
-            sleep_with_jitter(MEMBER_SEARCH_INTERVAL).await;
+            sleep_with_jitter(DISCOVERY_INTERVAL).await;
         }
     }
 
@@ -405,7 +405,7 @@
             let pause = if is_replica {
                 REPLICA_SET_READ_INTERVAL
             } else {
-                MEMBER_SEARCH_INTERVAL
+                DISCOVERY_INTERVAL
             };
             sleep_with_jitter(pause).await;
         }
--- a/crates/resident/src/peer/server.rs
+++ b/crates/resident/src/peer/server.rs
@@ -19,7 +19,7 @@
 use crate::http_client::configure_socket;
 
 /// Most in-flight requests of a connection; no more are read until replies have been sent.
-const MAX_WAITING_REPLIES: usize = 256;
+const MAX_IN_FLIGHT_REQUESTS: usize = 256;
 /// A connection without a request for this long is closed, since it may have fallen silent without an error and would
 /// stay open for ever. Longer than the idle limit of the requester.
 const IDLE_LIMIT: Duration = Duration::from_secs(30);
@@ -53,7 +53,7 @@
         return;
     }
     let (mut writer, mut reader) = Framed::new(stream, codec()).split();
-    let (replies, mut waiting) = mpsc::channel::<Bytes>(MAX_WAITING_REPLIES);
+    let (replies, mut waiting) = mpsc::channel::<Bytes>(MAX_IN_FLIGHT_REQUESTS);
     let writing = tokio::task::spawn_local(async move {
         while let Some(frame) = waiting.recv().await {
             if writer.send(frame).await.is_err() {
--- a/crates/resident/src/settings.rs
+++ b/crates/resident/src/settings.rs
@@ -80,9 +80,10 @@
     pub key_removal_ms: Option<f64>,
     /// Time after which the engines of a drained zone get no new requests, in milliseconds; `None` where zones are not drained.
     pub zone_drain_ms: Option<f64>,
-    /// Factor by which the requests to a warming engine within a second may exceed its warm-up rate; `None` where engines need no warm-up.
+    /// Requests that a warming engine may get within a second, as a multiple of its warm-up rate; `None` where engines need
+    /// no warm-up.
     pub warm_up_factor: Option<f64>,
-    /// Number of requests that it may get within that second beyond the factor.
+    /// Number of requests that it may get within that second beyond that multiple.
     pub warm_up_slack: Option<f64>,
     /// Window over which a tenant's requests are counted, in seconds.
     #[serde(default = "default_quota_window_s")]
--- a/crates/resident/src/view/drains.rs
+++ b/crates/resident/src/view/drains.rs
@@ -120,7 +120,7 @@
         changes
     }
 
-    /// Records the end of a zone's drain and returns when this node learned of its begin.
+    /// Records the end of a zone's drain and returns when this node had learned of the drain.
     fn on_restored(&self, zone: &str) -> Option<Moment> {
         let now = self.clock.ago(Duration::ZERO);
         self.restored.borrow_mut().insert(zone.to_owned(), now);
@@ -129,7 +129,8 @@
 }
 
 impl View {
-    /// When this node last learned that a zone's drain had ended; `None` when none has. Its engines may have lost their cached state since.
+    /// When this node last learned that a zone's drain had ended; `None` when none has. Its engines
+    /// may have lost their cached state.
     pub fn zone_restored_at(&self, zone: &str) -> Option<Moment> {
         self.drains.restored.borrow().get(zone).copied()
     }
