--- a/crates/resident/src/peer/targets.rs
+++ b/crates/resident/src/peer/targets.rs
@@ -28,7 +28,7 @@
 /// a heartbeat every 2 s.
 const OTHER_GROUP_FAN_OUT: usize = 4;
 
-/// The nodes that get a heartbeat of `me` now. `offset` is where the rotation begins; it grows by [`FAN_OUT`] at each interval.
+/// The nodes that get a heartbeat of `me` now. `offset` is where the rotation begins; it grows by `FAN_OUT` at each interval.
 pub fn targets<'a>(
     me: &MemberInfo,
     members: impl Iterator<Item = &'a Member>,
