--- a/crates/resident/src/lib.rs
+++ b/crates/resident/src/lib.rs
@@ -1,13 +1,12 @@
-//! What every role on the users' platform runs on.
+//! Runtime that every role on the users' platform shares.
 //!
-//! One thread does all networking, with `hyper` on `tokio`'s current-thread runtime; actors of `stakker`
-//! run on the same thread. Only logging and the disk have threads of their own.
+//! One thread does all networking, with `hyper` on `tokio`'s current-thread runtime; `stakker` actors
+//! run on the same thread. Only logging and disk access have their own threads.
 
 pub mod actors;
 pub mod build;
 pub mod clock;
-mod drain_follower;
-mod followers;
+mod drain_handler;
 pub mod http_client;
 pub mod http_server;
 pub mod logging;
@@ -21,4 +20,5 @@
 pub mod store_watch;
 pub mod traffic;
 pub mod view;
+mod watch_handlers;
 pub mod watch_policy;
--- a/crates/resident/src/peer/encoding.rs
+++ b/crates/resident/src/peer/encoding.rs
@@ -1,4 +1,4 @@
-//! Encoding of messages between nodes: the body that each version reads, and sections with what came later
+//! Encoding of messages between nodes: a body that every protocol version reads, and sections for what version 0 doesn't have
 //! ([`super::frame`]; `docs/design/versions.md`).
 #![allow(
     missing_docs,
@@ -17,27 +17,29 @@
 use rkyv::util::AlignedVec;
 use rkyv::{Archive, Deserialize, Serialize};
 
+use super::extension::{
+    Extension, ExtensionDatagram, ExtensionReply, ExtensionRequest, FIRST_EXTENSION_KIND,
+};
 use super::frame::{FrameError, RawSection, frame, unframe};
-use super::later::{Extension, ExtensionDatagram, ExtensionReply, ExtensionRequest, FIRST_KIND};
 use super::message::{
-    Confirmations, Datagram, DrainNews, Envelope, PeerReply, PeerRequest, ViewUpdate,
+    Confirmations, Datagram, DrainSection, Envelope, PeerReply, PeerRequest, ViewUpdate,
 };
 
-/// What came later than the first protocol version, each with the number of its kind.
+/// Parts of a message that protocol version 0 doesn't have.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Section {
     /// Beside a configuration.
     Configuration(ConfigurationExtras),
     /// Beside changes of engines.
-    EngineStarts(Vec<EngineWarmUp>),
-    /// Beside confirmations, a question for the view, or its answer.
-    ZoneDrains(DrainNews),
+    EngineWarmUps(Vec<EngineWarmUp>),
+    /// Beside confirmations, a request for a view, or its reply.
+    ZoneDrains(DrainSection),
 }
 
-/// Numbers of the kinds of sections. A number is never used again for something else.
+/// Kinds of sections. A number is never reused.
 mod section_kinds {
     pub const CONFIGURATION: u16 = 1;
-    pub const ENGINE_STARTS: u16 = 2;
+    pub const ENGINE_WARM_UPS: u16 = 2;
     pub const ZONE_DRAINS: u16 = 3;
 }
 
@@ -45,23 +47,23 @@
     fn encode(&self) -> Result<(u16, Vec<u8>), MessageError> {
         Ok(match self {
             Self::Configuration(extras) => (section_kinds::CONFIGURATION, to_bytes(extras)?),
-            Self::EngineStarts(warm_ups) => (section_kinds::ENGINE_STARTS, to_bytes(warm_ups)?),
-            Self::ZoneDrains(news) => (section_kinds::ZONE_DRAINS, to_bytes(news)?),
+            Self::EngineWarmUps(warm_ups) => (section_kinds::ENGINE_WARM_UPS, to_bytes(warm_ups)?),
+            Self::ZoneDrains(drains) => (section_kinds::ZONE_DRAINS, to_bytes(drains)?),
         })
     }
 
-    /// `None` for a kind that this version does not know.
+    /// `None` for an unknown kind.
     fn decode(raw: RawSection<'_>) -> Result<Option<Self>, MessageError> {
         Ok(Some(match raw.kind {
             section_kinds::CONFIGURATION => Self::Configuration(from_bytes(raw.content)?),
-            section_kinds::ENGINE_STARTS => Self::EngineStarts(from_bytes(raw.content)?),
+            section_kinds::ENGINE_WARM_UPS => Self::EngineWarmUps(from_bytes(raw.content)?),
             section_kinds::ZONE_DRAINS => Self::ZoneDrains(from_bytes(raw.content)?),
             _ => return Ok(None),
         }))
     }
 }
 
-/// Numbers of the kinds of messages.
+/// Kind of a message, with its number in a frame.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[repr(u16)]
 pub enum MessageKind {
@@ -73,33 +75,33 @@
     Reply = 3,
 }
 
-/// What nodes send each other.
+/// A message between nodes.
 pub trait Message: Clone {
-    /// Its kind.
+    /// Kind in the frame.
     const KIND: MessageKind;
-    /// Its kinds that the first protocol version does not know.
+    /// Extension messages of this kind.
     type Extension: Extension;
 
-    /// Number that joins a request and its reply.
+    /// Number that correlates a request and its reply; 0 for a datagram.
     fn number(&self) -> u64 {
         0
     }
 
-    /// Such a kind that travels beside a harmless body.
-    fn later(&self) -> Option<&Self::Extension>;
+    /// The extension message, if this is one.
+    fn extension(&self) -> Option<&Self::Extension>;
 
-    /// The body: the message itself, or one that does no harm where the message is not known.
+    /// The message for the body: this one, or for an extension message one that is harmless to a node of protocol version 0.
     fn body(&self) -> Cow<'_, Self>;
 
-    /// Puts such a kind in place of the body.
-    fn set_later(&mut self, later: Self::Extension);
+    /// Replaces the decoded body by the extension message that was sent beside it.
+    fn set_extension(&mut self, extension: Self::Extension);
 
-    /// What nodes of the first protocol version do not know of it.
+    /// Parts that are sent beside the body.
     fn sections(&self) -> Vec<Section> {
         Vec::new()
     }
 
-    /// Takes in what came beside the body, from a node that speaks this version of the protocol.
+    /// Adds the parts that were sent beside the body by a node of this protocol version.
     fn set_sections(&mut self, _protocol: u16, _sections: Vec<Section>) {}
 }
 
@@ -107,16 +109,16 @@
     const KIND: MessageKind = MessageKind::Datagram;
     type Extension = ExtensionDatagram;
 
-    fn later(&self) -> Option<&ExtensionDatagram> {
+    fn extension(&self) -> Option<&ExtensionDatagram> {
         match self {
-            Self::Extension(later) => Some(later),
+            Self::Extension(extension) => Some(extension),
             _ => None,
         }
     }
 
     fn body(&self) -> Cow<'_, Self> {
         match self {
-            // An answer to a question that nobody asked.
+            // An answer to a query that was never sent.
             Self::Extension(_) => Cow::Owned(Self::FoundRead {
                 number: 0,
                 read: None,
@@ -125,8 +127,8 @@
         }
     }
 
-    fn set_later(&mut self, later: ExtensionDatagram) {
-        *self = Self::Extension(later);
+    fn set_extension(&mut self, extension: ExtensionDatagram) {
+        *self = Self::Extension(extension);
     }
 
     fn sections(&self) -> Vec<Section> {
@@ -151,13 +153,13 @@
 
 impl Confirmations {
     fn sections(&self) -> Vec<Section> {
-        let drains = self.drains.map(DrainNews::Known);
+        let drains = self.drains.map(DrainSection::Known);
         drains.map(Section::ZoneDrains).into_iter().collect()
     }
 
     fn set_sections(&mut self, sections: Vec<Section>) {
         for section in sections {
-            if let Section::ZoneDrains(DrainNews::Known(known)) = section {
+            if let Section::ZoneDrains(DrainSection::Known(known)) = section {
                 self.drains = Some(known);
             }
         }
@@ -172,16 +174,16 @@
         self.number
     }
 
-    fn later(&self) -> Option<&ExtensionRequest> {
+    fn extension(&self) -> Option<&ExtensionRequest> {
         match &self.body {
-            PeerRequest::Extension(later) => Some(later),
+            PeerRequest::Extension(extension) => Some(extension),
             _ => None,
         }
     }
 
     fn body(&self) -> Cow<'_, Self> {
         match self.body {
-            // Its answer is none to what was asked, and changes nothing.
+            // A request without side effects, whose reply the sender doesn't take for the one it expects.
             PeerRequest::Extension(_) => Cow::Owned(Self {
                 number: self.number,
                 body: PeerRequest::ListMembers,
@@ -190,14 +192,14 @@
         }
     }
 
-    fn set_later(&mut self, later: ExtensionRequest) {
-        self.body = PeerRequest::Extension(later);
+    fn set_extension(&mut self, extension: ExtensionRequest) {
+        self.body = PeerRequest::Extension(extension);
     }
 
     fn sections(&self) -> Vec<Section> {
         match &self.body {
             PeerRequest::FetchView(position) if position.wants_drains => {
-                vec![Section::ZoneDrains(DrainNews::Wanted)]
+                vec![Section::ZoneDrains(DrainSection::Wanted)]
             }
             _ => Vec::new(),
         }
@@ -205,7 +207,7 @@
 
     fn set_sections(&mut self, _protocol: u16, sections: Vec<Section>) {
         if let PeerRequest::FetchView(position) = &mut self.body {
-            position.wants_drains = sections.contains(&Section::ZoneDrains(DrainNews::Wanted));
+            position.wants_drains = sections.contains(&Section::ZoneDrains(DrainSection::Wanted));
         }
     }
 }
@@ -218,9 +220,9 @@
         self.number
     }
 
-    fn later(&self) -> Option<&ExtensionReply> {
+    fn extension(&self) -> Option<&ExtensionReply> {
         match &self.body {
-            PeerReply::Extension(later) => Some(later),
+            PeerReply::Extension(extension) => Some(extension),
             _ => None,
         }
     }
@@ -235,8 +237,8 @@
         }
     }
 
-    fn set_later(&mut self, later: ExtensionReply) {
-        self.body = PeerReply::Extension(later);
+    fn set_extension(&mut self, extension: ExtensionReply) {
+        self.body = PeerReply::Extension(extension);
     }
 
     fn sections(&self) -> Vec<Section> {
@@ -255,17 +257,17 @@
 }
 
 impl ViewUpdate {
-    /// A section that is left out says that this node does not know what it would hold.
+    /// An omitted section says that this node doesn't have these parts.
     fn sections(&self) -> Vec<Section> {
         let configuration = self.configuration.as_ref().filter(|_| self.has_extras);
         let extras = configuration.map(|configuration| configuration.extras());
         let engines = self.engines.as_ref().filter(|_| self.has_starts);
         let warm_ups = engines.map(|engines| engines.warm_ups());
-        let drains = self.drains.as_deref().cloned().map(DrainNews::Told);
+        let drains = self.drains.as_deref().cloned().map(DrainSection::Told);
         extras
             .map(Section::Configuration)
             .into_iter()
-            .chain(warm_ups.map(Section::EngineStarts))
+            .chain(warm_ups.map(Section::EngineWarmUps))
             .chain(drains.map(Section::ZoneDrains))
             .collect()
     }
@@ -279,15 +281,15 @@
                         configuration.set_extras(extras);
                     }
                 }
-                Section::EngineStarts(warm_ups) => {
+                Section::EngineWarmUps(warm_ups) => {
                     self.has_starts = true;
                     if let Some(engines) = &mut self.engines {
                         engines.set_warm_ups(warm_ups);
                     }
                 }
-                Section::ZoneDrains(news) => {
-                    if let DrainNews::Told(told) = news {
-                        self.drains = Some(Box::new(told));
+                Section::ZoneDrains(section) => {
+                    if let DrainSection::Told(snapshot) = section {
+                        self.drains = Some(Box::new(snapshot));
                     }
                 }
             }
@@ -295,22 +297,22 @@
     }
 }
 
-/// A message that cannot be encoded or read.
+/// Error of encoding or decoding a message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MessageError {
-    /// It is too large for memory.
+    /// The message is too large, or an extension message of an unknown kind.
     Encode,
-    /// The bytes are no such message.
+    /// The body or a section can't be decoded.
     Decode,
-    /// The bytes are no frame.
+    /// The frame is invalid.
     Frame(FrameError),
-    /// The frame holds a message of another kind.
+    /// The frame has a message of another kind.
     Kind(u16),
 }
 
 impl MessageError {
-    /// Whether what came is not what was sent, so that nothing more is to be expected of the connection.
-    pub fn is_damage(self) -> bool {
+    /// Whether the bytes were changed in transit, so that the connection can't be used any more.
+    pub fn is_corruption(self) -> bool {
         matches!(
             self,
             Self::Frame(FrameError::TooShort | FrameError::Checksum)
@@ -322,9 +324,9 @@
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Encode => write!(formatter, "the message cannot be encoded"),
-            Self::Decode => write!(formatter, "the bytes are no such message"),
+            Self::Decode => write!(formatter, "the message cannot be decoded"),
             Self::Frame(error) => error.fmt(formatter),
-            Self::Kind(kind) => write!(formatter, "a message of kind {kind} came instead"),
+            Self::Kind(kind) => write!(formatter, "unexpected message of kind {kind}"),
         }
     }
 }
@@ -337,7 +339,7 @@
     }
 }
 
-/// Encodes a message.
+/// Encodes a message as a frame.
 pub fn encode<T>(message: &T) -> Result<Bytes, MessageError>
 where
     T: Message + for<'a> Serialize<HighSerializer<AlignedVec, ArenaHandle<'a>, Error>>,
@@ -347,14 +349,14 @@
     let sections: Result<Vec<(u16, Vec<u8>)>, MessageError> =
         sections.iter().map(Section::encode).collect();
     let mut sections = sections?;
-    if let Some(later) = message.later() {
-        sections.push(later.encode()?);
+    if let Some(extension) = message.extension() {
+        sections.push(extension.encode()?);
     }
     let bytes = frame(T::KIND as u16, message.number(), &sections, &body);
     Ok(Bytes::from(bytes))
 }
 
-/// Reads a message, also one of the first protocol version.
+/// Decodes a message, with or without a frame (protocol version 0).
 pub fn decode<T>(bytes: &[u8]) -> Result<T, MessageError>
 where
     T: Message + Archive,
@@ -370,14 +372,14 @@
     let sections = frame.sections()?;
     let mut message: T = from_bytes(frame.body)?;
     message.set_sections(frame.protocol, known_sections(&sections)?);
-    if let Some(later) = sections.iter().find(|raw| raw.kind >= FIRST_KIND) {
-        message.set_later(T::Extension::decode(*later)?);
+    if let Some(extension) = sections.iter().find(|raw| raw.kind >= FIRST_EXTENSION_KIND) {
+        message.set_extension(T::Extension::decode(*extension)?);
     }
     Ok(message)
 }
 
-/// Number of the request or reply in a frame whose content cannot be read; `None` where the bytes are no frame.
-pub fn number_of(bytes: &[u8]) -> Option<u64> {
+/// Number of the request or reply in a frame whose content can't be decoded; `None` where the frame is invalid.
+pub fn frame_number(bytes: &[u8]) -> Option<u64> {
     unframe(bytes).ok()?.map(|frame| frame.number)
 }
 
