--- a/crates/scheduling/examples/decision_cost.rs
+++ b/crates/scheduling/examples/decision_cost.rs
@@ -1,7 +1,8 @@
-//! Measures what one decision of the dispatcher costs, and how the cost grows with the group.
+//! Measures the time of single dispatcher decisions, and how it scales with the size of the group.
 //!
-//! Each size is run with full engines and a full queue: an attempt ends, its slot is granted again,
-//! and a new call takes the place in the queue. Prints percentiles in nanoseconds and the slopes.
+//! Each size runs with fully loaded engines and a full queue: in each round an attempt ends, its slot
+//! is granted again and a new call is enqueued. Prints percentiles in nanoseconds, and the slopes of
+//! the 99th percentile.
 
 use std::time::{Duration, Instant};
 
@@ -50,7 +51,7 @@
     }
 }
 
-struct Load {
+struct LoadGenerator {
     dispatcher: Dispatcher,
     random: ChaCha8Rng,
     now: MonotonicTime,
@@ -58,7 +59,7 @@
     running: Vec<Ticket>,
 }
 
-impl Load {
+impl LoadGenerator {
     fn new(engines: u32, queued: u64) -> Self {
         let mut load = Self {
             dispatcher: Dispatcher::new(settings(queued)),
@@ -100,7 +101,7 @@
         self.next += 1;
         let run = self.below(RUNS);
         let deadline = self.now + Duration::from_secs(30 + self.below(600));
-        let minded = self.below(2) == 0;
+        let has_deadline = self.below(2) == 0;
         QueuedCall {
             ticket: Ticket {
                 owner: NodeId(run % 7),
@@ -117,7 +118,7 @@
             prompt_tokens: 500 + self.below(20_000),
             max_output_tokens: 50 + self.below(500),
             inherited: None,
-            deadline: minded.then_some(deadline),
+            deadline: has_deadline.then_some(deadline),
             preemptible: true,
             waited: Duration::ZERO,
         }
@@ -182,7 +183,7 @@
 }
 
 fn report(engines: u32, queued: u64) -> f64 {
-    let mut load = Load::new(engines, queued);
+    let mut load = LoadGenerator::new(engines, queued);
     let costs = load.measure();
     let kinds = [
         ("enqueue", &costs.enqueue),
--- a/crates/scheduling/src/admission.rs
+++ b/crates/scheduling/src/admission.rs
@@ -1,38 +1,38 @@
-//! Admission: bounded queues, and refusal of calls that cannot meet their deadline.
+//! Admission control: bounded queues, and refusal of calls that cannot meet their deadline.
 
 use std::time::Duration;
 
 use ridgeworks_domain::{MonotonicTime, Refusal, RefusalReason};
 
-const SHORTEST_RETRY: Duration = Duration::from_millis(100);
-const LONGEST_RETRY: Duration = Duration::from_secs(60);
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(100);
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(60);
 const NO_BACKEND_RETRY: Duration = Duration::from_secs(1);
 
-/// What admission weighs.
+/// Inputs of an admission decision.
 #[derive(Debug, Clone, Copy)]
 pub struct AdmissionView {
-    /// Whether any back end serves.
+    /// Whether any backend is not leaving.
     pub has_backend: bool,
-    /// Calls that wait in the same lane.
+    /// Calls waiting in the same lane.
     pub queued: usize,
-    /// Most calls of the lane.
+    /// Maximum number of calls waiting in the lane.
     pub max_queued: usize,
     /// Expected wait for a slot, in microseconds.
     pub wait_micros: u64,
     /// Expected time in the slot, in microseconds.
     pub attempt_micros: u64,
-    /// When the answer must be there, if deadlines are minded.
+    /// Time by which the response is needed; `None` if no deadline is enforced.
     pub deadline: Option<MonotonicTime>,
 }
 
-/// Why a call is refused, if it is.
+/// Decides whether a call is refused; `None` admits it.
 pub fn refusal(now: MonotonicTime, view: &AdmissionView) -> Option<Refusal> {
     if !view.has_backend {
         let reason = RefusalReason::NoBackend;
         return Some(Refusal::retry_after(reason, NO_BACKEND_RETRY));
     }
     if view.queued >= view.max_queued {
-        let retry = retry_time(Duration::from_micros(view.wait_micros / 2));
+        let retry = retry_delay(Duration::from_micros(view.wait_micros / 2));
         return Some(Refusal::retry_after(RefusalReason::QueueFull, retry));
     }
     let deadline = view.deadline?;
@@ -40,17 +40,17 @@
     if now + needed <= deadline {
         return None;
     }
-    Some(too_late(now, needed, deadline))
+    Some(deadline_refusal(now, needed, deadline))
 }
 
-/// Refusal of a call that needs longer than its deadline leaves. It may come back when the queue
-/// has shrunk by what it is too long.
-pub fn too_late(now: MonotonicTime, needed: Duration, deadline: MonotonicTime) -> Refusal {
+/// Refusal of a call that needs more time than its deadline leaves. The retry delay is the time
+/// missing, in which the queue may shrink enough.
+pub fn deadline_refusal(now: MonotonicTime, needed: Duration, deadline: MonotonicTime) -> Refusal {
     let allowed = deadline.since(now);
-    let retry = retry_time(needed.saturating_sub(allowed));
+    let retry = retry_delay(needed.saturating_sub(allowed));
     Refusal::retry_after(RefusalReason::DeadlineCannotBeMet, retry)
 }
 
-fn retry_time(delay: Duration) -> Duration {
-    delay.clamp(SHORTEST_RETRY, LONGEST_RETRY)
+fn retry_delay(delay: Duration) -> Duration {
+    delay.clamp(MIN_RETRY_DELAY, MAX_RETRY_DELAY)
 }
--- a/crates/scheduling/src/back_end_changes.rs
+++ b/crates/scheduling/src/backend_changes.rs
@@ -1,4 +1,4 @@
-//! The part of the dispatcher that follows which back ends there are.
+//! Dispatcher: handles backends that join, leave or fail.
 
 use ridgeworks_domain::objects::Backend;
 use ridgeworks_domain::{BackendName, MonotonicTime};
@@ -7,10 +7,10 @@
 use crate::settings::DispatcherSettings;
 
 impl Dispatcher {
-    /// A back end joined, or its slots changed.
+    /// Adds a backend or updates its description, and grants its free slots.
     pub(crate) fn backend_up(&mut self, now: MonotonicTime, backend: Backend) {
-        let spare = backend.slots >= DispatcherSettings::MIN_SLOTS_FOR_RESERVE;
-        let reserve = if spare && self.settings.policy.urgent_first {
+        let reserves_slots = backend.slots >= DispatcherSettings::MIN_SLOTS_FOR_RESERVE;
+        let reserve = if reserves_slots && self.settings.policy.urgent_first {
             self.settings.urgent_reserve.min(backend.slots - 1)
         } else {
             0
@@ -20,16 +20,17 @@
         self.fill(now, index);
     }
 
-    /// A back end takes no new calls; those that wait for it go elsewhere.
+    /// Stops granting slots of a backend and places the calls that wait for it elsewhere.
     pub(crate) fn backend_leaving(&mut self, now: MonotonicTime, name: &BackendName) {
         let Some(index) = self.backends.set_leaving(name) else {
             return;
         };
         self.requeue_moving(now, index);
-        self.place_elsewhere(now, index);
+        self.place_waiting_elsewhere(now, index);
     }
 
-    /// A back end is gone, with its slots and contexts.
+    /// Removes a backend with its grants and contexts, and places the calls that wait for it
+    /// elsewhere.
     pub(crate) fn backend_gone(&mut self, now: MonotonicTime, name: &BackendName) {
         let Some(index) = self.backends.index(name) else {
             return;
@@ -40,12 +41,12 @@
         self.requeue_moving(now, index);
         for ticket in self.grants.at_backend(index) {
             if let Some(grant) = self.grants.remove(ticket) {
-                self.give_back_slot(&grant);
+                self.free_slot(&grant);
             }
         }
         self.backends.remove(name);
         self.prefixes.forget_engine(index);
         self.retention.forget_engine(index);
-        self.place_elsewhere(now, index);
+        self.place_waiting_elsewhere(now, index);
     }
 }
--- a/crates/scheduling/src/backends.rs
+++ b/crates/scheduling/src/backends.rs
@@ -1,4 +1,4 @@
-//! The back ends of the group: slots, health, last reports.
+//! Backends of the group: slots, health and last reported load.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
@@ -8,43 +8,43 @@
 use crate::ejection::{Ejection, Health};
 use crate::event::LoadReport;
 
-/// Names a back end inside one dispatcher; never used twice.
+/// Identifier of a backend within one dispatcher; never reused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct BackendIndex(pub u32);
 
-/// What the dispatcher knows of one back end.
+/// State of one backend as known to the dispatcher.
 #[derive(Debug, Clone)]
 pub struct BackendState {
-    /// Its description.
+    /// Registered description: name, address, slots.
     pub backend: Backend,
-    /// It takes no new calls.
+    /// Whether it is draining and accepts no new calls.
     pub leaving: bool,
-    /// Its failure record.
+    /// Failure record and health.
     pub ejection: Ejection,
-    /// Slots taken by grants, urgent ones included.
+    /// Slots taken by grants, including urgent ones.
     pub in_flight: u32,
-    /// Tokens that the calls in flight may grow to.
+    /// Cache tokens that the calls in flight may occupy.
     pub reserved_tokens: u64,
-    /// Calls that it last reported to run or to hold waiting; late.
+    /// Running and waiting calls in its last load report.
     pub reported_calls: u32,
     /// Capacity of its prefix cache, in tokens.
     pub cache_capacity: u64,
-    /// Slots that routine calls leave free.
+    /// Slots reserved for urgent calls.
     pub reserve: u32,
 }
 
 impl BackendState {
-    /// Whether it may get calls at all.
+    /// Whether it may be granted new calls, apart from free slots.
     pub fn accepts(&self) -> bool {
         !self.leaving && !matches!(self.ejection.health(), Health::Ejected(_))
     }
 
-    /// Whether a call may go to it now.
+    /// Whether it accepts calls and has a free slot for an urgent or a routine call.
     pub fn has_slot(&self, urgent: bool) -> bool {
         self.accepts() && self.in_flight < self.limit(urgent)
     }
 
-    /// Most grants at a time.
+    /// Maximum number of concurrent grants, given its health.
     pub fn limit(&self, urgent: bool) -> u32 {
         match self.ejection.health() {
             Health::Ejected(_) => 0,
@@ -55,10 +55,10 @@
     }
 }
 
-/// Names of leaving back ends that are remembered.
+/// Maximum number of remembered names of leaving backends.
 const MAX_LEAVING_NAMES: usize = 1_000;
 
-/// All back ends of the group.
+/// Backends of the group, by index and by name.
 #[derive(Debug, Default)]
 pub struct BackendTable {
     states: BTreeMap<BackendIndex, BackendState>,
@@ -68,8 +68,9 @@
 }
 
 impl BackendTable {
-    /// Adds a back end or renews its description. A leaving one stays leaving, also when its leave
-    /// came first: lists lag, and a name is never used for a second start of a machine.
+    /// Adds a backend or updates its description. A leaving backend stays leaving, even if it was
+    /// marked before it was added: backend lists may be outdated, and a name is never reused when a
+    /// machine starts again.
     pub fn upsert(&mut self, backend: Backend, reserve: u32, cache_capacity: u64) -> BackendIndex {
         if let Some(index) = self.by_name.get(&backend.name) {
             if let Some(state) = self.states.get_mut(index) {
@@ -95,7 +96,7 @@
         index
     }
 
-    /// Marks a back end as leaving, whether it is known yet or not.
+    /// Marks a backend as leaving, even if it is not known yet. Returns its index if it is known.
     pub fn set_leaving(&mut self, name: &BackendName) -> Option<BackendIndex> {
         if !self.leaving_names.contains(name) {
             self.leaving_names.push_back(name.clone());
@@ -108,60 +109,60 @@
         Some(index)
     }
 
-    /// Forgets a back end.
+    /// Removes a backend and returns the index that it had.
     pub fn remove(&mut self, name: &BackendName) -> Option<BackendIndex> {
         let index = self.by_name.remove(name)?;
         self.states.remove(&index);
         Some(index)
     }
 
-    /// Index of a name.
+    /// Index of the backend with this name, if it is known.
     pub fn index(&self, name: &BackendName) -> Option<BackendIndex> {
         self.by_name.get(name).copied()
     }
 
-    /// State of a back end.
+    /// State of a backend; `None` once it has been removed.
     pub fn get(&self, index: BackendIndex) -> Option<&BackendState> {
         self.states.get(&index)
     }
 
-    /// State of a back end, to be changed.
+    /// Mutable state of a backend; `None` once it has been removed.
     pub fn get_mut(&mut self, index: BackendIndex) -> Option<&mut BackendState> {
         self.states.get_mut(&index)
     }
 
-    /// All back ends in a fixed order.
+    /// All backends in order of their indices.
     pub fn iter(&self) -> impl Iterator<Item = (BackendIndex, &BackendState)> {
         self.states.iter().map(|(index, state)| (*index, state))
     }
 
-    /// All back ends in a fixed order, to be changed.
+    /// All backends in order of their indices, with mutable state.
     pub fn iter_mut(&mut self) -> impl Iterator<Item = (BackendIndex, &mut BackendState)> {
         self.states.iter_mut().map(|(index, state)| (*index, state))
     }
 
-    /// Records a load report.
+    /// Stores the load and cache capacity of a report; reports of unknown backends are ignored.
     pub fn record_report(&mut self, report: &LoadReport) {
         let Some(index) = self.index(&report.backend) else {
             return;
         };
         if let Some(state) = self.states.get_mut(&index) {
             state.reported_calls = report.running + report.waiting;
-            // An engine that doesn't tell its capacity keeps the default one.
+            // An engine that does not report its capacity keeps the default.
             if report.cache_capacity_tokens > 0 {
                 state.cache_capacity = report.cache_capacity_tokens;
             }
         }
     }
 
-    /// Slots for routine calls of all back ends that take calls.
+    /// Slots for routine calls at all accepting backends, free or taken.
     pub fn routine_slots(&self) -> u64 {
         let accepting = self.states.values().filter(|state| state.accepts());
         accepting.map(|state| u64::from(state.limit(false))).sum()
     }
 
-    /// Whether any back end is neither leaving nor gone.
-    pub fn any_staying(&self) -> bool {
+    /// Whether there is a backend that is not leaving. It may be ejected at present.
+    pub fn any_remaining(&self) -> bool {
         self.states.values().any(|state| !state.leaving)
     }
 }
--- a/crates/scheduling/src/caching.rs
+++ b/crates/scheduling/src/cache_tracking.rs
@@ -1,4 +1,4 @@
-//! The part of the dispatcher that follows the engines' caches and decides what they keep.
+//! Dispatcher: tracks the engines' prefix caches and manages retention leases on their contexts.
 
 use ridgeworks_domain::{BackendName, MonotonicTime, RunId, ServiceName};
 
@@ -10,17 +10,15 @@
 use crate::retention::{Candidate, RetentionChange};
 
 impl Dispatcher {
-    /// An engine stored or evicted a context.
     pub(crate) fn cache_event(&mut self, event: &CacheEvent) {
         let Some(index) = self.backends.index(&event.backend) else {
             return;
         };
         let follow_up = self.prefixes.apply(index, event);
         self.release_if_ended(event.run, index);
-        self.relist_if_needed(&event.backend, follow_up);
+        self.request_listing_if_needed(&event.backend, follow_up);
     }
 
-    /// An engine listed all contexts that it holds.
     pub(crate) fn cache_listing(&mut self, listing: &CacheListing) {
         let Some(index) = self.backends.index(&listing.backend) else {
             return;
@@ -29,10 +27,10 @@
         for context in &listing.contexts {
             self.release_if_ended(context.run, index);
         }
-        self.relist_if_needed(&listing.backend, follow_up);
+        self.request_listing_if_needed(&listing.backend, follow_up);
     }
 
-    /// Drops a context that came to be known after the end of its run.
+    /// Releases a context that was reported only after its run had ended.
     pub(crate) fn release_if_ended(&mut self, run: RunId, index: BackendIndex) {
         let held = self.prefixes.tokens_at(run, index) > 0;
         if held && self.settings.policy.retention && self.ended_runs.contains(run) {
@@ -40,14 +38,15 @@
         }
     }
 
-    fn relist_if_needed(&mut self, backend: &BackendName, follow_up: CacheFollowUp) {
+    fn request_listing_if_needed(&mut self, backend: &BackendName, follow_up: CacheFollowUp) {
         if follow_up == CacheFollowUp::Relist {
             let backend = backend.clone();
             self.effects.push(Effect::RelistCache { backend });
         }
     }
 
-    /// A run waits for a tool; decides whether its context is kept meanwhile.
+    /// Requests a retention lease for a run that waits for a tool, at the engine that holds most of
+    /// its context.
     pub(crate) fn run_paused(&mut self, now: MonotonicTime, run: RunId, tool: ServiceName) {
         if !self.settings.policy.retention {
             return;
@@ -64,15 +63,15 @@
             run,
             backend: place.backend,
             tokens: place.tokens,
-            rebuild_micros: self.estimate.prefill_micros(place.tokens),
+            rebuild_micros: self.service_times.prefill_micros(place.tokens),
             budget_tokens: state.cache_capacity * self.settings.retained_permille / 1000,
         };
-        for change in self.retention.decide(candidate, now) {
+        for change in self.retention.request_lease(candidate, now) {
             self.apply_retention(now, change);
         }
     }
 
-    /// Passes a change of leases on.
+    /// Tells the engine about a new, extended or ended lease.
     pub(crate) fn apply_retention(&mut self, now: MonotonicTime, change: RetentionChange) {
         let (run, index, until) = match change {
             RetentionChange::Keep {
@@ -82,7 +81,7 @@
             } => (run, backend, until),
             RetentionChange::End { run, backend } => (run, backend, now),
         };
-        if let Some(backend) = self.name_of(index) {
+        if let Some(backend) = self.backend_name(index) {
             self.effects.push(Effect::Retain {
                 run,
                 backend,
@@ -91,7 +90,7 @@
         }
     }
 
-    /// A run has ended; its contexts are dropped.
+    /// Releases all contexts of an ended run.
     pub(crate) fn run_ended(&mut self, run: RunId) {
         self.retention.end(run);
         self.ended_runs.insert(run);
@@ -102,10 +101,9 @@
         }
     }
 
-    /// Drops a run's context at one engine.
     pub(crate) fn release(&mut self, run: RunId, index: BackendIndex) {
         self.prefixes.evict(run, index);
-        if let Some(backend) = self.name_of(index) {
+        if let Some(backend) = self.backend_name(index) {
             self.effects.push(Effect::Release { run, backend });
         }
     }
--- a/crates/scheduling/src/choosing.rs
+++ b/crates/scheduling/src/call_placement.rs
@@ -1,4 +1,4 @@
-//! The part of the dispatcher that applies its placement rule to one call.
+//! Dispatcher: applies the placement rule to one call.
 
 use rand_chacha::rand_core::Rng;
 
@@ -14,34 +14,34 @@
 const URGENT_LATENCY_WEIGHT: u8 = 100;
 
 impl Dispatcher {
-    /// Where a waiting call should go.
+    /// Chooses the backend for a waiting call by the placement rule.
     pub(crate) fn choose(&mut self, ticket: Ticket) -> Choice {
         let rule = self.settings.policy.placement;
         let urgent = self.queue.get(ticket).map(|waiting| waiting.lane) == Some(Lane::Urgent);
-        let home = match rule {
+        let affinity = match rule {
             _ if urgent => None,
-            PlacementRule::RoundRobin => self.home_or(ticket, Self::next_in_turn),
-            PlacementRule::LeastReportedLoad => self.home_or(ticket, Self::least_reported),
-            PlacementRule::TwoChoicesReportedLoad => self.home_or(ticket, Self::two_choices),
-            PlacementRule::PrefixSticky => self.prefix_home(ticket),
+            PlacementRule::RoundRobin => self.affinity_or(ticket, Self::next_round_robin),
+            PlacementRule::LeastReportedLoad => self.affinity_or(ticket, Self::least_reported),
+            PlacementRule::TwoChoicesReportedLoad => self.affinity_or(ticket, Self::two_choices),
+            PlacementRule::PrefixSticky => self.longest_prefix_backend(ticket),
             PlacementRule::LeastLoaded | PlacementRule::ExpectedCost => None,
         };
         let Some(waiting) = self.queue.get(ticket) else {
-            return Choice::Full { home: None };
+            return Choice::Full { affinity: None };
         };
-        match home {
-            Some(home) => self.bound_choice(waiting, home),
+        match affinity {
+            Some(affinity) => self.choose_bound(waiting, affinity),
             None if rule == PlacementRule::ExpectedCost => self.least_cost(waiting),
             None => self.least_loaded(waiting),
         }
     }
 
-    /// What placement decisions for a partner rest on.
+    /// Inputs of placement decisions for a partner's calls.
     pub(crate) fn placement_view(&self, partner: PartnerIndex) -> PlacementView<'_> {
         PlacementView {
             backends: &self.backends,
             prefixes: &self.prefixes,
-            estimate: &self.estimate,
+            service_times: &self.service_times,
             context_move: self.settings.context_move.as_ref(),
             working_set: WorkingSet {
                 retention: &self.retention,
@@ -58,20 +58,20 @@
             view.latency_weight = URGENT_LATENCY_WEIGHT;
         }
         let lane = self.queue.lane(waiting.lane);
-        let ahead = |home| lane.map_or(0, |lane| lane.len_of_home(home));
+        let ahead = |affinity| lane.map_or(0, |lane| lane.len_of_affinity(affinity));
         view.least_cost(&waiting.call, ahead)
     }
 
-    fn bound_choice(&self, waiting: &WaitingCall, home: BackendIndex) -> Choice {
+    fn choose_bound(&self, waiting: &WaitingCall, affinity: BackendIndex) -> Choice {
         let urgent = waiting.lane == Lane::Urgent;
-        let state = self.backends.get(home);
+        let state = self.backends.get(affinity);
         if state.is_some_and(|state| state.has_slot(urgent)) {
             return Choice::Now {
-                backend: home,
+                backend: affinity,
                 move_from: None,
             };
         }
-        Choice::WaitFor(home)
+        Choice::WaitFor(affinity)
     }
 
     fn least_loaded(&self, waiting: &WaitingCall) -> Choice {
@@ -81,30 +81,32 @@
             .iter()
             .filter(|(_, state)| state.has_slot(urgent));
         let least = free.min_by_key(|(_, state)| state.in_flight);
-        least.map_or(Choice::Full { home: None }, |(backend, _)| Choice::Now {
-            backend,
-            move_from: None,
+        least.map_or(Choice::Full { affinity: None }, |(backend, _)| {
+            Choice::Now {
+                backend,
+                move_from: None,
+            }
         })
     }
 
-    fn prefix_home(&self, ticket: Ticket) -> Option<BackendIndex> {
+    fn longest_prefix_backend(&self, ticket: Ticket) -> Option<BackendIndex> {
         let waiting = self.queue.get(ticket)?;
         PrefixPlaces::of(&waiting.call, &self.prefixes).best(&self.backends)
     }
 
-    fn home_or(
+    fn affinity_or(
         &mut self,
         ticket: Ticket,
         pick: fn(&mut Self) -> Option<BackendIndex>,
     ) -> Option<BackendIndex> {
-        let home = self.queue.get(ticket)?.home;
-        home.or_else(|| pick(self))
+        let affinity = self.queue.get(ticket)?.affinity;
+        affinity.or_else(|| pick(self))
     }
 
-    fn next_in_turn(&mut self) -> Option<BackendIndex> {
+    fn next_round_robin(&mut self) -> Option<BackendIndex> {
         let accepting = self.accepting();
-        let turn = self.next_in_turn as usize;
-        self.next_in_turn = self.next_in_turn.wrapping_add(1);
+        let turn = self.next_round_robin as usize;
+        self.next_round_robin = self.next_round_robin.wrapping_add(1);
         accepting.get(turn % accepting.len().max(1)).copied()
     }
 
--- a/crates/scheduling/src/next_call.rs
+++ b/crates/scheduling/src/call_selection.rs
@@ -1,4 +1,4 @@
-//! The part of the dispatcher that decides which waiting call a free slot goes to.
+//! Dispatcher: selects the waiting call for a free slot.
 
 use crate::backends::BackendIndex;
 use crate::dispatcher::Dispatcher;
@@ -6,13 +6,14 @@
 use crate::queue::{Lane, LaneQueue, OrderKey};
 use crate::settings::PlacementRule;
 
-/// Calls of a lane that are looked at for one free slot, beyond the first of each kind.
-const LOOK_AHEAD: usize = 8;
-/// A call may overtake one that is due this much earlier when its context is where the slot is.
+/// Maximum number of calls considered for one free slot, for each affinity and in the whole lane.
+const MAX_CANDIDATES: usize = 8;
+/// A call with affinity to the slot's backend, or without affinity, may overtake one whose position is
+/// up to this much earlier.
 const LOCALITY_SLACK_MICROS: i64 = 2_000_000;
 
 impl Dispatcher {
-    /// The waiting call that a free slot of a back end goes to, if any should take it.
+    /// The waiting call that should get a free slot of the backend; `None` to leave the slot free.
     pub(crate) fn next_for(&self, index: BackendIndex) -> Option<Ticket> {
         let state = self.backends.get(index)?;
         if let Some(urgent) = self.queue.urgent_head() {
@@ -29,8 +30,8 @@
     }
 
     fn next_of_lane(&self, lane: &LaneQueue, index: BackendIndex) -> Option<Ticket> {
-        let here = lane.head_of_home(Some(index));
-        let anywhere = lane.head_of_home(None);
+        let here = lane.head_of_affinity(Some(index));
+        let anywhere = lane.head_of_affinity(None);
         let bound = [here, anywhere].into_iter().flatten().min();
         match self.settings.policy.placement {
             PlacementRule::RoundRobin
@@ -44,27 +45,27 @@
 
     fn next_by_cost(&self, lane: &LaneQueue, index: BackendIndex) -> Option<Ticket> {
         let (first_key, first) = lane.head()?;
-        let bound = [Some(index), None].map(|home| self.first_with_room(lane, home, index));
+        let bound = [Some(index), None].map(|affinity| self.first_with_room(lane, affinity, index));
         let bound = bound.into_iter().flatten().min();
         if let Some((key, ticket)) = bound
             && key.position - first_key.position <= LOCALITY_SLACK_MICROS
         {
             return Some(ticket);
         }
-        if self.would_leave_home(first, index, 0) {
+        if self.should_run_at(first, index, 0) {
             return Some(first);
         }
         let bound = bound.map(|(_, ticket)| ticket);
-        bound.or_else(|| self.next_that_would_move(lane, index))
+        bound.or_else(|| self.first_to_leave_affinity(lane, index))
     }
 
     fn first_with_room(
         &self,
         lane: &LaneQueue,
-        home: Option<BackendIndex>,
+        affinity: Option<BackendIndex>,
         index: BackendIndex,
     ) -> Option<(OrderKey, Ticket)> {
-        let mut heads = lane.iter_home(home).take(LOOK_AHEAD);
+        let mut heads = lane.iter_affinity(affinity).take(MAX_CANDIDATES);
         heads.find(|(_, ticket)| self.has_room(*ticket, index))
     }
 
@@ -72,32 +73,31 @@
         let waiting = self.queue.get(ticket);
         waiting.is_some_and(|waiting| {
             let view = self.placement_view(waiting.partner);
-            view.may_go(&waiting.call, index)
+            view.has_memory_for(&waiting.call, index)
         })
     }
 
-    fn next_that_would_move(&self, lane: &LaneQueue, index: BackendIndex) -> Option<Ticket> {
-        let mut heads = lane.iter().take(LOOK_AHEAD).enumerate();
-        let found =
-            heads.find(|(ahead, (_, ticket))| self.would_leave_home(*ticket, index, *ahead));
+    fn first_to_leave_affinity(&self, lane: &LaneQueue, index: BackendIndex) -> Option<Ticket> {
+        let mut heads = lane.iter().take(MAX_CANDIDATES).enumerate();
+        let found = heads.find(|(ahead, (_, ticket))| self.should_run_at(*ticket, index, *ahead));
         found.map(|(_, (_, ticket))| ticket)
     }
 
-    fn would_leave_home(&self, ticket: Ticket, index: BackendIndex, ahead: usize) -> bool {
+    fn should_run_at(&self, ticket: Ticket, index: BackendIndex, ahead: usize) -> bool {
         let Some(waiting) = self.queue.get(ticket) else {
             return false;
         };
         let view = self.placement_view(waiting.partner);
-        if !view.may_go(&waiting.call, index) {
+        if !view.has_memory_for(&waiting.call, index) {
             return false;
         }
-        let Some(home) = waiting.home else {
+        let Some(affinity) = waiting.affinity else {
             return true;
         };
-        view.beats_waiting(&waiting.call, index, home, ahead)
+        view.is_cheaper_than_waiting(&waiting.call, index, affinity, ahead)
     }
 
-    /// Where the call's context is to be moved from, if that is better than computing it again.
+    /// Engine from which the call's context should be moved; `None` if prefilling it is faster.
     pub(crate) fn move_source(&self, ticket: Ticket, index: BackendIndex) -> Option<BackendIndex> {
         self.settings.context_move.as_ref()?;
         let waiting = self.queue.get(ticket)?;
--- a/crates/scheduling/src/moving.rs
+++ b/crates/scheduling/src/context_moves.rs
@@ -1,4 +1,4 @@
-//! The part of the dispatcher that moves contexts between engines.
+//! Dispatcher: moves contexts between engines.
 
 use ridgeworks_domain::{BackendName, MonotonicTime, RunId};
 
@@ -8,7 +8,7 @@
 use crate::queue::Lane;
 
 impl Dispatcher {
-    /// Drops the copies of a run's context that its move to `index` leaves behind.
+    /// Releases the run's contexts at all engines except `index`, where the run continues.
     pub(crate) fn release_elsewhere(&mut self, run: RunId, index: BackendIndex) {
         if !self.settings.policy.retention {
             return;
@@ -20,15 +20,14 @@
         }
     }
 
-    /// Asks for a context to be moved.
     pub(crate) fn move_context(&mut self, run: RunId, from: BackendIndex, to: BackendIndex) {
-        let (Some(from), Some(to)) = (self.name_of(from), self.name_of(to)) else {
+        let (Some(from), Some(to)) = (self.backend_name(from), self.backend_name(to)) else {
             return;
         };
         self.effects.push(Effect::MoveContext { run, from, to });
     }
 
-    /// A context has arrived, or its move failed; the grants that waited for it go out.
+    /// Sends the grants that waited for a context to be moved, whether the move succeeded or not.
     pub(crate) fn context_moved(
         &mut self,
         now: MonotonicTime,
@@ -47,15 +46,15 @@
         }
     }
 
-    /// Puts calls back into the queue whose context was on its way to a back end.
+    /// Returns calls to the queue whose context was being moved to a backend.
     pub(crate) fn requeue_moving(&mut self, now: MonotonicTime, index: BackendIndex) {
         for ticket in self.grants.moving_to(index, None) {
             let Some(grant) = self.grants.remove(ticket) else {
                 continue;
             };
-            self.give_back_slot(&grant);
+            self.free_slot(&grant);
             let mut waiting = grant.waiting;
-            waiting.home = None;
+            waiting.affinity = None;
             let urgent = waiting.lane == Lane::Urgent;
             self.queue.insert(waiting);
             if urgent {
--- a/crates/scheduling/src/dispatcher.rs
+++ b/crates/scheduling/src/dispatcher.rs
@@ -1,4 +1,4 @@
-//! The dispatcher: the only queue in front of the back ends of one service.
+//! The queue in front of the backends of one service.
 
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::SeedableRng;
@@ -10,15 +10,15 @@
 use crate::ended_runs::EndedRuns;
 use crate::event::{AttemptEnd, AttemptOutcome, Event, Ticket};
 use crate::grants::{Grant, GrantState, GrantTable};
-use crate::load_estimate::LoadEstimate;
 use crate::prefix_map::PrefixMap;
 use crate::queue::{CallQueue, WaitingCall};
 use crate::retention::Retention;
+use crate::service_time::ServiceTimeModel;
 use crate::settings::DispatcherSettings;
 use crate::shares::Shares;
 
-/// Queue, grants in flight and cache map of one group of back ends. Holds nothing durable: after a
-/// crash owners ask again.
+/// Queue, grants in flight and cache map of one group of backends. Holds no durable state: after a
+/// crash, owners enqueue their calls again.
 #[derive(Debug)]
 pub struct Dispatcher {
     pub(crate) settings: DispatcherSettings,
@@ -29,15 +29,15 @@
     pub(crate) prefixes: PrefixMap,
     pub(crate) retention: Retention,
     pub(crate) ended_runs: EndedRuns,
-    pub(crate) estimate: LoadEstimate,
+    pub(crate) service_times: ServiceTimeModel,
     pub(crate) random: ChaCha8Rng,
     pub(crate) next_serial: u64,
-    pub(crate) next_in_turn: u32,
+    pub(crate) next_round_robin: u32,
     pub(crate) effects: Vec<Effect>,
 }
 
 impl Dispatcher {
-    /// A dispatcher without back ends.
+    /// Creates a dispatcher without backends; they are added by [`Event::BackendUp`].
     pub fn new(settings: DispatcherSettings) -> Self {
         let mut shares = Shares::default();
         shares.replace(&settings.partners);
@@ -49,16 +49,16 @@
             prefixes: PrefixMap::default(),
             retention: Retention::new(settings.max_retention),
             ended_runs: EndedRuns::default(),
-            estimate: LoadEstimate::default(),
+            service_times: ServiceTimeModel::default(),
             random: ChaCha8Rng::seed_from_u64(settings.seed),
             next_serial: 0,
-            next_in_turn: 0,
+            next_round_robin: 0,
             effects: Vec::new(),
             settings,
         }
     }
 
-    /// Takes one event and returns what is to be done, in order.
+    /// Processes one event and returns its effects, which the caller carries out in order.
     pub fn handle(&mut self, now: MonotonicTime, event: Event) -> Vec<Effect> {
         match event {
             Event::Enqueue(call) => self.enqueue(now, call),
@@ -93,22 +93,22 @@
         std::mem::take(&mut self.effects)
     }
 
-    /// Calls that wait for a slot.
+    /// Number of calls waiting for a slot.
     pub fn queued(&self) -> usize {
         self.queue.len()
     }
 
-    /// Calls that wait for a slot, in no order.
+    /// Calls waiting for a slot, in no particular order.
     pub fn waiting(&self) -> impl Iterator<Item = &WaitingCall> {
         self.queue.iter()
     }
 
-    /// Grants that have not ended.
+    /// Number of grants that have not ended, including those not yet confirmed.
     pub fn in_flight(&self) -> usize {
         self.grants.len()
     }
 
-    /// Contexts under a retention lease.
+    /// Number of contexts under a retention lease.
     pub fn retained(&self) -> usize {
         self.retention.len()
     }
@@ -127,12 +127,12 @@
         let Some(grant) = self.grants.remove(end.ticket) else {
             return;
         };
-        self.give_back_slot(&grant);
-        self.learn(now, &grant, &end);
+        self.free_slot(&grant);
+        self.record_attempt(now, &grant, &end);
         self.fill(now, grant.backend);
     }
 
-    fn learn(&mut self, now: MonotonicTime, grant: &Grant, end: &AttemptEnd) {
+    fn record_attempt(&mut self, now: MonotonicTime, grant: &Grant, end: &AttemptEnd) {
         let index = grant.backend;
         match end.outcome {
             AttemptOutcome::Completed => {
@@ -141,9 +141,9 @@
                 }
                 if let GrantState::Running(since) = grant.state {
                     let most = grant.waiting.call.max_output_tokens;
-                    self.estimate.record(end.usage, most, now.since(since));
+                    self.service_times.record(end.usage, most, now.since(since));
                 }
-                self.learn_weight(grant);
+                self.record_latency_weight(grant);
                 let tokens = end.usage.prompt + end.usage.output;
                 if tokens > 0 && self.backends.get(index).is_some() {
                     let run = grant.waiting.call.run;
@@ -166,7 +166,7 @@
             return;
         };
         if state.ejection.record_failure(now, limits) {
-            self.place_elsewhere(now, index);
+            self.place_waiting_elsewhere(now, index);
         }
     }
 
@@ -179,21 +179,22 @@
         }
     }
 
-    /// Remembers how the run's partner weighs latency against wasted cache, for the pause to come.
-    fn learn_weight(&mut self, grant: &Grant) {
+    /// Records the latency weight of the run's partner, which sets the length of the lease if the run
+    /// pauses next.
+    fn record_latency_weight(&mut self, grant: &Grant) {
         let run = grant.waiting.call.run;
         if !self.ended_runs.contains(run) {
             let weight = self.shares.latency_weight(grant.waiting.partner);
-            self.retention.answered(run, weight);
+            self.retention.call_completed(run, weight);
         }
     }
 
     fn tick(&mut self, now: MonotonicTime) {
         self.retention.expire(now);
-        while let Some(ticket) = self.grants.first_lapsed(now) {
-            self.lapse(now, ticket);
+        while let Some(ticket) = self.grants.first_expired(now) {
+            self.expire_grant(now, ticket);
         }
-        self.refuse_too_late(now);
+        self.refuse_unmeetable_deadlines(now);
         let probing: Vec<BackendIndex> = self
             .backends
             .iter_mut()
@@ -203,10 +204,10 @@
             self.fill(now, index);
         }
         self.grant_urgent(now);
-        self.reconsider_heads(now);
+        self.place_heads_again(now);
     }
 
-    fn lapse(&mut self, now: MonotonicTime, ticket: Ticket) {
+    fn expire_grant(&mut self, now: MonotonicTime, ticket: Ticket) {
         let state = self.grants.get(ticket).map(|grant| grant.state);
         if state == Some(GrantState::Moving) {
             self.offer(now, ticket);
@@ -215,8 +216,8 @@
         }
     }
 
-    /// Name of a back end that is still known.
-    pub(crate) fn name_of(&self, index: BackendIndex) -> Option<BackendName> {
+    /// Name of a backend; `None` once it has been removed.
+    pub(crate) fn backend_name(&self, index: BackendIndex) -> Option<BackendName> {
         let state = self.backends.get(index)?;
         Some(state.backend.name.clone())
     }
--- a/crates/scheduling/src/effect.rs
+++ b/crates/scheduling/src/effect.rs
@@ -1,4 +1,4 @@
-//! What a dispatcher asks for.
+//! Outputs of the dispatcher.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -7,65 +7,66 @@
 
 use crate::event::Ticket;
 
-/// An output of the dispatcher, to be carried out in order.
+/// An output of the dispatcher. Effects of one event are carried out in order.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Effect {
-    /// The ticket's owner may send its call.
+    /// The owner may send its call to a backend.
     Grant {
-        /// The ticket.
+        /// Ticket of the granted call.
         ticket: Ticket,
-        /// Where to.
+        /// Backend that has a slot for the call.
         backend: BackendName,
-        /// Address of the back end.
+        /// Network address of the backend.
         address: SocketAddr,
-        /// The owner confirms with [`crate::Event::AttemptStarted`] within this time or not at all.
+        /// Time within which the owner must confirm with [`crate::Event::AttemptStarted`]; after it
+        /// the owner must not use the grant.
         valid_for: Duration,
     },
-    /// The ticket gets no slot; the call did not run.
+    /// The call gets no slot and has not run.
     Refuse {
-        /// The ticket.
+        /// Ticket of the refused call.
         ticket: Ticket,
-        /// Why, and when coming back helps.
+        /// Reason, and the delay after which a retry may succeed.
         refusal: Refusal,
     },
-    /// The owner of a running call should cancel its attempt, which makes room for an urgent call,
-    /// and may then ask again with a new ticket.
+    /// The owner of a running call should cancel its attempt to make room for an urgent call. It may
+    /// then enqueue the call again with a new ticket.
     Preempt {
-        /// The ticket of the running call.
+        /// Ticket of the running call.
         ticket: Ticket,
-        /// Where it runs.
+        /// Backend at which it runs.
         backend: BackendName,
     },
-    /// The engine should keep the run's context, also against its own eviction order. A lease that
-    /// ends at once leaves the context to that order again.
+    /// The engine should keep the run's context regardless of its own eviction order. A lease that
+    /// ends at once returns the context to that order.
     Retain {
-        /// The run.
+        /// Run that the context belongs to.
         run: RunId,
-        /// The engine.
+        /// Engine that holds the context.
         backend: BackendName,
         /// End of the lease, on the dispatcher's clock.
         until: MonotonicTime,
     },
     /// The engine should drop the run's context.
     Release {
-        /// The run.
+        /// Run that the context belongs to.
         run: RunId,
-        /// The engine.
+        /// Engine that holds the context.
         backend: BackendName,
     },
-    /// Cache events of the engine were lost; its cache must be listed.
+    /// Cache events of the engine were lost, so its cache must be listed.
     RelistCache {
-        /// The engine.
+        /// Engine whose cache is to be listed.
         backend: BackendName,
     },
-    /// The context should be exported from one engine and imported by the other. Answered by
-    /// [`crate::Event::ContextMoved`]; the grant that waits for it comes then.
+    /// The context should be exported from one engine and imported by another. The response is
+    /// [`crate::Event::ContextMoved`]; the grant that depends on the move is sent after it.
     MoveContext {
-        /// The run whose context it is.
+        /// Run that the context belongs to.
         run: RunId,
-        /// Where it is.
+        /// Engine that holds the context.
         from: BackendName,
-        /// Where it goes.
+        /// Engine at which the call is going to run.
         to: BackendName,
     },
 }
--- a/crates/scheduling/src/ejection.rs
+++ b/crates/scheduling/src/ejection.rs
@@ -1,83 +1,84 @@
-//! Ejection of failing back ends: out for a while after some failures in a row, then a single
-//! probe call, twice as long out when that fails too.
+//! Ejection of failing backends. A backend gets no calls for a time after several consecutive
+//! failures, then a single probe call. If the probe fails too, the ejection time doubles.
 
 use std::time::Duration;
 
 use ridgeworks_domain::MonotonicTime;
 
+/// Bounds the shift by which the ejection time is multiplied.
 const MAX_DOUBLINGS: u32 = 16;
 
-/// Limits of ejection, shared by all back ends.
+/// Thresholds of ejection, shared by all backends.
 #[derive(Debug, Clone, Copy)]
 pub struct EjectionLimits {
-    /// Failures in a row that eject.
+    /// Consecutive failures after which a healthy backend is ejected.
     pub failures: u32,
-    /// First time out.
+    /// Duration of the first ejection.
     pub base: Duration,
-    /// Longest time out.
+    /// Maximum duration of an ejection.
     pub max: Duration,
 }
 
-/// Whether a back end may get calls.
+/// Health of a backend, which limits the calls that it gets.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Health {
-    /// As many calls as it has slots.
+    /// Gets as many concurrent calls as it has slots.
     Healthy,
-    /// None until the time given.
+    /// Gets no calls until this time.
     Ejected(MonotonicTime),
-    /// One call at a time, until one succeeds.
+    /// Gets one call at a time until one succeeds.
     Probing,
 }
 
-/// Failure record of one back end.
+/// Failure record of one backend.
 #[derive(Debug, Clone)]
 pub struct Ejection {
     health: Health,
-    failures_in_row: u32,
-    ejections_in_row: u32,
+    consecutive_failures: u32,
+    consecutive_ejections: u32,
 }
 
 impl Default for Ejection {
     fn default() -> Self {
         Self {
             health: Health::Healthy,
-            failures_in_row: 0,
-            ejections_in_row: 0,
+            consecutive_failures: 0,
+            consecutive_ejections: 0,
         }
     }
 }
 
 impl Ejection {
-    /// The present health.
+    /// Current health.
     pub fn health(&self) -> Health {
         self.health
     }
 
-    /// Records a success; a back end on probation is healthy again.
+    /// Records a successful call. A probed backend becomes healthy; an ejected one stays ejected.
     pub fn record_success(&mut self) {
         if !matches!(self.health, Health::Ejected(_)) {
             *self = Self::default();
         }
     }
 
-    /// Records a failure. Returns whether it ejected the back end.
+    /// Records a failed call. Returns whether it ejected the backend.
     pub fn record_failure(&mut self, now: MonotonicTime, limits: EjectionLimits) -> bool {
         if matches!(self.health, Health::Ejected(_)) {
             return false;
         }
-        self.failures_in_row += 1;
-        if self.health == Health::Healthy && self.failures_in_row < limits.failures {
+        self.consecutive_failures += 1;
+        if self.health == Health::Healthy && self.consecutive_failures < limits.failures {
             return false;
         }
-        let doublings = self.ejections_in_row.min(MAX_DOUBLINGS);
+        let doublings = self.consecutive_ejections.min(MAX_DOUBLINGS);
         let out = limits.base.saturating_mul(1 << doublings).min(limits.max);
         self.health = Health::Ejected(now + out);
-        self.ejections_in_row += 1;
-        self.failures_in_row = 0;
+        self.consecutive_ejections += 1;
+        self.consecutive_failures = 0;
         true
     }
 
-    /// Ends an ejection whose time is over. Returns whether probing begins now.
+    /// Ends an expired ejection. Returns whether probing begins now.
     pub fn advance(&mut self, now: MonotonicTime) -> bool {
         match self.health {
             Health::Ejected(until) if until <= now => {
--- a/crates/scheduling/src/ended_runs.rs
+++ b/crates/scheduling/src/ended_runs.rs
@@ -1,4 +1,4 @@
-//! Memory of runs that ended lately, so that late events cannot bring their contexts back.
+//! Recently ended runs, so that delayed cache events do not leave their contexts in engines.
 
 use std::collections::{HashSet, VecDeque};
 
@@ -6,7 +6,7 @@
 
 const MAX_REMEMBERED: usize = 50_000;
 
-/// The runs that ended last.
+/// Set of recently ended runs, bounded in size.
 #[derive(Debug, Default)]
 pub struct EndedRuns {
     runs: HashSet<RunId>,
@@ -14,7 +14,7 @@
 }
 
 impl EndedRuns {
-    /// Remembers a run; the oldest one is forgotten when there are too many.
+    /// Adds a run; drops the oldest one if the set is full.
     pub fn insert(&mut self, run: RunId) {
         if !self.runs.insert(run) {
             return;
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Whether the run ended.
+    /// Whether the run ended recently.
     pub fn contains(&self, run: RunId) -> bool {
         self.runs.contains(&run)
     }
--- a/crates/scheduling/src/intake.rs
+++ b/crates/scheduling/src/enqueue_calls.rs
@@ -1,4 +1,4 @@
-//! The part of the dispatcher that takes calls into the queue or refuses them.
+//! Dispatcher: admits calls to the queue or refuses them.
 
 use std::time::Duration;
 
@@ -13,9 +13,8 @@
 use crate::settings::QueueOrder;
 use crate::shares::PartnerIndex;
 
-/// Each rank is worth this much waiting time.
-const RANK_MICROS: i64 = 5_000_000;
-/// When to come back after the last back end has left.
+/// A call is ordered as if it had arrived this much earlier for each rank.
+const RANK_ADVANTAGE_MICROS: i64 = 5_000_000;
 const NO_BACKEND_RETRY: Duration = Duration::from_secs(1);
 
 impl Dispatcher {
@@ -25,8 +24,8 @@
             return;
         }
         self.retention.resume(call.run, now);
-        self.keep_inherited(now, &call);
-        let waiting = self.prepare(now, call);
+        self.extend_parent_lease(now, &call);
+        let waiting = self.waiting_call(now, call);
         let view = self.admission_view(&waiting);
         if let Some(refusal) = admission::refusal(now, &view) {
             self.effects.push(Effect::Refuse { ticket, refusal });
@@ -41,17 +40,17 @@
         }
     }
 
-    /// Keeps the parent's context while its sub-agents work on it.
-    fn keep_inherited(&mut self, now: MonotonicTime, call: &QueuedCall) {
+    /// Extends the lease on the parent's context, since sub-agents use it while the parent waits.
+    fn extend_parent_lease(&mut self, now: MonotonicTime, call: &QueuedCall) {
         let parent = call.inherited.map(|inherited| inherited.run);
-        let change = parent.and_then(|parent| self.retention.prolong(parent, now));
+        let change = parent.and_then(|parent| self.retention.extend(parent, now));
         if let Some(change) = change {
             self.apply_retention(now, change);
         }
     }
 
-    /// The call as it waits, with its place in the order.
-    pub(crate) fn prepare(&mut self, now: MonotonicTime, call: QueuedCall) -> WaitingCall {
+    /// Computes the queue position and the latest start of a call.
+    pub(crate) fn waiting_call(&mut self, now: MonotonicTime, call: QueuedCall) -> WaitingCall {
         let owner = self.shares.index(&call.partner);
         let policy = &self.settings.policy;
         let lane = if policy.urgent_first && call.priority.urgent {
@@ -67,7 +66,7 @@
             .map_or(0, |backend| places.cached_at(backend));
         let missing = call.prompt_tokens - cached;
         let work = self
-            .estimate
+            .service_times
             .attempt_micros(missing, call.max_output_tokens) as u64;
         let latest_start = call
             .deadline
@@ -82,7 +81,7 @@
             call,
             partner: owner,
             lane,
-            home: None,
+            affinity: None,
             enqueued_at: now,
             latest_start,
             work_micros: work,
@@ -93,21 +92,21 @@
         let policy = &self.settings.policy;
         let arrival = now.micros as i64 - call.waited.as_micros() as i64;
         let rank = if policy.urgent_first {
-            i64::from(call.priority.rank) * RANK_MICROS
+            i64::from(call.priority.rank) * RANK_ADVANTAGE_MICROS
         } else {
             0
         };
         let due = match policy.order {
-            QueueOrder::ShortestCall => return call.most_tokens() as i64,
+            QueueOrder::ShortestCall => return call.max_total_tokens() as i64,
             QueueOrder::FirstComeFirstServed => arrival - rank,
-            QueueOrder::LeastAttainedService => arrival + self.penalty_micros(call) - rank,
+            QueueOrder::LeastAttainedService => arrival + self.ageing_penalty_micros(call) - rank,
         };
         let lead = self.settings.deadline_lead.as_micros() as i64;
         let deadline = call.deadline.filter(|_| policy.deadline_order);
         deadline.map_or(due, |deadline| due.min(deadline.micros as i64 - lead))
     }
 
-    fn penalty_micros(&self, call: &QueuedCall) -> i64 {
+    fn ageing_penalty_micros(&self, call: &QueuedCall) -> i64 {
         if call.priority.urgent {
             return 0;
         }
@@ -119,19 +118,21 @@
 
     fn admission_view(&self, waiting: &WaitingCall) -> AdmissionView {
         let deadline = waiting.call.deadline;
-        let minded = deadline.filter(|_| self.settings.policy.deadline_refusal);
-        let wait = if minded.is_some() || self.queue.len() >= self.settings.max_queued_per_partner {
+        let enforced_deadline = deadline.filter(|_| self.settings.policy.deadline_refusal);
+        let wait = if enforced_deadline.is_some()
+            || self.queue.len() >= self.settings.max_queued_per_partner
+        {
             self.expected_wait_micros(waiting)
         } else {
             0
         };
         AdmissionView {
-            has_backend: self.backends.any_staying(),
+            has_backend: self.backends.any_remaining(),
             queued: self.queue.lane_len(waiting.lane),
             max_queued: self.settings.max_queued_per_partner,
             wait_micros: wait,
             attempt_micros: waiting.work_micros,
-            deadline: minded,
+            deadline: enforced_deadline,
         }
     }
 
@@ -145,26 +146,26 @@
         let ahead = lane.work_before(waiting.key);
         let slots = self.backends.routine_slots().max(1);
         let waits = |other| self.queue.lane_len(Lane::Routine(other)) > 0;
-        let part = self.shares.part_among(partner, waits);
+        let part = self.shares.share_among(partner, waits);
         ahead * 1000 / (slots * part)
     }
 
-    /// Refuses waiting calls whose deadline has come too close.
-    pub(crate) fn refuse_too_late(&mut self, now: MonotonicTime) {
-        while let Some(ticket) = self.queue.first_too_late(now) {
+    /// Refuses waiting calls that can no longer finish before their deadline.
+    pub(crate) fn refuse_unmeetable_deadlines(&mut self, now: MonotonicTime) {
+        while let Some(ticket) = self.queue.first_unmeetable_deadline(now) {
             let Some(waiting) = self.queue.remove(ticket) else {
                 return;
             };
             let needed = Duration::from_micros(waiting.work_micros);
             let deadline = waiting.call.deadline.unwrap_or(now);
-            let refusal = admission::too_late(now, needed, deadline);
+            let refusal = admission::deadline_refusal(now, needed, deadline);
             self.effects.push(Effect::Refuse { ticket, refusal });
         }
     }
 
-    /// Refuses everything that waits when no back end is left that could take it.
+    /// Refuses all waiting calls if every backend is leaving or gone.
     pub(crate) fn refuse_without_backend(&mut self) {
-        if self.backends.any_staying() {
+        if self.backends.any_remaining() {
             return;
         }
         for ticket in self.queue.tickets() {
--- a/crates/scheduling/src/event.rs
+++ b/crates/scheduling/src/event.rs
@@ -1,4 +1,4 @@
-//! What a dispatcher is told.
+//! Inputs of the dispatcher.
 #![allow(
     missing_docs,
     reason = "the resolvers that rkyv derives carry undocumented fields"
@@ -14,78 +14,79 @@
 
 use crate::settings::PartnerSettings;
 
-/// One request for a slot. The owner never uses a number twice, also not for a second attempt.
+/// Identifier of one request for a slot. The owner never reuses a number, not even for a retry of
+/// the same call.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Archive, Serialize, Deserialize,
 )]
 pub struct Ticket {
-    /// The node that owns the run and asked for the slot.
+    /// Node that owns the run and requested the slot.
     pub owner: NodeId,
-    /// Number given by the owner, new for every request.
+    /// Number chosen by the owner, unique among its requests.
     pub number: u64,
 }
 
 /// Priority class of a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Archive, Serialize, Deserialize)]
 pub struct Priority {
-    /// Urgent calls go strictly before all others.
+    /// Whether the call takes strict precedence over all calls that are not urgent.
     pub urgent: bool,
-    /// Order among the classes of one partner; higher first.
+    /// Rank among the calls of one partner; higher goes first.
     pub rank: u8,
 }
 
-/// Context of another run that the prompt of a call begins with, as a sub-agent's may.
+/// Context of a parent run at the beginning of a sub-agent's prompt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct InheritedContext {
-    /// The run whose context it is.
+    /// The parent run.
     pub run: RunId,
-    /// Tokens at the beginning of the prompt that come from that run.
+    /// Length of the inherited context at the beginning of the prompt, in tokens.
     pub tokens: u64,
 }
 
-/// A call that waits for a slot.
+/// A call that requests a slot.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct QueuedCall {
-    /// Names this request for a slot and its owner.
+    /// Identifier of this request for a slot.
     pub ticket: Ticket,
-    /// The run that the call belongs to.
+    /// Run that the call belongs to.
     pub run: RunId,
-    /// The caller's key of the call.
+    /// Key of the call, chosen by the caller.
     pub key: CallKey,
-    /// The partner whose share pays.
+    /// Partner whose share the slot counts against.
     pub partner: PartnerName,
     /// Priority class.
     pub priority: Priority,
-    /// What the whole run has used so far, sub-agents included.
+    /// Service that the whole run has used so far, including its sub-agents.
     pub attained_service: Cost,
-    /// Tokens of the whole prompt; zero for tool and notice calls.
+    /// Length of the whole prompt in tokens; zero for tool and notice calls.
     pub prompt_tokens: u64,
-    /// Upper bound of generated tokens; zero for tool and notice calls.
+    /// Maximum number of generated tokens; zero for tool and notice calls.
     pub max_output_tokens: u64,
-    /// Context of a parent run at the beginning of the prompt.
+    /// Context of a parent run at the beginning of the prompt; `None` if the prompt has none.
     pub inherited: Option<InheritedContext>,
-    /// When the whole answer must be there.
+    /// Time by which the whole response is needed; `None` if there is no deadline.
     pub deadline: Option<MonotonicTime>,
-    /// Whether the attempt may be cancelled in favour of an urgent call. Only calls that may be
-    /// tried again are.
+    /// Whether the attempt may be preempted by an urgent call. Only set for calls that may be
+    /// retried.
     pub preemptible: bool,
-    /// Time spent in queues before, by an attempt that was cancelled in favour of another call.
+    /// Time that earlier, preempted attempts of the call spent in queues.
     pub waited: Duration,
 }
 
 impl QueuedCall {
-    /// Tokens that its context may grow to.
-    pub fn most_tokens(&self) -> u64 {
+    /// Maximum length of the context after the call: prompt and output, in tokens.
+    pub fn max_total_tokens(&self) -> u64 {
         self.prompt_tokens + self.max_output_tokens
     }
 }
 
-/// Tokens that a back end counted for one attempt.
+/// Token counts of one attempt, as reported by the backend.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Archive, Serialize, Deserialize)]
 pub struct TokenUsage {
     /// Tokens of the prompt.
     pub prompt: u64,
-    /// Tokens of the prompt that were read from the cache.
+    /// Tokens of the prompt that were found in the cache.
     pub cached: u64,
     /// Generated tokens.
     pub output: u64,
@@ -94,139 +95,139 @@
 /// How an attempt ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Archive, Serialize, Deserialize)]
 pub enum AttemptOutcome {
-    /// The back end answered.
+    /// The backend sent a complete response.
     Completed,
-    /// The caller or owner gave the attempt up.
+    /// The caller or the owner cancelled the attempt.
     Cancelled,
-    /// The attempt was cancelled on [`crate::Effect::Preempt`].
+    /// The owner cancelled the attempt after [`crate::Effect::Preempt`].
     Preempted,
-    /// The back end could not be reached, refused or broke off.
+    /// The backend was unreachable, refused the call or broke it off.
     Failed,
 }
 
-/// End of an attempt, or of a grant that its owner does not use.
+/// End of an attempt, or of a grant that its owner did not use.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct AttemptEnd {
-    /// The ticket that was granted.
+    /// Ticket of the grant.
     pub ticket: Ticket,
-    /// What the back end counted; zero when it did not say.
+    /// Token counts; all zero if the backend reported none.
     pub usage: TokenUsage,
     /// How it ended.
     pub outcome: AttemptOutcome,
 }
 
-/// Load as an engine reported it; late by nature.
+/// Load as reported by an engine, and therefore slightly outdated.
 #[derive(Debug, Clone, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// The engine.
+    /// Engine that sent the report.
     pub backend: BackendName,
-    /// Calls that it runs.
+    /// Calls running in the engine.
     pub running: u32,
-    /// Calls that wait in it.
+    /// Calls waiting in the engine's own queue.
     pub waiting: u32,
-    /// Capacity of its prefix cache, in tokens; zero when it doesn't tell.
+    /// Capacity of its prefix cache, in tokens; zero if the engine does not report it.
     pub cache_capacity_tokens: u64,
 }
 
-/// What happened to a context in an engine's cache.
+/// Change of a context in an engine's cache.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Archive, Serialize, Deserialize)]
 pub enum CacheChange {
-    /// The engine now holds this many tokens of the context.
+    /// The engine stored the context, or changed its length.
     Stored,
-    /// The engine dropped the context.
+    /// The engine evicted the context.
     Evicted,
 }
 
-/// A numbered cache event of one engine; events come late and some are lost.
+/// A numbered cache event of one engine. Events are delayed, and some are lost.
 #[derive(Debug, Clone, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct CacheEvent {
-    /// The engine.
+    /// Engine that sent the event.
     pub backend: BackendName,
-    /// Counts up by one for each event of the engine.
+    /// Sequence number; increases by one for each event of the engine.
     pub number: u64,
-    /// What happened.
+    /// Kind of change.
     pub change: CacheChange,
-    /// The run whose context it is.
+    /// Run that the context belongs to.
     pub run: RunId,
-    /// Tokens held after the event.
+    /// Cached tokens of the context after the event.
     pub tokens: u64,
 }
 
-/// One context in a listing.
+/// One context in a [`CacheListing`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct CachedContext {
-    /// The run whose context it is.
+    /// Run that the context belongs to.
     pub run: RunId,
-    /// Tokens held.
+    /// Cached length, in tokens.
     pub tokens: u64,
 }
 
-/// Everything that one engine's cache holds.
+/// Complete contents of one engine's cache.
 #[derive(Debug, Clone, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct CacheListing {
-    /// The engine.
+    /// Engine that sent the listing.
     pub backend: BackendName,
-    /// Number of the last event that the listing includes.
+    /// Sequence number of the last event that the listing includes.
     pub number: u64,
-    /// The contexts held.
+    /// All cached contexts.
     pub contexts: Vec<CachedContext>,
 }
 
 /// An input of the dispatcher.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Event {
-    /// An owner asks for a slot. Ends in exactly one grant, refusal or cancellation.
+    /// An owner requests a slot. Results in exactly one grant, refusal or cancellation.
     Enqueue(QueuedCall),
-    /// An owner no longer wants a slot. Gives back a grant that has not started.
+    /// An owner no longer needs a slot. Also frees the slot of a grant that has not started.
     Cancel(Ticket),
-    /// The owner's dispatch entry is durable and the back end is being called.
+    /// The owner's dispatch entry is durable and it is calling the backend.
     AttemptStarted(Ticket),
-    /// An attempt that another dispatcher granted runs at a back end, as its owner tells a
-    /// dispatcher that took the group over.
+    /// An owner reports an attempt that an earlier dispatcher of the group granted and that is still
+    /// running.
     AttemptRunning {
-        /// The call.
+        /// The running call.
         call: QueuedCall,
-        /// Where it runs.
+        /// Backend at which it runs.
         backend: BackendName,
     },
-    /// The attempt is over; the slot is free.
+    /// An attempt or an unused grant ended and its slot is free.
     AttemptEnded(AttemptEnd),
-    /// A node is gone; its tickets and grants are dropped.
+    /// A node has failed; its waiting calls and its grants are dropped.
     OwnerLost(NodeId),
-    /// A back end serves, or its description changed.
+    /// A backend became available, or its description changed.
     BackendUp(Backend),
-    /// A back end takes no new calls; those in progress go on.
+    /// A backend accepts no new calls; those in progress continue.
     BackendLeaving(BackendName),
-    /// A back end is gone, with everything it ran and held.
+    /// A backend is gone, including its running calls and its cache.
     BackendGone(BackendName),
-    /// A probe or a call of someone else found the back end failing.
+    /// A health probe, or a call that this dispatcher did not grant, failed at the backend.
     BackendFailed(BackendName),
-    /// An engine's load.
+    /// An engine reported its load.
     LoadReport(LoadReport),
     /// An engine's cache changed.
     CacheEvent(CacheEvent),
-    /// Answer to [`crate::Effect::RelistCache`].
+    /// Response to [`crate::Effect::RelistCache`].
     CacheListing(CacheListing),
-    /// Answer to [`crate::Effect::MoveContext`].
+    /// Response to [`crate::Effect::MoveContext`].
     ContextMoved {
-        /// The run whose context was to move.
+        /// Run that the context belongs to.
         run: RunId,
-        /// Where it was to go.
+        /// Target engine of the move.
         to: BackendName,
-        /// Tokens held there now; zero when the move failed.
+        /// Tokens of the context at the target; zero if the move failed.
         tokens: u64,
     },
-    /// A run waits for a tool or a sub-agent before its next call here.
+    /// A run waits for a tool or a sub-agent before its next call to this service.
     RunPaused {
-        /// The run.
+        /// The waiting run.
         run: RunId,
-        /// What it waits for.
+        /// Tool or sub-agent service that it waits for.
         tool: ServiceName,
     },
-    /// A run ended; nothing of it may stay in any engine.
+    /// A run ended; its contexts must be released at all engines.
     RunEnded(RunId),
     /// The shares or weights of the partners changed.
     SharesChanged(Vec<PartnerSettings>),
-    /// Time passed. To be sent every [`crate::DispatcherSettings::tick`] or so.
+    /// Drives timeouts; expected about every [`crate::DispatcherSettings::tick`].
     Tick,
 }
--- a/crates/scheduling/src/grants.rs
+++ b/crates/scheduling/src/grants.rs
@@ -9,75 +9,75 @@
 use crate::event::Ticket;
 use crate::queue::{Lane, WaitingCall};
 
-/// How far a grant has come.
+/// Progress of a grant.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum GrantState {
-    /// A slot is kept while the context moves; the owner knows nothing yet.
+    /// The slot is reserved while the context is moved; the owner has not been notified.
     Moving,
-    /// The owner was told.
+    /// The grant was sent to the owner, which has not confirmed it.
     Offered,
-    /// The owner confirmed at the time given.
+    /// The owner confirmed the start of the attempt at this time.
     Running(MonotonicTime),
 }
 
-/// A slot that is taken.
+/// A slot taken by a call.
 #[derive(Debug, Clone)]
 pub struct Grant {
-    /// The call, as it waited.
+    /// Call with its values from the queue.
     pub waiting: WaitingCall,
-    /// Where the slot is.
+    /// Backend that the slot belongs to.
     pub backend: BackendIndex,
-    /// Tokens that the call may add to the back end's memory.
+    /// Cache tokens that the call may add at the backend.
     pub reserved_tokens: u64,
-    /// How far it has come.
+    /// Progress of the grant.
     pub state: GrantState,
-    /// The owner was asked to cancel the attempt.
+    /// Whether the owner was asked to cancel the attempt.
     pub preempting: bool,
-    /// When the grant lapses.
-    pub lapses_at: MonotonicTime,
+    /// Time at which the grant expires.
+    pub expires_at: MonotonicTime,
 }
 
-/// All slots that are taken.
+/// All grants that have not ended.
 #[derive(Debug, Default)]
 pub struct GrantTable {
     grants: HashMap<Ticket, Grant>,
-    by_lapse: BTreeSet<(MonotonicTime, Ticket)>,
+    by_expiry: BTreeSet<(MonotonicTime, Ticket)>,
     preemptible: BTreeSet<(MonotonicTime, Ticket)>,
     preempting: usize,
 }
 
 impl GrantTable {
-    /// Number of grants.
+    /// Number of grants in any state.
     pub fn len(&self) -> usize {
         self.grants.len()
     }
 
-    /// Whether nothing is granted.
+    /// Whether there are no grants.
     pub fn is_empty(&self) -> bool {
         self.grants.is_empty()
     }
 
-    /// Grants whose owners were asked to cancel and that have not ended.
+    /// Number of grants whose owners were asked to cancel and that have not ended.
     pub fn preempting(&self) -> usize {
         self.preempting
     }
 
-    /// A grant.
+    /// The grant with this ticket.
     pub fn get(&self, ticket: Ticket) -> Option<&Grant> {
         self.grants.get(&ticket)
     }
 
-    /// Adds a grant.
+    /// Adds a grant. Its ticket must not have a grant already.
     pub fn insert(&mut self, grant: Grant) {
         let ticket = grant.waiting.call.ticket;
-        self.by_lapse.insert((grant.lapses_at, ticket));
+        self.by_expiry.insert((grant.expires_at, ticket));
         self.grants.insert(ticket, grant);
     }
 
-    /// Takes a grant out.
+    /// Removes and returns the grant with this ticket.
     pub fn remove(&mut self, ticket: Ticket) -> Option<Grant> {
         let grant = self.grants.remove(&ticket)?;
-        self.by_lapse.remove(&(grant.lapses_at, ticket));
+        self.by_expiry.remove(&(grant.expires_at, ticket));
         if let GrantState::Running(since) = grant.state {
             self.preemptible.remove(&(since, ticket));
         }
@@ -87,16 +87,16 @@
         Some(grant)
     }
 
-    /// The owner was told of the slot.
-    pub fn offer(&mut self, ticket: Ticket, lapses_at: MonotonicTime) {
+    /// Marks a grant as sent to its owner; it expires if not confirmed by `expires_at`.
+    pub fn offer(&mut self, ticket: Ticket, expires_at: MonotonicTime) {
         if let Some(mut grant) = self.remove(ticket) {
             grant.state = GrantState::Offered;
-            grant.lapses_at = lapses_at;
+            grant.expires_at = expires_at;
             self.insert(grant);
         }
     }
 
-    /// The owner confirmed.
+    /// Marks an offered grant as confirmed by its owner; no effect in any other state.
     pub fn start(&mut self, ticket: Ticket, now: MonotonicTime, timeout: Duration) {
         let offered = self.get(ticket).map(|grant| grant.state) == Some(GrantState::Offered);
         if !offered {
@@ -104,7 +104,7 @@
         }
         if let Some(mut grant) = self.remove(ticket) {
             grant.state = GrantState::Running(now);
-            grant.lapses_at = now + timeout;
+            grant.expires_at = now + timeout;
             let routine = grant.waiting.lane != Lane::Urgent;
             if routine && grant.waiting.call.preemptible {
                 self.preemptible.insert((now, ticket));
@@ -113,7 +113,8 @@
         }
     }
 
-    /// Marks the attempt that started last, and so has least to lose, as to be cancelled.
+    /// Marks the preemptible attempt that started last, and so loses least work, for cancellation.
+    /// Only grants for which `allowed` returns true are considered.
     pub fn preempt_latest(&mut self, allowed: impl Fn(&Grant) -> bool) -> Option<&Grant> {
         let candidates = self.preemptible.iter().rev();
         let mut allowed_ones = candidates.filter(|(_, ticket)| {
@@ -128,23 +129,23 @@
         Some(grant)
     }
 
-    /// A grant whose time is over.
-    pub fn first_lapsed(&self, now: MonotonicTime) -> Option<Ticket> {
-        let (lapses_at, ticket) = self.by_lapse.first()?;
-        (*lapses_at <= now).then_some(*ticket)
+    /// The grant that expired first, if any has expired.
+    pub fn first_expired(&self, now: MonotonicTime) -> Option<Ticket> {
+        let (expires_at, ticket) = self.by_expiry.first()?;
+        (*expires_at <= now).then_some(*ticket)
     }
 
-    /// Tickets of an owner.
+    /// Tickets granted to an owner.
     pub fn of_owner(&self, owner: NodeId) -> Vec<Ticket> {
         self.tickets_where(|grant| grant.waiting.call.ticket.owner == owner)
     }
 
-    /// Tickets with a slot of a back end.
+    /// Tickets that hold a slot of a backend.
     pub fn at_backend(&self, backend: BackendIndex) -> Vec<Ticket> {
         self.tickets_where(|grant| grant.backend == backend)
     }
 
-    /// Tickets that wait for a context to arrive at a back end.
+    /// Tickets that wait for a context to be moved to a backend; `run` restricts them to one run.
     pub fn moving_to(&self, backend: BackendIndex, run: Option<RunId>) -> Vec<Ticket> {
         self.tickets_where(|grant| {
             grant.state == GrantState::Moving
--- a/crates/scheduling/src/lib.rs
+++ b/crates/scheduling/src/lib.rs
@@ -1,33 +1,34 @@
 //! Queue order, partner shares, placement and cache retention, without I/O.
 //!
-//! [`Dispatcher`] is the only queue in front of the back ends of one service. It grants slots: the
-//! owner of a run asks with [`Event::Enqueue`], makes its dispatch entry durable when
-//! [`Effect::Grant`] comes, calls the back end itself and reports the end.
+//! [`Dispatcher`] is a state machine and the only queue in front of the backends of one service. It
+//! grants slots: the node that owns a run asks for one with [`Event::Enqueue`], writes its dispatch
+//! entry durably after [`Effect::Grant`], calls the backend itself and reports the end of the
+//! attempt with [`Event::AttemptEnded`].
 
 pub mod admission;
-mod back_end_changes;
+mod backend_changes;
 pub mod backends;
-mod caching;
-mod choosing;
+mod cache_tracking;
+mod call_placement;
+mod call_selection;
+mod context_moves;
 pub mod dispatcher;
 pub mod effect;
 pub mod ejection;
 pub mod ended_runs;
+pub mod engine_commands;
+mod enqueue_calls;
 pub mod event;
-mod granting;
 pub mod grants;
-mod intake;
-pub mod load_estimate;
-pub mod model_orders;
-mod moving;
-mod next_call;
-pub mod pause_lengths;
+pub mod pause_histogram;
 pub mod placement;
 pub mod prefix_map;
 pub mod queue;
 pub mod retention;
+pub mod service_time;
 pub mod settings;
 pub mod shares;
+mod slot_grants;
 pub mod working_set;
 
 pub use dispatcher::Dispatcher;
--- a/crates/scheduling/src/pause_lengths.rs
+++ b/crates/scheduling/src/pause_histogram.rs
@@ -1,65 +1,69 @@
-//! Learned lengths of the pauses of runs, one distribution for each tool.
+//! Distribution of the lengths of runs' pauses, learned for each tool.
 
 use std::time::Duration;
 
 const BUCKETS: usize = 40;
 const FIRST_BUCKET_MICROS: f64 = 1_000.0;
 const BUCKETS_PER_DOUBLING: f64 = 2.0;
-const FADE: f64 = 0.995;
+/// Factor applied to all counts at each new pause.
+const DECAY: f64 = 0.995;
 const PRIOR_WEIGHT: f64 = 2.0;
 const PRIOR_PAUSE: Duration = Duration::from_secs(2);
 
-/// Counts of pauses by length, on a logarithmic scale; old pauses fade.
+/// Histogram of pause lengths with logarithmic buckets and exponential decay of old counts.
 #[derive(Debug, Clone)]
-pub struct PauseLengths {
+pub struct PauseHistogram {
     counts: [f64; BUCKETS],
-    never: f64,
+    without_return: f64,
 }
 
-impl Default for PauseLengths {
+impl Default for PauseHistogram {
     fn default() -> Self {
         let mut counts = [0.0; BUCKETS];
         counts[bucket(PRIOR_PAUSE)] = PRIOR_WEIGHT;
-        Self { counts, never: 0.0 }
+        Self {
+            counts,
+            without_return: 0.0,
+        }
     }
 }
 
-/// What a lease of some length is expected to bring.
+/// Expected benefit and cost of a lease.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct LeaseOutlook {
-    /// Length of the lease.
+pub struct LeaseEstimate {
+    /// Maximum time that the context is held.
     pub length: Duration,
-    /// Chance that the run returns within it.
-    pub chance: f64,
-    /// Expected time under lease, in seconds.
+    /// Probability that the run returns within `length`.
+    pub return_probability: f64,
+    /// Expected time until the run returns or the lease ends, in seconds.
     pub hold_seconds: f64,
 }
 
-impl LeaseOutlook {
-    /// Chance of a return for each second of holding.
+impl LeaseEstimate {
+    /// Return probability per second of holding.
     pub fn value(&self) -> f64 {
-        self.chance / self.hold_seconds
+        self.return_probability / self.hold_seconds
     }
 }
 
-impl PauseLengths {
-    /// Learns a pause that ended with the run's return.
+impl PauseHistogram {
+    /// Adds a pause from which the run returned.
     pub fn record(&mut self, pause: Duration) {
-        self.fade();
+        self.decay();
         self.counts[bucket(pause)] += 1.0;
     }
 
-    /// Learns a pause from which the run never returned.
-    pub fn record_never(&mut self) {
-        self.fade();
-        self.never += 1.0;
+    /// Adds a pause from which the run did not return.
+    pub fn record_without_return(&mut self) {
+        self.decay();
+        self.without_return += 1.0;
     }
 
-    /// The lease of at most `limit` with the most value that covers most of the returns. A longer
-    /// lease is taken when what it adds is worth at least `hold_price` times what the shorter one
-    /// brings for each second.
-    pub fn outlook(&self, limit: Duration, hold_price: f64) -> LeaseOutlook {
-        let total: f64 = self.counts.iter().sum::<f64>() + self.never;
+    /// Longest worthwhile lease of at most `limit`. A longer lease is preferred to a shorter one if its
+    /// additional return probability per additional second is at least `min_gain_ratio` times that of
+    /// the shorter one.
+    pub fn best_lease(&self, limit: Duration, min_gain_ratio: f64) -> LeaseEstimate {
+        let total: f64 = self.counts.iter().sum::<f64>() + self.without_return;
         let mut best = None;
         let mut returned = 0.0;
         let mut hold = 0.0;
@@ -71,39 +75,39 @@
             returned += count;
             start = end;
             let length = Duration::from_micros(end as u64);
-            let outlook = LeaseOutlook {
+            let candidate = LeaseEstimate {
                 length: length.min(limit),
-                chance: returned / total,
+                return_probability: returned / total,
                 hold_seconds: hold,
             };
-            if best.is_none() || outlook.is_worth_extending(best, *count > 0.0, hold_price) {
-                best = Some(outlook);
+            if best.is_none() || candidate.is_worth_extending(best, *count > 0.0, min_gain_ratio) {
+                best = Some(candidate);
             }
             if length >= limit {
                 break;
             }
         }
-        best.unwrap_or(LeaseOutlook {
+        best.unwrap_or(LeaseEstimate {
             length: limit,
-            chance: 0.0,
+            return_probability: 0.0,
             hold_seconds: limit.as_secs_f64(),
         })
     }
 
-    fn fade(&mut self) {
+    fn decay(&mut self) {
         for count in &mut self.counts {
-            *count *= FADE;
+            *count *= DECAY;
         }
-        self.never *= FADE;
+        self.without_return *= DECAY;
     }
 }
 
-impl LeaseOutlook {
+impl LeaseEstimate {
     fn is_worth_extending(
         &self,
-        shorter: Option<LeaseOutlook>,
+        shorter: Option<LeaseEstimate>,
         adds_returns: bool,
-        hold_price: f64,
+        min_gain_ratio: f64,
     ) -> bool {
         let Some(shorter) = shorter else {
             return true;
@@ -111,9 +115,10 @@
         if !adds_returns {
             return false;
         }
-        let added_chance = self.chance - shorter.chance;
+        let added_chance = self.return_probability - shorter.return_probability;
         let added_hold = self.hold_seconds - shorter.hold_seconds;
-        shorter.chance <= 0.0 || added_chance / added_hold >= shorter.value() * hold_price
+        shorter.return_probability <= 0.0
+            || added_chance / added_hold >= shorter.value() * min_gain_ratio
     }
 }
 
--- a/crates/scheduling/src/placement.rs
+++ b/crates/scheduling/src/placement.rs
@@ -1,61 +1,63 @@
-//! Choice of the back end for a call.
+//! Cost model for choosing the backend of a call.
 //!
-//! Expected cost = wait for a slot + slow-down by the calls already there + time to prefill what is
-//! not cached there, the latter dearer where the cache is full and others' contexts must go.
+//! Expected cost = wait for a slot + slowdown by the calls already running there + time to prefill
+//! the tokens not cached there. Prefill is weighted higher at a full cache, where it evicts other
+//! contexts.
 
 use crate::backends::{BackendIndex, BackendState, BackendTable};
 use crate::event::QueuedCall;
-use crate::load_estimate::LoadEstimate;
 use crate::prefix_map::{CachedAt, PrefixMap};
+use crate::service_time::ServiceTimeModel;
 use crate::settings::ContextMoveSettings;
 use crate::working_set::WorkingSet;
 
-/// Slow-down of generation when all slots of an engine are taken, as part of the mean time.
+/// Slowdown of generation when all slots of an engine are taken, as a fraction of the service time.
 const LOAD_SLOPE: f64 = 0.6;
-/// Extra cost of a prefill into a full batch, as part of the prefill: all the calls of the batch wait
-/// while it runs.
+/// Extra cost of a prefill into a full batch, as a multiple of the prefill time: all calls of the
+/// batch are delayed while it runs.
 const BATCH_SLOPE: f64 = 5.0;
-/// Extra cost of a prefill into a full cache, as part of the prefill.
+/// Extra cost of a prefill into a full cache, as a multiple of the prefill time.
 const PRESSURE_SLOPE: f64 = 0.5;
+/// Latency weight that changes neither waiting nor prefill costs.
 const NEUTRAL_WEIGHT: f64 = 50.0;
 
-/// What a decision rests on.
+/// Inputs of a placement decision.
 #[derive(Debug, Clone, Copy)]
 pub struct PlacementView<'a> {
-    /// The back ends.
+    /// State of the group's backends.
     pub backends: &'a BackendTable,
-    /// Where contexts are cached.
+    /// Cached contexts.
     pub prefixes: &'a PrefixMap,
-    /// Service times.
-    pub estimate: &'a LoadEstimate,
-    /// Moving contexts, if allowed.
+    /// Model of prefill and generation times.
+    pub service_times: &'a ServiceTimeModel,
+    /// Cost model for moving contexts; `None` if moves are disabled.
     pub context_move: Option<&'a ContextMoveSettings>,
-    /// Whether a context fits beside those in use.
+    /// Check whether a context fits beside those in use.
     pub working_set: WorkingSet<'a>,
-    /// Weight of latency against wasted cache, 0 to 100.
+    /// Weight of latency against cache use, 0 to 100; 50 is neutral.
     pub latency_weight: u8,
 }
 
-/// A choice.
+/// Result of a placement decision.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Choice {
-    /// Go there now.
+    /// Grant a slot now.
     Now {
-        /// The back end.
+        /// Backend of the slot.
         backend: BackendIndex,
-        /// Engine that the context should be moved from first.
+        /// Engine from which the context should be moved first; `None` for no move.
         move_from: Option<BackendIndex>,
     },
-    /// Waiting for a slot there is cheaper than any free slot.
+    /// Wait for a slot of this backend, which is cheaper than any free slot.
     WaitFor(BackendIndex),
-    /// No slot is free.
+    /// No suitable slot is free.
     Full {
-        /// Where the call would be cheapest, as far as its prefix says.
-        home: Option<BackendIndex>,
+        /// Accepting backend with the longest cached prefix; `None` if there is none.
+        affinity: Option<BackendIndex>,
     },
 }
 
-/// Prefix of one call in the caches.
+/// Engines that cache a prefix of one call's prompt.
 #[derive(Debug, Clone, Copy)]
 pub struct PrefixPlaces<'a> {
     own: &'a [CachedAt],
@@ -65,7 +67,7 @@
 }
 
 impl<'a> PrefixPlaces<'a> {
-    /// Looks up where the call's prefix is.
+    /// Looks up the contexts of the call's run and of the run that it inherits from.
     pub fn of(call: &QueuedCall, prefixes: &'a PrefixMap) -> Self {
         let inherited = call.inherited;
         Self {
@@ -76,19 +78,19 @@
         }
     }
 
-    /// Tokens of the prompt that are cached at the back end.
+    /// Tokens of the prompt that are cached at the backend.
     pub fn cached_at(&self, backend: BackendIndex) -> u64 {
         let own = tokens_at(self.own, backend);
         own.max(self.shared_at(backend)).min(self.prompt_tokens)
     }
 
-    /// Tokens of a parent run's context that the call shares at the back end.
+    /// Tokens of a parent run's context that the call shares at the backend.
     pub fn shared_at(&self, backend: BackendIndex) -> u64 {
         let inherited = tokens_at(self.inherited, backend);
         inherited.min(self.inherited_tokens).min(self.prompt_tokens)
     }
 
-    /// The accepting back end with the longest prefix.
+    /// The accepting backend with the longest cached prefix, if any.
     pub fn best(&self, backends: &BackendTable) -> Option<BackendIndex> {
         let places = self.own.iter().chain(self.inherited);
         let accepting = places.map(|place| place.backend).filter(|backend| {
@@ -109,8 +111,8 @@
 }
 
 impl PlacementView<'_> {
-    /// The choice of least expected cost. `waiting_at` counts calls that already wait for a back
-    /// end.
+    /// Chooses the backend of least expected cost. `waiting_at` returns how many calls already wait
+    /// for a backend.
     pub fn least_cost(
         &self,
         call: &QueuedCall,
@@ -118,7 +120,7 @@
     ) -> Choice {
         let places = PrefixPlaces::of(call, self.prefixes);
         let urgent = call.priority.urgent;
-        let home = places.best(self.backends);
+        let affinity = places.best(self.backends);
         let mut best: Option<(f64, BackendIndex)> = None;
         for (index, state) in self.backends.iter() {
             if !state.has_slot(urgent) || !self.has_room(call, &places, index, state) {
@@ -130,32 +132,33 @@
             }
         }
         let Some((cost, backend)) = best else {
-            return Choice::Full { home };
+            return Choice::Full { affinity };
         };
-        if let Some(home) = home.filter(|home| *home != backend && !urgent)
-            && let Some(state) = self.backends.get(home)
+        if let Some(affinity) = affinity.filter(|affinity| *affinity != backend && !urgent)
+            && let Some(state) = self.backends.get(affinity)
             && !state.has_slot(urgent)
         {
-            let wait = self.slot_wait(state, waiting_at(home));
-            let home_cost = self.cost(call, &places, home, state) + wait * self.wait_factor();
-            if home_cost < cost {
-                return Choice::WaitFor(home);
+            let wait = self.slot_wait(state, waiting_at(affinity));
+            let affinity_cost =
+                self.cost(call, &places, affinity, state) + wait * self.wait_factor();
+            if affinity_cost < cost {
+                return Choice::WaitFor(affinity);
             }
         }
         let move_from = self.move_source(call, backend);
         Choice::Now { backend, move_from }
     }
 
-    /// Whether the call may go to the back end as far as memory goes: its context is there, or it
-    /// fits beside those in use.
-    pub fn may_go(&self, call: &QueuedCall, index: BackendIndex) -> bool {
+    /// Whether the backend has memory for the call: most of its context is cached there, or it fits
+    /// beside the contexts in use.
+    pub fn has_memory_for(&self, call: &QueuedCall, index: BackendIndex) -> bool {
         let places = PrefixPlaces::of(call, self.prefixes);
         let state = self.backends.get(index);
         state.is_some_and(|state| self.has_room(call, &places, index, state))
     }
 
-    /// Calls that are urgent or have a deadline do not wait for memory: what they displace costs
-    /// less than they would lose.
+    /// Calls that are urgent or have a deadline do not wait for memory: the delay would cost more than
+    /// the contexts that they evict.
     fn has_room(
         &self,
         call: &QueuedCall,
@@ -163,22 +166,23 @@
         index: BackendIndex,
         state: &BackendState,
     ) -> bool {
-        let hurried = call.priority.urgent || call.deadline.is_some();
+        let is_time_critical = call.priority.urgent || call.deadline.is_some();
         let mostly_cached = places.cached_at(index) * 2 > call.prompt_tokens;
-        let tokens = call.most_tokens();
+        let tokens = call.max_total_tokens();
         let fits = || self.working_set.fits(call.run, tokens, index, state);
-        hurried || mostly_cached || fits()
+        is_time_critical || mostly_cached || fits()
     }
 
-    /// Whether the call should rather go to `backend` now than wait for `home`.
-    pub fn beats_waiting(
+    /// Whether running the call at `backend` now is cheaper than waiting for `affinity`, where `ahead`
+    /// calls wait before it.
+    pub fn is_cheaper_than_waiting(
         &self,
         call: &QueuedCall,
         backend: BackendIndex,
-        home: BackendIndex,
+        affinity: BackendIndex,
         ahead: usize,
     ) -> bool {
-        let (Some(here), Some(there)) = (self.backends.get(backend), self.backends.get(home))
+        let (Some(here), Some(there)) = (self.backends.get(backend), self.backends.get(affinity))
         else {
             return true;
         };
@@ -187,10 +191,11 @@
         }
         let places = PrefixPlaces::of(call, self.prefixes);
         let wait = self.slot_wait(there, ahead) * self.wait_factor();
-        self.cost(call, &places, backend, here) < self.cost(call, &places, home, there) + wait
+        self.cost(call, &places, backend, here) < self.cost(call, &places, affinity, there) + wait
     }
 
-    /// Engine from which the call's context should be moved before it runs at `backend`.
+    /// Engine from which the call's context should be moved before it runs at `backend`; `None` if
+    /// prefilling is faster or moves are disabled.
     pub fn move_source(&self, call: &QueuedCall, backend: BackendIndex) -> Option<BackendIndex> {
         let places = PrefixPlaces::of(call, self.prefixes);
         places
@@ -209,20 +214,20 @@
         state: &BackendState,
     ) -> f64 {
         let missing = call.prompt_tokens - places.cached_at(index);
-        let prefill = self.estimate.prefill_micros(missing);
+        let prefill = self.service_times.prefill_micros(missing);
         let resident = self.prefixes.resident_tokens(index) as f64;
         let pressure = (resident / state.cache_capacity.max(1) as f64).min(1.0);
         let busy = f64::from(state.in_flight) / f64::from(state.backend.slots.max(1));
-        let harm = PRESSURE_SLOPE * pressure + BATCH_SLOPE * busy;
-        let rebuild = prefill * (1.0 + harm) * self.rebuild_factor();
-        let generation = self.estimate.generation_micros(call.max_output_tokens);
+        let slowdown = PRESSURE_SLOPE * pressure + BATCH_SLOPE * busy;
+        let rebuild = prefill * (1.0 + slowdown) * self.rebuild_factor();
+        let generation = self.service_times.generation_micros(call.max_output_tokens);
         let base = generation.max(self.tool_micros(call));
         rebuild + base * LOAD_SLOPE * busy * self.wait_factor()
     }
 
     fn tool_micros(&self, call: &QueuedCall) -> f64 {
         if call.max_output_tokens == 0 {
-            self.estimate.mean_micros()
+            self.service_times.mean_micros()
         } else {
             0.0
         }
@@ -235,12 +240,12 @@
         let missing = from.tokens.saturating_sub(places.cached_at(to));
         let moving_nanos = settings.nanos_per_token.saturating_mul(from.tokens);
         let moving = (settings.base_micros + moving_nanos / 1_000) as f64;
-        from.backend != to && moving < self.estimate.prefill_micros(missing)
+        from.backend != to && moving < self.service_times.prefill_micros(missing)
     }
 
     fn slot_wait(&self, state: &BackendState, ahead: usize) -> f64 {
         let turns = (ahead + 1) as f64;
-        self.estimate.mean_micros() * turns / f64::from(state.in_flight.max(1))
+        self.service_times.mean_micros() * turns / f64::from(state.in_flight.max(1))
     }
 
     fn rebuild_factor(&self) -> f64 {
--- a/crates/scheduling/src/prefix_map.rs
+++ b/crates/scheduling/src/prefix_map.rs
@@ -1,7 +1,8 @@
-//! Where the contexts of runs are cached, as far as is known.
+//! Map of the engines that cache the contexts of runs.
 //!
-//! Entries are hints. They come from ended attempts at once and from the engines' cache events late;
-//! a gap in the event numbers asks for a listing, which replaces all that was known of the engine.
+//! Entries are hints. They are updated when an attempt ends and, with a delay, by the engines' cache
+//! events. A gap in the event numbers triggers a request for a listing, which replaces all entries of
+//! the engine.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -10,60 +11,60 @@
 use crate::backends::BackendIndex;
 use crate::event::{CacheChange, CacheEvent, CacheListing};
 
-/// One place where a context is cached.
+/// A context cached at one engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CachedAt {
-    /// The engine.
+    /// Engine that holds the context.
     pub backend: BackendIndex,
-    /// Tokens held.
+    /// Cached length, in tokens.
     pub tokens: u64,
 }
 
-/// What is to be done after a cache event.
+/// Action required after a cache event or listing.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CacheFollowUp {
-    /// Nothing.
+    /// The map is up to date.
     None,
-    /// Events were lost; ask the engine for a listing.
+    /// Events were lost or the listing was outdated: request a new listing.
     Relist,
 }
 
 #[derive(Debug, Default)]
-struct EngineCache {
+struct EngineContents {
     contexts: BTreeMap<RunId, u64>,
     resident_tokens: u64,
     last_number: Option<u64>,
     relisting: bool,
 }
 
-/// The map of all engines of the group.
+/// Cached contexts of all engines of the group.
 #[derive(Debug, Default)]
 pub struct PrefixMap {
     by_run: HashMap<RunId, Vec<CachedAt>>,
-    engines: BTreeMap<BackendIndex, EngineCache>,
+    engines: BTreeMap<BackendIndex, EngineContents>,
 }
 
 impl PrefixMap {
-    /// Where the run's context is cached.
+    /// Engines that cache the run's context, in no particular order.
     pub fn places(&self, run: RunId) -> &[CachedAt] {
         self.by_run.get(&run).map_or(&[], Vec::as_slice)
     }
 
-    /// Tokens of the run's context that the engine holds.
+    /// Tokens of the run's context cached at the engine; 0 if it holds none.
     pub fn tokens_at(&self, run: RunId, backend: BackendIndex) -> u64 {
         let places = self.places(run).iter();
         let mut here = places.filter(|place| place.backend == backend);
         here.next().map_or(0, |place| place.tokens)
     }
 
-    /// Tokens that the engine holds in all.
+    /// Tokens of all contexts cached at the engine.
     pub fn resident_tokens(&self, backend: BackendIndex) -> u64 {
         self.engines
             .get(&backend)
             .map_or(0, |engine| engine.resident_tokens)
     }
 
-    /// Runs with a context in the engine.
+    /// Runs that have a context cached at the engine.
     pub fn runs_at(&self, backend: BackendIndex) -> Vec<RunId> {
         let engine = self.engines.get(&backend);
         engine.map_or(Vec::new(), |engine| {
@@ -71,7 +72,7 @@
         })
     }
 
-    /// Records that the engine holds this many tokens of the run.
+    /// Sets how many tokens of the run's context the engine holds.
     pub fn store(&mut self, run: RunId, backend: BackendIndex, tokens: u64) {
         let engine = self.engines.entry(backend).or_default();
         let before = engine.contexts.insert(run, tokens).unwrap_or(0);
@@ -83,7 +84,7 @@
         }
     }
 
-    /// Records that the engine no longer holds the run.
+    /// Removes the run's context from the engine's entries; no effect if it has none.
     pub fn evict(&mut self, run: RunId, backend: BackendIndex) {
         if let Some(engine) = self.engines.get_mut(&backend) {
             let held = engine.contexts.remove(&run).unwrap_or(0);
@@ -97,7 +98,7 @@
         }
     }
 
-    /// Takes a numbered event of the engine.
+    /// Applies an event of the engine; an event with an old number is ignored.
     pub fn apply(&mut self, backend: BackendIndex, event: &CacheEvent) -> CacheFollowUp {
         let engine = self.engines.entry(backend).or_default();
         let expected = engine.last_number.map_or(event.number, |last| last + 1);
@@ -120,8 +121,8 @@
         }
     }
 
-    /// Replaces what is known of the engine. A listing older than the newest event is refused, and
-    /// another one is asked for.
+    /// Replaces all entries of the engine by a listing. A listing that is older than the newest event
+    /// is ignored, and another one has to be requested.
     pub fn replace(&mut self, backend: BackendIndex, listing: &CacheListing) -> CacheFollowUp {
         let engine = self.engines.entry(backend).or_default();
         if engine.last_number.is_some_and(|last| last > listing.number) {
@@ -137,7 +138,7 @@
         CacheFollowUp::None
     }
 
-    /// Forgets an engine.
+    /// Removes all entries of an engine, and its event number.
     pub fn forget_engine(&mut self, backend: BackendIndex) {
         for run in self.runs_at(backend) {
             self.evict(run, backend);
@@ -145,7 +146,7 @@
         self.engines.remove(&backend);
     }
 
-    /// Forgets a run and returns where it was.
+    /// Removes a run at all engines and returns the removed entries.
     pub fn forget_run(&mut self, run: RunId) -> Vec<CachedAt> {
         let places = self.places(run).to_vec();
         for place in &places {
--- a/crates/scheduling/src/queue.rs
+++ b/crates/scheduling/src/queue.rs
@@ -1,7 +1,7 @@
-//! The waiting calls: one lane for urgent calls, one for each partner's routine calls.
+//! Waiting calls: one lane for urgent calls and one for each partner's routine calls.
 //!
-//! Within a lane calls are sorted by a fixed key, the time from which on a call is due. Ageing needs
-//! no re-sorting: all calls age alike, so attained service is added to the time of arrival once.
+//! Within a lane, calls are sorted by a key that is fixed on arrival. Ageing needs no re-sorting: all
+//! calls age at the same rate, so the penalty for attained service is added to the arrival time once.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -11,42 +11,44 @@
 use crate::event::{QueuedCall, Ticket};
 use crate::shares::PartnerIndex;
 
+/// Width of the position ranges for which expected work is summed.
 const WORK_BUCKET_MICROS: i64 = 250_000;
 
-/// Sort key of a waiting call; smaller goes first.
+/// Sort key of a waiting call; the smallest is first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct OrderKey {
-    /// When the call is due, or its size, as the order has it.
+    /// Adjusted arrival time in microseconds, or the call's size in tokens, depending on
+    /// [`crate::QueueOrder`].
     pub position: i64,
-    /// Order of arrival, which breaks ties.
+    /// Order of arrival, to break ties.
     pub serial: u64,
 }
 
-/// The lane that a call waits in.
+/// Lane that a call waits in.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Lane {
-    /// Strictly before all others.
+    /// Urgent calls of all partners; takes strict precedence over the other lanes.
     Urgent,
     /// Routine calls of one partner.
     Routine(PartnerIndex),
 }
 
-/// A call in the queue.
+/// A call in the queue, with the values computed when it was admitted.
 #[derive(Debug, Clone)]
 pub struct WaitingCall {
-    /// The call.
+    /// Call as requested by its owner.
     pub call: QueuedCall,
-    /// Its partner.
+    /// Partner whose share the slot counts against.
     pub partner: PartnerIndex,
-    /// Its lane.
+    /// Lane that the call waits in.
     pub lane: Lane,
-    /// Its place in the lane.
+    /// Position in the lane.
     pub key: OrderKey,
-    /// The back end that it waits for.
-    pub home: Option<BackendIndex>,
-    /// When it came.
+    /// Backend that the call prefers to wait for; `None` if any will do.
+    pub affinity: Option<BackendIndex>,
+    /// Time of arrival.
     pub enqueued_at: MonotonicTime,
-    /// When it must start to meet its deadline.
+    /// Latest start that still meets the deadline; `None` if no deadline is enforced.
     pub latest_start: Option<MonotonicTime>,
     /// Expected time in a slot, in microseconds.
     pub work_micros: u64,
@@ -56,12 +58,12 @@
 #[derive(Debug, Default)]
 pub struct LaneQueue {
     order: BTreeMap<OrderKey, Ticket>,
-    by_home: BTreeMap<Option<BackendIndex>, BTreeMap<OrderKey, Ticket>>,
+    by_affinity: BTreeMap<Option<BackendIndex>, BTreeMap<OrderKey, Ticket>>,
     work_by_bucket: BTreeMap<i64, u64>,
 }
 
 impl LaneQueue {
-    /// Number of calls.
+    /// Number of waiting calls.
     pub fn len(&self) -> usize {
         self.order.len()
     }
@@ -71,36 +73,39 @@
         self.order.is_empty()
     }
 
-    /// Calls in their order.
+    /// Keys and tickets in queue order.
     pub fn iter(&self) -> impl Iterator<Item = (OrderKey, Ticket)> {
         self.order.iter().map(|(key, ticket)| (*key, *ticket))
     }
 
-    /// First call.
+    /// First call in queue order.
     pub fn head(&self) -> Option<(OrderKey, Ticket)> {
         self.iter().next()
     }
 
-    /// Calls that wait for `home`, in their order.
-    pub fn iter_home(
+    /// Calls with this affinity, in queue order.
+    pub fn iter_affinity(
         &self,
-        home: Option<BackendIndex>,
+        affinity: Option<BackendIndex>,
     ) -> impl Iterator<Item = (OrderKey, Ticket)> {
-        let queue = self.by_home.get(&home).into_iter();
+        let queue = self.by_affinity.get(&affinity).into_iter();
         queue.flatten().map(|(key, ticket)| (*key, *ticket))
     }
 
-    /// First call that waits for `home`.
-    pub fn head_of_home(&self, home: Option<BackendIndex>) -> Option<(OrderKey, Ticket)> {
-        self.iter_home(home).next()
+    /// First call with this affinity.
+    pub fn head_of_affinity(&self, affinity: Option<BackendIndex>) -> Option<(OrderKey, Ticket)> {
+        self.iter_affinity(affinity).next()
     }
 
-    /// Calls that wait for `home`.
-    pub fn len_of_home(&self, home: BackendIndex) -> usize {
-        self.by_home.get(&Some(home)).map_or(0, BTreeMap::len)
+    /// Number of calls with affinity to this backend.
+    pub fn len_of_affinity(&self, affinity: BackendIndex) -> usize {
+        self.by_affinity
+            .get(&Some(affinity))
+            .map_or(0, BTreeMap::len)
     }
 
-    /// Expected work before `key`, in microseconds of slots.
+    /// Expected work of the calls before `key`, in slot-microseconds. Includes all calls in the same
+    /// bucket as `key`.
     pub fn work_before(&self, key: OrderKey) -> u64 {
         let bucket = key.position.div_euclid(WORK_BUCKET_MICROS);
         let before = self.work_by_bucket.range(..=bucket);
@@ -110,14 +115,14 @@
     fn insert(&mut self, waiting: &WaitingCall) {
         let ticket = waiting.call.ticket;
         self.order.insert(waiting.key, ticket);
-        self.insert_home(waiting.home, waiting.key, ticket);
+        self.insert_affinity(waiting.affinity, waiting.key, ticket);
         let bucket = waiting.key.position.div_euclid(WORK_BUCKET_MICROS);
         *self.work_by_bucket.entry(bucket).or_default() += waiting.work_micros;
     }
 
     fn remove(&mut self, waiting: &WaitingCall) {
         self.order.remove(&waiting.key);
-        self.remove_home(waiting.home, waiting.key);
+        self.remove_affinity(waiting.affinity, waiting.key);
         let bucket = waiting.key.position.div_euclid(WORK_BUCKET_MICROS);
         if let Some(work) = self.work_by_bucket.get_mut(&bucket) {
             *work -= waiting.work_micros;
@@ -127,21 +132,24 @@
         }
     }
 
-    fn insert_home(&mut self, home: Option<BackendIndex>, key: OrderKey, ticket: Ticket) {
-        self.by_home.entry(home).or_default().insert(key, ticket);
+    fn insert_affinity(&mut self, affinity: Option<BackendIndex>, key: OrderKey, ticket: Ticket) {
+        self.by_affinity
+            .entry(affinity)
+            .or_default()
+            .insert(key, ticket);
     }
 
-    fn remove_home(&mut self, home: Option<BackendIndex>, key: OrderKey) {
-        if let Some(queue) = self.by_home.get_mut(&home) {
+    fn remove_affinity(&mut self, affinity: Option<BackendIndex>, key: OrderKey) {
+        if let Some(queue) = self.by_affinity.get_mut(&affinity) {
             queue.remove(&key);
             if queue.is_empty() {
-                self.by_home.remove(&home);
+                self.by_affinity.remove(&affinity);
             }
         }
     }
 }
 
-/// All waiting calls.
+/// Waiting calls of all lanes.
 #[derive(Debug, Default)]
 pub struct CallQueue {
     calls: HashMap<Ticket, WaitingCall>,
@@ -160,38 +168,38 @@
         self.calls.is_empty()
     }
 
-    /// All waiting calls, in no order.
+    /// All waiting calls, in no particular order.
     pub fn iter(&self) -> impl Iterator<Item = &WaitingCall> {
         self.calls.values()
     }
 
-    /// Whether the ticket waits.
+    /// Whether the call with this ticket is waiting.
     pub fn contains(&self, ticket: Ticket) -> bool {
         self.calls.contains_key(&ticket)
     }
 
-    /// A waiting call.
+    /// The call with this ticket, if it is waiting.
     pub fn get(&self, ticket: Ticket) -> Option<&WaitingCall> {
         self.calls.get(&ticket)
     }
 
-    /// A lane, if calls ever waited in it.
+    /// A lane; `None` if no call has ever waited in it.
     pub fn lane(&self, lane: Lane) -> Option<&LaneQueue> {
         self.lanes.get(&lane)
     }
 
-    /// Number of calls of a lane.
+    /// Number of calls waiting in a lane.
     pub fn lane_len(&self, lane: Lane) -> usize {
         self.lane(lane).map_or(0, LaneQueue::len)
     }
 
-    /// First urgent call.
+    /// First waiting urgent call.
     pub fn urgent_head(&self) -> Option<Ticket> {
         let (_, ticket) = self.lane(Lane::Urgent)?.head()?;
         Some(ticket)
     }
 
-    /// Adds a call whose ticket does not wait yet.
+    /// Adds a call. Its ticket must not be in the queue already.
     pub fn insert(&mut self, waiting: WaitingCall) {
         let ticket = waiting.call.ticket;
         if let Some(latest_start) = waiting.latest_start {
@@ -201,7 +209,7 @@
         self.calls.insert(ticket, waiting);
     }
 
-    /// Takes a call out.
+    /// Removes and returns the call with this ticket, if it is waiting.
     pub fn remove(&mut self, ticket: Ticket) -> Option<WaitingCall> {
         let waiting = self.calls.remove(&ticket)?;
         if let Some(latest_start) = waiting.latest_start {
@@ -213,44 +221,44 @@
         Some(waiting)
     }
 
-    /// Lets a call wait for another back end.
-    pub fn set_home(&mut self, ticket: Ticket, home: Option<BackendIndex>) {
+    /// Changes the backend that a call prefers to wait for.
+    pub fn set_affinity(&mut self, ticket: Ticket, affinity: Option<BackendIndex>) {
         let Some(waiting) = self.calls.get_mut(&ticket) else {
             return;
         };
-        if waiting.home == home {
+        if waiting.affinity == affinity {
             return;
         }
         if let Some(lane) = self.lanes.get_mut(&waiting.lane) {
-            lane.remove_home(waiting.home, waiting.key);
-            lane.insert_home(home, waiting.key, ticket);
+            lane.remove_affinity(waiting.affinity, waiting.key);
+            lane.insert_affinity(affinity, waiting.key, ticket);
         }
-        waiting.home = home;
+        waiting.affinity = affinity;
     }
 
-    /// All waiting tickets, in their order.
+    /// All waiting tickets, sorted by ticket.
     pub fn tickets(&self) -> Vec<Ticket> {
         let mut tickets: Vec<Ticket> = self.calls.keys().copied().collect();
         tickets.sort_unstable();
         tickets
     }
 
-    /// Tickets that wait for a back end.
-    pub fn waiting_for(&self, home: BackendIndex) -> Vec<Ticket> {
+    /// Tickets with affinity to a backend.
+    pub fn waiting_for(&self, affinity: BackendIndex) -> Vec<Ticket> {
         let lanes = self.lanes.values();
-        let queues = lanes.filter_map(|lane| lane.by_home.get(&Some(home)));
+        let queues = lanes.filter_map(|lane| lane.by_affinity.get(&Some(affinity)));
         queues.flat_map(|queue| queue.values().copied()).collect()
     }
 
-    /// Tickets of an owner.
+    /// Waiting tickets of an owner.
     pub fn of_owner(&self, owner: NodeId) -> Vec<Ticket> {
         let mut tickets = self.tickets();
         tickets.retain(|ticket| ticket.owner == owner);
         tickets
     }
 
-    /// A call whose deadline can no longer be met.
-    pub fn first_too_late(&self, now: MonotonicTime) -> Option<Ticket> {
+    /// The call whose latest start passed first; `None` if all deadlines can still be met.
+    pub fn first_unmeetable_deadline(&self, now: MonotonicTime) -> Option<Ticket> {
         let (latest_start, ticket) = self.by_latest_start.first()?;
         (*latest_start < now).then_some(*ticket)
     }
--- a/crates/scheduling/src/retention.rs
+++ b/crates/scheduling/src/retention.rs
@@ -1,8 +1,8 @@
-//! Which contexts are kept in the engines while their runs pause.
+//! Retention leases, which keep contexts in the engines while their runs pause.
 //!
-//! The value of a lease is the cost to rebuild the context × the chance that the run returns in
-//! time ÷ the memory held (tokens × expected time). Each engine keeps the most valuable ones within
-//! a part of its cache. A partner that weighs wasted cache more than latency gets longer leases.
+//! The value of a lease is the cost of rebuilding the context × the probability that the run returns
+//! in time ÷ the memory held (tokens × expected time). Each engine keeps the most valuable leases
+//! within a fraction of its cache. A partner with a low latency weight gets longer leases.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Duration;
@@ -10,47 +10,47 @@
 use ridgeworks_domain::{MonotonicTime, RunId, ServiceName};
 
 use crate::backends::BackendIndex;
-use crate::pause_lengths::PauseLengths;
+use crate::pause_histogram::PauseHistogram;
 
-const MIN_CHANCE: f64 = 0.05;
+const MIN_RETURN_PROBABILITY: f64 = 0.05;
 const VALUE_SCALE: f64 = 1.0e6;
-const NEUTRAL_HOLD_PRICE: f64 = 0.25;
+const NEUTRAL_MIN_GAIN_RATIO: f64 = 0.25;
 const NEUTRAL_WEIGHT: u8 = 50;
-/// Points of weight that halve the price of holding.
-const HALVING_WEIGHT: f64 = 25.0;
+/// Decrease of the latency weight that halves the minimum gain of a longer lease.
+const WEIGHT_POINTS_PER_HALVING: f64 = 25.0;
 
-/// A context that may be kept.
+/// A context that may get a lease.
 #[derive(Debug, Clone, Copy)]
 pub struct Candidate {
-    /// The run.
+    /// Paused run that the context belongs to.
     pub run: RunId,
-    /// The engine that holds the context.
+    /// Engine that holds the context.
     pub backend: BackendIndex,
-    /// Tokens held.
+    /// Cached length, in tokens.
     pub tokens: u64,
-    /// Time to rebuild the context, in microseconds.
+    /// Time to prefill the context again, in microseconds.
     pub rebuild_micros: f64,
-    /// Most tokens that the engine may hold under leases.
+    /// Maximum number of tokens under lease at the engine.
     pub budget_tokens: u64,
 }
 
-/// What follows from a decision.
+/// A change of leases that the engine has to be notified of.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RetentionChange {
-    /// Keep the context until then.
+    /// A lease was granted or extended.
     Keep {
-        /// The run.
+        /// Run that the context belongs to.
         run: RunId,
-        /// The engine.
+        /// Engine that holds the context.
         backend: BackendIndex,
         /// End of the lease.
         until: MonotonicTime,
     },
-    /// End a lease in favour of a more valuable one; the engine may evict the context.
+    /// A lease ended early to make room; the engine may evict the context.
     End {
-        /// The run.
+        /// Run that the context belongs to.
         run: RunId,
-        /// The engine.
+        /// Engine that holds the context.
         backend: BackendIndex,
     },
 }
@@ -76,13 +76,13 @@
     latency_weight: u8,
 }
 
-/// Leases on contexts and what is learned of pauses.
+/// Retention leases, and the distribution of pause lengths for each tool.
 #[derive(Debug)]
 pub struct Retention {
     max_lease: Duration,
-    lengths: HashMap<ServiceName, PauseLengths>,
+    histograms: HashMap<ServiceName, PauseHistogram>,
     pauses: HashMap<RunId, Pause>,
-    /// Weights of runs whose last call was answered, until they pause or end.
+    /// Latency weights of runs whose last call completed, until they pause or end.
     latency_weights: HashMap<RunId, u8>,
     leases: HashMap<RunId, Lease>,
     by_end: BTreeSet<(MonotonicTime, RunId)>,
@@ -90,11 +90,11 @@
 }
 
 impl Retention {
-    /// No leases; none will be longer than `max_lease`.
+    /// Starts without leases; none will be longer than `max_lease`.
     pub fn new(max_lease: Duration) -> Self {
         Self {
             max_lease,
-            lengths: HashMap::new(),
+            histograms: HashMap::new(),
             pauses: HashMap::new(),
             latency_weights: HashMap::new(),
             leases: HashMap::new(),
@@ -103,13 +103,13 @@
         }
     }
 
-    /// A call of a run was answered; a pause or the run's end follows. `latency_weight` is its
-    /// partner's weight of latency against wasted cache, 0 to 100.
-    pub fn answered(&mut self, run: RunId, latency_weight: u8) {
+    /// Records the completion of a run's call, after which the run pauses or ends. `latency_weight`
+    /// is the partner's weight of latency against cache use, 0 to 100.
+    pub fn call_completed(&mut self, run: RunId, latency_weight: u8) {
         self.latency_weights.insert(run, latency_weight);
     }
 
-    /// A run begins to wait for a tool.
+    /// Records that a run began to wait for a tool.
     pub fn pause(&mut self, run: RunId, tool: ServiceName, now: MonotonicTime) {
         let weight = self.latency_weights.remove(&run);
         let before = self.pauses.get(&run).map(|pause| pause.latency_weight);
@@ -121,46 +121,54 @@
         self.pauses.insert(run, pause);
     }
 
-    /// A run is back; learns the length of its pause.
+    /// Records that a run returned from its pause, and the length of the pause.
     pub fn resume(&mut self, run: RunId, now: MonotonicTime) {
         if let Some(pause) = self.pauses.remove(&run) {
-            let lengths = self.lengths.entry(pause.tool).or_default();
-            lengths.record(now.since(pause.since));
+            let histogram = self.histograms.entry(pause.tool).or_default();
+            histogram.record(now.since(pause.since));
         }
     }
 
-    /// A run ended; learns that a pause, if it was in one, had no return.
+    /// Records that a run ended, and if it was paused, that it did not return. Drops its lease.
     pub fn end(&mut self, run: RunId) {
         if let Some(pause) = self.pauses.remove(&run) {
-            self.lengths.entry(pause.tool).or_default().record_never();
+            self.histograms
+                .entry(pause.tool)
+                .or_default()
+                .record_without_return();
         }
         self.latency_weights.remove(&run);
         self.drop_lease(run);
     }
 
-    /// Decides on a lease for a run in a pause.
-    pub fn decide(&mut self, candidate: Candidate, now: MonotonicTime) -> Vec<RetentionChange> {
+    /// Grants a lease to a paused run if its value suffices, ending less valuable leases at the engine
+    /// where needed. Replaces the run's current lease.
+    pub fn request_lease(
+        &mut self,
+        candidate: Candidate,
+        now: MonotonicTime,
+    ) -> Vec<RetentionChange> {
         self.drop_lease(candidate.run);
         let Some(pause) = self.pauses.get(&candidate.run) else {
             return Vec::new();
         };
-        let lengths = self.lengths.entry(pause.tool.clone()).or_default();
-        let outlook = lengths.outlook(self.max_lease, hold_price(pause.latency_weight));
-        if outlook.chance < MIN_CHANCE || candidate.tokens == 0 {
+        let histogram = self.histograms.entry(pause.tool.clone()).or_default();
+        let best_lease = histogram.best_lease(self.max_lease, min_gain_ratio(pause.latency_weight));
+        if best_lease.return_probability < MIN_RETURN_PROBABILITY || candidate.tokens == 0 {
             return Vec::new();
         }
-        let memory = candidate.tokens as f64 * outlook.hold_seconds;
-        let value = candidate.rebuild_micros * outlook.chance / memory;
+        let memory = candidate.tokens as f64 * best_lease.hold_seconds;
+        let value = candidate.rebuild_micros * best_lease.return_probability / memory;
         let lease = Lease {
             backend: candidate.backend,
             tokens: candidate.tokens,
             value: (value * VALUE_SCALE) as u64,
-            until: now + outlook.length,
+            until: now + best_lease.length,
         };
         self.admit(candidate, lease)
     }
 
-    /// Ends the lease of a run whose context is in use again or gone. Returns where it was.
+    /// Removes the lease of a run whose context is in use again or gone. Returns its engine.
     pub fn drop_lease(&mut self, run: RunId) -> Option<BackendIndex> {
         let lease = self.leases.remove(&run)?;
         self.by_end.remove(&(lease.until, run));
@@ -171,7 +179,7 @@
         Some(lease.backend)
     }
 
-    /// Ends leases whose time is over; the engines end them by themselves.
+    /// Removes expired leases; the engines end them on their own.
     pub fn expire(&mut self, now: MonotonicTime) {
         while let Some((until, run)) = self.by_end.first().copied() {
             if until > now {
@@ -181,7 +189,7 @@
         }
     }
 
-    /// Forgets an engine.
+    /// Removes an engine and its leases.
     pub fn forget_engine(&mut self, backend: BackendIndex) {
         let Some(engine) = self.engines.remove(&backend) else {
             return;
@@ -193,20 +201,20 @@
         }
     }
 
-    /// Tokens under lease at an engine.
+    /// Total tokens under lease at an engine.
     pub fn leased_tokens(&self, backend: BackendIndex) -> u64 {
         self.engines.get(&backend).map_or(0, |engine| engine.tokens)
     }
 
-    /// Tokens of the run under lease at an engine.
+    /// Tokens of the run's context under lease at an engine; 0 if its lease is elsewhere.
     pub fn leased_tokens_of(&self, run: RunId, backend: BackendIndex) -> u64 {
         let lease = self.leases.get(&run);
         let here = lease.filter(|lease| lease.backend == backend);
         here.map_or(0, |lease| lease.tokens)
     }
 
-    /// Prolongs the lease of a run that is back and has to wait for a slot.
-    pub fn prolong(&mut self, run: RunId, now: MonotonicTime) -> Option<RetentionChange> {
+    /// Extends the lease of a run to the maximum from `now` on; `None` if it has no lease.
+    pub fn extend(&mut self, run: RunId, now: MonotonicTime) -> Option<RetentionChange> {
         let until = now + self.max_lease;
         let lease = self.leases.get_mut(&run)?;
         self.by_end.remove(&(lease.until, run));
@@ -220,10 +228,14 @@
         })
     }
 
-    /// Ends the least valuable leases at an engine until at most `most_tokens` are under lease.
-    pub fn make_room(&mut self, backend: BackendIndex, most_tokens: u64) -> Vec<RetentionChange> {
+    /// Ends the least valuable leases at an engine until at most `max_total_tokens` are under lease.
+    pub fn make_room(
+        &mut self,
+        backend: BackendIndex,
+        max_total_tokens: u64,
+    ) -> Vec<RetentionChange> {
         let mut changes = Vec::new();
-        while self.leased_tokens(backend) > most_tokens {
+        while self.leased_tokens(backend) > max_total_tokens {
             let engine = self.engines.get(&backend);
             let Some((_, run)) = engine.and_then(|engine| engine.by_value.first().copied()) else {
                 break;
@@ -234,12 +246,12 @@
         changes
     }
 
-    /// Contexts under lease.
+    /// Number of leases.
     pub fn len(&self) -> usize {
         self.leases.len()
     }
 
-    /// Whether no context is under lease.
+    /// Whether there are no leases.
     pub fn is_empty(&self) -> bool {
         self.leases.is_empty()
     }
@@ -282,9 +294,10 @@
     }
 }
 
-/// What holding costs beside the returns that it brings. Weights above the neutral one change nothing:
-/// shorter leases lower the 95th percentile on some workloads and raise it on others.
-fn hold_price(latency_weight: u8) -> f64 {
+/// Minimum gain of a longer lease relative to the shorter one. Weights above the neutral one are
+/// treated as neutral: shorter leases lower the 95th percentile of latency on some workloads and raise
+/// it on others.
+fn min_gain_ratio(latency_weight: u8) -> f64 {
     let points = f64::from(latency_weight.min(NEUTRAL_WEIGHT)) - f64::from(NEUTRAL_WEIGHT);
-    NEUTRAL_HOLD_PRICE * (points / HALVING_WEIGHT).exp2()
+    NEUTRAL_MIN_GAIN_RATIO * (points / WEIGHT_POINTS_PER_HALVING).exp2()
 }
--- a/crates/scheduling/src/load_estimate.rs
+++ b/crates/scheduling/src/service_time.rs
@@ -1,25 +1,27 @@
-//! A service-time model learned from ended attempts.
+//! Service-time model, fitted to completed attempts.
 //!
-//! Time of an attempt = prefill time × tokens missing in the cache + step time × generated tokens,
-//! fitted by least squares over the recent past (older samples fade) and drawn towards a prior
-//! while samples are few.
+//! Time of an attempt = prefill time × tokens missing in the cache + step time × generated tokens.
+//! The two factors are fitted by least squares with exponential decay of older samples, regularised
+//! towards a prior that dominates while there are few samples.
 
 use std::time::Duration;
 
 use crate::event::TokenUsage;
 
-const FADE: f64 = 0.998;
+/// Factor applied to all earlier samples at each new one.
+const DECAY: f64 = 0.998;
 const PRIOR_PREFILL_MICROS: f64 = 100.0;
 const PRIOR_STEP_MICROS: f64 = 25_000.0;
 const PRIOR_PREFILL_WEIGHT: f64 = 1.0e6;
 const PRIOR_STEP_WEIGHT: f64 = 1.0e4;
 const PRIOR_OUTPUT_RATIO: f64 = 0.5;
 const PRIOR_CALL_MICROS: f64 = 200_000.0;
+/// Weight of a new sample in the moving averages.
 const AVERAGE_GAIN: f64 = 0.02;
 
-/// The model of one group of back ends.
+/// Service-time model of one group of backends.
 #[derive(Debug, Clone)]
-pub struct LoadEstimate {
+pub struct ServiceTimeModel {
     missing_squared: f64,
     output_squared: f64,
     missing_output: f64,
@@ -31,7 +33,7 @@
     mean_micros: f64,
 }
 
-impl Default for LoadEstimate {
+impl Default for ServiceTimeModel {
     fn default() -> Self {
         Self {
             missing_squared: 0.0,
@@ -47,17 +49,17 @@
     }
 }
 
-impl LoadEstimate {
-    /// Learns from an attempt that ran to its end.
+impl ServiceTimeModel {
+    /// Adds a completed attempt that took `took` and updates the model.
     pub fn record(&mut self, usage: TokenUsage, max_output_tokens: u64, took: Duration) {
         let micros = took.as_micros() as f64;
         let missing = usage.prompt.saturating_sub(usage.cached) as f64;
         let output = usage.output as f64;
-        self.missing_squared = self.missing_squared * FADE + missing * missing;
-        self.output_squared = self.output_squared * FADE + output * output;
-        self.missing_output = self.missing_output * FADE + missing * output;
-        self.missing_time = self.missing_time * FADE + missing * micros;
-        self.output_time = self.output_time * FADE + output * micros;
+        self.missing_squared = self.missing_squared * DECAY + missing * missing;
+        self.output_squared = self.output_squared * DECAY + output * output;
+        self.missing_output = self.missing_output * DECAY + missing * output;
+        self.missing_time = self.missing_time * DECAY + missing * micros;
+        self.output_time = self.output_time * DECAY + output * micros;
         self.mean_micros += AVERAGE_GAIN * (micros - self.mean_micros);
         if max_output_tokens > 0 {
             let ratio = output / max_output_tokens as f64;
@@ -66,17 +68,19 @@
         self.fit();
     }
 
-    /// Time to prefill this many tokens, in microseconds.
+    /// Expected time to prefill `tokens`, in microseconds.
     pub fn prefill_micros(&self, tokens: u64) -> f64 {
         self.prefill_micros * tokens as f64
     }
 
-    /// Expected time to generate an answer of at most this many tokens, in microseconds.
+    /// Expected time to generate a response limited to `max_output_tokens`, in microseconds. Uses the
+    /// average fraction of the limit that recent responses reached.
     pub fn generation_micros(&self, max_output_tokens: u64) -> f64 {
         self.step_micros * self.output_ratio * max_output_tokens as f64
     }
 
-    /// Expected time of a whole attempt, in microseconds.
+    /// Expected time of an attempt, in microseconds: the mean of recent attempts if both counts are
+    /// zero, as for tool calls.
     pub fn attempt_micros(&self, missing_tokens: u64, max_output_tokens: u64) -> f64 {
         if missing_tokens == 0 && max_output_tokens == 0 {
             return self.mean_micros;
--- a/crates/scheduling/src/settings.rs
+++ b/crates/scheduling/src/settings.rs
@@ -1,68 +1,71 @@
-//! Settings of a dispatcher and the policies that can be compared.
+//! Settings of a dispatcher, and the scheduling policies used as baselines.
 
 use std::time::Duration;
 
 use ridgeworks_domain::PartnerName;
 
-/// Parts and weights of one partner.
+/// Share and latency weight of one partner.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PartnerSettings {
-    /// The partner.
+    /// Partner that the settings apply to.
     pub partner: PartnerName,
-    /// Its part of the pool's slots, in thousandths.
+    /// Share of the group's slots, in thousandths.
     pub permille: u16,
-    /// Weight of latency against wasted cache, 0 to 100.
+    /// Weight of latency against cache use, 0 to 100; 50 is neutral.
     pub latency_weight: u8,
 }
 
-/// Order of the calls of one partner and rank.
+/// Queue order of the calls of one partner.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum QueueOrder {
-    /// By time of arrival.
+    /// Earliest arrival first.
     FirstComeFirstServed,
-    /// Shortest call first, by its own tokens.
+    /// Fewest tokens of prompt and output first.
     ShortestCall,
     /// Least service attained by the whole run first, with ageing.
     LeastAttainedService,
 }
 
-/// How a back end is chosen for a call.
+/// Rule by which a backend is chosen for a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PlacementRule {
-    /// One after the other.
+    /// Backends in turn.
     RoundRobin,
-    /// The back end with the fewest calls by its last, late load report.
+    /// Fewest calls according to the last load report, which may be outdated.
     LeastReportedLoad,
-    /// The better of two drawn at random, by their last, late load reports.
+    /// The less loaded of two random backends according to their last load reports, which may be
+    /// outdated.
     TwoChoicesReportedLoad,
-    /// The back end with the fewest grants in flight.
+    /// Fewest grants in flight.
     LeastLoaded,
-    /// Always where the longest prefix is; least loaded when there is none.
+    /// The backend with the longest cached prefix; the least loaded if none has a prefix.
     PrefixSticky,
-    /// Least expected wait plus rebuild of the missing prefix.
+    /// Least expected cost of waiting and of prefilling tokens that are not cached.
     ExpectedCost,
 }
 
-/// Which parts of the decision logic are on. The default is the whole; the others are baselines.
+/// Parts of the decision logic that are enabled. The default enables all of them; the constructors
+/// of this type are baselines for comparison.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Policy {
-    /// Order in the queue.
+    /// Order of routine calls within a partner's queue.
     pub order: QueueOrder,
-    /// Choice of the back end.
+    /// Rule for choosing a backend.
     pub placement: PlacementRule,
     /// Whether urgent calls go first.
     pub urgent_first: bool,
-    /// Whether routine calls are cancelled in favour of urgent ones.
+    /// Whether running routine calls are cancelled to make room for urgent ones.
     pub preemption: bool,
     /// Whether slots are divided by the partners' shares.
     pub shares: bool,
     /// Whether contexts are retained through pauses and released at the end of the run.
     pub retention: bool,
-    /// Whether calls with deadlines go before others of their partner, the earliest first.
+    /// Whether calls with deadlines go before others of their partner, earliest deadline first.
     pub deadline_order: bool,
     /// Whether calls that cannot meet their deadline are refused.
     pub deadline_refusal: bool,
-    /// Whether runs whose context is not cached wait until it fits beside those in use.
+    /// Whether calls whose context is not cached wait until it fits into an engine's cache beside the
+    /// contexts in use.
     pub working_set: bool,
 }
 
@@ -97,22 +100,22 @@
         }
     }
 
-    /// Baseline: first come first served, back ends in turn.
+    /// Baseline: first come first served, round-robin placement.
     pub const fn round_robin() -> Self {
         Self::baseline(QueueOrder::FirstComeFirstServed, PlacementRule::RoundRobin)
     }
 
-    /// Baseline: first come first served, least loaded back end.
+    /// Baseline: first come first served, least-loaded placement.
     pub const fn least_loaded() -> Self {
         Self::baseline(QueueOrder::FirstComeFirstServed, PlacementRule::LeastLoaded)
     }
 
-    /// Baseline: shortest call first, always where the prefix is.
+    /// Baseline: shortest call first, prefix-sticky placement.
     pub const fn prefix_sticky() -> Self {
         Self::baseline(QueueOrder::ShortestCall, PlacementRule::PrefixSticky)
     }
 
-    /// Baseline: least attained service per program, without retention.
+    /// Baseline: least attained service of the run first, prefix-sticky placement, no retention.
     pub const fn least_attained_service() -> Self {
         Self::baseline(
             QueueOrder::LeastAttainedService,
@@ -121,66 +124,69 @@
     }
 }
 
-/// When moving a context between engines is considered.
+/// Cost model of moving a context between engines. A context is moved only if that is faster than
+/// prefilling it again.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ContextMoveSettings {
-    /// Time that any move takes, in microseconds.
+    /// Fixed time of a move, in microseconds.
     pub base_micros: u64,
-    /// Time for each token, in nanoseconds.
+    /// Additional time per token, in nanoseconds.
     pub nanos_per_token: u64,
-    /// Longest wait for the answer of a move.
+    /// Time after which a call is granted without its context having been moved.
     pub timeout: Duration,
 }
 
 /// Settings of a dispatcher.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct DispatcherSettings {
-    /// Which parts of the logic are on.
+    /// Enabled parts of the decision logic.
     pub policy: Policy,
-    /// Parts and weights of the partners. A partner that is not listed gets what the others leave.
+    /// Shares and weights of the partners. A partner that is not listed has no share and gets the
+    /// slots that the others leave free.
     pub partners: Vec<PartnerSettings>,
-    /// Most routine calls that may wait for one partner; urgent calls have as much of their own.
+    /// Maximum number of waiting routine calls of one partner. The queue of urgent calls, which all
+    /// partners share, has the same limit.
     pub max_queued_per_partner: usize,
-    /// Slots of each back end that only urgent calls take, where it has at least
-    /// [`DispatcherSettings::MIN_SLOTS_FOR_RESERVE`].
+    /// Slots reserved for urgent calls at each backend that has at least
+    /// [`DispatcherSettings::MIN_SLOTS_FOR_RESERVE`] slots.
     pub urgent_reserve: u32,
     /// Interval at which [`crate::Event::Tick`] is expected.
     pub tick: Duration,
-    /// A grant must be confirmed within this time.
+    /// Time after which the slot of an unconfirmed grant is freed.
     pub grant_timeout: Duration,
-    /// Slots of attempts that never end are given back after this time.
+    /// Time after which the slot of an attempt whose end is not reported is freed.
     pub attempt_timeout: Duration,
-    /// Ageing: one attained token makes a call wait as if it had come this much later, in
-    /// microseconds.
+    /// Ageing: each token that the run has used orders a call as if it had arrived this much later,
+    /// in microseconds.
     pub ageing_micros_per_token: u64,
-    /// The most that attained service makes a call wait behind younger ones.
+    /// Upper bound of the delay that attained service adds to a call's position.
     pub max_ageing_penalty: Duration,
-    /// A call is due at the latest this long before its deadline, however much its run has used;
-    /// calls with deadlines so go before most others, the earliest deadline first.
+    /// A call is ordered no later than if it had arrived this long before its deadline, whatever its
+    /// run has used. Calls with deadlines therefore precede most others, earliest deadline first.
     pub deadline_lead: Duration,
-    /// Failures in a row after which a back end is ejected.
+    /// Consecutive failures after which a backend is ejected.
     pub ejection_failures: u32,
-    /// First time of an ejection; doubles with each further one.
+    /// Duration of the first ejection; doubles with each consecutive one.
     pub ejection_base: Duration,
-    /// Longest time of an ejection.
+    /// Maximum duration of an ejection.
     pub ejection_max: Duration,
-    /// Part of an engine's cache that may be under retention leases, in thousandths.
+    /// Fraction of an engine's cache that may be under retention leases, in thousandths.
     pub retained_permille: u64,
-    /// Part of an engine's cache that contexts under lease and calls in flight may take together
-    /// before a further context has to wait, in thousandths.
+    /// Fraction of an engine's cache that leased contexts and calls in flight may occupy together
+    /// before a further uncached context has to wait, in thousandths.
     pub working_set_permille: u64,
-    /// Longest retention lease.
+    /// Maximum duration of a retention lease.
     pub max_retention: Duration,
-    /// Cache capacity of an engine that has not reported one, in tokens.
+    /// Assumed cache capacity of an engine that has not reported one, in tokens.
     pub default_cache_tokens: u64,
-    /// Moving contexts; `None` turns it off.
+    /// Cost model for moving contexts between engines; `None` disables moves.
     pub context_move: Option<ContextMoveSettings>,
-    /// Seed of the random choices.
+    /// Seed of the random number generator for two-choices placement.
     pub seed: u64,
 }
 
 impl DispatcherSettings {
-    /// Back ends with fewer slots keep none back for urgent calls.
+    /// Backends with fewer slots reserve none for urgent calls.
     pub const MIN_SLOTS_FOR_RESERVE: u32 = 4;
 }
 
--- a/crates/scheduling/src/shares.rs
+++ b/crates/scheduling/src/shares.rs
@@ -1,7 +1,8 @@
-//! Partner shares: slots are divided in proportion, and what one partner leaves the others borrow.
+//! Partner shares: slots are divided in proportion to the shares, and unused slots are lent to the
+//! other partners.
 //!
-//! The partner with the fewest slots in use for its share goes next. A partner that comes back thus
-//! gets every slot that falls free until it holds its part again.
+//! The partner with the fewest slots in use relative to its share goes next. A partner that becomes
+//! active again thus gets every freed slot until it has reached its share.
 
 use std::cmp::Reverse;
 use std::collections::HashMap;
@@ -12,7 +13,7 @@
 
 const NEUTRAL_LATENCY_WEIGHT: u8 = 50;
 
-/// Names a partner inside one dispatcher.
+/// Identifier of a partner within one dispatcher.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct PartnerIndex(pub usize);
 
@@ -23,7 +24,7 @@
     in_use: u64,
 }
 
-/// Shares and use of all partners.
+/// Shares and slots in use of all partners.
 #[derive(Debug, Default)]
 pub struct Shares {
     partners: Vec<PartnerState>,
@@ -31,7 +32,7 @@
 }
 
 impl Shares {
-    /// Puts new shares in force; what is in use stays counted.
+    /// Replaces all shares; partners that are not listed lose theirs. Slots in use stay counted.
     pub fn replace(&mut self, settings: &[PartnerSettings]) {
         for partner in &mut self.partners {
             partner.permille = 0;
@@ -44,7 +45,7 @@
         }
     }
 
-    /// Index of a partner; one that was never heard of is added without a share.
+    /// Index of a partner; an unknown one is added without a share.
     pub fn index(&mut self, name: &PartnerName) -> PartnerIndex {
         if let Some(index) = self.by_name.get(name) {
             return *index;
@@ -59,24 +60,29 @@
         index
     }
 
-    /// Weight of latency against wasted cache, 0 to 100.
+    /// Weight of latency against cache use, 0 to 100; 50 is neutral.
     pub fn latency_weight(&self, partner: PartnerIndex) -> u8 {
         self.partners[partner.0].latency_weight
     }
 
     /// Counts a slot as used by the partner.
-    pub fn take(&mut self, partner: PartnerIndex) {
+    pub fn acquire_slot(&mut self, partner: PartnerIndex) {
         self.partners[partner.0].in_use += 1;
     }
 
-    /// Counts a slot as given back.
-    pub fn give_back(&mut self, partner: PartnerIndex) {
+    /// Counts a slot of the partner as freed.
+    pub fn release_slot(&mut self, partner: PartnerIndex) {
         let state = &mut self.partners[partner.0];
         state.in_use = state.in_use.saturating_sub(1);
     }
 
-    /// The partner's part among those with waiting calls and itself, in thousandths, at least one.
-    pub fn part_among(&self, partner: PartnerIndex, waiting: impl Fn(PartnerIndex) -> bool) -> u64 {
+    /// The partner's share relative to the total of its own and those of partners with waiting calls,
+    /// in thousandths; at least 1.
+    pub fn share_among(
+        &self,
+        partner: PartnerIndex,
+        waiting: impl Fn(PartnerIndex) -> bool,
+    ) -> u64 {
         let own = u64::from(self.partners[partner.0].permille);
         let others: u64 = self
             .indices()
@@ -89,7 +95,8 @@
         (own * 1000 / (own + others)).max(1)
     }
 
-    /// All partners, the one that is furthest below its share first.
+    /// All partners, the one with the fewest slots in use relative to its share first, and those
+    /// without a share last.
     pub fn order(&self) -> Vec<PartnerIndex> {
         let mut order: Vec<PartnerIndex> = self.indices().collect();
         order.sort_by_key(|index| self.sort_key(*index));
--- a/crates/scheduling/src/granting.rs
+++ b/crates/scheduling/src/slot_grants.rs
@@ -1,4 +1,4 @@
-//! The part of the dispatcher that gives out slots.
+//! Dispatcher: grants slots to waiting calls and frees them.
 
 use ridgeworks_domain::{BackendName, MonotonicTime};
 
@@ -11,36 +11,36 @@
 use crate::queue::{Lane, WaitingCall};
 use crate::settings::PlacementRule;
 
-/// Part of a cache that calls and leases may fill, in thousandths; the rest is lost to whole blocks.
+/// Usable fraction of a cache, in thousandths; the rest is lost to partly filled blocks.
 const USABLE_PERMILLE: u64 = 980;
-/// Waiting calls of a lane that are looked at again in each tick.
-const RECONSIDERED: usize = 4;
+/// Waiting calls of each lane that are placed again on each tick.
+const HEADS_PER_TICK: usize = 4;
 
 impl Dispatcher {
-    /// Gives a waiting routine call a slot, if one is free that it should not rather leave.
+    /// Grants a waiting routine call a free slot, unless waiting for another one is cheaper.
     pub(crate) fn place(&mut self, now: MonotonicTime, ticket: Ticket) {
         match self.choose(ticket) {
             Choice::Now { backend, move_from } => self.grant(now, ticket, backend, move_from),
-            Choice::WaitFor(home) => self.queue.set_home(ticket, Some(home)),
-            Choice::Full { home } => self.queue.set_home(ticket, home),
+            Choice::WaitFor(affinity) => self.queue.set_affinity(ticket, Some(affinity)),
+            Choice::Full { affinity } => self.queue.set_affinity(ticket, affinity),
         }
-        self.keep_while_waiting(now, ticket);
+        self.extend_lease_while_waiting(now, ticket);
     }
 
-    /// Keeps the context of a run that is back and has to wait.
-    fn keep_while_waiting(&mut self, now: MonotonicTime, ticket: Ticket) {
+    /// Extends the lease of a run that has just returned from a pause and has to wait for a slot.
+    fn extend_lease_while_waiting(&mut self, now: MonotonicTime, ticket: Ticket) {
         let Some(waiting) = self.queue.get(ticket) else {
             return;
         };
         if waiting.enqueued_at != now {
             return;
         }
-        if let Some(change) = self.retention.prolong(waiting.call.run, now) {
+        if let Some(change) = self.retention.extend(waiting.call.run, now) {
             self.apply_retention(now, change);
         }
     }
 
-    /// Gives urgent calls slots, and has routine calls cancelled when there are too few.
+    /// Grants slots to urgent calls, and preempts routine calls if there are too few slots.
     pub(crate) fn grant_urgent(&mut self, now: MonotonicTime) {
         while let Some(ticket) = self.queue.urgent_head() {
             let Choice::Now { backend, .. } = self.choose(ticket) else {
@@ -66,15 +66,15 @@
             };
             let ticket = grant.waiting.call.ticket;
             let index = grant.backend;
-            if let Some(backend) = self.name_of(index) {
+            if let Some(backend) = self.backend_name(index) {
                 self.effects.push(Effect::Preempt { ticket, backend });
             }
         }
     }
 
-    /// Gives the free slots of a back end to waiting calls.
+    /// Grants the free slots of a backend to waiting calls.
     pub(crate) fn fill(&mut self, now: MonotonicTime, index: BackendIndex) {
-        self.refuse_too_late(now);
+        self.refuse_unmeetable_deadlines(now);
         while let Some(ticket) = self.next_for(index) {
             let move_from = self.move_source(ticket, index);
             self.grant(now, ticket, index, move_from);
@@ -92,13 +92,13 @@
             return;
         };
         let run = waiting.call.run;
-        let hurried = waiting.call.priority.urgent || waiting.call.deadline.is_some();
-        let lapses_at = match &self.settings.context_move {
+        let is_time_critical = waiting.call.priority.urgent || waiting.call.deadline.is_some();
+        let expires_at = match &self.settings.context_move {
             Some(settings) => now + settings.timeout,
             None => now,
         };
-        self.take_slot(waiting, index, GrantState::Moving, lapses_at);
-        if hurried {
+        self.take_slot(waiting, index, GrantState::Moving, expires_at);
+        if is_time_critical {
             self.make_room(now, index);
         }
         match move_from {
@@ -112,15 +112,15 @@
         waiting: WaitingCall,
         index: BackendIndex,
         state: GrantState,
-        lapses_at: MonotonicTime,
+        expires_at: MonotonicTime,
     ) {
         let places = PrefixPlaces::of(&waiting.call, &self.prefixes);
-        let reserved_tokens = waiting.call.most_tokens() - places.shared_at(index);
+        let reserved_tokens = waiting.call.max_total_tokens() - places.shared_at(index);
         if let Some(backend) = self.backends.get_mut(index) {
             backend.in_flight += 1;
             backend.reserved_tokens += reserved_tokens;
         }
-        self.shares.take(waiting.partner);
+        self.shares.acquire_slot(waiting.partner);
         self.retention.drop_lease(waiting.call.run);
         self.grants.insert(Grant {
             waiting,
@@ -128,11 +128,11 @@
             reserved_tokens,
             state,
             preempting: false,
-            lapses_at,
+            expires_at,
         });
     }
 
-    /// Ends leases that would keep the granted calls waiting for memory in the engine.
+    /// Ends leases whose contexts would make the granted calls wait for memory in the engine.
     fn make_room(&mut self, now: MonotonicTime, index: BackendIndex) {
         let Some(state) = self.backends.get(index) else {
             return;
@@ -144,19 +144,19 @@
         }
     }
 
-    /// Counts the slot of an attempt that another dispatcher granted.
+    /// Takes over an attempt that an earlier dispatcher granted.
     pub(crate) fn adopt(&mut self, now: MonotonicTime, call: QueuedCall, backend: &BackendName) {
         let known = self.grants.get(call.ticket).is_some();
         let Some(index) = self.backends.index(backend).filter(|_| !known) else {
             return;
         };
         self.queue.remove(call.ticket);
-        let waiting = self.prepare(now, call);
-        let lapses_at = now + self.settings.attempt_timeout;
-        self.take_slot(waiting, index, GrantState::Running(now), lapses_at);
+        let waiting = self.waiting_call(now, call);
+        let expires_at = now + self.settings.attempt_timeout;
+        self.take_slot(waiting, index, GrantState::Running(now), expires_at);
     }
 
-    /// Tells the owner of a slot that was kept for it.
+    /// Sends the grant of a slot already taken, and releases the run's contexts at other engines.
     pub(crate) fn offer(&mut self, now: MonotonicTime, ticket: Ticket) {
         let Some(grant) = self.grants.get(ticket) else {
             return;
@@ -172,15 +172,15 @@
             valid_for: self.settings.grant_timeout / 2,
         };
         self.effects.push(effect);
-        let lapses_at = now + self.settings.grant_timeout;
-        self.grants.offer(ticket, lapses_at);
+        let expires_at = now + self.settings.grant_timeout;
+        self.grants.offer(ticket, expires_at);
         self.release_elsewhere(run, index);
     }
 
-    /// Lets calls that waited for a back end go to the others.
-    pub(crate) fn place_elsewhere(&mut self, now: MonotonicTime, index: BackendIndex) {
+    /// Places calls that waited for a backend at other backends.
+    pub(crate) fn place_waiting_elsewhere(&mut self, now: MonotonicTime, index: BackendIndex) {
         for ticket in self.queue.waiting_for(index) {
-            self.queue.set_home(ticket, None);
+            self.queue.set_affinity(ticket, None);
         }
         self.refuse_without_backend();
         for index in self.backends_with_slots() {
@@ -189,11 +189,11 @@
         self.preempt_for_urgent();
     }
 
-    /// Looks again at the first calls of each lane that wait for a busy back end while others have
-    /// free slots.
-    pub(crate) fn reconsider_heads(&mut self, now: MonotonicTime) {
-        let soft = self.settings.policy.placement == PlacementRule::ExpectedCost;
-        if !soft || self.queue.is_empty() || self.backends_with_slots().is_empty() {
+    /// Places the first calls of each routine lane again while some backend has a free slot, since
+    /// their preferred backends may have stayed busy.
+    pub(crate) fn place_heads_again(&mut self, now: MonotonicTime) {
+        let is_cost_based = self.settings.policy.placement == PlacementRule::ExpectedCost;
+        if !is_cost_based || self.queue.is_empty() || self.backends_with_slots().is_empty() {
             return;
         }
         for partner in self.shares.order() {
@@ -202,7 +202,7 @@
             };
             let heads: Vec<Ticket> = lane
                 .iter()
-                .take(RECONSIDERED)
+                .take(HEADS_PER_TICK)
                 .map(|(_, ticket)| ticket)
                 .collect();
             for ticket in heads {
@@ -219,21 +219,20 @@
         free.map(|(index, _)| index).collect()
     }
 
-    /// Ends a grant and gives its slot to others.
+    /// Ends a grant and grants its slot to another call.
     pub(crate) fn end_grant(&mut self, now: MonotonicTime, ticket: Ticket) {
         if let Some(grant) = self.grants.remove(ticket) {
-            self.give_back_slot(&grant);
+            self.free_slot(&grant);
             self.fill(now, grant.backend);
         }
     }
 
-    /// Counts a grant's slot as free.
-    pub(crate) fn give_back_slot(&mut self, grant: &Grant) {
+    pub(crate) fn free_slot(&mut self, grant: &Grant) {
         if let Some(state) = self.backends.get_mut(grant.backend) {
             state.in_flight = state.in_flight.saturating_sub(1);
             let tokens = grant.reserved_tokens;
             state.reserved_tokens = state.reserved_tokens.saturating_sub(tokens);
         }
-        self.shares.give_back(grant.waiting.partner);
+        self.shares.release_slot(grant.waiting.partner);
     }
 }
--- a/crates/scheduling/src/working_set.rs
+++ b/crates/scheduling/src/working_set.rs
@@ -1,28 +1,28 @@
 //! The working set of an engine: contexts of calls in flight and contexts under lease.
 //!
-//! When more runs are under way than their contexts fit into the caches, each call evicts a context
-//! that another one is about to need, and the engines spend their time on rebuilding. A context that
-//! is not cached therefore waits until it fits.
+//! If the contexts of all active runs exceed the cache capacity, each call evicts a context that
+//! another one is about to need, and the engines thrash: they spend their time prefilling evicted
+//! contexts. A call whose context is not cached therefore waits until the context fits.
 
 use ridgeworks_domain::RunId;
 
 use crate::backends::{BackendIndex, BackendState};
 use crate::retention::Retention;
 
-/// What the decision rests on.
+/// Check whether a context fits into an engine's cache.
 #[derive(Debug, Clone, Copy)]
 pub struct WorkingSet<'a> {
     /// Contexts under lease.
     pub retention: &'a Retention,
-    /// Most of the cache that may be taken, in thousandths.
+    /// Fraction of the cache that the working set may occupy, in thousandths.
     pub permille: u64,
-    /// Whether the bound holds at all.
+    /// Whether the bound is enforced.
     pub bounded: bool,
 }
 
 impl WorkingSet<'_> {
-    /// Whether a context of `tokens` that is not cached fits beside those in use. An engine that
-    /// runs nothing takes any, so that leases alone never hold a call back.
+    /// Whether an uncached context of `tokens` fits beside those in use. An idle engine accepts any
+    /// context, so that leases alone never block a call.
     pub fn fits(&self, run: RunId, tokens: u64, index: BackendIndex, state: &BackendState) -> bool {
         let idle = state.in_flight == 0;
         if !self.bounded || idle || tokens == 0 {
--- a/crates/scheduling/tests/back_ends.rs
+++ b/crates/scheduling/tests/backends.rs
@@ -1,4 +1,4 @@
-//! Back ends and owners that come, fail and go; caches and their leases.
+//! Joining, failing and leaving backends and owners; cached contexts and their leases.
 
 mod support;
 
@@ -50,20 +50,20 @@
     }
 }
 
-fn asks_for_listing(effects: &[Effect]) -> bool {
+fn requests_listing(effects: &[Effect]) -> bool {
     effects
         == [Effect::RelistCache {
             backend: backend_name(1),
         }]
 }
 
-fn grant_of(dispatcher: &mut Dispatcher, now: MonotonicTime, call: QueuedCall) -> String {
+fn granted_backend(dispatcher: &mut Dispatcher, now: MonotonicTime, call: QueuedCall) -> String {
     let granted = enqueue_all(dispatcher, now, [call]);
     granted[0].1.to_string()
 }
 
 #[test]
-fn a_leaving_back_end_gets_no_call_from_the_moment_of_the_event() {
+fn a_leaving_backend_gets_no_new_calls() {
     let mut dispatcher = group(settings(), 2);
     dispatcher.handle(START, Event::BackendLeaving(backend_name(0)));
     let granted = enqueue_all(&mut dispatcher, START, (1..=10).map(call));
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn a_grant_that_is_never_confirmed_lapses() {
+fn an_unconfirmed_grant_expires() {
     let mut dispatcher = group(settings(), 1);
     for number in 1..=4 {
         dispatcher.handle(START, Event::Enqueue(call(number)));
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn a_dispatcher_that_takes_over_counts_attempts_that_run() {
+fn running_attempts_reported_after_a_takeover_occupy_slots() {
     let mut dispatcher = group(settings(), 1);
     for number in 1..=3 {
         let backend = backend_name(0);
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn a_lost_owner_leaves_no_ticket_and_no_grant() {
+fn losing_an_owner_drops_its_tickets_and_grants() {
     let mut dispatcher = group(settings(), 1);
     enqueue_all(&mut dispatcher, START, (1..=10).map(call));
     dispatcher.handle(millis(1), Event::OwnerLost(OWNER));
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn a_failing_back_end_is_out_for_a_while_and_then_gets_one_probe() {
+fn a_failing_backend_is_ejected_and_then_probed_with_one_call() {
     let mut dispatcher = group(settings(), 1);
     for number in 1..=3 {
         enqueue_all(&mut dispatcher, START, [call(number)]);
@@ -123,15 +123,15 @@
 }
 
 #[test]
-fn a_call_goes_where_its_prefix_is_cached() {
+fn a_call_is_placed_where_its_prefix_is_cached() {
     let mut dispatcher = group(settings(), 3);
     dispatcher.handle(START, stored(1, 20_000));
-    let to = grant_of(&mut dispatcher, millis(1), call_of_run(1, 21_000));
+    let to = granted_backend(&mut dispatcher, millis(1), call_of_run(1, 21_000));
     assert_eq!(to, "engine-1");
 }
 
 #[test]
-fn a_sub_agent_goes_where_the_context_it_inherits_is_cached() {
+fn a_sub_agent_is_placed_where_its_inherited_context_is_cached() {
     let mut dispatcher = group(settings(), 3);
     dispatcher.handle(START, stored(1, 20_000));
     let mut child = call(7);
@@ -140,23 +140,23 @@
         run: RUN,
         tokens: 20_000,
     });
-    let to = grant_of(&mut dispatcher, millis(1), child);
+    let to = granted_backend(&mut dispatcher, millis(1), child);
     assert_eq!(to, "engine-1");
 }
 
 #[test]
-fn a_gap_in_the_cache_events_asks_for_one_listing_that_replaces_the_hints() {
+fn a_gap_in_the_cache_events_triggers_one_listing_that_replaces_the_hints() {
     let mut dispatcher = group(settings(), 3);
     dispatcher.handle(START, stored(1, 20_000));
     let effects = dispatcher.handle(START, stored(3, 20_000));
-    assert!(asks_for_listing(&effects), "{effects:?}");
+    assert!(requests_listing(&effects), "{effects:?}");
     let effects = dispatcher.handle(START, stored(5, 20_000));
     assert!(effects.is_empty(), "{effects:?}");
     let effects = dispatcher.handle(START, listed_empty(4));
-    assert!(asks_for_listing(&effects), "a listing that is too old");
+    assert!(requests_listing(&effects), "the listing is outdated");
     dispatcher.handle(START, listed_empty(6));
-    let to = grant_of(&mut dispatcher, millis(1), call_of_run(1, 21_000));
-    assert_eq!(to, "engine-0", "the hint of 20,000 tokens is gone");
+    let to = granted_backend(&mut dispatcher, millis(1), call_of_run(1, 21_000));
+    assert_eq!(to, "engine-0", "the hint of 20,000 tokens was replaced");
 }
 
 #[test]
@@ -178,9 +178,9 @@
     assert_eq!(dispatcher.retained(), 0);
 }
 
-/// Length of the lease in the pause after a call, for a partner with this weight; half of the earlier
-/// pauses took about a second, the others about ten.
-fn lease_of_a_partner(latency_weight: u8) -> Duration {
+/// Length of a lease for a partner with this latency weight, after pauses of which half took about one
+/// second and half about ten seconds.
+fn lease_length(latency_weight: u8) -> Duration {
     let mut settings = settings();
     settings.partners[0].latency_weight = latency_weight;
     let mut dispatcher = group(settings, 1);
@@ -201,14 +201,14 @@
 }
 
 #[test]
-fn a_partner_that_weighs_wasted_cache_more_has_longer_leases() {
-    let (cache, latency) = (lease_of_a_partner(0), lease_of_a_partner(100));
+fn a_lower_latency_weight_gives_longer_leases() {
+    let (cache, latency) = (lease_length(0), lease_length(100));
     assert!(cache > Duration::from_secs(10), "{cache:?}");
     assert!(latency < Duration::from_secs(2), "{latency:?}");
 }
 
 #[test]
-fn a_displaced_lease_ends_without_dropping_its_context() {
+fn a_displaced_lease_ends_without_releasing_its_context() {
     let mut settings = settings();
     settings.default_cache_tokens = 30_000;
     let mut dispatcher = group(settings, 2);
@@ -250,7 +250,7 @@
 }
 
 #[test]
-fn a_late_cache_event_of_an_ended_run_is_answered_with_a_release() {
+fn a_delayed_cache_event_of_an_ended_run_triggers_a_release() {
     let mut dispatcher = group(settings(), 3);
     dispatcher.handle(START, stored(1, 20_000));
     dispatcher.handle(millis(2), Event::RunEnded(RUN));
@@ -263,7 +263,7 @@
 }
 
 #[test]
-fn a_context_that_does_not_fit_beside_those_in_use_waits_and_a_small_one_goes_past() {
+fn a_context_that_does_not_fit_waits_while_a_smaller_one_overtakes_it() {
     let mut settings = settings();
     settings.default_cache_tokens = 10_000;
     let mut dispatcher = group(settings, 1);
@@ -281,7 +281,7 @@
 }
 
 #[test]
-fn contexts_of_pauses_without_return_are_no_longer_retained() {
+fn contexts_are_not_retained_after_many_pauses_without_return() {
     let mut dispatcher = group(settings(), 3);
     for number in 0..1_000 {
         dispatcher.handle(START, stored(number, 20_000));
@@ -295,7 +295,7 @@
 }
 
 #[test]
-fn a_grant_waits_for_its_context_to_move_but_not_for_ever() {
+fn a_grant_waits_for_its_context_move_until_the_timeout() {
     let mut settings = settings();
     let timeout = Duration::from_millis(500);
     settings.context_move = Some(ContextMoveSettings {
@@ -317,7 +317,7 @@
 }
 
 #[test]
-fn a_lease_ends_when_a_granted_call_needs_its_room() {
+fn a_lease_ends_when_a_granted_call_needs_its_memory() {
     let mut settings = settings();
     settings.default_cache_tokens = 30_000;
     let mut dispatcher = group(settings, 2);
--- a/crates/scheduling/tests/order.rs
+++ b/crates/scheduling/tests/order.rs
@@ -1,4 +1,4 @@
-//! Order of calls: urgency, attained service, ranks, shares, deadlines, bounds.
+//! Queue order: urgency, attained service, ranks, shares, deadlines and queue limits.
 
 mod support;
 
@@ -15,7 +15,7 @@
 
 const START: MonotonicTime = MonotonicTime::ZERO;
 
-/// One engine whose routine slots are all taken by calls 1 to 3.
+/// A dispatcher with one engine, whose routine slots are all taken by calls 1 to 3.
 fn full_engine() -> Dispatcher {
     let mut dispatcher = group(settings(), 1);
     let granted = enqueue_all(&mut dispatcher, START, (1..=3).map(call));
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn ageing_bounds_the_wait_of_long_runs() {
+fn ageing_bounds_the_wait_of_runs_with_much_attained_service() {
     let mut dispatcher = full_engine();
     let most = DispatcherSettings::default().max_ageing_penalty;
     enqueue_all(&mut dispatcher, millis(1), [with_attained(4, u64::MAX)]);
@@ -82,7 +82,7 @@
     let bound = now + most + Duration::from_secs(1);
     for number in 100.. {
         now = now + Duration::from_millis(100);
-        assert!(now < bound, "a long run waited beyond the bound");
+        assert!(now < bound, "the run waited longer than the bound");
         enqueue_all(&mut dispatcher, now, [call(number)]);
         let effects = complete(&mut dispatcher, now, running);
         running = grants(&effects)[0].0;
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn a_higher_rank_goes_first_and_a_lower_one_still_ages() {
+fn a_higher_rank_goes_first_until_a_lower_one_has_aged() {
     let mut dispatcher = full_engine();
     let mut high = call(5);
     high.priority.rank = 2;
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn a_partner_that_returns_gets_every_free_slot_until_it_has_its_share() {
+fn a_returning_partner_gets_every_freed_slot_until_it_reaches_its_share() {
     let mut dispatcher = group(settings(), 4);
     let slots = 4 * (u64::from(SLOTS) - 1);
     enqueue_all(&mut dispatcher, START, (1..=2 * slots).map(call));
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn shares_are_kept_within_two_percent_while_both_partners_wait() {
+fn shares_are_within_two_percent_while_both_partners_wait() {
     let mut settings = settings();
     settings.partners = partners([700, 300]);
     let mut dispatcher = group(settings, 20);
@@ -154,11 +154,11 @@
         }
     }
     let part = slot_steps[0] as f64 / (slot_steps[0] + slot_steps[1]) as f64;
-    assert!((part - 0.7).abs() < 0.02, "part of the slots is {part}");
+    assert!((part - 0.7).abs() < 0.02, "share of the slots is {part}");
 }
 
 #[test]
-fn a_deadline_that_cannot_be_met_is_refused_at_once_with_a_time_to_come_back() {
+fn a_call_with_an_unmeetable_deadline_is_refused_at_once_with_a_retry_delay() {
     let mut settings = settings();
     settings.deadline_lead = Duration::ZERO;
     let mut dispatcher = group(settings, 1);
@@ -172,7 +172,7 @@
 }
 
 #[test]
-fn calls_with_deadlines_go_first_and_the_earliest_deadline_before_the_others() {
+fn calls_with_deadlines_go_first_earliest_deadline_first() {
     let mut dispatcher = full_engine();
     let due = |number: u64, seconds: u64| QueuedCall {
         deadline: Some(millis(seconds * 1000)),
@@ -188,7 +188,7 @@
 }
 
 #[test]
-fn a_waiting_call_is_refused_when_its_deadline_comes_too_close() {
+fn a_waiting_call_is_refused_once_its_deadline_cannot_be_met() {
     let mut dispatcher = full_engine();
     let mut call = call(4);
     call.deadline = Some(millis(4_000));
@@ -200,7 +200,7 @@
 }
 
 #[test]
-fn a_full_queue_refuses_at_once() {
+fn a_full_queue_refuses_calls_at_once() {
     let mut settings = settings();
     settings.max_queued_per_partner = 2;
     let mut dispatcher = group(settings, 1);
@@ -212,7 +212,7 @@
 }
 
 #[test]
-fn without_back_ends_calls_are_refused() {
+fn calls_are_refused_without_backends() {
     let mut dispatcher = Dispatcher::new(settings());
     let effects = dispatcher.handle(START, Event::Enqueue(call(1)));
     let (reason, _) = refusal_of(&effects).unwrap();
--- a/crates/scheduling/tests/properties.rs
+++ b/crates/scheduling/tests/properties.rs
@@ -1,4 +1,5 @@
-//! Properties of the dispatcher under random events.
+//! Invariants of the dispatcher under random events: every ticket ends exactly once, urgent calls go
+//! first, and slots and queues stay within their limits.
 
 mod support;
 
@@ -65,20 +66,20 @@
     }
 }
 
-struct Held {
+struct HeldGrant {
     backend: BackendName,
     granted_at: MonotonicTime,
     valid_for: Duration,
 }
 
-/// What the owners and the platform know, and what they saw.
+/// Model of the owners and backends, which records violated invariants.
 struct World {
     dispatcher: Dispatcher,
     now: MonotonicTime,
     next: u64,
     waiting: BTreeMap<u64, bool>,
     ends: BTreeMap<u64, u32>,
-    in_flight: BTreeMap<u64, Held>,
+    in_flight: BTreeMap<u64, HeldGrant>,
     started: BTreeSet<u64>,
     leaving: BTreeSet<BackendName>,
     violations: Vec<String>,
@@ -106,7 +107,7 @@
             self.observe(effect);
         }
         if self.dispatcher.queued() > 3 * MAX_QUEUED {
-            self.violations.push("queue above its bound".into());
+            self.violations.push("queue exceeds its limit".into());
         }
     }
 
@@ -119,7 +120,7 @@
                 ..
             } => {
                 let granted_at = self.now;
-                let held = Held {
+                let held = HeldGrant {
                     backend,
                     granted_at,
                     valid_for,
@@ -131,24 +132,25 @@
         }
     }
 
-    fn observe_grant(&mut self, number: u64, held: Held) {
+    fn observe_grant(&mut self, number: u64, held: HeldGrant) {
         let backend = held.backend.clone();
         let was_urgent = self.waiting.get(&number).copied().unwrap_or(false);
         self.end(number);
         let urgent_waits = self.waiting.values().any(|urgent| *urgent);
         if urgent_waits && !was_urgent {
             self.violations
-                .push(format!("{number} before an urgent call"));
+                .push(format!("{number} was granted before an urgent call"));
         }
         if self.leaving.contains(&backend) {
             self.violations
-                .push(format!("{number} to a leaving back end"));
+                .push(format!("{number} was granted at a leaving backend"));
         }
         self.in_flight.insert(number, held);
         let held = self.in_flight.values();
         let there = held.filter(|other| other.backend == backend);
         if there.count() > SLOTS as usize {
-            self.violations.push(format!("{backend} beyond its slots"));
+            self.violations
+                .push(format!("{backend} has more grants than slots"));
         }
     }
 
@@ -234,7 +236,7 @@
         self.send(ended(number, outcome));
     }
 
-    /// Owners do not use grants that they have not confirmed in time.
+    /// Drops grants that their owners did not confirm in time, as owners do.
     fn forget_invalid_grants(&mut self) {
         let now = self.now;
         let started = &self.started;
@@ -259,10 +261,10 @@
             }
         }
         self.violations
-            .push(format!("{:?} never ended", self.waiting));
+            .push(format!("{:?} did not end", self.waiting));
     }
 
-    fn verdict(&self) -> Result<(), Vec<String>> {
+    fn result(&self) -> Result<(), Vec<String>> {
         let mut violations = self.violations.clone();
         for (number, ends) in &self.ends {
             if *ends != 1 {
@@ -283,13 +285,16 @@
     numbers.nth(index).copied()
 }
 
-fn hold(settings: DispatcherSettings, operations: Vec<Operation>) -> Result<(), Vec<String>> {
+fn run_operations(
+    settings: DispatcherSettings,
+    operations: Vec<Operation>,
+) -> Result<(), Vec<String>> {
     let mut world = World::new(settings);
     for operation in operations {
         world.apply(operation);
     }
     world.drain();
-    world.verdict()
+    world.result()
 }
 
 fn check(property: fn(Vec<Operation>) -> Result<(), Vec<String>>) {
@@ -315,11 +320,11 @@
 
 #[test]
 fn every_ticket_ends_once_and_urgent_calls_go_first() {
-    check(|operations| hold(bounded(Policy::default()), operations));
+    check(|operations| run_operations(bounded(Policy::default()), operations));
 }
 
 #[test]
-fn moving_contexts_keeps_the_properties() {
+fn moving_contexts_keeps_the_invariants() {
     check(|operations| {
         let mut settings = bounded(Policy::default());
         settings.context_move = Some(ContextMoveSettings {
@@ -327,16 +332,16 @@
             nanos_per_token: 100,
             timeout: Duration::from_millis(200),
         });
-        hold(settings, operations)
+        run_operations(settings, operations)
     });
 }
 
 #[test]
-fn prefix_sticky_placement_keeps_the_properties() {
-    check(|operations| hold(with_urgent_first(Policy::prefix_sticky()), operations));
+fn prefix_sticky_placement_keeps_the_invariants() {
+    check(|operations| run_operations(with_urgent_first(Policy::prefix_sticky()), operations));
 }
 
 #[test]
-fn round_robin_placement_keeps_the_properties() {
-    check(|operations| hold(with_urgent_first(Policy::round_robin()), operations));
+fn round_robin_placement_keeps_the_invariants() {
+    check(|operations| run_operations(with_urgent_first(Policy::round_robin()), operations));
 }
--- a/crates/scheduling/tests/support/mod.rs
+++ b/crates/scheduling/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! A small group of back ends and calls for the tests.
-#![allow(dead_code, reason = "each test file uses a part")]
+//! A small group of backends and calls, shared by the tests.
+#![allow(dead_code, reason = "each test file uses only some of the items")]
 
 use std::time::Duration;
 
@@ -69,7 +69,7 @@
     dispatcher
 }
 
-/// A routine call of partner 0, of a run with the same number.
+/// A routine call of partner 0, whose run has the same number as its ticket.
 pub fn call(number: u64) -> QueuedCall {
     QueuedCall {
         ticket: ticket(number),
@@ -109,7 +109,7 @@
     })
 }
 
-/// Numbers of the granted tickets with their back ends.
+/// Ticket numbers and backends of all grants among the effects.
 pub fn grants(effects: &[Effect]) -> Vec<(u64, BackendName)> {
     let granted = effects.iter().filter_map(|effect| match effect {
         Effect::Grant {
@@ -120,7 +120,7 @@
     granted.collect()
 }
 
-/// Enqueues calls and confirms what is granted.
+/// Enqueues calls, confirms all grants and returns them.
 pub fn enqueue_all(
     dispatcher: &mut Dispatcher,
     now: MonotonicTime,
@@ -141,7 +141,7 @@
     }
 }
 
-/// Ends one attempt and confirms what is granted in its place.
+/// Completes one attempt and confirms the resulting grants.
 pub fn complete(dispatcher: &mut Dispatcher, now: MonotonicTime, number: u64) -> Vec<Effect> {
     let effects = dispatcher.handle(now, ended(number, AttemptOutcome::Completed));
     confirm(dispatcher, now, &effects);
