--- a/crates/node/src/outbound/attempt.rs
+++ b/crates/node/src/outbound/attempt.rs
@@ -76,7 +76,7 @@
 
 /// How an attempt stands after the back end was told to run it no more.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum AttemptFate {
+pub enum AttemptResolution {
     /// It had ended with this answer.
     Finished {
         /// The whole answer.
@@ -122,6 +122,6 @@
         /// The back end that was asked.
         backend: BackendName,
         /// How it stands.
-        fate: AttemptFate,
+        resolution: AttemptResolution,
     },
 }
--- a/crates/node/src/outbound/client.rs
+++ b/crates/node/src/outbound/client.rs
@@ -10,7 +10,7 @@
 use ureq::Agent;
 
 use super::attempt::{
-    AttemptEvent, AttemptFate, AttemptId, AttemptOrder, AttemptResult, Dispatched,
+    AttemptEvent, AttemptId, AttemptOrder, AttemptResolution, AttemptResult, Dispatched,
 };
 use super::{BackendCall, chat, fence, tool};
 use crate::mailbox::Mailbox;
@@ -82,17 +82,17 @@
         let metrics = self.metrics.clone();
         // Without a thread no answer comes, and the owner asks again.
         let _ = self.pool.run(move || {
-            let fate = if is_off(Weakening::Fence) {
-                AttemptFate::NeverStarted
+            let resolution = if is_off(Weakening::Fence) {
+                AttemptResolution::NeverStarted
             } else {
                 fence::fence(&agent, &id, to.address, FENCE_TIMEOUT)
             };
-            count_fence(&metrics, &fate);
+            count_fence(&metrics, &resolution);
             let backend = to.backend;
             mailbox.post(ThreadMessage::Attempt(AttemptEvent::Fenced {
                 id,
                 backend,
-                fate,
+                resolution,
             }));
         });
     }
@@ -139,12 +139,12 @@
     metrics.attempts.get_or_create(&AttemptLabels { end }).inc();
 }
 
-fn count_fence(metrics: &Metrics, fate: &AttemptFate) {
-    let end = match fate {
-        AttemptFate::Finished { .. } => FenceEnd::Finished,
-        AttemptFate::NeverStarted => FenceEnd::NeverStarted,
-        AttemptFate::Stopped { .. } | AttemptFate::Cancelled => FenceEnd::Cancelled,
-        AttemptFate::Unreachable => FenceEnd::Unreachable,
+fn count_fence(metrics: &Metrics, resolution: &AttemptResolution) {
+    let end = match resolution {
+        AttemptResolution::Finished { .. } => FenceEnd::Finished,
+        AttemptResolution::NeverStarted => FenceEnd::NeverStarted,
+        AttemptResolution::Stopped { .. } | AttemptResolution::Cancelled => FenceEnd::Cancelled,
+        AttemptResolution::Unreachable => FenceEnd::Unreachable,
     };
     metrics.fences.get_or_create(&FenceLabels { end }).inc();
 }
--- a/crates/node/src/outbound/fence.rs
+++ b/crates/node/src/outbound/fence.rs
@@ -6,7 +6,7 @@
 use serde::Deserialize;
 use ureq::Agent;
 
-use super::attempt::{AttemptFate, AttemptId};
+use super::attempt::{AttemptId, AttemptResolution};
 
 #[derive(Deserialize)]
 struct FenceAnswer {
@@ -32,7 +32,7 @@
     id: &AttemptId,
     address: BackendAddress,
     timeout: Duration,
-) -> AttemptFate {
+) -> AttemptResolution {
     let url = format!(
         "http://{}/v1/attempts/{}/{}/{}/fence",
         address.socket, id.run, id.key, id.attempt
@@ -44,28 +44,28 @@
         .build()
         .send_empty();
     let Ok(mut response) = answer else {
-        return AttemptFate::Unreachable;
+        return AttemptResolution::Unreachable;
     };
     if !response.status().is_success() {
-        return AttemptFate::Unreachable;
+        return AttemptResolution::Unreachable;
     }
     match response.body_mut().read_json::<FenceAnswer>() {
-        Ok(answer) => fate(answer, address),
-        Err(_) => AttemptFate::Unreachable,
+        Ok(answer) => resolution(answer, address),
+        Err(_) => AttemptResolution::Unreachable,
     }
 }
 
-fn fate(answer: FenceAnswer, address: BackendAddress) -> AttemptFate {
+fn resolution(answer: FenceAnswer, address: BackendAddress) -> AttemptResolution {
     let same_start = address.instance.is_some() && answer.instance == address.instance;
     match answer.state {
-        FencedState::Finished { answer, spent } => AttemptFate::Finished {
+        FencedState::Finished { answer, spent } => AttemptResolution::Finished {
             answer: answer.into_bytes(),
             spent: Cost(spent),
         },
-        FencedState::NeverStarted if same_start => AttemptFate::NeverStarted,
+        FencedState::NeverStarted if same_start => AttemptResolution::NeverStarted,
         FencedState::Cancelled { spent: Some(spent) } if same_start => {
-            AttemptFate::Stopped { spent: Cost(spent) }
+            AttemptResolution::Stopped { spent: Cost(spent) }
         }
-        FencedState::NeverStarted | FencedState::Cancelled { .. } => AttemptFate::Cancelled,
+        FencedState::NeverStarted | FencedState::Cancelled { .. } => AttemptResolution::Cancelled,
     }
 }
--- a/crates/node/src/outbound/mod.rs
+++ b/crates/node/src/outbound/mod.rs
@@ -7,6 +7,7 @@
 mod tool;
 
 pub use attempt::{
-    AttemptEvent, AttemptFate, AttemptId, AttemptOrder, AttemptResult, BackendCall, Dispatched,
+    AttemptEvent, AttemptId, AttemptOrder, AttemptResolution, AttemptResult, BackendCall,
+    Dispatched,
 };
 pub use client::BackendClient;
--- a/crates/node/src/owner/attempts.rs
+++ b/crates/node/src/owner/attempts.rs
@@ -3,13 +3,13 @@
 use std::time::Instant;
 
 use ridgeworks_domain::{BackendName, RunId};
-use ridgeworks_run_log::event::{AttemptFate as LogFate, AttemptOutcome, OwnerEvent};
+use ridgeworks_run_log::event::{AttemptOutcome, AttemptResolution as LogFate, OwnerEvent};
 use ridgeworks_scheduling::{AttemptOutcome as SlotOutcome, TokenUsage};
 use stakker::CX;
 
 use super::role::OwnerRole;
 use crate::message::{OwnerAnswer, RequestId};
-use crate::outbound::{AttemptEvent, AttemptFate, AttemptId, AttemptResult};
+use crate::outbound::{AttemptEvent, AttemptId, AttemptResolution, AttemptResult};
 
 impl OwnerRole {
     /// Takes news of an attempt.
@@ -18,8 +18,12 @@
         match event {
             AttemptEvent::Text { id, text } => self.attempt_text(&id, text.as_bytes()),
             AttemptEvent::Ended { id, result } => self.attempt_ended(now, id, result),
-            AttemptEvent::Fenced { id, backend, fate } => {
-                self.attempt_fenced(now, id, &backend, fate);
+            AttemptEvent::Fenced {
+                id,
+                backend,
+                resolution,
+            } => {
+                self.attempt_fenced(now, id, &backend, resolution);
             }
         }
     }
@@ -89,22 +93,22 @@
         now: Instant,
         id: AttemptId,
         backend: &BackendName,
-        fate: AttemptFate,
+        resolution: AttemptResolution,
     ) {
-        let fate = match fate {
-            AttemptFate::Finished { answer, spent } => LogFate::Finished { answer, spent },
-            AttemptFate::NeverStarted => LogFate::NeverStarted,
-            AttemptFate::Stopped { spent } => LogFate::Stopped { spent },
-            AttemptFate::Cancelled => LogFate::Cancelled,
+        let resolution = match resolution {
+            AttemptResolution::Finished { answer, spent } => LogFate::Finished { answer, spent },
+            AttemptResolution::NeverStarted => LogFate::NeverStarted,
+            AttemptResolution::Stopped { spent } => LogFate::Stopped { spent },
+            AttemptResolution::Cancelled => LogFate::Cancelled,
             // The owner asks again until the back end answers or is gone for good.
-            AttemptFate::Unreachable if !self.directory.is_gone(backend) => return,
-            AttemptFate::Unreachable => LogFate::Unreachable,
+            AttemptResolution::Unreachable if !self.directory.is_gone(backend) => return,
+            AttemptResolution::Unreachable => LogFate::Unreachable,
         };
         self.end_preempted_slot(&id);
         let event = OwnerEvent::Fenced {
             call: id.sequence,
             attempt: id.attempt,
-            fate,
+            resolution,
         };
         self.handle(now, id.run, event);
     }
--- a/crates/node/src/replica/log_store.rs
+++ b/crates/node/src/replica/log_store.rs
@@ -23,7 +23,7 @@
         Write::TruncateFrom { run, index } => {
             StoreOperation::TruncateEntries { run, from: index.0 }
         }
-        Write::ForgetRun { run } => StoreOperation::ForgetRun { run },
+        Write::DeleteRun { run } => StoreOperation::DeleteRun { run },
         Write::Generation { generation } => StoreOperation::PutNodeRecord {
             key: GENERATION_KEY.to_vec(),
             bytes: encode(&generation),
--- a/crates/node/src/replica/sweep.rs
+++ b/crates/node/src/replica/sweep.rs
@@ -61,7 +61,7 @@
         let silent_for = self.sweeps.settings.silent_time();
         let unsettled: BTreeMap<RunId, Ballot> = self
             .replica
-            .unsettled_runs(now, silent_for)
+            .runs_with_pending_work(now, silent_for)
             .map(|(run, head)| (run, head.promised))
             .collect();
         let due = self.sweeps.adoptions.step(now, unsettled.keys().copied());
--- a/crates/node/tests/fence.rs
+++ b/crates/node/tests/fence.rs
@@ -7,8 +7,8 @@
 use ridgeworks_domain::{BackendAddress, BackendName, CallKey, RunId, Sequence};
 use ridgeworks_node::mailbox::Mailbox;
 use ridgeworks_node::outbound::{
-    AttemptEvent, AttemptFate, AttemptId, AttemptOrder, AttemptResult, BackendCall, BackendClient,
-    Dispatched,
+    AttemptEvent, AttemptId, AttemptOrder, AttemptResolution, AttemptResult, BackendCall,
+    BackendClient, Dispatched,
 };
 use ridgeworks_node::thread_message::ThreadMessage;
 use ridgeworks_stand_ins::engine::{Engine, EngineOptions};
@@ -60,11 +60,11 @@
     health["instance"].as_u64().expect("a number")
 }
 
-fn fate_of_an_unknown_attempt(engine: &Engine, instance: Option<u64>) -> AttemptFate {
+fn fate_of_an_unknown_attempt(engine: &Engine, instance: Option<u64>) -> AttemptResolution {
     let (client, events) = client();
     client.fence(attempt_id(), dispatched(engine, instance));
     match next(&events) {
-        AttemptEvent::Fenced { fate, .. } => fate,
+        AttemptEvent::Fenced { resolution, .. } => resolution,
         other => panic!("the fence is reported, not {other:?}"),
     }
 }
@@ -78,9 +78,9 @@
     assert_eq!(
         fates,
         [
-            AttemptFate::NeverStarted,
-            AttemptFate::Cancelled,
-            AttemptFate::Cancelled
+            AttemptResolution::NeverStarted,
+            AttemptResolution::Cancelled,
+            AttemptResolution::Cancelled
         ]
     );
     engine.stop();
@@ -112,9 +112,9 @@
         panic!("the attempt is answered, not {result:?}");
     };
     client.fence(id, to);
-    let AttemptEvent::Fenced { fate, .. } = next(&events) else {
+    let AttemptEvent::Fenced { resolution, .. } = next(&events) else {
         panic!("the fence is reported");
     };
-    assert_eq!(fate, AttemptFate::Finished { answer, spent });
+    assert_eq!(resolution, AttemptResolution::Finished { answer, spent });
     engine.stop();
 }
--- a/crates/run-log/src/event.rs
+++ b/crates/run-log/src/event.rs
@@ -31,7 +31,7 @@
 
 /// What a back end said when it was asked to fence an attempt.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum AttemptFate {
+pub enum AttemptResolution {
     /// It ran; here is the answer.
     Finished {
         /// The answer.
@@ -126,7 +126,7 @@
         /// The attempt.
         attempt: u32,
         /// Its fate.
-        fate: AttemptFate,
+        resolution: AttemptResolution,
     },
     /// A caller wants the history.
     ReadHistory {
--- a/crates/run-log/src/lib.rs
+++ b/crates/run-log/src/lib.rs
@@ -19,7 +19,7 @@
 
 pub use entry::{Entry, LogEntry, LogIndex, LogPosition, Opening, ReplicaId, StoreId};
 pub use event::{
-    AttemptFate, AttemptOutcome, CallerAnswer, CallerId, HistoryTurn, OwnerEffect, OwnerEvent,
+    AttemptOutcome, AttemptResolution, CallerAnswer, CallerId, HistoryTurn, OwnerEffect, OwnerEvent,
 };
 pub use message::{Message, Rejection, Reply, Request, SilentRun};
 pub use owner::{OwnerSettings, RunOwner};
--- a/crates/run-log/src/owner/calls.rs
+++ b/crates/run-log/src/owner/calls.rs
@@ -5,7 +5,7 @@
 };
 
 use crate::entry::{Entry, request_digest};
-use crate::event::{AttemptFate, AttemptOutcome, CallerAnswer, CallerId, OwnerEffect};
+use crate::event::{AttemptOutcome, AttemptResolution, CallerAnswer, CallerId, OwnerEffect};
 use crate::run_state::{Admission, LiveAttempt, NextStep};
 
 use super::waiting::PendingCall;
@@ -155,11 +155,11 @@
         };
         match outcome {
             AttemptOutcome::Finished { answer, spent } => {
-                let fate = AttemptFate::Finished { answer, spent };
-                self.attempt_resolved(call, attempt, fate, now);
+                let resolution = AttemptResolution::Finished { answer, spent };
+                self.attempt_resolved(call, attempt, resolution, now);
             }
             AttemptOutcome::NotRun => {
-                self.attempt_resolved(call, attempt, AttemptFate::NeverStarted, now);
+                self.attempt_resolved(call, attempt, AttemptResolution::NeverStarted, now);
             }
             AttemptOutcome::Lost => {
                 let live = live.clone();
@@ -172,10 +172,10 @@
         &mut self,
         call: Sequence,
         attempt: u32,
-        fate: AttemptFate,
+        resolution: AttemptResolution,
         now: MonotonicTime,
     ) {
-        let entries = self.state.resolve_attempt(call, attempt, fate);
+        let entries = self.state.resolve_attempt(call, attempt, resolution);
         if entries.is_empty() {
             return;
         }
--- a/crates/run-log/src/owner/mod.rs
+++ b/crates/run-log/src/owner/mod.rs
@@ -186,8 +186,8 @@
             OwnerEvent::Fenced {
                 call,
                 attempt,
-                fate,
-            } => self.attempt_resolved(call, attempt, fate, now),
+                resolution,
+            } => self.attempt_resolved(call, attempt, resolution, now),
             OwnerEvent::AttemptFinished {
                 call,
                 attempt,
--- a/crates/run-log/src/replica.rs
+++ b/crates/run-log/src/replica.rs
@@ -84,7 +84,7 @@
     }
 
     /// Runs in which an owner has something left to do and of which none was heard for `silent_for`.
-    pub fn unsettled_runs(
+    pub fn runs_with_pending_work(
         &self,
         now: MonotonicTime,
         silent_for: Duration,
@@ -188,7 +188,7 @@
         for run in self.forgettable(now, retention, limit) {
             self.runs.remove(&run);
             self.unsettled.remove(&run);
-            writes.push(Write::ForgetRun { run });
+            writes.push(Write::DeleteRun { run });
         }
         ReplicaReady {
             writes,
--- a/crates/run-log/src/run_state/mod.rs
+++ b/crates/run-log/src/run_state/mod.rs
@@ -16,7 +16,7 @@
 pub use self::call_record::{CallRecord, LiveAttempt};
 use crate::budget::Budget;
 use crate::entry::{AttemptEnd, Entry, LogIndex, Opening};
-use crate::event::{AttemptFate, HistoryTurn};
+use crate::event::{AttemptResolution, HistoryTurn};
 
 /// What becomes of a call that a caller sent.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -135,30 +135,35 @@
 
     /// Entries that a back end's answer to a fence, or the end of an attempt, leads to. Empty when the attempt
     /// is not the live one.
-    pub fn resolve_attempt(&self, call: Sequence, attempt: u32, fate: AttemptFate) -> Vec<Entry> {
+    pub fn resolve_attempt(
+        &self,
+        call: Sequence,
+        attempt: u32,
+        resolution: AttemptResolution,
+    ) -> Vec<Entry> {
         let Some(record) = self.live_record(call, attempt) else {
             return Vec::new();
         };
         let repeatable = record.is_repeatable();
         let ended = |end| Entry::AttemptEnded { call, attempt, end };
-        let entry = match fate {
-            AttemptFate::Finished { answer, spent } => Entry::Finished {
+        let entry = match resolution {
+            AttemptResolution::Finished { answer, spent } => Entry::Finished {
                 call,
                 attempt,
                 answer,
                 spent: spent.min(record.request.reserve),
             },
-            AttemptFate::NeverStarted if repeatable => ended(AttemptEnd::NotRun),
-            AttemptFate::NeverStarted => Entry::NotRun { call },
-            AttemptFate::Stopped { spent } if repeatable => ended(AttemptEnd::Cancelled {
+            AttemptResolution::NeverStarted if repeatable => ended(AttemptEnd::NotRun),
+            AttemptResolution::NeverStarted => Entry::NotRun { call },
+            AttemptResolution::Stopped { spent } if repeatable => ended(AttemptEnd::Cancelled {
                 spent: spent.min(record.request.reserve),
             }),
-            AttemptFate::Cancelled | AttemptFate::Unreachable if repeatable => {
+            AttemptResolution::Cancelled | AttemptResolution::Unreachable if repeatable => {
                 ended(AttemptEnd::Unknown)
             }
-            AttemptFate::Stopped { .. } | AttemptFate::Cancelled | AttemptFate::Unreachable => {
-                Entry::Unknown { call }
-            }
+            AttemptResolution::Stopped { .. }
+            | AttemptResolution::Cancelled
+            | AttemptResolution::Unreachable => Entry::Unknown { call },
         };
         vec![entry]
     }
--- a/crates/run-log/src/storage.rs
+++ b/crates/run-log/src/storage.rs
@@ -55,7 +55,7 @@
         index: LogIndex,
     },
     /// Remove the run's head and entries.
-    ForgetRun {
+    DeleteRun {
         /// The run.
         run: RunId,
     },
--- a/crates/run-log/tests/owner.rs
+++ b/crates/run-log/tests/owner.rs
@@ -4,8 +4,8 @@
 
 use ridgeworks_domain::{CallEnd, Cost, RefusalReason, RunId, Sequence};
 use ridgeworks_run_log::{
-    AttemptFate, AttemptOutcome, CallerAnswer, CallerId, OwnerEffect, OwnerEvent, OwnerSettings,
-    Rejection, Reply, Request, RunOwner,
+    AttemptOutcome, AttemptResolution, CallerAnswer, CallerId, OwnerEffect, OwnerEvent,
+    OwnerSettings, Rejection, Reply, Request, RunOwner,
 };
 use support::*;
 
@@ -110,10 +110,10 @@
 
 #[test]
 fn a_takeover_fences_before_it_goes_on() {
-    for (fate, wanted) in [
-        (AttemptFate::NeverStarted, CallEnd::NotRun),
-        (AttemptFate::Cancelled, CallEnd::Unknown),
-        (AttemptFate::Unreachable, CallEnd::Unknown),
+    for (resolution, wanted) in [
+        (AttemptResolution::NeverStarted, CallEnd::NotRun),
+        (AttemptResolution::Cancelled, CallEnd::Unknown),
+        (AttemptResolution::Unreachable, CallEnd::Unknown),
     ] {
         let (mut cluster, _) = Cluster::open(100);
         cluster.tell(call(1, call_request(1, 10)));
@@ -135,7 +135,7 @@
         let effects = cluster.tell(OwnerEvent::Fenced {
             call,
             attempt,
-            fate,
+            resolution,
         });
         let answered = answers(&effects);
         assert_eq!(end(&answered[0].1), Some(&wanted));
@@ -163,11 +163,11 @@
             attempt,
             outcome,
         });
-        let fate = AttemptFate::Cancelled;
+        let resolution = AttemptResolution::Cancelled;
         let effects = cluster.tell(OwnerEvent::Fenced {
             call,
             attempt,
-            fate,
+            resolution,
         });
         let answered = answers(&effects);
         let last = attempt == 2;
@@ -194,11 +194,11 @@
             attempt,
             outcome,
         });
-        let fate = AttemptFate::Stopped { spent: Cost(told) };
+        let resolution = AttemptResolution::Stopped { spent: Cost(told) };
         let effects = cluster.tell(OwnerEvent::Fenced {
             call,
             attempt,
-            fate,
+            resolution,
         });
         let asks = |e: &&OwnerEffect| matches!(e, OwnerEffect::RequestGrant { attempt: 2, .. });
         assert_eq!(effects.iter().filter(asks).count(), 1, "asks again");
@@ -220,11 +220,11 @@
         attempt,
         outcome,
     });
-    let fate = AttemptFate::Stopped { spent: Cost(3) };
+    let resolution = AttemptResolution::Stopped { spent: Cost(3) };
     let effects = cluster.tell(OwnerEvent::Fenced {
         call,
         attempt,
-        fate,
+        resolution,
     });
     assert_eq!(end(&answers(&effects)[0].1), Some(&CallEnd::Unknown));
     assert_eq!(cluster.owner.state().budget().spent(), Cost(10));
--- a/crates/run-log/tests/replica.rs
+++ b/crates/run-log/tests/replica.rs
@@ -285,7 +285,8 @@
 fn runs_with_a_call_or_an_end_under_way_are_unsettled_once_silent() {
     let (mut replica, mut entries) = (replica(1), Entries::default());
     let silent = Duration::from_secs(5);
-    let unsettled = |replica: &Replica| replica.unsettled_runs(NOW + silent, silent).count();
+    let unsettled =
+        |replica: &Replica| replica.runs_with_pending_work(NOW + silent, silent).count();
     let opened = opened(replica.identity()).entry;
     let held = (&mut replica, &mut entries);
     let ballot = FIRST_BALLOT;
@@ -305,7 +306,11 @@
         0,
     );
     assert_eq!(unsettled(&replica), 1, "a call is open");
-    assert_eq!(replica.unsettled_runs(NOW, silent).count(), 0, "not silent");
+    assert_eq!(
+        replica.runs_with_pending_work(NOW, silent).count(),
+        0,
+        "not silent"
+    );
     let sequence = ridgeworks_domain::Sequence(1);
     let not_run = vec![Entry::NotRun { call: sequence }];
     let ended = append_all(&mut replica, &mut entries, ballot, last, not_run, 0);
--- a/crates/run-log/tests/simulator/backend.rs
+++ b/crates/run-log/tests/simulator/backend.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use ridgeworks_domain::{CallRequest, Cost, RunId, Sequence};
-use ridgeworks_run_log::AttemptFate;
+use ridgeworks_run_log::AttemptResolution;
 
 pub type AttemptKey = (RunId, Sequence, u32);
 
@@ -81,14 +81,14 @@
     }
 
     /// Stops an attempt for good. What it had cost until then is told for every other attempt only.
-    pub fn fence(&mut self, key: AttemptKey, executions: &mut [Execution]) -> AttemptFate {
+    pub fn fence(&mut self, key: AttemptKey, executions: &mut [Execution]) -> AttemptResolution {
         if self.gone {
-            return AttemptFate::Unreachable;
+            return AttemptResolution::Unreachable;
         }
         self.fenced.insert(key);
         match self.attempts.get_mut(&key) {
-            None => AttemptFate::NeverStarted,
-            Some(Progress::Finished { answer, spent }) => AttemptFate::Finished {
+            None => AttemptResolution::NeverStarted,
+            Some(Progress::Finished { answer, spent }) => AttemptResolution::Finished {
                 answer: answer.clone(),
                 spent: *spent,
             },
@@ -116,10 +116,10 @@
     (call.0 + u64::from(attempt)).is_multiple_of(2)
 }
 
-fn stopped(key: AttemptKey, spent: Cost) -> AttemptFate {
+fn stopped(key: AttemptKey, spent: Cost) -> AttemptResolution {
     if tells_cost(key) {
-        AttemptFate::Stopped { spent }
+        AttemptResolution::Stopped { spent }
     } else {
-        AttemptFate::Cancelled
+        AttemptResolution::Cancelled
     }
 }
--- a/crates/run-log/tests/simulator/disk.rs
+++ b/crates/run-log/tests/simulator/disk.rs
@@ -41,7 +41,7 @@
             Write::TruncateFrom { run, index } => {
                 self.entries.retain(|(of, at), _| *of != run || *at < index);
             }
-            Write::ForgetRun { run } => {
+            Write::DeleteRun { run } => {
                 self.heads.remove(&run);
                 self.entries.retain(|(of, _), _| *of != run);
             }
--- a/crates/run-log/tests/simulator/world/mod.rs
+++ b/crates/run-log/tests/simulator/world/mod.rs
@@ -301,11 +301,11 @@
                 incarnation,
             } => {
                 let executions = &mut self.record.executions;
-                let fate = self.backends[backend].fence(key, executions);
+                let resolution = self.backends[backend].fence(key, executions);
                 let event = OwnerEvent::Fenced {
                     call: key.1,
                     attempt: key.2,
-                    fate,
+                    resolution,
                 };
                 self.input(node, incarnation, key.0, event);
             }
--- a/crates/run-log/tests/simulator/world/owners.rs
+++ b/crates/run-log/tests/simulator/world/owners.rs
@@ -7,7 +7,7 @@
     BackendName, CallRequest, Cost, NodeId, Refusal, RefusalReason, RunId, Sequence,
 };
 use ridgeworks_run_log::{
-    AttemptFate, AttemptOutcome, LogIndex, OwnerEffect, OwnerEvent, Reply, Request,
+    AttemptOutcome, AttemptResolution, LogIndex, OwnerEffect, OwnerEvent, Reply, Request,
 };
 
 use super::super::Weakening;
@@ -100,11 +100,11 @@
             } => {
                 let key = (run, call, attempt);
                 if self.weakening == Some(Weakening::NotFenced) {
-                    let fate = AttemptFate::NeverStarted;
+                    let resolution = AttemptResolution::NeverStarted;
                     let event = OwnerEvent::Fenced {
                         call,
                         attempt,
-                        fate,
+                        resolution,
                     };
                     return self.input(node, incarnation, run, event);
                 }
--- a/crates/run-log/tests/support/mod.rs
+++ b/crates/run-log/tests/support/mod.rs
@@ -40,7 +40,7 @@
                 Write::TruncateFrom { run, index } => {
                     self.0.retain(|(of, at), _| *of != run || *at < index);
                 }
-                Write::ForgetRun { run } => self.0.retain(|(of, _), _| *of != run),
+                Write::DeleteRun { run } => self.0.retain(|(of, _), _| *of != run),
                 Write::Head { .. } | Write::Generation { .. } => {}
             }
         }
--- a/crates/storage/src/operation.rs
+++ b/crates/storage/src/operation.rs
@@ -33,7 +33,7 @@
         from: u64,
     },
     /// Removes a run's head and all its entries.
-    ForgetRun {
+    DeleteRun {
         /// The run.
         run: RunId,
     },
@@ -79,7 +79,7 @@
             | Self::PutNodeRecord { key, bytes }
             | Self::PutRecord { key, bytes } => key.len() + bytes.len(),
             Self::DeleteConfiguration { key } | Self::DeleteRecord { key } => key.len(),
-            Self::TruncateEntries { .. } | Self::ForgetRun { .. } => 0,
+            Self::TruncateEntries { .. } | Self::DeleteRun { .. } => 0,
         }
     }
 }
--- a/crates/storage/src/tables.rs
+++ b/crates/storage/src/tables.rs
@@ -104,7 +104,7 @@
                 self.run_entries()?.insert(key, sealed.as_slice())?;
             }
             StoreOperation::TruncateEntries { run, from } => self.remove_entries(*run, *from)?,
-            StoreOperation::ForgetRun { run } => {
+            StoreOperation::DeleteRun { run } => {
                 self.run_heads()?.remove(run.0)?;
                 self.remove_entries(*run, 0)?;
             }
--- a/crates/storage/tests/crash.rs
+++ b/crates/storage/tests/crash.rs
@@ -30,7 +30,7 @@
         0..=1 => StoreOperation::PutRunHead { run, bytes },
         2..=7 => StoreOperation::PutEntry { run, index, bytes },
         8 => StoreOperation::TruncateEntries { run, from: index },
-        9 => StoreOperation::ForgetRun { run },
+        9 => StoreOperation::DeleteRun { run },
         10 => StoreOperation::PutConfiguration { key, bytes },
         12..=13 => {
             let bytes = [key.clone(), bytes].concat();
--- a/crates/storage/tests/folder.rs
+++ b/crates/storage/tests/folder.rs
@@ -87,7 +87,7 @@
     let operations = (1..=3).flat_map(|run| [head(run), entry(run, 0), entry(run, u64::MAX)]);
     assert_eq!(write(&store, operations.collect()), Ok(()));
     assert_eq!(
-        write(&store, vec![StoreOperation::ForgetRun { run: RunId(2) }]),
+        write(&store, vec![StoreOperation::DeleteRun { run: RunId(2) }]),
         Ok(())
     );
     let found = Contents::of(&store, 0..5);
--- a/crates/storage/tests/support/mod.rs
+++ b/crates/storage/tests/support/mod.rs
@@ -230,7 +230,7 @@
                 self.entries
                     .retain(|(owner, index), _| *owner != run.0 || *index < from);
             }
-            StoreOperation::ForgetRun { run } => {
+            StoreOperation::DeleteRun { run } => {
                 self.heads.remove(&run.0);
                 self.entries.retain(|(owner, _), _| *owner != run.0);
             }
