--- a/crates/configuration/src/counters.rs
+++ b/crates/configuration/src/counters.rs
@@ -12,7 +12,7 @@
     /// Times that the lease was granted.
     pub leases_granted: u64,
     /// Times that the lease ran out.
-    pub leases_lapsed: u64,
+    pub leases_expired: u64,
     /// Revisions put in force; one may pass over several changes.
     pub revisions_in_force: u64,
     /// Pushes sent to clients.
--- a/crates/configuration/src/role.rs
+++ b/crates/configuration/src/role.rs
@@ -296,7 +296,7 @@
             return;
         }
         self.announced_ready = ready;
-        self.counters.leases_lapsed += u64::from(!ready);
+        self.counters.leases_expired += u64::from(!ready);
         self.outbox.effect(Effect::Ready(ready));
     }
 }
--- a/crates/membership/src/counters.rs
+++ b/crates/membership/src/counters.rs
@@ -10,11 +10,11 @@
     /// Members that this node suspected.
     pub suspicions: u64,
     /// Members that this node declared Dead.
-    pub verdicts: u64,
+    pub deaths_declared: u64,
     /// Claims about this node that it refuted.
     pub refutations: u64,
     /// Pauses of this process that it noticed.
     pub own_pauses: u64,
     /// Dead claims learned in table comparison that were checked before they were taken.
-    pub rumours_checked: u64,
+    pub dead_claims_verified: u64,
 }
--- a/crates/membership/src/event.rs
+++ b/crates/membership/src/event.rs
@@ -20,7 +20,7 @@
         message: MembershipMessage,
     },
     /// Any other message arrived from the node: it lives.
-    MessageFrom {
+    PeerActivity {
         /// The sender.
         node: NodeId,
     },
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -120,7 +120,7 @@
         match event {
             Event::Timer => self.counters.timers += 1,
             Event::Message { from, message } => self.on_message(from, message, now),
-            Event::MessageFrom { node } => self.on_sign_of_life(node, now),
+            Event::PeerActivity { node } => self.on_sign_of_life(node, now),
             Event::LinkClosed { node } => self.on_link_closed(node, now),
             Event::Leave => self.set_own_state(MemberState::Leaving, now),
             Event::Left => self.leave(now),
--- a/crates/membership/src/probing.rs
+++ b/crates/membership/src/probing.rs
@@ -120,7 +120,7 @@
 
     /// Pings a member of which another holds that it is Dead, before that is taken over.
     pub(crate) fn check_rumour(&mut self, claimed: NodeClaim, now: MonotonicTime) {
-        self.counters.rumours_checked += 1;
+        self.counters.dead_claims_verified += 1;
         self.rumours.insert(claimed.node, claimed.claim);
         if self.detector.probes(claimed.node) {
             self.detector.expedite(claimed.node, now);
@@ -194,7 +194,7 @@
             new_generation,
         } = self.table.merge_claim(NodeClaim { node, claim }, now)
         {
-            self.counters.verdicts += 1;
+            self.counters.deaths_declared += 1;
             self.after_change(node, old_state, new_generation);
             self.pass_on(node, new_generation, now);
         }
--- a/crates/membership/tests/own_pauses.rs
+++ b/crates/membership/tests/own_pauses.rs
@@ -42,7 +42,7 @@
     now = now + Duration::from_secs(5);
     membership.handle(Event::Timer, now);
     assert_eq!(membership.counters().own_pauses, 1);
-    assert_eq!(membership.counters().verdicts, 0);
+    assert_eq!(membership.counters().deaths_declared, 0);
 }
 
 #[test]
@@ -54,7 +54,7 @@
         membership.handle(Event::Timer, now);
     }
     assert_eq!(membership.counters().own_pauses, 0);
-    assert_eq!(membership.counters().verdicts, 2);
+    assert_eq!(membership.counters().deaths_declared, 2);
 }
 
 #[test]
--- a/crates/node/src/membership/mod.rs
+++ b/crates/node/src/membership/mod.rs
@@ -98,7 +98,7 @@
 
     /// Takes a sign of life.
     pub fn alive(&mut self, cx: CX![], node: NodeId) {
-        self.handle(cx, Event::MessageFrom { node });
+        self.handle(cx, Event::PeerActivity { node });
     }
 
     /// Takes the news that the link to a node closed.
--- a/crates/node/src/metrics/readings.rs
+++ b/crates/node/src/metrics/readings.rs
@@ -263,7 +263,7 @@
         counter(
             "membership_verdicts",
             "Members that this node declared dead",
-            counters.verdicts,
+            counters.deaths_declared,
         ),
         counter(
             "membership_refutations",
@@ -278,7 +278,7 @@
         counter(
             "membership_rumours_checked",
             "Claims of death checked before they were taken",
-            counters.rumours_checked,
+            counters.dead_claims_verified,
         ),
     ]
 }
@@ -305,7 +305,7 @@
         counter(
             "configuration_leases_lapsed",
             "Times that the lease ran out",
-            counters.leases_lapsed,
+            counters.leases_expired,
         ),
         counter(
             "configuration_revisions_in_force",
