--- a/crates/gateway/src/role.rs
+++ b/crates/gateway/src/role.rs
@@ -1,4 +1,4 @@
-//! The gateway as a process: start, reload, stop.
+//! Starts, runs and stops the gateway process.
 
 use std::io;
 use std::net::SocketAddr;
@@ -11,13 +11,13 @@
 use ridgeworks_platform::{READY_PATH, unavailable};
 use ridgeworks_resident::build;
 use ridgeworks_resident::clock::Clock;
-use ridgeworks_resident::http_server::{self, ShortAnswer};
+use ridgeworks_resident::http_server::{self, TextResponse};
 use ridgeworks_resident::logging::LogCounters;
-use ridgeworks_resident::metrics::{self, LogCollector, UnreadCollector};
+use ridgeworks_resident::metrics::{self, LogCollector, RejectedMessageCollector};
 use ridgeworks_resident::node::Node;
 use ridgeworks_resident::process::{RoleError, run_until_stopped, serve_metrics};
 use ridgeworks_resident::settings::NodeSettings;
-use ridgeworks_resident::shutdown::Orders;
+use ridgeworks_resident::shutdown::Signals;
 use tokio::sync::watch;
 use tokio::time::Instant;
 
@@ -25,15 +25,16 @@
 use crate::listener::{self, StopPhase};
 use crate::metrics::GatewayMetrics;
 
-/// After an order to stop, the platform sends new clients for as long as it takes to notice.
-const NOTICE_TIME: Duration = Duration::from_millis(2_600);
-/// Time kept back before the platform kills the process.
+/// How long the platform may keep sending new clients after the gateway has become unready.
+const READINESS_NOTICE_TIME: Duration = Duration::from_millis(2_600);
+/// Stopping ends this long before the platform kills the process.
 const STOP_MARGIN: Duration = Duration::from_millis(700);
-const STOP_CHECK: Duration = Duration::from_millis(50);
-/// A request that has ended has its last bytes on their way to the client for a moment.
-const LAST_ANSWERS: Duration = Duration::from_millis(60);
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Time for the last bytes of a response to reach the client.
+const FLUSH_TIME: Duration = Duration::from_millis(60);
 
-/// Runs a gateway until the platform stops it. Must be called inside a local set of tasks.
+/// Runs a gateway until the platform stops it. Must be called inside a `LocalSet`. Fails if a
+/// listen address is not set or cannot be bound.
 pub async fn run(
     settings: NodeSettings,
     settings_path: PathBuf,
@@ -47,25 +48,25 @@
         .listen
         .readiness
         .ok_or(RoleError::MissingSetting("listen.readiness"))?;
-    let mut orders = Orders::listen()?;
+    let mut signals = Signals::listen()?;
     let mut registry = metrics::registry();
     registry.register_collector(Box::new(LogCollector(log_counters)));
-    registry.register_collector(Box::new(UnreadCollector));
+    registry.register_collector(Box::new(RejectedMessageCollector));
     build::register(&mut registry);
     let gateway_metrics = GatewayMetrics::register(&mut registry);
     let node = Node::bind(settings, Clock::start()).await?;
     let gateway = Gateway::new(Rc::clone(&node), gateway_metrics);
     let (stopping, phase) = watch::channel(StopPhase::Serving);
     node.start(Rc::clone(&gateway), Rc::clone(&gateway)).await?;
-    node.follow_traffic();
+    node.watch_store();
     serve_readiness(&gateway, readiness).await?;
-    let updated = Rc::clone(&gateway);
-    serve_metrics(&node, registry, move || updated.update_gauges()).await?;
+    let metrics_source = Rc::clone(&gateway);
+    serve_metrics(&node, registry, move || metrics_source.update_gauges()).await?;
     listener::listen(Rc::clone(&gateway), callers, phase).await?;
-    tokio::task::spawn_local(Rc::clone(&gateway).tidy());
+    tokio::task::spawn_local(Rc::clone(&gateway).run_maintenance());
     tokio::task::spawn_local(Rc::clone(&gateway.records).run_settlements());
     tokio::task::spawn_local(Rc::clone(&gateway.records).run_searches());
-    run_until_stopped(&node, &settings_path, &mut orders).await;
+    run_until_stopped(&node, &settings_path, &mut signals).await;
     stop(&gateway, &stopping).await;
     Ok(())
 }
@@ -74,7 +75,7 @@
     let gateway = Rc::clone(gateway);
     let answer = move |path: &str| {
         let is_ready = path == READY_PATH && gateway.is_ready();
-        ShortAnswer::empty(if is_ready {
+        TextResponse::empty(if is_ready {
             StatusCode::OK
         } else {
             unavailable()
@@ -83,33 +84,33 @@
     http_server::serve(address, answer).await
 }
 
-/// Serves on until the platform has noticed and all requests have their answers.
+/// Keeps serving until the platform has noticed the stop, then drains open requests.
 async fn stop(gateway: &Rc<Gateway>, stopping: &watch::Sender<StopPhase>) {
     let began = Instant::now();
     let grace = gateway.node.settings.bounds.grace();
-    let latest = began + grace.saturating_sub(STOP_MARGIN);
+    let deadline = began + grace.saturating_sub(STOP_MARGIN);
     let open = gateway.open_requests();
     log::info!(target: "process", open_requests = open; "stopping");
     gateway.drain();
     stopping.send_replace(StopPhase::Draining);
-    tokio::time::sleep_until(latest.min(began + NOTICE_TIME)).await;
+    tokio::time::sleep_until(deadline.min(began + READINESS_NOTICE_TIME)).await;
     stopping.send_replace(StopPhase::Closed);
-    finish(gateway, latest).await;
+    finish(gateway, deadline).await;
     let open = gateway.open_requests();
     log::info!(target: "process", open_requests = open; "stopped");
 }
 
-/// Waits until all requests are answered and settled. Connections that were taken before may bring another
-/// request at any moment, so that the end has to find the gateway quiet for a while: what is read is answered.
-async fn finish(gateway: &Rc<Gateway>, latest: Instant) {
-    while Instant::now() < latest {
+/// Waits until all requests are answered and settled. Open connections may still bring requests, so
+/// the gateway has to be idle for a moment before it stops.
+async fn finish(gateway: &Rc<Gateway>, deadline: Instant) {
+    while Instant::now() < deadline {
         if gateway.open_requests() > 0 {
-            tokio::time::sleep(STOP_CHECK).await;
+            tokio::time::sleep(STOP_POLL_INTERVAL).await;
             continue;
         }
         let before = gateway.metrics.requests.get();
-        gateway.records.finish_settlements(latest).await;
-        tokio::time::sleep(LAST_ANSWERS).await;
+        gateway.records.finish_settlements(deadline).await;
+        tokio::time::sleep(FLUSH_TIME).await;
         if gateway.open_requests() == 0 && gateway.metrics.requests.get() == before {
             return;
         }
--- a/crates/quota/src/bucket.rs
+++ b/crates/quota/src/bucket.rs
@@ -1,31 +1,33 @@
-//! What one limiter gives out of one limit.
+//! Token buckets of one limiter.
 
 use std::collections::HashMap;
 use std::time::Duration;
 
-use crate::limiter::{Progress, Verdict};
+use crate::limiter::{LimiterDecision, ProgramProgress};
 use crate::share::Share;
 
-/// Part of a bucket that requests of programs that are under way find when others find it empty. Where a tenant asks for more than its
-/// limit, every program that is let in can be carried out; without it each program lost some request in its midst.
-const BEGUN_SHARE: f64 = 0.55;
-/// Full buckets that are kept for the limits that they tell: more than a deployment has tenants, within half a megabyte.
+/// Fraction of a bucket that is reserved for programs in progress. Where a tenant asks for more than its
+/// limit, programs that were admitted can then finish; without the reserve, each program would lose a request
+/// at some point.
+const RESERVED_FRACTION: f64 = 0.55;
+/// Full buckets that are kept so that their limits are known: more than a deployment has tenants, in less
+/// than half a megabyte.
 const MAX_FULL_BUCKETS: usize = 4_096;
-/// When a request may come back whose limit may be out of date: its gateway hears of the newer version meanwhile.
-const UNSURE_RETRY: Duration = Duration::from_millis(200);
+/// Delay before a retry of a request whose limit may be outdated. Its gateway receives the newer
+/// configuration in the meantime.
+const STALE_LIMIT_RETRY: Duration = Duration::from_millis(200);
 
-/// A token bucket for one share of a limit. Times are since the start of the process.
+/// Token bucket for one share of a limit. Times are since the start of the process.
 #[derive(Debug)]
 pub(crate) struct Bucket {
     /// Version of the configuration that set the share.
     version: u64,
     share: Share,
-    /// Requests that it holds.
+    /// Tokens in the bucket when it was last updated.
     level: f64,
-    /// When that was worked out.
-    at: Duration,
-    /// When the last request that was turned away may come back.
-    promised: Duration,
+    updated_at: Duration,
+    /// When the last refused request may retry. Each refused request gets a later time, one token apart.
+    last_retry_at: Duration,
 }
 
 impl Bucket {
@@ -34,13 +36,13 @@
             version,
             share,
             level,
-            at: now,
-            promised: now,
+            updated_at: now,
+            last_retry_at: now,
         }
     }
 
-    /// Takes a share in that a newer version of the configuration sets.
-    fn renew(&mut self, fresh: &Self) {
+    /// Takes over the share of a newer version of the configuration.
+    fn update_share(&mut self, fresh: &Self) {
         if fresh.version > self.version {
             self.version = fresh.version;
             self.share = fresh.share;
@@ -48,82 +50,83 @@
         }
     }
 
-    fn fill(&mut self, now: Duration) {
-        let passed = now.saturating_sub(self.at).as_secs_f64();
+    fn refill(&mut self, now: Duration) {
+        let passed = now.saturating_sub(self.updated_at).as_secs_f64();
         self.level = (self.level + passed * self.share.per_s).min(self.share.capacity);
-        self.at = self.at.max(now);
+        self.updated_at = self.updated_at.max(now);
     }
 
     fn is_full(&self) -> bool {
         self.level >= self.share.capacity
     }
 
-    fn take(&mut self, progress: Progress, longest: Duration) -> Verdict {
-        let needed = match progress {
-            Progress::Beginning => 1.0 + self.share.capacity * BEGUN_SHARE,
-            Progress::UnderWay => 1.0,
+    fn take(&mut self, progress: ProgramProgress, max_wait: Duration) -> LimiterDecision {
+        let required = match progress {
+            ProgramProgress::Beginning => 1.0 + self.share.capacity * RESERVED_FRACTION,
+            ProgramProgress::UnderWay => 1.0,
         };
-        // A bucket that is full serves whoever comes, however small it is.
-        let needed = needed.min(self.share.capacity).max(1.0);
-        if self.level >= needed {
+        // A full bucket grants any request, however small it is.
+        let required = required.min(self.share.capacity).max(1.0);
+        if self.level >= required {
             self.level -= 1.0;
-            return Verdict::Granted;
+            return LimiterDecision::Granted;
         }
-        let pace = seconds(1.0 / self.share.per_s, longest);
-        let next = seconds((needed - self.level) / self.share.per_s, longest);
-        let first = self.at + next;
-        let latest = self.at + longest;
-        self.promised = (self.promised + pace).max(first).min(latest);
-        Verdict::Exhausted {
+        let interval = bounded_duration(1.0 / self.share.per_s, max_wait);
+        let next = bounded_duration((required - self.level) / self.share.per_s, max_wait);
+        let earliest = self.updated_at + next;
+        let latest = self.updated_at + max_wait;
+        self.last_retry_at = (self.last_retry_at + interval).max(earliest).min(latest);
+        LimiterDecision::Exhausted {
             next,
-            retry: self.promised - self.at,
+            retry: self.last_retry_at - self.updated_at,
         }
     }
 }
 
-/// A time that may be longer than anybody waits, or endless.
-fn seconds(seconds: f64, longest: Duration) -> Duration {
-    Duration::try_from_secs_f64(seconds).map_or(longest, |time| time.min(longest))
+/// A duration in seconds, capped at `max_wait`; the cap also holds for values that are infinite or not a
+/// number.
+fn bounded_duration(seconds: f64, max_wait: Duration) -> Duration {
+    Duration::try_from_secs_f64(seconds).map_or(max_wait, |duration| duration.min(max_wait))
 }
 
-/// The buckets of one limiter, by whose limit it is.
+/// The buckets of one limiter, by name of the tenant or engine.
 #[derive(Debug, Default)]
 pub(crate) struct Buckets {
     buckets: HashMap<String, Bucket>,
-    /// Newest version among the limits that were let go.
-    forgotten: u64,
+    /// Newest version among the limits that were discarded.
+    discarded_version: u64,
 }
 
 impl Buckets {
-    /// Takes from the bucket of this name: this one, unless there is one.
+    /// Takes a token from the bucket of this name; `fresh` is its initial state if there is none.
     pub(crate) fn take(
         &mut self,
         name: &str,
         fresh: Bucket,
-        progress: Progress,
-        longest: Duration,
-    ) -> Verdict {
+        progress: ProgramProgress,
+        max_wait: Duration,
+    ) -> LimiterDecision {
         let Some(bucket) = self.buckets.get_mut(name) else {
-            if fresh.version < self.forgotten {
-                // A lower limit may be among those that were let go.
-                return Verdict::Exhausted {
-                    next: UNSURE_RETRY,
-                    retry: UNSURE_RETRY,
+            if fresh.version < self.discarded_version {
+                // A lower limit may be among those that were discarded.
+                return LimiterDecision::Exhausted {
+                    next: STALE_LIMIT_RETRY,
+                    retry: STALE_LIMIT_RETRY,
                 };
             }
             let bucket = self.buckets.entry(name.to_owned()).or_insert(fresh);
-            return bucket.take(progress, longest);
+            return bucket.take(progress, max_wait);
         };
-        bucket.fill(fresh.at);
-        bucket.renew(&fresh);
-        bucket.take(progress, longest)
+        bucket.refill(fresh.updated_at);
+        bucket.update_share(&fresh);
+        bucket.take(progress, max_wait)
     }
 
-    /// Lets go of full buckets beyond those that are kept so that no gateway brings an earlier limit than the newest one that was heard of.
-    /// Those with limits of the oldest versions go first.
-    pub(crate) fn tidy(&mut self, now: Duration) {
+    /// Discards full buckets over the maximum, those with limits of the oldest versions first. The others
+    /// stay, so that a gateway with an older configuration does not bring back an earlier limit.
+    pub(crate) fn clean_up(&mut self, now: Duration) {
         let buckets = self.buckets.values_mut();
-        buckets.for_each(|bucket| bucket.fill(now));
+        buckets.for_each(|bucket| bucket.refill(now));
         let full = self.buckets.values().filter(|bucket| bucket.is_full());
         let mut versions: Vec<u64> = full.map(|bucket| bucket.version).collect();
         if versions.len() <= MAX_FULL_BUCKETS {
@@ -132,19 +135,19 @@
         let last = versions.len() - MAX_FULL_BUCKETS - 1;
         let (_, newest, _) = versions.select_nth_unstable(last);
         let newest = *newest;
-        self.forgotten = self.forgotten.max(newest);
+        self.discarded_version = self.discarded_version.max(newest);
         self.buckets
             .retain(|_, bucket| !bucket.is_full() || bucket.version > newest);
     }
 
-    /// Those of which something was taken lately.
+    /// Number of buckets that are not full.
     pub(crate) fn len(&self) -> usize {
         let taken = self.buckets.values().filter(|bucket| !bucket.is_full());
         taken.count()
     }
 
-    /// All that are kept.
-    pub(crate) fn kept(&self) -> usize {
+    /// Number of all buckets.
+    pub(crate) fn retained(&self) -> usize {
         self.buckets.len()
     }
 }
--- a/crates/records/src/chain_read.rs
+++ b/crates/records/src/chain_read.rs
@@ -1,7 +1,8 @@
-//! Reading a turn with all before it, as the gateway sees it.
+//! Reads a turn with all turns before it, on the gateway's side.
 //!
-//! Records never change, so any one replica that has a record may answer for it. Only that a turn does
-//! not exist takes a majority of the voters: it has one that knows of any later set, and refuses.
+//! Records never change, so any replica that has a record may return it. That a turn doesn't exist
+//! takes replies of a majority of the voters: at least one of them knows any later set, and rejects
+//! the request.
 
 use std::collections::BTreeSet;
 
@@ -9,53 +10,51 @@
 use crate::replica_set::{Replica, ReplicaSet};
 use crate::turn::TurnRecord;
 
-/// How a read ended.
+/// Result of a read.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ChainOutcome {
-    /// The whole chain, oldest first.
-    Whole(Vec<TurnRecord>),
-    /// A majority has no record of this turn.
+    /// The complete chain, oldest turn first.
+    Complete(Vec<TurnRecord>),
+    /// A majority of the voters has no record of this turn.
     NoSuchTurn(TurnId),
 }
 
-/// State of one read.
 #[derive(Debug, Clone)]
 pub struct ChainRead {
     set: ReplicaSet,
-    wanted: TurnId,
+    next_turn: TurnId,
     denied: BTreeSet<ReplicaId>,
     newest_first: Vec<TurnRecord>,
 }
 
 impl ChainRead {
-    /// A read of the chain that ends with this turn.
     pub fn new(set: ReplicaSet, turn: TurnId) -> Self {
         Self {
             set,
-            wanted: turn,
+            next_turn: turn,
             denied: BTreeSet::new(),
             newest_first: Vec::new(),
         }
     }
 
-    /// The set under which answers are counted.
+    /// The set whose majority is counted.
     pub fn set(&self) -> &ReplicaSet {
         &self.set
     }
 
-    /// The turn to ask for next.
-    pub fn wanted(&self) -> &TurnId {
-        &self.wanted
+    pub fn next_turn(&self) -> &TurnId {
+        &self.next_turn
     }
 
-    /// The voters that have not yet said that they lack the wanted turn.
+    /// The voters that haven't denied having the next turn.
     pub fn candidates(&self) -> Vec<Replica> {
         let voters = self.set.voters.iter();
         let open = voters.filter(|voter| !self.denied.contains(&voter.id));
         open.cloned().collect()
     }
 
-    /// Takes the answer of one replica about the wanted turn.
+    /// Handles the reply of one replica to a request for the next turn; `None` while the read goes
+    /// on.
     pub fn on_chain(
         &mut self,
         from: ReplicaId,
@@ -69,11 +68,11 @@
         let Some(missing) = missing else {
             let mut chain = std::mem::take(&mut self.newest_first);
             chain.reverse();
-            return Some(ChainOutcome::Whole(chain));
+            return Some(ChainOutcome::Complete(chain));
         };
-        self.wanted = missing;
+        self.next_turn = missing;
         self.denied.insert(from);
-        let certain = self.set.has_voter_majority(&self.denied);
-        certain.then(|| ChainOutcome::NoSuchTurn(self.wanted.clone()))
+        let is_certain = self.set.has_voter_majority(&self.denied);
+        is_certain.then(|| ChainOutcome::NoSuchTurn(self.next_turn.clone()))
     }
 }
--- a/crates/records/tests/simulator/gateway.rs
+++ b/crates/records/tests/simulator/gateway.rs
@@ -1,65 +1,70 @@
-//! Turns of programs as gateways carry them out, and the reads that check them.
+//! Operations of gateways: the steps of turns, and the reads that check them.
 
 use ridgeworks_records::{
     ChainRead, GroupId, LedgerEntry, ProgramId, QuorumWrite, ReplicaRequest, ReplicaSet,
     Settlement, TurnId, TurnRecord,
 };
 
-use super::storage::KEEP_MS;
+use super::storage::TTL_MS;
 
-/// What an operation of a gateway is about.
+/// Purpose of an operation.
 #[derive(Debug, Clone)]
 pub enum Purpose {
-    /// Reserves a turn's tokens.
-    Reserve { program: usize, turn: TurnId },
-    /// Writes a turn's record.
-    Append { program: usize, record: TurnRecord },
-    /// Settles a turn.
+    Reserve {
+        program: usize,
+        turn: TurnId,
+    },
+    Append {
+        program: usize,
+        record: TurnRecord,
+    },
     Settle {
         program: usize,
         turn: TurnId,
         spent: u64,
     },
     /// Reads an acknowledged turn.
-    Read { program: usize, turn: TurnId },
-    /// Reads a turn that nobody wrote.
-    ReadInvented { program: usize },
+    Read {
+        program: usize,
+        turn: TurnId,
+    },
+    /// Reads a turn that was never written.
+    ReadUnwritten {
+        program: usize,
+    },
 }
 
 impl Purpose {
-    /// The program that it is about.
     pub fn program(&self) -> usize {
         match self {
             Self::Reserve { program, .. }
             | Self::Append { program, .. }
             | Self::Settle { program, .. }
             | Self::Read { program, .. }
-            | Self::ReadInvented { program } => *program,
+            | Self::ReadUnwritten { program } => *program,
         }
     }
 }
 
-/// The state machine of an operation.
 #[derive(Debug, Clone)]
-pub enum Machine {
+pub enum StateMachine {
     Write(QuorumWrite),
     Read(ChainRead),
 }
 
-/// One operation of a gateway.
 #[derive(Debug, Clone)]
 pub struct Operation {
     pub gateway: usize,
     pub group: GroupId,
     pub purpose: Purpose,
-    pub machine: Machine,
+    pub state_machine: StateMachine,
     pub deadline: u64,
-    /// Whether it was sent before.
+    /// Whether the request was sent before.
     pub is_sent: bool,
 }
 
-/// The most that each simulated turn may generate.
-pub const MOST: u64 = 10;
+/// Tokens that a turn reserves.
+pub const MAX_TURN_TOKENS: u64 = 10;
 
 pub fn program_id(program: usize) -> ProgramId {
     ProgramId(format!("program-{program}"))
@@ -67,27 +72,27 @@
 
 impl Operation {
     pub fn set(&self) -> &ReplicaSet {
-        match &self.machine {
-            Machine::Write(write) => write.set(),
-            Machine::Read(read) => read.set(),
+        match &self.state_machine {
+            StateMachine::Write(write) => write.set(),
+            StateMachine::Read(read) => read.set(),
         }
     }
 
-    /// The request as it is sent under the operation's set.
+    /// The request under the operation's current set.
     pub fn request(&self) -> ReplicaRequest {
         let epoch = self.set().epoch;
         let group = self.group;
-        match (&self.purpose, &self.machine) {
+        match (&self.purpose, &self.state_machine) {
             (Purpose::Reserve { program, turn }, _) => ReplicaRequest::Charge {
                 group,
                 epoch,
                 program: program_id(*program),
                 turn: turn.clone(),
                 entry: LedgerEntry {
-                    most: MOST,
+                    reserved_tokens: MAX_TURN_TOKENS,
                     spent: None,
                 },
-                keep_ms: KEEP_MS,
+                ttl_ms: TTL_MS,
             },
             (
                 Purpose::Settle {
@@ -103,38 +108,38 @@
                     program: program_id(*program),
                     turn: turn.clone(),
                     entry: LedgerEntry {
-                        most: MOST,
+                        reserved_tokens: MAX_TURN_TOKENS,
                         spent: Some(*spent),
                     },
-                    keep_ms: KEEP_MS,
+                    ttl_ms: TTL_MS,
                 }],
             },
             (Purpose::Append { record, .. }, _) => ReplicaRequest::Append {
                 group,
                 epoch,
                 record: record.clone(),
-                keep_ms: KEEP_MS,
+                ttl_ms: TTL_MS,
             },
-            (_, Machine::Read(read)) => ReplicaRequest::ReadChain {
+            (_, StateMachine::Read(read)) => ReplicaRequest::ReadChain {
                 group,
                 epoch,
-                turn: read.wanted().clone(),
+                turn: read.next_turn().clone(),
             },
-            (_, Machine::Write(_)) => unreachable!("reads have the machine of a read"),
+            (_, StateMachine::Write(_)) => unreachable!("reads use the state machine of a read"),
         }
     }
 
-    /// Starts the operation anew under a newer set.
+    /// Restarts the operation under a newer set.
     pub fn restart(&mut self, set: ReplicaSet) {
-        self.machine = match &self.purpose {
-            Purpose::Read { turn, .. } => Machine::Read(ChainRead::new(set, turn.clone())),
-            Purpose::ReadInvented { .. } => Machine::Read(ChainRead::new(set, invented())),
-            _ => Machine::Write(QuorumWrite::new(self.group, set)),
+        self.state_machine = match &self.purpose {
+            Purpose::Read { turn, .. } => StateMachine::Read(ChainRead::new(set, turn.clone())),
+            Purpose::ReadUnwritten { .. } => StateMachine::Read(ChainRead::new(set, unwritten())),
+            _ => StateMachine::Write(QuorumWrite::new(self.group, set)),
         };
     }
 }
 
-/// A turn that nobody writes.
-pub fn invented() -> TurnId {
+/// A turn that is never written.
+pub fn unwritten() -> TurnId {
     TurnId("invented".to_owned())
 }
--- a/crates/records/tests/simulator/world/nodes.rs
+++ b/crates/records/tests/simulator/world/nodes.rs
@@ -1,4 +1,4 @@
-//! What storage nodes do with messages, and with their disks.
+//! Messages to storage nodes, and writes to their disks.
 
 use super::*;
 
@@ -11,9 +11,9 @@
         to: ReplicaId,
         request: ReplicaRequest,
     ) {
-        let is_cut = self.cut.contains(&node);
+        let is_partitioned = self.partitioned.contains(&node);
         let storage = &mut self.storage[node];
-        if !storage.running || is_cut {
+        if !storage.running || is_partitioned {
             return;
         }
         let id = storage.state.id();
@@ -30,20 +30,27 @@
     }
 
     pub(super) fn schedule_sync(&mut self, node: usize) {
-        let (life, batch, durable) = {
+        let (incarnation, batch, durable) = {
             let storage = &self.storage[node];
-            (storage.life, storage.submitted, storage.durable)
+            (storage.incarnation, storage.submitted, storage.durable)
         };
         if batch > durable {
-            let hangs = self.random.random_bool(0.02);
-            let delay = self.random.random_range(1..if hangs { 700 } else { 6 });
-            self.schedule(delay, Event::Sync { node, life, batch });
+            let is_slow = self.random.random_bool(0.02);
+            let delay = self.random.random_range(1..if is_slow { 700 } else { 6 });
+            self.schedule(
+                delay,
+                Event::Sync {
+                    node,
+                    incarnation,
+                    batch,
+                },
+            );
         }
     }
 
-    pub(super) fn sync(&mut self, node: usize, life: u64, batch: u64) {
+    pub(super) fn sync(&mut self, node: usize, incarnation: u64, batch: u64) {
         let storage = &mut self.storage[node];
-        if storage.life != life || !storage.running {
+        if storage.incarnation != incarnation || !storage.running {
             return;
         }
         let id = storage.state.id();
--- a/crates/replica/src/limiting.rs
+++ b/crates/replica/src/limiters.rs
@@ -1,41 +1,43 @@
-//! Gives out this node's shares of the limits of tenants (`docs/design/quotas.md`) and of what engines bear that warm up
-//! (`docs/design/warm-up.md`).
+//! Grants this node's shares of the rate limits of tenants (`docs/design/quotas.md`) and of the
+//! warm-up limits of engines (`docs/design/warm-up.md`).
 //!
-//! It needs no disk: what was given out counts for a window only, and a limiter that knows nothing of before starts low.
+//! Nothing is stored on disk: a grant counts only within a window, and a limiter without history
+//! starts with a low rate.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use ridgeworks_quota::{GrantLimiter, Limiter, Progress, QuotaBounds, Verdict, WarmUpBounds};
+use ridgeworks_quota::{
+    GrantLimiter, Limiter, LimiterDecision, ProgramProgress, QuotaBounds, WarmUpBounds,
+};
 use ridgeworks_records::{Admission, GroupId, ReplicaGroups, ReplicaReply};
 use ridgeworks_resident::clock::whole_ms;
 use ridgeworks_resident::peer::{GrantReply, GrantRequest};
 use ridgeworks_routing::{RateLimit, WarmUpLimit};
 
-/// How often buckets that are full again are let go.
-pub const TIDY_INTERVAL: Duration = Duration::from_secs(10);
+/// How often token buckets that are full again are removed.
+pub const CLEAN_UP_INTERVAL: Duration = Duration::from_secs(10);
 
-/// What this node gives out as a voter of one group.
+/// This node's limiters as a voter of one group.
 #[derive(Debug)]
 struct GroupLimiters {
     tenants: Limiter,
-    /// None where engines need no care.
+    /// `None` if warm-up limits are off.
     engines: Option<GrantLimiter>,
 }
 
-/// The limiters of the groups whose voter this node is.
+/// The limiters of the groups in which this node is a voter.
 #[derive(Debug)]
-pub struct Limiting {
+pub struct LocalLimiters {
     bounds: QuotaBounds,
     warm_up: Option<WarmUpBounds>,
-    /// Limiters that each limit is split among.
+    /// Number of limiters that share each limit.
     limiters: usize,
     groups: RefCell<BTreeMap<GroupId, GroupLimiters>>,
 }
 
-impl Limiting {
-    /// No limiter yet.
+impl LocalLimiters {
     pub fn new(bounds: QuotaBounds, warm_up: Option<WarmUpBounds>, limiters: usize) -> Self {
         Self {
             bounds,
@@ -45,8 +47,8 @@
         }
     }
 
-    /// Takes in newer replica sets: a voter that is new knows nothing of what the one before it has given out.
-    pub fn on_sets(&self, sets: &ReplicaGroups, node: &str, now: Duration) {
+    /// Adopts newer replica sets. A new voter starts without the grants of its predecessor.
+    pub fn adopt_sets(&self, sets: &ReplicaGroups, node: &str, now: Duration) {
         let mut groups = self.groups.borrow_mut();
         for (group, set) in sets.iter() {
             let is_voter = set.voters.iter().any(|voter| voter.node == node);
@@ -66,7 +68,8 @@
         }
     }
 
-    /// Whether a request may go to an engine that warms up; `None` where nothing is promised of that.
+    /// Decides whether a request may go to an engine that is warming up; `None` if warm-up limits
+    /// are off.
     pub fn grant(&self, request: &GrantRequest, now: Duration) -> Option<GrantReply> {
         self.warm_up?;
         let mut groups = self.groups.borrow_mut();
@@ -76,19 +79,19 @@
         };
         let limit = WarmUpLimit {
             per_ks: request.per_ks,
-            lasts_ms: 0,
+            duration_ms: 0,
         };
         let verdict = limiter.grant(&request.engine, limit, request.version, now);
         Some(match verdict {
-            Verdict::Granted => GrantReply::Granted,
-            Verdict::Exhausted { next, retry } => GrantReply::Exhausted {
+            LimiterDecision::Granted => GrantReply::Granted,
+            LimiterDecision::Exhausted { next, retry } => GrantReply::Exhausted {
                 next_ms: whole_ms(next),
                 retry_ms: whole_ms(retry),
             },
         })
     }
 
-    /// Whether a request of a tenant may run.
+    /// Decides whether a tenant's request may run.
     pub fn admit(&self, admission: &Admission, now: Duration) -> ReplicaReply {
         let mut groups = self.groups.borrow_mut();
         let Some(group) = groups.get_mut(&admission.group) else {
@@ -99,32 +102,32 @@
             per_ks: admission.per_ks,
             burst: admission.burst,
         };
-        let progress = if admission.is_beginning {
-            Progress::Beginning
+        let progress = if admission.may_start_program {
+            ProgramProgress::Beginning
         } else {
-            Progress::UnderWay
+            ProgramProgress::UnderWay
         };
         match limiter.admit(&admission.tenant, progress, limit, admission.version, now) {
-            Verdict::Granted => ReplicaReply::Granted,
-            Verdict::Exhausted { next, retry } => ReplicaReply::Exhausted {
+            LimiterDecision::Granted => ReplicaReply::Granted,
+            LimiterDecision::Exhausted { next, retry } => ReplicaReply::Exhausted {
                 next_ms: whole_ms(next),
                 retry_ms: whole_ms(retry),
             },
         }
     }
 
-    /// Lets go of buckets that are full again.
-    pub fn tidy(&self, now: Duration) {
+    /// Removes token buckets that are full again.
+    pub fn clean_up(&self, now: Duration) {
         let mut groups = self.groups.borrow_mut();
         for group in groups.values_mut() {
-            group.tenants.tidy(now);
+            group.tenants.clean_up(now);
             if let Some(engines) = &mut group.engines {
-                engines.tidy(now);
+                engines.clean_up(now);
             }
         }
     }
 
-    /// Tenants of whom something was taken lately.
+    /// Number of tenants that have a token bucket at this node.
     pub fn tenants(&self) -> usize {
         let groups = self.groups.borrow();
         groups.values().map(|group| group.tenants.len()).sum()
--- a/crates/resident/src/metrics.rs
+++ b/crates/resident/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and histograms of a process, as Prometheus text.
+//! Metrics of a process, in the OpenMetrics text format.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -10,33 +10,33 @@
 use prometheus_client::metrics::counter::ConstCounter;
 use prometheus_client::registry::Registry;
 
-use crate::http_server::ShortAnswer;
+use crate::http_server::TextResponse;
 use crate::logging::LogCounters;
-use crate::peer::UNREAD;
+use crate::peer::REJECTED;
 
-/// Media type of the text.
+/// Media type of the OpenMetrics text format.
 pub const CONTENT_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 const PREFIX: &str = "ridgeworks";
 
-/// A registry with the product's prefix.
+/// A registry whose metrics have the product's name as a prefix.
 pub fn registry() -> Registry {
     Registry::with_prefix(PREFIX)
 }
 
-/// Encodes a registry as an answer.
-pub fn answer(registry: &Registry) -> ShortAnswer {
+/// Encodes a registry as an HTTP response.
+pub fn answer(registry: &Registry) -> TextResponse {
     let mut body = String::new();
     match encode(&mut body, registry) {
-        Ok(()) => ShortAnswer {
+        Ok(()) => TextResponse {
             status: StatusCode::OK,
             content_type: CONTENT_TYPE,
             body,
         },
-        Err(_) => ShortAnswer::empty(StatusCode::INTERNAL_SERVER_ERROR),
+        Err(_) => TextResponse::empty(StatusCode::INTERNAL_SERVER_ERROR),
     }
 }
 
-/// Tells the counters of the log at each request for metrics.
+/// Exports the counters of the log.
 #[derive(Debug)]
 pub struct LogCollector(pub Arc<LogCounters>);
 
@@ -59,22 +59,22 @@
     }
 }
 
-/// Tells at each request for metrics how many messages of other nodes were not understood.
+/// Exports the numbers of messages of other nodes that were rejected as unknown or unreadable.
 #[derive(Debug)]
-pub struct UnreadCollector;
+pub struct RejectedMessageCollector;
 
-impl Collector for UnreadCollector {
+impl Collector for RejectedMessageCollector {
     fn encode(&self, encoder: DescriptorEncoder) -> Result<(), std::fmt::Error> {
         let counters = [
             (
                 "messages_unknown",
                 "Messages of other nodes of a kind that this version does not know",
-                &UNREAD.unknown,
+                &REJECTED.unknown,
             ),
             (
                 "messages_unreadable",
                 "Messages of other nodes that could not be read",
-                &UNREAD.unreadable,
+                &REJECTED.unreadable,
             ),
         ];
         encode_counters(encoder, &counters)
--- a/crates/resident/src/peer/purpose.rs
+++ b/crates/resident/src/peer/purpose.rs
@@ -1,19 +1,21 @@
-//! What messages between nodes are for.
+//! Maps messages between nodes to the purposes that traffic is counted by.
 
 use ridgeworks_records::ReplicaRequest;
 
-use super::later::{LaterDatagram, LaterRequest};
+use super::extension::{ExtensionDatagram, ExtensionRequest};
 use super::message::{Datagram, PeerRequest};
 use crate::traffic::Purpose;
 
-/// What a request is for, and the answer to it. One that is passed on counts like the request itself.
+/// Purpose of a request and its reply. A relayed request counts like the request itself.
 pub fn of_request(request: &PeerRequest) -> Purpose {
     match request {
         PeerRequest::Replica { request, .. } => of_replica_request(request),
-        PeerRequest::PassOn(passed) => of_replica_request(&passed.request),
+        PeerRequest::Relay(relayed) => of_replica_request(&relayed.request),
         PeerRequest::FetchView(_) | PeerRequest::ListMembers => Purpose::View,
-        PeerRequest::Later(LaterRequest::Grant(_)) => Purpose::Limit,
-        PeerRequest::Later(LaterRequest::FetchBuild | LaterRequest::Unknown(_)) => Purpose::View,
+        PeerRequest::Extension(ExtensionRequest::Grant(_)) => Purpose::Limit,
+        PeerRequest::Extension(ExtensionRequest::FetchBuild | ExtensionRequest::Unknown(_)) => {
+            Purpose::View
+        }
         PeerRequest::Prepare(_) => Purpose::Copy,
     }
 }
@@ -30,14 +32,14 @@
     }
 }
 
-/// What a datagram is for.
+/// Purpose of a datagram.
 pub fn of_datagram(datagram: &Datagram) -> Purpose {
     match datagram {
         Datagram::Heartbeat(_) => Purpose::Heartbeat,
         Datagram::Read(_) | Datagram::FindRead { .. } | Datagram::FoundRead { .. } => {
-            Purpose::Place
+            Purpose::PrefillDirectory
         }
-        Datagram::AskConfirmations { .. } | Datagram::Confirmed { .. } => Purpose::Proof,
-        Datagram::Later(LaterDatagram::Unknown(_)) => Purpose::Late,
+        Datagram::AskConfirmations { .. } | Datagram::Confirmed { .. } => Purpose::Confirmation,
+        Datagram::Extension(ExtensionDatagram::Unknown(_)) => Purpose::Unclaimed,
     }
 }
--- a/crates/resident/src/peer/server.rs
+++ b/crates/resident/src/peer/server.rs
@@ -1,4 +1,4 @@
-//! Answers requests of other nodes.
+//! Serves requests of other nodes.
 
 use std::io;
 use std::net::{IpAddr, SocketAddr};
@@ -12,26 +12,26 @@
 use tokio_util::codec::Framed;
 
 use super::codec;
-use super::encoding::{MessageKind, decode, encode, number_of};
-use super::later::LaterRequest;
+use super::encoding::{MessageKind, decode, encode, frame_number};
+use super::extension::ExtensionRequest;
 use super::message::{Envelope, PeerReply, PeerRequest};
-use super::unread::UNREAD;
-use crate::http_client::notice_silence;
+use super::rejected::REJECTED;
+use crate::http_client::configure_socket;
 
-/// Replies that may wait for a slow reader before its connection is read no further.
-const MAX_WAITING_REPLIES: usize = 256;
-/// A link by which nothing is asked for so long is closed, somewhat later than whoever asks closes it: its connection may
-/// have fallen silent for good, and would be held for ever.
+/// Most in-flight requests of a connection; no more are read until replies have been sent.
+const MAX_IN_FLIGHT_REQUESTS: usize = 256;
+/// A connection without a request for this long is closed, since it may have fallen silent without an error and would
+/// stay open for ever. Longer than the idle limit of the requester.
 const IDLE_LIMIT: Duration = Duration::from_secs(30);
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// Takes requests of other nodes.
+/// Handler of requests of other nodes.
 pub trait PeerService: 'static {
-    /// Answers through `reply`, now or later.
+    /// Handles a request and sends its reply through `reply`, now or later. If `reply` is dropped, the requester gets none.
     fn on_request(&self, request: PeerRequest, reply: oneshot::Sender<PeerReply>);
 }
 
-/// Listens until the process ends.
+/// Binds `address` and serves it until the process ends.
 pub async fn serve(address: SocketAddr, service: Rc<impl PeerService>) -> io::Result<()> {
     let listener = TcpListener::bind(address).await?;
     tokio::task::spawn_local(async move {
@@ -49,11 +49,11 @@
 }
 
 async fn serve_connection(stream: TcpStream, from: IpAddr, service: Rc<impl PeerService>) {
-    if notice_silence(&stream).is_err() {
+    if configure_socket(&stream).is_err() {
         return;
     }
     let (mut writer, mut reader) = Framed::new(stream, codec()).split();
-    let (replies, mut waiting) = mpsc::channel::<Bytes>(MAX_WAITING_REPLIES);
+    let (replies, mut waiting) = mpsc::channel::<Bytes>(MAX_IN_FLIGHT_REQUESTS);
     let writing = tokio::task::spawn_local(async move {
         while let Some(frame) = waiting.recv().await {
             if writer.send(frame).await.is_err() {
@@ -70,14 +70,14 @@
         };
         let (number, request) = match request {
             Request::Known(envelope) => (envelope.number, envelope.body),
-            Request::NotKnown(Some(number)) => {
+            Request::Unrecognized(Some(number)) => {
                 let body = PeerReply::Unsupported;
                 if let Ok(frame) = encode(&Envelope { number, body }) {
                     permit.send(frame);
                 }
                 continue;
             }
-            Request::NotKnown(None) => continue,
+            Request::Unrecognized(None) => continue,
         };
         let (reply, answered) = oneshot::channel();
         service.on_request(request, reply);
@@ -92,27 +92,27 @@
     let _ = writing.await;
 }
 
-/// What has come by a connection.
+/// A received request.
 enum Request {
     Known(Envelope<PeerRequest>),
-    /// Something that this version does not know or cannot read, with its number where that can be told.
-    NotKnown(Option<u64>),
+    /// A request that is unknown or can't be decoded, with its number where the frame has one.
+    Unrecognized(Option<u64>),
 }
 
-/// Reads a request; `None` where the connection is of no use any more. What cannot be read costs whoever asked that one
-/// answer: others may wait for theirs by the same connection.
+/// Decodes a request; `None` where the connection can't be used any more. One that can't be decoded doesn't close the connection,
+/// which other requests may be using.
 fn read(frame: &[u8], from: IpAddr) -> Option<Request> {
     match decode::<Envelope<PeerRequest>>(frame) {
         Ok(envelope) => {
-            if let PeerRequest::Later(LaterRequest::Unknown(kind)) = envelope.body {
-                UNREAD.on_unknown(from, kind);
-                return Some(Request::NotKnown(Some(envelope.number)));
+            if let PeerRequest::Extension(ExtensionRequest::Unknown(kind)) = envelope.body {
+                REJECTED.on_unknown(from, kind);
+                return Some(Request::Unrecognized(Some(envelope.number)));
             }
             Some(Request::Known(envelope))
         }
         Err(error) => {
-            UNREAD.on_unreadable(from, MessageKind::Request, error);
-            (!error.is_damage()).then(|| Request::NotKnown(number_of(frame)))
+            REJECTED.on_unreadable(from, MessageKind::Request, error);
+            (!error.is_corruption()).then(|| Request::Unrecognized(frame_number(frame)))
         }
     }
 }
--- a/crates/resident/src/shutdown.rs
+++ b/crates/resident/src/shutdown.rs
@@ -1,28 +1,28 @@
-//! Signals of the platform.
+//! Signals from the platform to stop the process or to reload its settings.
 
 use std::io;
 
 use tokio::signal::unix::{Signal, SignalKind, signal};
 
-/// What the platform orders by a signal.
+/// Meaning of a received signal.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Order {
-    /// End in an orderly way.
+pub enum ProcessSignal {
+    /// Shut down in order (SIGTERM or SIGINT).
     Stop,
-    /// Read the settings again.
+    /// Reload the settings (SIGHUP).
     Reload,
 }
 
-/// Receives signals.
+/// Receiver of signals.
 #[derive(Debug)]
-pub struct Orders {
+pub struct Signals {
     terminate: Signal,
     interrupt: Signal,
     reload: Signal,
 }
 
-impl Orders {
-    /// Starts to receive signals.
+impl Signals {
+    /// Installs the signal handlers.
     pub fn listen() -> io::Result<Self> {
         Ok(Self {
             terminate: signal(SignalKind::terminate())?,
@@ -31,12 +31,12 @@
         })
     }
 
-    /// The next order.
-    pub async fn next(&mut self) -> Order {
+    /// Waits for the next signal.
+    pub async fn next(&mut self) -> ProcessSignal {
         tokio::select! {
-            _ = self.terminate.recv() => Order::Stop,
-            _ = self.interrupt.recv() => Order::Stop,
-            _ = self.reload.recv() => Order::Reload,
+            _ = self.terminate.recv() => ProcessSignal::Stop,
+            _ = self.interrupt.recv() => ProcessSignal::Stop,
+            _ = self.reload.recv() => ProcessSignal::Reload,
         }
     }
 }
--- /dev/null
+++ b/crates/resident/src/store_watch.rs
@@ -0,0 +1,373 @@
+//! Watches kinds of objects in the platform's store.
+//!
+//! A watch waits for a change, and its connection may fall silent without an error. So the store is probed beside an open watch
+//! once the known objects have been unconfirmed for too long ([`crate::watch_policy::WatchTimings`]), and after a failure it
+//! is probed with the shortest wait until it answers.
+//!
+//! An answer tells what was newest at some time between the request and itself, and may have been delayed for any time by a
+//! frozen process or on its way. So a confirmation counts from when its request was sent.
+
+use std::cell::Cell;
+use std::fmt;
+use std::rc::Rc;
+use std::time::Duration;
+
+use rand::RngExt;
+use ridgeworks_platform::{
+    Listing, MalformedStoreResponse, Object, ObjectEvent, ObjectKind, StoreOutcome, StoreRequest,
+    WatchBatch, list, read_listing, read_watch, watch,
+};
+
+use tokio::time::Instant;
+
+use crate::clock::whole_ms;
+use crate::store_client::{StoreClient, StoreFailure};
+use crate::watch_policy::WatchControl;
+
+/// Delay after changes, so that changes in quick succession come in one answer.
+const CHANGE_COALESCING_DELAY: Duration = Duration::from_millis(200);
+/// Time that the store may take to answer beyond the wait of the request.
+pub(crate) const REPLY_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Timeout of a probe. Together with the longest backoff it stays below the configuration bound after an outage of the
+/// store; a slow store takes up to half a second.
+const PROBE_TIMEOUT: Duration = Duration::from_secs(1);
+/// Wait of a probe: the least that a watch can have.
+const PROBE_WAIT: Duration = Duration::from_millis(1);
+const FIRST_BACKOFF: Duration = Duration::from_millis(50);
+/// Longest backoff of a node that has no list yet, and so can't work.
+const MAX_FIRST_LIST_BACKOFF: Duration = Duration::from_millis(200);
+
+/// Why a list or a watch failed.
+#[derive(Debug)]
+enum WatchError {
+    Failure(StoreFailure),
+    Outcome(StoreOutcome),
+    Answer(MalformedStoreResponse),
+}
+
+impl WatchError {
+    fn name(&self) -> &'static str {
+        match self {
+            Self::Failure(failure) => failure.name(),
+            Self::Outcome(StoreOutcome::Throttled) => "throttled",
+            Self::Outcome(StoreOutcome::NotDone) => "unavailable",
+            Self::Outcome(StoreOutcome::HistoryGone) => "history_gone",
+            Self::Outcome(_) => "refused",
+            Self::Answer(_) => "unreadable",
+        }
+    }
+}
+
+impl fmt::Display for WatchError {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            Self::Failure(failure) => failure.fmt(formatter),
+            Self::Outcome(outcome) => write!(formatter, "the store answered {outcome:?}"),
+            Self::Answer(error) => error.fmt(formatter),
+        }
+    }
+}
+
+impl From<MalformedStoreResponse> for WatchError {
+    fn from(error: MalformedStoreResponse) -> Self {
+        Self::Answer(error)
+    }
+}
+
+/// Receives the objects of a watched kind.
+pub trait WatchHandler {
+    /// Receives a complete list as of revision `at`.
+    fn on_list(&self, objects: Vec<Object>, at: u64);
+    /// Receives changes, complete up to revision `at`.
+    fn on_events(&self, events: Vec<ObjectEvent>, at: u64);
+    /// The store confirmed that the known objects were the newest `age` ago.
+    fn on_confirmed(&self, age: Duration);
+    /// The store confirmed the known objects beside an open watch or after an outage, which other nodes may need to learn at once.
+    fn on_probe_confirmed(&self) {}
+    /// Revision up to which all changes are known, also from other nodes; `None` before the first list.
+    fn known_revision(&self) -> Option<u64> {
+        None
+    }
+    /// Time since the store confirmed, to this node or another, that nothing newer exists; `None` where it never did.
+    fn unconfirmed(&self) -> Option<Duration> {
+        None
+    }
+}
+
+/// Watches a kind of objects whenever [`WatchControl::should_watch`] holds, until the process ends.
+pub async fn watch_objects(
+    store: Rc<StoreClient>,
+    kind: ObjectKind,
+    handler: impl WatchHandler,
+    control: Rc<WatchControl>,
+) {
+    let mut state = ObjectWatch {
+        store,
+        kind,
+        handler,
+        control,
+        at: None,
+        history_gone: false,
+        failures: 0,
+        sent_at: Instant::now(),
+        confirmed_at: Cell::new(Instant::now()),
+        failing_since: Instant::now(),
+    };
+    loop {
+        state.wait_until_watching().await;
+        state.sent_at = Instant::now();
+        match state.step().await {
+            Ok(()) => state.on_success(),
+            Err(error) => state.on_error(&error).await,
+        }
+    }
+}
+
+/// The store's answer to a watch.
+struct WatchReply {
+    batch: WatchBatch,
+    /// When the changes were known to be complete.
+    as_of: Instant,
+}
+
+struct ObjectWatch<F> {
+    store: Rc<StoreClient>,
+    kind: ObjectKind,
+    handler: F,
+    control: Rc<WatchControl>,
+    /// Revision up to which all changes are known; `None` before the first list.
+    at: Option<u64>,
+    /// Whether the store no longer has the history since that revision.
+    history_gone: bool,
+    /// Consecutive failures.
+    failures: u32,
+    /// When the latest list or watch was sent.
+    sent_at: Instant,
+    /// When the store last confirmed the known objects to this node.
+    confirmed_at: Cell<Instant>,
+    /// When the first of the consecutive failures was noticed.
+    failing_since: Instant,
+}
+
+impl<F: WatchHandler> ObjectWatch<F> {
+    async fn wait_until_watching(&mut self) {
+        self.control.wait_until_watching().await;
+        // Newer changes may have come from other nodes meanwhile.
+        if !self.history_gone {
+            self.at = self.at.max(self.handler.known_revision());
+        }
+    }
+
+    async fn step(&mut self) -> Result<(), WatchError> {
+        match self.at {
+            None => self.list_all().await,
+            // A watch sent during an outage would block for its whole wait after the store is back.
+            Some(at) if self.failures > 0 => {
+                let answer = self.probe(at).await?;
+                self.apply_reply(answer, at).await;
+                Ok(())
+            }
+            Some(at) => self.wait_for_changes(at).await,
+        }
+    }
+
+    async fn list_all(&mut self) -> Result<(), WatchError> {
+        let sent_at = Instant::now();
+        let (objects, at) = list_objects(&self.store, self.kind).await?;
+        self.handler.on_list(objects, at);
+        self.on_confirmed(sent_at);
+        self.at = Some(at);
+        self.history_gone = false;
+        Ok(())
+    }
+
+    async fn wait_for_changes(&mut self, at: u64) -> Result<(), WatchError> {
+        let timings = self.control.timings();
+        // Only the end of a wait confirms that there was no change, so a wait ends while the last confirmation is still recent.
+        let wait = timings.wait.saturating_sub(self.unconfirmed());
+        let wait = wait.max(PROBE_WAIT);
+        let watch = self.send_watch(at, wait, timings.watch_timeout());
+        let answer = tokio::select! {
+            answer = watch => answer?,
+            missed = self.probe_until_missed(at) => missed?,
+        };
+        self.apply_reply(answer, at).await;
+        Ok(())
+    }
+
+    /// Probes the store beside an open watch each time the known objects have been unconfirmed for too long, until a probe
+    /// returns changes that the watch has missed.
+    async fn probe_until_missed(&self, at: u64) -> Result<WatchReply, WatchError> {
+        loop {
+            self.control.wait_until_watching().await;
+            let probe_after = self.control.timings().probe_after;
+            let age = self.unconfirmed();
+            if age < probe_after {
+                tokio::time::sleep(probe_after - age).await;
+                continue;
+            }
+            let answer = self.probe(at).await?;
+            self.store.on_check();
+            let changes = answer.batch.events.len();
+            if changes > 0 {
+                self.on_missed_changes(changes);
+                return Ok(answer);
+            }
+            self.on_confirmed(answer.as_of);
+            self.handler.on_probe_confirmed();
+        }
+    }
+
+    fn on_missed_changes(&self, changes: usize) {
+        self.store.on_silent_watch();
+        log::warn!(
+            target: "dependency",
+            kind:? = self.kind,
+            changes = changes,
+            silent_ms = whole_ms(self.sent_at.elapsed());
+            "silent watch of the platform store replaced"
+        );
+    }
+
+    /// Time since the store last confirmed the known objects, to this node or another.
+    fn unconfirmed(&self) -> Duration {
+        let own = self.confirmed_at.get().elapsed();
+        self.handler.unconfirmed().map_or(own, |told| told.min(own))
+    }
+
+    async fn probe(&self, at: u64) -> Result<WatchReply, WatchError> {
+        self.send_watch(at, PROBE_WAIT, PROBE_TIMEOUT).await
+    }
+
+    async fn send_watch(
+        &self,
+        at: u64,
+        wait: Duration,
+        timeout: Duration,
+    ) -> Result<WatchReply, WatchError> {
+        let call = watch(self.kind, at, wait);
+        let sent_at = Instant::now();
+        let body = call_store(&self.store, call, timeout).await?;
+        let batch = read_watch(&body)?;
+        // An answer without a change confirms the whole wait: the store sends it only when the wait is over.
+        let has_waited = batch.events.is_empty() && sent_at.elapsed() >= wait;
+        let as_of = if has_waited { sent_at + wait } else { sent_at };
+        Ok(WatchReply { batch, as_of })
+    }
+
+    async fn apply_reply(&mut self, answer: WatchReply, at: u64) {
+        let WatchReply { batch, as_of } = answer;
+        self.at = Some(batch.at.max(at));
+        let has_changes = !batch.events.is_empty();
+        self.handler.on_events(batch.events, batch.at);
+        // Confirmed before the delay, so that other parts of the node see it at once.
+        self.on_confirmed(as_of);
+        if has_changes {
+            tokio::time::sleep(CHANGE_COALESCING_DELAY).await;
+        }
+    }
+
+    fn on_confirmed(&self, as_of: Instant) {
+        let latest = self.confirmed_at.get().max(as_of);
+        self.confirmed_at.set(latest);
+        self.handler.on_confirmed(as_of.elapsed());
+    }
+
+    fn on_success(&mut self) {
+        if self.failures > 0 {
+            // Nodes that can't reach the store wait for this confirmation.
+            self.handler.on_probe_confirmed();
+            log::info!(
+                target: "dependency",
+                kind:? = self.kind,
+                lost_ms = whole_ms(self.failing_since.elapsed()),
+                failures = self.failures;
+                "platform store regained"
+            );
+        }
+        self.failures = 0;
+    }
+
+    async fn on_error(&mut self, error: &WatchError) {
+        if matches!(error, WatchError::Outcome(StoreOutcome::HistoryGone)) {
+            log::info!(
+                target: "dependency",
+                kind:? = self.kind;
+                "platform store no longer has the history since the last known revision; listing again"
+            );
+            self.at = None;
+            self.history_gone = true;
+            return;
+        }
+        if self.failures == 0 {
+            self.failing_since = Instant::now();
+            log::warn!(
+                target: "dependency",
+                kind:? = self.kind,
+                reason = error.name(),
+                waited_ms = whole_ms(self.sent_at.elapsed()),
+                detail:% = error;
+                "platform store lost"
+            );
+        }
+        self.failures += 1;
+        let longest = match self.at {
+            Some(_) => self.control.timings().max_backoff,
+            None => MAX_FIRST_LIST_BACKOFF,
+        };
+        tokio::time::sleep(backoff(self.failures, longest)).await;
+    }
+}
+
+/// Exponential backoff with jitter, so that nodes don't retry all at once.
+fn backoff(failures: u32, longest: Duration) -> Duration {
+    let grown = FIRST_BACKOFF.saturating_mul(1 << failures.min(6));
+    grown
+        .min(longest)
+        .mul_f64(rand::rng().random_range(0.5..1.0))
+}
+
+async fn call_store(
+    store: &StoreClient,
+    call: StoreRequest,
+    timeout: Duration,
+) -> Result<bytes::Bytes, WatchError> {
+    let answer = store.call(call, timeout).await;
+    let answer = answer.map_err(WatchError::Failure)?;
+    match answer.outcome {
+        StoreOutcome::Done => Ok(answer.body),
+        outcome => Err(WatchError::Outcome(outcome)),
+    }
+}
+
+/// Lists all objects of a kind, page by page; the list and the watch from the returned revision on miss no change.
+async fn list_objects(
+    store: &StoreClient,
+    kind: ObjectKind,
+) -> Result<(Vec<Object>, u64), WatchError> {
+    let mut objects = Vec::new();
+    let mut at = None;
+    loop {
+        let after = objects.last().map(|last: &Object| last.name.clone());
+        let call = list(kind, after.as_deref());
+        let body = call_store(store, call, REPLY_TIMEOUT).await?;
+        let Listing {
+            items,
+            more,
+            at: page_at,
+        } = read_listing(&body)?;
+        let is_empty = items.is_empty();
+        objects.extend(items);
+        // The watch that follows returns changes since the first page.
+        let at = *at.get_or_insert(page_at);
+        if !more || is_empty {
+            return Ok((objects, at));
+        }
+    }
+}
+
+/// Lists all objects of a kind once, without a retry; `None` when the list fails.
+pub async fn list_once(store: &StoreClient, kind: ObjectKind) -> Option<Vec<Object>> {
+    let listed = list_objects(store, kind).await;
+    listed.ok().map(|(objects, _)| objects)
+}
--- a/crates/resident/tests/support/quiet.rs
+++ b/crates/resident/tests/support/idle_node.rs
@@ -1,4 +1,4 @@
-//! A node that knows little and hears what a test tells it.
+//! A node whose role sends and answers nothing, for tests that send it datagrams.
 #![allow(dead_code, reason = "each test file uses its own part of the support")]
 
 use std::rc::Rc;
@@ -10,22 +10,22 @@
 };
 use ridgeworks_resident::settings::NodeSettings;
 use ridgeworks_resident::view::Source;
-use ridgeworks_routing::{CallerLimits, PromptRead, RouteConfiguration};
+use ridgeworks_routing::{CallerLimits, PrefillRecord, RouteConfiguration};
 use tokio::sync::oneshot;
 
-/// Version of its configuration.
+/// Version of the node's configuration.
 pub const VERSION: u64 = 7;
 
-/// A role that has nothing to tell and answers nothing.
-pub struct Quiet;
+/// A role that reports nothing and answers no request.
+pub struct IdleRole;
 
-impl PeerService for Quiet {
+impl PeerService for IdleRole {
     fn on_request(&self, _request: PeerRequest, reply: oneshot::Sender<PeerReply>) {
         drop(reply);
     }
 }
 
-impl GossipSources for Quiet {
+impl GossipSources for IdleRole {
     fn load(&self) -> LoadReport {
         LoadReport::default()
     }
@@ -36,14 +36,14 @@
 
     fn on_load(&self, _from: &str, _load: LoadReport) {}
 
-    fn on_read(&self, _read: PromptRead) {}
+    fn on_prefill(&self, _read: PrefillRecord) {}
 
-    fn find_read(&self, _part: u64) -> Option<PromptRead> {
+    fn find_read(&self, _part: u64) -> Option<PrefillRecord> {
         None
     }
 }
 
-/// A node that knows a configuration which nobody has confirmed.
+/// Starts a node with a configuration that has never been confirmed.
 pub async fn node(ip: &str) -> Rc<Node> {
     let text = format!(
         "role = \"gateway\"\nname = \"gateway-1\"\nzone = \"zone-a\"\naddress = \"{ip}\"\n\
@@ -68,7 +68,7 @@
         tenants: None,
     };
     node.view.adopt_configuration(configuration, Source::Peer);
-    node.start(Rc::new(Quiet), Rc::new(Quiet))
+    node.start(Rc::new(IdleRole), Rc::new(IdleRole))
         .await
         .expect("a free port");
     node
--- a/crates/resident/tests/support/samples.rs
+++ b/crates/resident/tests/support/samples.rs
@@ -1,5 +1,4 @@
-//! One message of each kind that nodes of the first protocol version know, with every field in use. The golden files were
-//! written from these by that version.
+//! One message of each kind of protocol version 0, with every field set. That version encoded the golden files from these.
 
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -10,13 +9,13 @@
     TurnId, TurnRecord,
 };
 use ridgeworks_resident::peer::{
-    Confirmations, Datagram, Heartbeat, KnownEngines, LoadReport, MemberInfo, PassedOn, PeerReply,
-    PeerRequest, Preparing, ReplicaStatus, ViewPosition, ViewUpdate,
+    Confirmations, Datagram, Heartbeat, KnownEngines, LoadReport, MemberInfo, PeerReply,
+    PeerRequest, PrepareRequest, RelayedRequest, ReplicaStatus, ViewPosition, ViewUpdate,
 };
 use ridgeworks_routing::{
     CallerLimits, Engine, EngineChanges, EngineEntry, EngineState, KeyDigest, ModelEngine,
-    PromptPart, PromptRead, RateLimit, Removal, RequestKind, Residency, Route, RouteConfiguration,
-    Service, ServiceSummary, Tenant, ToldOutcomes, WeightedService,
+    PrefillRecord, PromptPart, RateLimit, Removal, ReportedOutcomes, RequestKind, Residency, Route,
+    RouteConfiguration, Service, ServiceSummary, Tenant, WeightedService,
 };
 
 const GROUP: GroupId = GroupId(3);
@@ -46,7 +45,10 @@
 }
 
 fn entry(spent: Option<u64>) -> LedgerEntry {
-    LedgerEntry { most: 512, spent }
+    LedgerEntry {
+        reserved_tokens: 512,
+        spent,
+    }
 }
 
 pub fn ledger() -> ProgramLedger {
@@ -87,7 +89,7 @@
             program: program(),
             turn: turn("t2"),
             entry: entry(None),
-            keep_ms: KEEP_MS,
+            ttl_ms: KEEP_MS,
         },
         ReplicaRequest::Settle {
             group: GROUP,
@@ -96,14 +98,14 @@
                 program: program(),
                 turn: turn("t2"),
                 entry: entry(Some(33)),
-                keep_ms: KEEP_MS,
+                ttl_ms: KEEP_MS,
             }],
         },
         ReplicaRequest::Append {
             group: GROUP,
             epoch: EPOCH,
             record: record(),
-            keep_ms: KEEP_MS,
+            ttl_ms: KEEP_MS,
         },
         ReplicaRequest::ReadChain {
             group: GROUP,
@@ -114,12 +116,15 @@
         ReplicaRequest::List {
             group: GROUP,
             epoch: EPOCH,
-            after: Some(ListPosition { life: 5, change: 6 }),
+            after: Some(ListPosition {
+                log_id: 5,
+                change: 6,
+            }),
         },
         ReplicaRequest::Admit(Admission {
             group: GROUP,
             tenant: "tenant".to_owned(),
-            is_beginning: true,
+            may_start_program: true,
             per_ks: 1_500,
             burst: 7,
             version: 42,
@@ -130,7 +135,7 @@
     ]
 }
 
-/// What it is called in the names of files. A variant more has no place here: nodes of the first version could not read it.
+/// Name in the golden files. A new variant must not be added here, since nodes of version 0 couldn't decode it.
 pub fn replica_request_name(request: &ReplicaRequest) -> &'static str {
     match request {
         ReplicaRequest::Charge { .. } => "charge",
@@ -155,7 +160,10 @@
         ReplicaReply::Listed(Listing {
             turns: vec![(turn("t1"), 10)],
             ledgers: vec![(program(), ledger(), 20)],
-            next: ListPosition { life: 5, change: 9 },
+            next: ListPosition {
+                log_id: 5,
+                change: 9,
+            },
             is_end: true,
         }),
         ReplicaReply::Fetched {
@@ -190,8 +198,8 @@
 }
 
 pub fn requests() -> Vec<PeerRequest> {
-    let to_replica = replica_requests().into_iter();
-    let to_replica = to_replica.map(|request| PeerRequest::Replica {
+    let replica_requests = replica_requests().into_iter();
+    let replica_requests = replica_requests.map(|request| PeerRequest::Replica {
         to: REPLICA,
         request,
     });
@@ -210,20 +218,20 @@
     });
     let others = [
         PeerRequest::ListMembers,
-        PeerRequest::PassOn(Box::new(PassedOn {
+        PeerRequest::Relay(Box::new(RelayedRequest {
             address: address(7_001),
             to: REPLICA,
             request: ReplicaRequest::Fetch {
                 turns: vec![turn("t1")],
             },
         })),
-        PeerRequest::Prepare(Box::new(Preparing {
+        PeerRequest::Prepare(Box::new(PrepareRequest {
             to: REPLICA,
             group: GROUP,
             groups: groups(),
         })),
     ];
-    to_replica.chain(fetches).chain(others).collect()
+    replica_requests.chain(fetches).chain(others).collect()
 }
 
 pub fn request_name(request: &PeerRequest) -> String {
@@ -240,9 +248,9 @@
             format!("fetch-view-{engines}")
         }
         PeerRequest::ListMembers => "list-members".to_owned(),
-        PeerRequest::PassOn(_) => "pass-on".to_owned(),
+        PeerRequest::Relay(_) => "pass-on".to_owned(),
         PeerRequest::Prepare(_) => "prepare".to_owned(),
-        PeerRequest::Later(_) => "later".to_owned(), // not in version 0
+        PeerRequest::Extension(_) => "extension".to_owned(), // not in version 0
     }
 }
 
@@ -356,7 +364,7 @@
 }
 
 pub fn replies() -> Vec<PeerReply> {
-    let of_replica = replica_replies().into_iter().map(PeerReply::Replica);
+    let replica_replies = replica_replies().into_iter().map(PeerReply::Replica);
     let whole = ViewUpdate {
         configuration: Some(configuration()),
         engines: Some(engines()),
@@ -384,10 +392,10 @@
         PeerReply::View(empty),
         PeerReply::Members(vec![member()]),
         PeerReply::Unsupported,
-        PeerReply::Unreached,
+        PeerReply::RelayFailed,
         PeerReply::Prepared { is_ready: true },
     ];
-    of_replica.chain(others).collect()
+    replica_replies.chain(others).collect()
 }
 
 pub fn reply_name(reply: &PeerReply) -> String {
@@ -397,9 +405,9 @@
         PeerReply::View(_) => "view-empty".to_owned(),
         PeerReply::Members(_) => "members".to_owned(),
         PeerReply::Unsupported => "unsupported".to_owned(),
-        PeerReply::Unreached => "unreached".to_owned(),
+        PeerReply::RelayFailed => "unreached".to_owned(),
         PeerReply::Prepared { .. } => "prepared".to_owned(),
-        PeerReply::Later(_) => "later".to_owned(), // not in version 0
+        PeerReply::Extension(_) => "extension".to_owned(), // not in version 0
     }
 }
 
@@ -413,8 +421,8 @@
     }
 }
 
-fn read() -> PromptRead {
-    PromptRead {
+fn prefill() -> PrefillRecord {
+    PrefillRecord {
         engine: 77,
         parts: vec![PromptPart {
             hash: 88,
@@ -436,7 +444,7 @@
             }),
             load: LoadReport {
                 open: vec![(77, 3)],
-                suspects: vec![ToldOutcomes {
+                suspects: vec![ReportedOutcomes {
                     engine: 77,
                     ended: 120,
                     failed: 15,
@@ -451,7 +459,7 @@
             known: vec![member()],
             protocol: 0, // not in version 0
         })),
-        Datagram::Read(read()),
+        Datagram::Read(prefill()),
         Datagram::FindRead {
             number: 5,
             part: 88,
@@ -463,7 +471,7 @@
         },
         Datagram::FoundRead {
             number: 5,
-            read: Some(read()),
+            read: Some(prefill()),
         },
     ]
 }
@@ -476,6 +484,6 @@
         Datagram::AskConfirmations { .. } => "ask-confirmations",
         Datagram::Confirmed { .. } => "confirmed",
         Datagram::FoundRead { .. } => "found-read",
-        Datagram::Later(_) => "later", // not in version 0
+        Datagram::Extension(_) => "extension", // not in version 0
     }
 }
--- a/crates/routing/examples/choice_cost.rs
+++ b/crates/routing/examples/choice_cost.rs
@@ -1,4 +1,4 @@
-//! Processor time of one choice of an engine: in one region, in several, and with a residency.
+//! Measures the CPU time of one placement: with one region, with several, and with a residency.
 //!
 //! `cargo run --release -p ridgeworks-routing --example choice_cost`
 
@@ -6,8 +6,8 @@
 use std::time::{Duration, Instant};
 
 use ridgeworks_routing::{
-    Demand, Engine, EngineEntry, EngineRule, EngineState, EngineTable, Placement, RegionWays,
-    Residency, ResidencyRule, ZoneRegions,
+    EligibilityRule, Engine, EngineEntry, EngineState, EngineTable, Placement, PlacementRequest,
+    RegionLatencies, Residency, ResidencyRule, ZoneRegions,
 };
 
 const ZONES: usize = 19;
@@ -37,11 +37,16 @@
     ZoneRegions::new(zones.collect())
 }
 
-fn measure(name: &str, table: &EngineTable, placement: &mut Placement, rules: &[&dyn EngineRule]) {
-    let began = Instant::now();
+fn time_choices(
+    name: &str,
+    table: &EngineTable,
+    placement: &mut Placement,
+    rules: &[&dyn EligibilityRule],
+) {
+    let started_at = Instant::now();
     for number in 0..ROUNDS {
         let key = format!("session-{number}");
-        let demand = Demand {
+        let demand = PlacementRequest {
             service: "models",
             key: &key,
             parts: &[],
@@ -51,7 +56,7 @@
         };
         black_box(placement.choose(table, &demand, Duration::from_secs(1)));
     }
-    let each = began.elapsed() / ROUNDS;
+    let each = started_at.elapsed() / ROUNDS;
     println!("{name}: {:.1} us a choice", each.as_secs_f64() * 1e6);
 }
 
@@ -71,13 +76,13 @@
         regions: &regions,
     };
     for _ in 0..3 {
-        measure("one region", &table, &mut Placement::default(), &[]);
-        let ways = || RegionWays::new(&regions, "zone-0");
-        let mut several = Placement::with_ways(ways());
+        time_choices("one region", &table, &mut Placement::default(), &[]);
+        let latencies = || RegionLatencies::new(&regions, "zone-0");
+        let mut six_regions = Placement::with_region_latencies(latencies());
         for number in 0..ZONES {
-            several.on_connected(&engine(number), Duration::from_millis(40));
+            six_regions.on_connected(&engine(number), Duration::from_millis(40));
         }
-        measure("six regions", &table, &mut several, &[]);
-        measure("two of six regions", &table, &mut several, &[&rule]);
+        time_choices("six regions", &table, &mut six_regions, &[]);
+        time_choices("two of six regions", &table, &mut six_regions, &[&rule]);
     }
 }
--- a/crates/routing/src/engine_table.rs
+++ b/crates/routing/src/engine_table.rs
@@ -1,4 +1,4 @@
-//! The engines that the platform lists.
+//! The engines listed by the platform.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -8,37 +8,32 @@
 
 use crate::engine_load::EngineKey;
 
-/// Removed engines that are remembered, so that an older report cannot bring them back.
+/// Removed engines that are remembered, so that an older report cannot add them again.
 const MAX_TOMBSTONES: usize = 4_096;
 
-/// Whether an engine takes new work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub enum EngineState {
-    /// It takes new work.
+    /// The engine accepts new requests.
     Ready,
-    /// It is about to leave.
+    /// The engine is about to stop and accepts no new requests.
     Draining,
 }
 
-/// One engine as the platform lists it.
+/// One engine as listed by the platform.
 #[derive(Debug, Clone, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct Engine {
-    /// The identifier under which the platform lists it. An engine that starts again may have the one that it had.
+    /// Identifier in the platform's list. An engine may keep it when it restarts.
     pub instance: String,
-    /// When it started, in milliseconds since 1970; 0 where it does not say. Clocks jump, so this tells one run from another and says
-    /// nothing of which came first.
+    /// Start of the engine's run, in milliseconds since 1970; 0 if unknown. Since clocks jump, it identifies
+    /// a run but does not order runs.
     pub born_ms: u64,
-    /// Service that it belongs to.
     pub service: String,
-    /// Where it is reached.
     pub address: SocketAddr,
-    /// Its zone.
     pub zone: String,
-    /// Requests that it works on at once.
+    /// Requests that the engine processes at once.
     pub slots: u32,
-    /// Whether it takes new work.
     pub state: EngineState,
-    /// For how long it still warmed up when its entry was written, in milliseconds. Travels in [`EngineStart`].
+    /// Remaining warm-up time when the entry was written, in milliseconds. Sent in [`EngineWarmUp`].
     #[rkyv(with = Skip)]
     pub warm_up_ms: u64,
 }
@@ -50,79 +45,76 @@
     }
 }
 
-/// An engine with the revision of the report.
+/// An engine with the revision of its entry.
 #[derive(Debug, Clone, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct EngineEntry {
-    /// The engine.
     pub engine: Engine,
-    /// Revision of the list at which it last changed.
+    /// Revision of the list at which the entry last changed.
     pub revision: u64,
 }
 
-/// An engine that warms up, beside its entry: nodes of the first protocol version do not know of it.
+/// Warm-up of an engine. Sent next to its entry, since nodes of the first protocol version do not know it.
 #[derive(Debug, Clone, PartialEq, Eq, Archive, Serialize, Deserialize)]
-pub struct EngineStart {
-    /// The engine's instance.
+pub struct EngineWarmUp {
     pub instance: String,
-    /// For how long it still warmed up when its entry was written, in milliseconds.
+    /// Remaining warm-up time when the entry was written, in milliseconds.
     pub warm_up_ms: u64,
 }
 
-/// An engine that is gone.
+/// An engine that was removed.
 #[derive(Debug, Clone, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct Removal {
-    /// The engine's instance.
     pub instance: String,
-    /// Revision as of which it is gone.
+    /// Revision as of which it is removed.
     pub revision: u64,
 }
 
-/// What changed in a table of engines since a revision.
+/// Changes of a table of engines since a revision.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct EngineChanges {
-    /// Whether this is the whole table: engines that it does not name are gone.
+    /// Whether this is the whole table, so that engines without an entry are removed.
     pub is_whole: bool,
     /// Engines that are new or changed.
     pub entries: Vec<EngineEntry>,
-    /// Engines that are gone.
+    /// Engines that were removed.
     pub removals: Vec<Removal>,
-    /// Revision up to which nothing is left out.
+    /// Revision up to which the changes are complete.
     pub at: u64,
 }
 
 impl EngineChanges {
-    /// The engines among them that warm up.
-    pub fn starts(&self) -> Vec<EngineStart> {
+    /// Warm-ups of the engines among the entries.
+    pub fn warm_ups(&self) -> Vec<EngineWarmUp> {
         let engines = self.entries.iter().map(|entry| &entry.engine);
         let warming = engines.filter(|engine| engine.warm_up_ms > 0);
-        let starts = warming.map(|engine| EngineStart {
+        let warm_ups = warming.map(|engine| EngineWarmUp {
             instance: engine.instance.clone(),
             warm_up_ms: engine.warm_up_ms,
         });
-        starts.collect()
+        warm_ups.collect()
     }
 
-    /// Takes in which of them warm up.
-    pub fn set_starts(&mut self, starts: Vec<EngineStart>) {
-        let starts = starts
+    /// Sets the warm-ups of the entries; engines that are not named are warm.
+    pub fn set_warm_ups(&mut self, warm_ups: Vec<EngineWarmUp>) {
+        let warm_ups = warm_ups
             .into_iter()
             .map(|start| (start.instance, start.warm_up_ms));
-        let starts: HashMap<String, u64> = starts.collect();
+        let warm_ups: HashMap<String, u64> = warm_ups.collect();
         for entry in &mut self.entries {
-            let start = starts.get(&entry.engine.instance);
+            let start = warm_ups.get(&entry.engine.instance);
             entry.engine.warm_up_ms = start.copied().unwrap_or_default();
         }
     }
 }
 
-/// When an engine was removed.
+/// The removal of an engine.
 #[derive(Debug, Clone, Copy)]
 struct Tombstone {
-    /// Reports up to this revision do not bring the engine back.
+    /// Entries up to this revision do not add the engine again.
     revision: u64,
-    /// Revision up to which the table was complete when it took the removal in. A removal may be told
-    /// with the revision of the last change before it, so this is what tells others of it.
-    told_at: u64,
+    /// Revision up to which the reporting table was complete. A removal may be reported with the revision of
+    /// the last change before it, so [`EngineTable::changes_since`] uses this revision instead.
+    reported_at: u64,
 }
 
 /// All engines, by instance.
@@ -131,7 +123,7 @@
     entries: HashMap<String, EngineEntry>,
     removed: HashMap<String, Tombstone>,
     at: u64,
-    /// Changes since older revisions are not known in full.
+    /// Revision since which all changes are known.
     complete_since: u64,
     newest: u64,
 }
@@ -142,12 +134,12 @@
         self.at
     }
 
-    /// Revision of the newest change in the table, never above [`EngineTable::at`].
+    /// Revision of the newest change in the table; at most [`EngineTable::at`].
     pub fn newest(&self) -> u64 {
         self.newest.min(self.at)
     }
 
-    /// What changed after a revision up to which somebody else's table is complete.
+    /// Changes for a table that is complete up to a revision. The whole table if older changes are not known.
     pub fn changes_since(&self, revision: u64) -> EngineChanges {
         if revision < self.complete_since {
             return EngineChanges {
@@ -160,7 +152,7 @@
         let changed = self.entries.values();
         let changed = changed.filter(|entry| entry.revision > revision);
         let removed = self.removed.iter();
-        let removed = removed.filter(|(_, tombstone)| tombstone.told_at > revision);
+        let removed = removed.filter(|(_, tombstone)| tombstone.reported_at > revision);
         EngineChanges {
             is_whole: false,
             entries: changed.cloned().collect(),
@@ -174,8 +166,8 @@
         }
     }
 
-    /// Takes in another table's changes; says whether anything changed here.
-    pub fn take_changes(&mut self, changes: EngineChanges) -> bool {
+    /// Applies the changes of another table; returns whether this one changed.
+    pub fn apply_changes(&mut self, changes: EngineChanges) -> bool {
         let EngineChanges {
             is_whole,
             entries,
@@ -196,7 +188,7 @@
         changed
     }
 
-    /// Takes in one entry unless a newer one is known; says whether anything changed.
+    /// Applies an entry unless a newer one is known; returns whether the table changed.
     pub fn apply(&mut self, entry: EngineEntry) -> bool {
         let instance = entry.engine.instance.clone();
         let removed = self.removed.get(&instance);
@@ -211,49 +203,55 @@
         true
     }
 
-    /// Removes an engine as of this revision, told by somebody who is complete up to `told_at`; says
-    /// whether it was there.
-    pub fn remove(&mut self, instance: &str, revision: u64, told_at: u64) -> bool {
+    /// Removes an engine as of a revision, as reported by a table that is complete up to `reported_at`;
+    /// returns whether the engine was listed.
+    pub fn remove(&mut self, instance: &str, revision: u64, reported_at: u64) -> bool {
         let known = self.entries.get(instance).map(|known| known.revision);
         if known > Some(revision) {
             return false;
         }
         if self.removed.len() >= MAX_TOMBSTONES {
             self.removed.clear();
-            self.complete_since = told_at;
+            self.complete_since = reported_at;
         }
-        let told_at = told_at.max(revision);
+        let reported_at = reported_at.max(revision);
         let earlier = self.removed.get(instance);
         if earlier.is_some_and(|earlier| earlier.revision >= revision) {
             return false;
         }
-        self.newest = self.newest.max(told_at);
-        let tombstone = Tombstone { revision, told_at };
+        self.newest = self.newest.max(reported_at);
+        let tombstone = Tombstone {
+            revision,
+            reported_at,
+        };
         self.removed.insert(instance.to_owned(), tombstone);
         self.entries.remove(instance).is_some()
     }
 
-    /// Takes in a complete list as of this revision. What it does not name is gone, unless it is newer.
+    /// Applies a complete list as of a revision. Engines that it does not name are removed unless they are
+    /// newer. Returns whether the table changed.
     pub fn replace(&mut self, entries: Vec<EngineEntry>, at: u64) -> bool {
         if at < self.at {
             return false;
         }
         if self.at == 0 {
-            // What was removed before the first list is not known.
+            // Removals before the first list are not known.
             self.complete_since = at;
         }
-        let named: std::collections::HashSet<String> = entries
+        let listed_instances: std::collections::HashSet<String> = entries
             .iter()
             .map(|entry| entry.engine.instance.clone())
             .collect();
-        let gone: Vec<String> = self
+        let missing: Vec<String> = self
             .entries
             .values()
-            .filter(|known| known.revision <= at && !named.contains(&known.engine.instance))
+            .filter(|known| {
+                known.revision <= at && !listed_instances.contains(&known.engine.instance)
+            })
             .map(|known| known.engine.instance.clone())
             .collect();
-        let mut changed = !gone.is_empty();
-        for instance in gone {
+        let mut changed = !missing.is_empty();
+        for instance in missing {
             self.remove(&instance, at, at);
         }
         for entry in entries {
@@ -263,42 +261,36 @@
         changed
     }
 
-    /// Notes that all changes up to this revision are in.
+    /// Records that all changes up to this revision are applied.
     pub fn advance(&mut self, at: u64) {
         self.at = self.at.max(at);
     }
 
-    /// All entries, for another node.
     pub fn entries(&self) -> Vec<EngineEntry> {
         self.entries.values().cloned().collect()
     }
 
-    /// All entries.
     pub fn listed(&self) -> impl Iterator<Item = &EngineEntry> {
         self.entries.values()
     }
 
-    /// Number of engines.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether there is no engine.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// An engine by its instance.
     pub fn get(&self, instance: &str) -> Option<&Engine> {
         self.entries.get(instance).map(|entry| &entry.engine)
     }
 
-    /// All engines.
     pub fn engines(&self) -> impl Iterator<Item = &Engine> {
         self.entries.values().map(|entry| &entry.engine)
     }
 
-    /// Engines of a service that take new work.
+    /// Engines of a service that accept new requests.
     pub fn ready<'a>(&'a self, service: &'a str) -> impl Iterator<Item = &'a Engine> {
         let engines = self.entries.values().map(|entry| &entry.engine);
         engines
--- a/crates/routing/src/placement.rs
+++ b/crates/routing/src/placement.rs
@@ -1,181 +1,185 @@
 //! Chooses the engine of a request.
 //!
-//! The cost of an engine is the time that the request is expected to lose there, in milliseconds: the
-//! wait for a slot, the slower steps of a fuller batch, and the reading of prompt parts that the engine
-//! does not hold. What these cost is learned from the service's engines ([`ServiceModel`];
+//! The cost of an engine is the time in milliseconds that the request is expected to lose there: the wait for
+//! a slot, the slower steps of a larger batch, and the prefill of prompt parts that the engine has not
+//! cached. These costs are estimated from the service's engines ([`ServiceModel`];
 //! `docs/design/decisions.md`).
 //!
-//! Gateways decide alone and know each other's load only as it was a moment ago. If all of them took the
-//! engine that looked idlest, they would flock to it. So each session has a few *candidates*, by rendezvous
-//! hashing, the same at all gateways; other engines are taken only where they are better by a margin.
+//! Gateways decide independently and know each other's load only with a delay. If all of them took the engine
+//! that looked least loaded, they would overload it together. So each session has a few *candidates* by
+//! rendezvous hashing, the same at all gateways, and another engine is chosen only if it is better by a
+//! margin.
 
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
 
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-use crate::eligibility::{EngineRule, first_bar};
+use crate::eligibility::{EligibilityRule, first_exclusion};
 use crate::engine_health::{EngineHealth, Outcome, OutcomeCounts};
 use crate::engine_load::{EngineKey, EngineLoads, GatewayReport, PRIOR_OUTCOMES, prompt_tokens};
 use crate::engine_table::{Engine, EngineTable};
-use crate::read_directory::PromptRead;
-use crate::region_ways::RegionWays;
+use crate::prefill_directory::PrefillRecord;
+use crate::region_latencies::RegionLatencies;
 use crate::request::PromptPart;
-use crate::service_model::{Reading, ServiceCosts, ServiceKey, ServiceModel, ServiceSummary, Turn};
-
-/// Requests that an engine which is no candidate of the session has to have fewer: counts of open
-/// requests are old by a heartbeat, in which each engine gets a few.
-const STRANGER_REQUESTS: f64 = 4.0;
-/// Candidates of a session among all engines, and among those of the gateway's zone.
-const CANDIDATES: usize = 2;
-/// Sessions whose engine is remembered.
-const MAX_HOMES: usize = 8_192;
-/// Extra cost for an engine of another zone, in milliseconds: the way there, and the price of the bytes. What another region costs
-/// beside is measured ([`RegionWays`]).
+use crate::service_model::{
+    PrefillSample, ServiceCosts, ServiceKey, ServiceModel, ServiceSummary, Turn,
+};
+
+/// Margin by which an engine that is not a candidate of the session has to be better, in in-flight requests.
+/// Counts lag by a heartbeat, in which each engine gets a few requests.
+const NON_CANDIDATE_MARGIN_REQUESTS: f64 = 4.0;
+/// Candidates of a session in the gateway's region, and in its zone.
+const CANDIDATES_PER_SESSION: usize = 2;
+/// Sessions whose last engine is remembered.
+const MAX_SESSION_ENGINES: usize = 8_192;
+/// Extra cost of an engine in another zone, in milliseconds, for latency and traffic. The extra cost of
+/// another region is measured ([`RegionLatencies`]).
 const OTHER_ZONE_MS: f64 = 20.0;
-/// Extra cost for an engine that failed lately, in milliseconds.
-const RESTING_MS: f64 = 10_000.0;
-/// What a request that fails loses, in times of a request: its own time, its client's pause, and the risk that
-/// its program ends with the third failure.
-const FAILURE_TURNS: f64 = 4.0;
-/// Part of a request's time that grows with the engine's step; the rest is reading and waiting, and steps
-/// of one engine differ by its batch.
-const STEP_SHARE: f64 = 0.4;
-/// How far the reading of a beginning that others share counts for all in the batch. It is read there once
-/// for all of them (0), but takes memory that other prompts lose (1); `docs/design/decisions.md`, "Ablation".
-const SHARED_WEIGHT: f64 = 0.25;
-/// Services of which something is remembered.
+/// Extra cost of an engine that is backing off after a failure, in milliseconds.
+const BACKOFF_COST_MS: f64 = 10_000.0;
+/// Cost of a failed request, in durations of a request: its own duration, the client's pause before a retry,
+/// and the risk that the program ends with the third failure.
+const FAILURE_COST_TURNS: f64 = 4.0;
+/// Fraction of a request's duration that grows with the engine's step time. The rest is prefill and waiting,
+/// and step times of one engine also differ with its batch.
+const STEP_FRACTION: f64 = 0.4;
+/// Weight of a shared prompt prefix in the wait of the batch. With 0 it is prefilled once for all requests;
+/// with 1 it counts as memory that other prompts lose (`docs/design/decisions.md`, "Ablation").
+const SHARED_PREFILL_WEIGHT: f64 = 0.25;
+/// Most services with a cost model.
 const MAX_SERVICES: usize = 256;
 const MS_PER_S: f64 = 1_000.0;
 
-/// What a request asks of an engine.
+/// What placement needs to know of a request.
 #[derive(Clone, Copy)]
-pub struct Demand<'a> {
-    /// Service whose engines may take it.
+pub struct PlacementRequest<'a> {
     pub service: &'a str,
-    /// Key by which gateways agree on an engine where costs are equal.
+    /// Key for rendezvous hashing, by which gateways agree on an engine where costs are equal.
     pub key: &'a str,
     /// Parts of its prompt, in order.
     pub parts: &'a [PromptPart],
     /// Zone of the gateway.
     pub zone: &'a str,
-    /// Engines that must not get it.
+    /// Instances that must not get the request.
     pub excluded: &'a [String],
-    /// What else keeps it from engines.
-    pub rules: &'a [&'a dyn EngineRule],
+    /// Rules that exclude further engines.
+    pub rules: &'a [&'a dyn EligibilityRule],
 }
 
-/// Load and contents of the engines, as one gateway knows them. Times are since the start of the process.
+/// Load and cached prompts of the engines as known to one gateway. Times are since the start of the process.
 #[derive(Debug, Clone, Default)]
 pub struct Placement {
     loads: EngineLoads,
     models: HashMap<ServiceKey, ServiceModel>,
-    /// The engine that last got a request, by the hash of the request's key.
-    homes: HashMap<u64, EngineKey>,
-    /// Ways to other regions, where there are some.
-    ways: Option<RegionWays>,
+    /// The engine that got the last request, by the hash of the request's key.
+    session_engines: HashMap<u64, EngineKey>,
+    /// `None` if the deployment has one region.
+    latencies: Option<RegionLatencies>,
 }
 
-/// The engine for a request.
+/// The engine chosen for a request.
 #[derive(Debug, Clone, Copy)]
 pub struct Choice<'a> {
-    /// The engine.
     pub engine: &'a Engine,
-    /// What the request is expected to lose there, in milliseconds.
+    /// Time that the request is expected to lose there, in milliseconds.
     pub cost_ms: f64,
 }
 
-/// An engine that has begun or ceased to fail requests.
+/// An engine has started or ceased to fail requests.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct FailingNews<'a> {
-    /// The engine's instance.
+pub struct FailureStateChange<'a> {
     pub instance: &'a str,
     /// Whether it fails them now.
     pub is_failing: bool,
-    /// What this gateway and others saw of it lately.
+    /// Recent outcomes that this gateway and others saw.
     pub outcomes: OutcomeCounts,
 }
 
 /// What was believed of an engine when a request was sent to it.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Forecast {
-    /// Tokens of the prompt that the engine was believed to lack.
+    /// Prompt tokens that the engine was believed to lack in its cache.
     pub missing: u64,
-    /// Tokens that earlier requests of this gateway had there to be read.
+    /// Tokens of this gateway's earlier requests that the engine had yet to prefill.
     pub ahead: u64,
-    /// Requests that were open there.
+    /// In-flight requests at the engine.
     pub open: u32,
-    /// Whether the engine was believed to hold the prompt's beginning, so that what it lacked is the
-    /// session's own. Beginnings are shared, and others may have had them read unseen.
+    /// Whether the engine was believed to have cached the prompt's first part, so that only the session's own
+    /// part was missing. First parts are shared, and other gateways may have had them prefilled unnoticed.
     pub is_certain: bool,
 }
 
-/// What reports of other gateways are worth.
+/// How much the reports of other gateways count.
 #[derive(Debug, Clone, Copy)]
-struct News {
-    /// Their open requests at an engine, in the mean.
+struct ReportWeight {
+    /// Mean number of their in-flight requests at an engine.
     mean: f64,
-    /// How far an engine's own count is to be trusted beside the mean, from 0 to 1.
-    trust: f64,
+    /// Weight of an engine's reported count against the mean, from 0 to 1.
+    weight: f64,
 }
 
-/// An engine that may get a request.
+/// An eligible engine.
 struct Candidate<'a> {
     engine: &'a Engine,
     key: EngineKey,
-    /// Its rank for the request's key, the highest first.
+    /// Rank by rendezvous hashing; the highest is preferred.
     rank: u64,
 }
 
 impl Placement {
-    /// Nothing is known yet of engines that these ways lead to.
-    pub fn with_ways(ways: Option<RegionWays>) -> Self {
+    /// A placement without state; `latencies` is `None` if the deployment has one region.
+    pub fn with_region_latencies(latencies: Option<RegionLatencies>) -> Self {
         Self {
-            ways,
+            latencies,
             ..Self::default()
         }
     }
 
-    /// A connection to an engine took so long.
+    /// A connection to the engine was established in this time.
     pub fn on_connected(&mut self, engine: &Engine, taken: Duration) {
-        if let Some(ways) = &mut self.ways {
-            ways.on_connected(&engine.zone, taken);
+        if let Some(latencies) = &mut self.latencies {
+            latencies.on_connected(&engine.zone, taken);
         }
     }
 
-    /// Ways to regions that have changed since they were last told, in milliseconds there and back.
-    pub fn way_news(&mut self) -> Vec<(String, f64)> {
-        self.ways.as_mut().map(RegionWays::news).unwrap_or_default()
+    /// Regions whose round-trip time has changed notably since the last call, in milliseconds.
+    pub fn latency_changes(&mut self) -> Vec<(String, f64)> {
+        self.latencies
+            .as_mut()
+            .map(RegionLatencies::changes)
+            .unwrap_or_default()
     }
 
-    /// The engine with the least cost; `None` when no engine of the service may get the request.
+    /// The engine with the least cost; `None` if no engine of the service is eligible.
     pub fn choose<'a>(
         &mut self,
         table: &'a EngineTable,
-        demand: &Demand<'a>,
+        request: &PlacementRequest<'a>,
         now: Duration,
     ) -> Option<Choice<'a>> {
         self.loads.expire(now);
-        let costs = self.costs(demand.service);
-        let session = xxh3_64(demand.key.as_bytes());
-        let candidates = candidates(table, demand, session);
-        let quickest = self.quickest_step(&candidates);
-        let home = self.homes.get(&session);
-        let preferred = preferred(&candidates, demand.zone, self.ways.as_ref());
-        let news = self.news_of(&candidates, &costs);
-        let typical = self.typical_failed(&candidates, now);
-        let weighed = candidates.iter().map(|candidate| {
-            let open = self.open_now(candidate.key, news);
-            let mut cost = self.cost(candidate, demand, &costs, open, now);
-            cost += self.slower_ms(candidate, &costs, quickest);
-            cost += self.failing_ms(candidate, &costs, typical, now);
-            let is_home = home == Some(&candidate.key) || self.holds_last(candidate.key, demand);
-            if !is_home && !preferred.contains(&candidate.key) {
-                cost += STRANGER_REQUESTS * costs.open_ms(candidate.engine.slots);
+        let costs = self.costs(request.service);
+        let session = xxh3_64(request.key.as_bytes());
+        let candidates = candidates(table, request, session);
+        let fastest_step_ms = self.fastest_step_ms(&candidates);
+        let last_engine = self.session_engines.get(&session);
+        let preferred = preferred(&candidates, request.zone, self.latencies.as_ref());
+        let reports = self.report_weight(&candidates, &costs);
+        let typical_share = self.typical_failed_share(&candidates, now);
+        let costed = candidates.iter().map(|candidate| {
+            let open = self.estimated_open(candidate.key, reports);
+            let mut cost = self.cost(candidate, request, &costs, open, now);
+            cost += self.slow_step_ms(candidate, &costs, fastest_step_ms);
+            cost += self.failure_ms(candidate, &costs, typical_share, now);
+            let has_affinity = last_engine == Some(&candidate.key)
+                || self.caches_session_part(candidate.key, request);
+            if !has_affinity && !preferred.contains(&candidate.key) {
+                cost += NON_CANDIDATE_MARGIN_REQUESTS * costs.open_ms(candidate.engine.slots);
             }
             (cost, candidate)
         });
-        let best = weighed.min_by(|one, two| {
+        let best = costed.min_by(|one, two| {
             let by_cost = one.0.total_cmp(&two.0);
             by_cost.then(two.1.rank.cmp(&one.1.rank))
         });
@@ -185,88 +189,95 @@
         })
     }
 
-    /// Open requests at an engine, of this gateway and of those that reported lately.
+    /// In-flight requests of this gateway and of recent reports.
     pub fn open_at(&mut self, engine: EngineKey, now: Duration) -> u32 {
         self.loads.expire(now);
         self.loads.open_at(engine)
     }
 
-    /// Open requests of this gateway at an engine.
-    pub fn own_at(&self, engine: EngineKey) -> u32 {
-        self.loads.own_at(engine)
+    /// In-flight requests of this gateway.
+    pub fn own_open_requests(&self, engine: EngineKey) -> u32 {
+        self.loads.own_open_requests(engine)
     }
 
-    /// What work costs at the engines of a service, as far as it is known.
+    /// The current estimates; defaults for a service without samples.
     pub fn costs(&self, service: &str) -> ServiceCosts {
         let model = self.models.get(&ServiceKey::of(service));
         model.map_or_else(|| ServiceModel::default().costs(), ServiceModel::costs)
     }
 
-    /// A request with this key goes to an engine.
+    /// A request with this key is being sent to the engine.
     pub fn on_sent(&mut self, key: &str, engine: &Engine, parts: &[PromptPart]) -> Forecast {
-        if self.homes.len() >= MAX_HOMES {
-            self.homes.clear();
+        if self.session_engines.len() >= MAX_SESSION_ENGINES {
+            self.session_engines.clear();
         }
         let engine_key = engine.key();
-        self.homes.insert(xxh3_64(key.as_bytes()), engine_key);
+        self.session_engines
+            .insert(xxh3_64(key.as_bytes()), engine_key);
         let open = self.loads.open_at(engine_key);
         let load = self.loads.entry(engine_key);
         let forecast = Forecast {
             missing: load.parts.missing(parts),
-            ahead: load.unread,
+            ahead: load.pending_prefill_tokens,
             open,
             is_certain: parts.len() == 1
-                || parts.first().is_some_and(|part| load.parts.holds(*part)),
+                || parts
+                    .first()
+                    .is_some_and(|part| load.parts.is_cached(*part)),
         };
-        load.own += 1;
-        load.unread = load.unread.saturating_add(forecast.missing);
+        load.own_open += 1;
+        load.pending_prefill_tokens = load.pending_prefill_tokens.saturating_add(forecast.missing);
         for part in parts {
             load.parts.insert(*part);
         }
         forecast
     }
 
-    /// The first event of a request has come, so its prompt has been read.
+    /// The first event of a request has arrived, so its prompt is prefilled.
     pub fn on_first_event(&mut self, engine: &Engine, forecast: Forecast, taken: Duration) {
         let load = self.loads.entry(engine.key());
-        load.unread = load.unread.saturating_sub(forecast.missing);
+        load.pending_prefill_tokens = load.pending_prefill_tokens.saturating_sub(forecast.missing);
         if forecast.open >= engine.slots || forecast.ahead > 0 {
-            // It waited for a place, or for other readings: of this gateway's, and of more that it does
-            // not know.
+            // It waited for a slot or for other prefills, perhaps also for those of other gateways, so it is
+            // no sample.
             return;
         }
-        self.model(&engine.service).on_reading(Reading {
-            tokens: forecast.missing,
-            first_ms: taken.as_secs_f64() * MS_PER_S,
-            is_certain: forecast.is_certain,
-        });
+        self.model(&engine.service)
+            .on_prefill_sample(PrefillSample {
+                tokens: forecast.missing,
+                first_ms: taken.as_secs_f64() * MS_PER_S,
+                is_certain: forecast.is_certain,
+            });
     }
 
-    /// A request ended well.
+    /// A request was answered.
     pub fn on_turn(&mut self, engine: &Engine, turn: Turn) {
         if let Some(step_ms) = turn.step_ms {
-            self.health(engine.key()).on_step(step_ms);
+            self.health(engine.key()).on_step_time(step_ms);
         }
         if turn.open < engine.slots {
             self.model(&engine.service).on_turn(turn);
         }
     }
 
-    /// A request has left an engine; `unread` of its tokens had not been read.
-    pub fn on_ended(&mut self, engine: EngineKey, unread: u64) {
+    /// A request has ended at an engine; `pending_prefill_tokens` of its tokens were not prefilled.
+    pub fn on_ended(&mut self, engine: EngineKey, pending_prefill_tokens: u64) {
         let load = self.loads.entry(engine);
-        load.own = load.own.saturating_sub(1);
-        load.unread = load.unread.saturating_sub(unread);
+        load.own_open = load.own_open.saturating_sub(1);
+        load.pending_prefill_tokens = load
+            .pending_prefill_tokens
+            .saturating_sub(pending_prefill_tokens);
     }
 
-    /// Services whose costs have changed since they were last told, with the samples they rest on.
+    /// Services whose costs have changed notably since the last call, with the number of samples.
     pub fn news(&mut self) -> Vec<(ServiceKey, ServiceCosts, u32)> {
         let models = self.models.iter_mut();
-        let news = models.filter_map(|(key, model)| Some((*key, model.news()?, model.samples())));
-        news.collect()
+        let changes =
+            models.filter_map(|(key, model)| Some((*key, model.changed_costs()?, model.samples())));
+        changes.collect()
     }
 
-    /// What this gateway has learned of the services, for the other gateways.
+    /// Summaries for the other gateways.
     pub fn summaries(&self) -> Vec<ServiceSummary> {
         let models = self.models.iter();
         models
@@ -274,15 +285,15 @@
             .collect()
     }
 
-    /// Takes in what an engine has read for another gateway.
-    pub fn on_read(&mut self, read: &PromptRead) {
-        let load = self.loads.entry(EngineKey(read.engine));
-        for part in &read.parts {
+    /// An engine prefilled a prompt for another gateway.
+    pub fn on_prefill(&mut self, record: &PrefillRecord) {
+        let load = self.loads.entry(EngineKey(record.engine));
+        for part in &record.parts {
             load.parts.insert(*part);
         }
     }
 
-    /// Takes in what another gateway has learned.
+    /// Takes summaries of another gateway.
     pub fn on_summaries(&mut self, summaries: Vec<ServiceSummary>) {
         for summary in summaries {
             let known = self.models.len() < MAX_SERVICES;
@@ -298,79 +309,79 @@
         self.health(engine).on_outcome(outcome, now);
     }
 
-    /// Engines that have begun or ceased to fail requests since they were last told.
-    pub fn failing_news<'a>(
+    /// Engines that have started or ceased to fail requests since the last call.
+    pub fn failure_state_changes<'a>(
         &mut self,
         table: &'a EngineTable,
         now: Duration,
-    ) -> Vec<FailingNews<'a>> {
-        let mut news = Vec::new();
+    ) -> Vec<FailureStateChange<'a>> {
+        let mut changes = Vec::new();
         for engine in table.engines() {
             let Some(load) = self.loads.get_mut(engine.key()) else {
                 continue;
             };
-            if let Some(is_failing) = load.failing_news(now) {
-                news.push(FailingNews {
+            if let Some(is_failing) = load.failure_state_changes(now) {
+                changes.push(FailureStateChange {
                     instance: &engine.instance,
                     is_failing,
                     outcomes: load.outcomes(now),
                 });
             }
         }
-        news
+        changes
     }
 
-    /// Health of an engine.
+    /// The health of an engine, created if it is new.
     pub fn health(&mut self, engine: EngineKey) -> &mut EngineHealth {
         &mut self.loads.entry(engine).health
     }
 
-    /// What this gateway tells the others of the engines.
+    /// The report for the other gateways.
     pub fn report(&self, now: Duration) -> GatewayReport {
         self.loads.report(now)
     }
 
-    /// Takes in another gateway's report.
+    /// Replaces a gateway's report.
     pub fn on_report(&mut self, gateway: &str, report: GatewayReport, now: Duration) {
         self.loads.on_report(gateway, report, now);
     }
 
-    /// Forgets engines that are gone and reports that are too old.
+    /// Drops engines that are not listed and reports that are too old.
     pub fn retain(&mut self, table: &EngineTable, now: Duration) {
         self.loads.expire(now);
         let listed: HashSet<EngineKey> = table.engines().map(Engine::key).collect();
         self.loads.retain(|key| listed.contains(&key));
     }
 
-    /// How far reports of other gateways count: they tell of requests that have ended since, the more of
-    /// them the older a report is beside the time that a request takes.
-    fn news_of(&self, candidates: &[Candidate<'_>], costs: &ServiceCosts) -> News {
+    /// The older a report is in relation to a request's duration, the more of the reported requests have
+    /// ended, so the less it counts.
+    fn report_weight(&self, candidates: &[Candidate<'_>], costs: &ServiceCosts) -> ReportWeight {
         let reported = candidates
             .iter()
-            .map(|candidate| f64::from(self.loads.reported_at(candidate.key)));
+            .map(|candidate| f64::from(self.loads.reported_open_requests(candidate.key)));
         let mean = reported.sum::<f64>() / candidates.len().max(1) as f64;
         let age = self.loads.report_age_ms() / costs.turn_ms.max(1.0);
-        News {
+        ReportWeight {
             mean,
-            trust: (-age).exp(),
+            weight: (-age).exp(),
         }
     }
 
-    /// Open requests at an engine: this gateway's own, and those of others as they may be by now, between
-    /// what they were and what engines have in the mean.
-    fn open_now(&self, key: EngineKey, news: News) -> f64 {
-        let reported = f64::from(self.loads.reported_at(key));
-        let others = news.mean + news.trust * (reported - news.mean);
-        f64::from(self.loads.own_at(key)) + others
+    /// Estimated in-flight requests at an engine: this gateway's own, and those of others between the
+    /// reported count and the mean of all engines.
+    fn estimated_open(&self, key: EngineKey, reports: ReportWeight) -> f64 {
+        let reported = f64::from(self.loads.reported_open_requests(key));
+        let others = reports.mean + reports.weight * (reported - reports.mean);
+        f64::from(self.loads.own_open_requests(key)) + others
     }
 
-    /// Whether an engine holds the part of a prompt that is the session's own.
-    fn holds_last(&self, key: EngineKey, demand: &Demand<'_>) -> bool {
-        let last = demand.parts.last().zip(self.loads.get(key));
-        last.is_some_and(|(part, load)| load.parts.held(*part) > 0)
+    /// Whether the engine has cached the last part of the prompt, which is the session's own.
+    fn caches_session_part(&self, key: EngineKey, request: &PlacementRequest<'_>) -> bool {
+        let last = request.parts.last().zip(self.loads.get(key));
+        last.is_some_and(|(part, load)| load.parts.cached(*part) > 0)
     }
 
-    fn quickest_step(&self, candidates: &[Candidate<'_>]) -> Option<f64> {
+    fn fastest_step_ms(&self, candidates: &[Candidate<'_>]) -> Option<f64> {
         let steps = candidates.iter().filter_map(|candidate| {
             let load = self.loads.get(candidate.key)?;
             load.health.step_ms()
@@ -378,9 +389,9 @@
         steps.min_by(f64::total_cmp)
     }
 
-    /// Share of the requests that fail at the engines all together.
-    fn typical_failed(&self, candidates: &[Candidate<'_>], now: Duration) -> f64 {
-        // Of this gateway's own requests: others tell of suspects only.
+    /// Share of failed requests over all candidates.
+    fn typical_failed_share(&self, candidates: &[Candidate<'_>], now: Duration) -> f64 {
+        // Own requests only: reports cover suspects alone and would bias the share.
         let loads = candidates
             .iter()
             .filter_map(|candidate| self.loads.get(candidate.key));
@@ -389,19 +400,19 @@
         all.failed_share(PRIOR_OUTCOMES, 0.0)
     }
 
-    /// What a request is expected to lose at an engine that fails more of them than engines typically do.
-    fn failing_ms(
+    /// Expected loss at an engine that fails more requests than is typical.
+    fn failure_ms(
         &self,
         candidate: &Candidate<'_>,
         costs: &ServiceCosts,
-        typical: f64,
+        typical_share: f64,
         now: Duration,
     ) -> f64 {
         let Some(load) = self.loads.get(candidate.key) else {
             return 0.0;
         };
-        let excess = load.failed_share(typical, now) - typical;
-        excess.max(0.0) * FAILURE_TURNS * costs.turn_ms
+        let excess = load.failed_share(typical_share, now) - typical_share;
+        excess.max(0.0) * FAILURE_COST_TURNS * costs.turn_ms
     }
 
     fn model(&mut self, service: &str) -> &mut ServiceModel {
@@ -415,7 +426,7 @@
     fn cost(
         &self,
         candidate: &Candidate<'_>,
-        demand: &Demand<'_>,
+        request: &PlacementRequest<'_>,
         costs: &ServiceCosts,
         open: f64,
         now: Duration,
@@ -424,95 +435,101 @@
         let slots = f64::from(engine.slots);
         let queued = (open + 1.0 - slots).max(0.0);
         let mut cost = open * costs.open_ms(engine.slots);
-        cost += queued * costs.place_ms(engine.slots);
-        if engine.zone != demand.zone {
+        cost += queued * costs.queue_position_ms(engine.slots);
+        if engine.zone != request.zone {
             cost += OTHER_ZONE_MS;
             cost += self
-                .ways
+                .latencies
                 .as_ref()
-                .map_or(0.0, |ways| ways.extra_ms(&engine.zone));
+                .map_or(0.0, |latencies| latencies.extra_ms(&engine.zone));
         }
         let known = self.loads.get(candidate.key);
         let missing = known.map_or_else(
-            || prompt_tokens(demand.parts),
-            |load| load.parts.missing(demand.parts),
+            || prompt_tokens(request.parts),
+            |load| load.parts.missing(request.parts),
         );
-        // While the prompt is read, all other requests there wait too.
+        // All other requests at the engine wait during the prefill.
         let waiting = 1.0 + open.min(slots);
-        cost += reading_tokens(demand.parts, missing, waiting) / costs.tokens_per_ms;
-        if known.is_some_and(|load| load.health.rests(now)) {
-            cost += RESTING_MS;
+        cost += prefill_wait_tokens(request.parts, missing, waiting) / costs.tokens_per_ms;
+        if known.is_some_and(|load| load.health.is_backing_off(now)) {
+            cost += BACKOFF_COST_MS;
         }
         cost
     }
 
-    /// What a request loses at an engine whose steps are longer than the quickest one's.
-    fn slower_ms(
+    /// Expected loss at an engine whose decode steps are longer than those of the fastest.
+    fn slow_step_ms(
         &self,
         candidate: &Candidate<'_>,
         costs: &ServiceCosts,
-        quickest: Option<f64>,
+        fastest_step_ms: Option<f64>,
     ) -> f64 {
         let step = self
             .loads
             .get(candidate.key)
             .and_then(|load| load.health.step_ms());
-        let (Some(step), Some(quickest)) = (step, quickest) else {
+        let (Some(step), Some(fastest_step_ms)) = (step, fastest_step_ms) else {
             return 0.0;
         };
-        (step / quickest.max(0.1) - 1.0) * STEP_SHARE * costs.turn_ms
+        (step / fastest_step_ms.max(0.1) - 1.0) * STEP_FRACTION * costs.turn_ms
     }
 }
 
-/// Tokens that all requests of a batch together wait for while one of them is read.
-fn reading_tokens(parts: &[PromptPart], missing: u64, waiting: f64) -> f64 {
-    let own = parts.last().map_or(0, |part| part.tokens.min(missing));
-    let shared = (missing - own) as f64;
-    let shared_waiting = 1.0 + SHARED_WEIGHT * (waiting - 1.0);
-    waiting * own as f64 + shared_waiting * shared
+/// Tokens of prefill that the requests of a batch wait for, summed over the requests.
+fn prefill_wait_tokens(parts: &[PromptPart], missing: u64, waiting: f64) -> f64 {
+    let own_open = parts.last().map_or(0, |part| part.tokens.min(missing));
+    let shared = (missing - own_open) as f64;
+    let shared_waiting = 1.0 + SHARED_PREFILL_WEIGHT * (waiting - 1.0);
+    waiting * own_open as f64 + shared_waiting * shared
 }
 
-fn candidates<'a>(table: &'a EngineTable, demand: &Demand<'a>, session: u64) -> Vec<Candidate<'a>> {
-    let ready = table.ready(demand.service);
-    let allowed = ready.filter(|engine| !demand.excluded.contains(&engine.instance));
-    let allowed = allowed.filter(|engine| first_bar(demand.rules, engine).is_none());
+fn candidates<'a>(
+    table: &'a EngineTable,
+    request: &PlacementRequest<'a>,
+    session: u64,
+) -> Vec<Candidate<'a>> {
+    let ready = table.ready(request.service);
+    let allowed = ready.filter(|engine| !request.excluded.contains(&engine.instance));
+    let allowed = allowed.filter(|engine| first_exclusion(request.rules, engine).is_none());
     let candidates = allowed.map(|engine| {
         let key = engine.key();
         Candidate {
             engine,
             key,
-            rank: rendezvous(session, key),
+            rank: rendezvous_rank(session, key),
         }
     });
     candidates.collect()
 }
 
-/// The engines that a session prefers: the first by rank of all in the gateway's region, and the first of its zone. Of all regions where
-/// its own has none: else nothing would keep gateways from flocking.
+/// The candidates that a session prefers: the first by rank in the gateway's region and in its zone. If its
+/// region has none, the first of all regions count, or gateways would all choose the engine that looks least
+/// loaded.
 fn preferred(
     candidates: &[Candidate<'_>],
     zone: &str,
-    ways: Option<&RegionWays>,
+    latencies: Option<&RegionLatencies>,
 ) -> Vec<EngineKey> {
     let mut ranked: Vec<&Candidate<'_>> = candidates.iter().collect();
     ranked.sort_unstable_by_key(|candidate| std::cmp::Reverse(candidate.rank));
-    let is_own = |zone: &str| ways.is_none_or(|ways| ways.is_own(zone));
+    let is_own_region =
+        |zone: &str| latencies.is_none_or(|latencies| latencies.is_own_region(zone));
     let own_region = ranked
         .iter()
-        .filter(|candidate| is_own(&candidate.engine.zone));
-    let first: Vec<_> = own_region.take(CANDIDATES).collect();
+        .filter(|candidate| is_own_region(&candidate.engine.zone));
+    let first: Vec<_> = own_region.take(CANDIDATES_PER_SESSION).collect();
     let first = if first.is_empty() {
-        ranked.iter().take(CANDIDATES).collect()
+        ranked.iter().take(CANDIDATES_PER_SESSION).collect()
     } else {
         first
     };
     let near = ranked
         .iter()
         .filter(|candidate| candidate.engine.zone == zone);
-    let preferred = first.into_iter().chain(near.take(CANDIDATES));
+    let preferred = first.into_iter().chain(near.take(CANDIDATES_PER_SESSION));
     preferred.map(|candidate| candidate.key).collect()
 }
 
-fn rendezvous(session: u64, key: EngineKey) -> u64 {
+fn rendezvous_rank(session: u64, key: EngineKey) -> u64 {
     xxh3_64_with_seed(&key.0.to_le_bytes(), session)
 }
