--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -53,8 +53,8 @@
         )
     }
 
-    /// How the failure counts for the engine's health; `None` if it is no evidence, as for a full
-    /// engine.
+    /// How the failure counts for the engine's health; `None` if it says nothing about the engine's
+    /// health, such as a rejection by a full engine.
     pub fn outcome(&self) -> Option<Outcome> {
         match self {
             Self::Excluded(_) | Self::Rejected(_) => None,
@@ -110,9 +110,9 @@
 impl EngineResponse {
     /// Returns the connection to the pool. The body must have been read to its end.
     pub fn finish(self, gateway: &Gateway) {
-        let rest = self.head.keep_alive;
+        let keep_alive = self.head.keep_alive;
         let engine = self.in_flight.engine();
-        gateway.pool.put_idle(engine, self.connection, rest);
+        gateway.pool.put_idle(engine, self.connection, keep_alive);
     }
 }
 
@@ -123,11 +123,11 @@
     pub body: &'a Bytes,
     /// Last forwarded event, when a stream is resumed.
     pub last_event_id: Option<u64>,
-    /// Random number from 0 to 1 that decides whether the request may go to an engine that has
-    /// barely warmed up.
+    /// Random number from 0 to 1. The request needs no grant for a warming engine whose `share` is
+    /// greater than this.
     pub draw: f64,
     /// Grant for an engine that is warming up.
-    pub grant: Option<Grant>,
+    pub warm_up_grant: Option<Grant>,
 }
 
 /// Sends a request to an engine and waits for the head of its response. An idle connection that
@@ -154,9 +154,10 @@
             return Err(excluded);
         }
         let request = build_request(engine, &outgoing);
-        if let Err(exclusion) = gateway
-            .warm_ups
-            .admit(engine, outgoing.draw, outgoing.grant)
+        if let Err(exclusion) =
+            gateway
+                .warm_ups
+                .admit(engine, outgoing.draw, outgoing.warm_up_grant)
         {
             gateway.pool.put_idle(engine.key(), connection, None);
             return Err(AttemptFailure::Excluded(exclusion));
@@ -166,7 +167,7 @@
                 in_flight.on_sent(outgoing.body.len());
                 let (parts, body) = response.into_parts();
                 let head = read_engine_response_head(parts.status.as_u16(), &parts.headers);
-                gateway.warm_ups.on_answer(engine, head.warm_up);
+                gateway.warm_ups.on_response(engine, head.warm_up);
                 let engine_response = EngineResponse {
                     status: parts.status,
                     headers: parts.headers,
@@ -229,7 +230,8 @@
     request
 }
 
-/// Distinguishes a response to this request from a rejection and from unrelated bytes.
+/// Returns the response if an engine sent it for this request. A rejection and any other response
+/// are failures.
 async fn check_response(
     gateway: &Gateway,
     engine_response: EngineResponse,
--- a/crates/gateway/src/buffered_response.rs
+++ b/crates/gateway/src/buffered_response.rs
@@ -8,7 +8,7 @@
 use crate::attempt::{AttemptFailure, EngineResponse};
 use crate::gateway::Gateway;
 
-/// Largest response body that is buffered.
+/// Largest response body that can be buffered. A larger one fails the attempt.
 const MAX_RESPONSE_BYTES: usize = 16 * 1024 * 1024;
 
 /// Reads the whole response, including status and headers. Fails if the body ends early or is too
--- a/crates/gateway/src/caller.rs
+++ b/crates/gateway/src/client.rs
@@ -27,11 +27,11 @@
 
 /// The client disconnected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct CallerDisconnected;
+pub struct ClientDisconnected;
 
 /// Body of a response to a client.
 #[derive(Debug)]
-pub enum CallerBody {
+pub enum ClientBody {
     /// The whole body; `None` once it has been taken.
     Whole(Option<Bytes>),
     /// Chunks as they arrive.
@@ -44,7 +44,7 @@
     }
 }
 
-impl Body for CallerBody {
+impl Body for ClientBody {
     type Data = Bytes;
     type Error = ResponseAborted;
 
@@ -83,13 +83,13 @@
 
 /// A client that waits for the head of its response.
 #[derive(Debug)]
-pub struct Caller {
-    head: oneshot::Sender<Response<CallerBody>>,
+pub struct WaitingClient {
+    head: oneshot::Sender<Response<ClientBody>>,
 }
 
-impl Caller {
-    /// Creates a caller and the receiver of its response.
-    pub fn new() -> (Self, oneshot::Receiver<Response<CallerBody>>) {
+impl WaitingClient {
+    /// Creates a client and the receiver of its response.
+    pub fn new() -> (Self, oneshot::Receiver<Response<ClientBody>>) {
         let (head, receiver) = oneshot::channel();
         (Self { head }, receiver)
     }
@@ -101,38 +101,38 @@
 
     /// Sends a whole response.
     pub fn answer(self, response: Response<Bytes>) {
-        let response = response.map(|bytes| CallerBody::Whole(Some(bytes)));
+        let response = response.map(|bytes| ClientBody::Whole(Some(bytes)));
         // Fails only if the client has disconnected.
         let _ = self.head.send(response);
     }
 
     /// Sends the head of a streamed response.
-    pub fn start_stream(self, head: Response<()>) -> Result<StreamingCaller, CallerDisconnected> {
+    pub fn start_stream(self, head: Response<()>) -> Result<StreamingClient, ClientDisconnected> {
         let (chunks, receiver) = mpsc::channel(MAX_QUEUED_CHUNKS);
-        let response = head.map(|()| CallerBody::Stream(receiver));
-        self.head.send(response).map_err(|_| CallerDisconnected)?;
-        Ok(StreamingCaller { chunks })
+        let response = head.map(|()| ClientBody::Stream(receiver));
+        self.head.send(response).map_err(|_| ClientDisconnected)?;
+        Ok(StreamingClient { chunks })
     }
 }
 
 /// A client that receives a streamed response. Dropping it ends the response as complete.
 #[derive(Debug)]
-pub struct StreamingCaller {
+pub struct StreamingClient {
     chunks: mpsc::Sender<Result<Bytes, ResponseAborted>>,
 }
 
-impl StreamingCaller {
+impl StreamingClient {
     /// Completes when the client has disconnected.
     pub async fn disconnected(&self) {
         self.chunks.closed().await;
     }
 
     /// Queues bytes for the client; waits while the queue is full.
-    pub async fn send(&self, bytes: Bytes) -> Result<(), CallerDisconnected> {
+    pub async fn send(&self, bytes: Bytes) -> Result<(), ClientDisconnected> {
         self.chunks
             .send(Ok(bytes))
             .await
-            .map_err(|_| CallerDisconnected)
+            .map_err(|_| ClientDisconnected)
     }
 
     /// Aborts the response, so that the client sees that it is incomplete.
--- a/crates/gateway/src/engine_pool.rs
+++ b/crates/gateway/src/connection_pool.rs
@@ -7,14 +7,15 @@
 use ridgeworks_resident::http_client::{ConnectError, Connection, connect};
 use ridgeworks_routing::{Engine, EngineKey, EngineTable};
 
-/// An engine accepts a connection within its network's delay unless it is gone or full.
+/// Timeout of opening a connection. An engine that is neither gone nor full accepts one within the
+/// network delay.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 /// Idle time of a connection if the engine states none.
 const DEFAULT_IDLE: Duration = Duration::from_secs(4);
 /// Fraction of the engine's stated idle time for which a connection is reused, so that the engine
 /// does not close it first.
 const KEEP_ALIVE_FRACTION: f64 = 0.7;
-/// Most idle connections per engine.
+/// Maximum number of idle connections per engine.
 const MAX_IDLE: usize = 24;
 
 struct IdleConnection {
@@ -25,11 +26,11 @@
 /// Idle connections by engine process. A restarted engine has a new key, because connections to its
 /// old process are dead.
 #[derive(Default)]
-pub struct EnginePool {
+pub struct ConnectionPool {
     idle: RefCell<HashMap<EngineKey, Vec<IdleConnection>>>,
 }
 
-impl EnginePool {
+impl ConnectionPool {
     /// Takes a usable idle connection.
     pub fn take_idle(&self, engine: EngineKey) -> Option<Connection> {
         let mut idle = self.idle.borrow_mut();
--- a/crates/gateway/src/engine_rules.rs
+++ b/crates/gateway/src/engine_rules.rs
@@ -30,28 +30,31 @@
         }
     }
 
-    /// Calls `apply` with the rules, followed by `last`.
-    pub fn apply<R>(
+    /// Calls `use_rules` with the rules; `last`, if given, is appended to them.
+    pub fn with_rules<R>(
         &self,
         last: Option<&dyn EligibilityRule>,
-        apply: impl FnOnce(&[&dyn EligibilityRule]) -> R,
+        use_rules: impl FnOnce(&[&dyn EligibilityRule]) -> R,
     ) -> R {
         let residency = ResidencyRule {
             residency: &self.residency,
             regions: &self.gateway.node.regions,
         };
-        let resident: Option<&dyn EligibilityRule> = Some(&residency);
-        let resident = resident.filter(|_| !self.residency.is_anywhere());
+        let residency_rule: Option<&dyn EligibilityRule> = Some(&residency);
+        let residency_rule = residency_rule.filter(|_| !self.residency.is_anywhere());
         let drained = self.drains.as_deref();
         let drained = drained.map(|drains| drains as &dyn EligibilityRule);
-        let rules: Vec<&dyn EligibilityRule> =
-            resident.into_iter().chain(drained).chain(last).collect();
-        apply(&rules)
+        let rules: Vec<&dyn EligibilityRule> = residency_rule
+            .into_iter()
+            .chain(drained)
+            .chain(last)
+            .collect();
+        use_rules(&rules)
     }
 
     /// Why the engine is excluded; `None` if it may get the request.
     pub fn exclusion(&self, engine: &Engine) -> Option<Exclusion> {
-        self.apply(None, |rules| first_exclusion(rules, engine))
+        self.with_rules(None, |rules| first_exclusion(rules, engine))
     }
 }
 
--- a/crates/gateway/src/entry.rs
+++ b/crates/gateway/src/entry.rs
@@ -17,12 +17,12 @@
 use tokio::time::Instant;
 
 use crate::call::Call;
-use crate::caller::{Caller, CallerBody};
+use crate::client::{ClientBody, WaitingClient};
 use crate::exchange;
 use crate::gateway::{BodyReservation, Gateway, OpenRequestGuard};
 use crate::refusal::{RETRY_AFTER, RETRY_AFTER_RECONFIGURATION, refusal_response};
 
-/// Most requests that may be open at once.
+/// Maximum number of open requests.
 const MAX_OPEN_REQUESTS: usize = 4_000;
 /// How long reading a request body may take.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
@@ -41,7 +41,7 @@
 }
 
 /// Answers one request. The future is dropped when the client disconnects.
-pub async fn answer(gateway: Rc<Gateway>, request: Request<Incoming>) -> Response<CallerBody> {
+pub async fn answer(gateway: Rc<Gateway>, request: Request<Incoming>) -> Response<ClientBody> {
     let received = Instant::now();
     let open_request = gateway.track_request();
     let (parts, body) = request.into_parts();
@@ -62,8 +62,8 @@
         Ok(call) => call,
         Err(refusal) => return refuse(&gateway, &parts, &refusal),
     };
-    let (caller, head) = Caller::new();
-    tokio::task::spawn_local(exchange::run(Rc::clone(&gateway), call, caller));
+    let (client, head) = WaitingClient::new();
+    tokio::task::spawn_local(exchange::run(Rc::clone(&gateway), call, client));
     match head.await {
         Ok(response) => response,
         // The exchange task ended without a response, which only a bug can cause.
@@ -80,11 +80,12 @@
     const MAX_WAIT: Duration = Duration::from_millis(400);
     let mut changes = gateway.node.view.changes();
     let known = async { while !gateway.has_routing_state() && changes.changed().await.is_ok() {} };
-    // The request is refused later if none has arrived.
+    // After a timeout the request continues; `build_call` refuses it if there is still no
+    // configuration, and the exchange if no engine is known.
     let _ = tokio::time::timeout(MAX_WAIT, known).await;
 }
 
-fn refuse(gateway: &Gateway, parts: &Parts, refusal: &Refusal) -> Response<CallerBody> {
+fn refuse(gateway: &Gateway, parts: &Parts, refusal: &Refusal) -> Response<ClientBody> {
     gateway.metrics.on_refused(refusal.reason);
     let metadata = read_metadata(&parts.headers).unwrap_or_default();
     log::info!(
@@ -97,7 +98,7 @@
         version_age_ms = gateway.version_age_ms();
         "request refused at entry"
     );
-    refusal_response(refusal).map(|body| CallerBody::Whole(Some(body)))
+    refusal_response(refusal).map(|body| ClientBody::Whole(Some(body)))
 }
 
 async fn read_body(
--- a/crates/gateway/src/exchange.rs
+++ b/crates/gateway/src/exchange.rs
@@ -20,7 +20,7 @@
 use crate::attempt::{self, AttemptFailure, AttemptRequest, EngineResponse};
 use crate::buffered_response;
 use crate::call::Call;
-use crate::caller::Caller;
+use crate::client::WaitingClient;
 use crate::engine_rules::current_residency;
 use crate::gateway::Gateway;
 use crate::in_flight::InFlightRequest;
@@ -49,18 +49,18 @@
     reserve_time: Option<Duration>,
     /// Whether a reservation was sent to replicas, so that some may hold the turn in its program's
     /// ledger.
-    is_charged: Cell<bool>,
+    may_be_reserved: Cell<bool>,
     /// Whether the program's ledger has earlier turns.
     has_earlier_turns: bool,
-    /// Whether the request holds a grant of its tenant's rate limit.
-    is_granted: bool,
-    /// Random number from 0 to 1 that decides whether the request may go to an engine that has
-    /// barely warmed up.
+    /// Whether the request holds a rate-limit grant of its tenant.
+    has_rate_grant: bool,
+    /// Random number from 0 to 1. The request needs no grant for a warming engine whose `share` is
+    /// greater than this.
     draw: f64,
 }
 
-/// Executes a request and sends its response to the caller.
-pub async fn run(gateway: Rc<Gateway>, call: Call, caller: Caller) {
+/// Executes a request and sends its response to the client.
+pub async fn run(gateway: Rc<Gateway>, call: Call, client: WaitingClient) {
     let forwarded = ForwardedEvents {
         last_event_id: call.metadata.last_event_id,
         ..ForwardedEvents::default()
@@ -72,12 +72,12 @@
         history: AttemptHistory::default(),
         forwarded,
         reserve_time: None,
-        is_charged: Cell::new(false),
+        may_be_reserved: Cell::new(false),
         has_earlier_turns: false,
-        is_granted: false,
+        has_rate_grant: false,
         draw: rand::random(),
     };
-    let ending = exchange.execute(caller).await;
+    let ending = exchange.execute(client).await;
     let owns_ledger_entry = !matches!(
         ending,
         Ending::Refused(refusal) if refusal.reason == RefusalReason::DuplicateRequestId
@@ -86,21 +86,21 @@
         exchange.settle();
     }
     if matches!(ending, Ending::Refused(_) | Ending::ClientDisconnected) {
-        exchange.return_unused_grant();
+        exchange.return_unused_rate_grant();
     }
     exchange.report(ending);
 }
 
 impl Exchange {
-    async fn execute(&mut self, mut caller: Caller) -> Ending {
+    async fn execute(&mut self, mut client: WaitingClient) -> Ending {
         let prepared = tokio::select! {
             prepared = self.prepare() => prepared,
-            () = caller.disconnected() => return Ending::ClientDisconnected,
+            () = client.disconnected() => return Ending::ClientDisconnected,
         };
         if let Err(refusal) = prepared {
-            return self.refuse(caller, refusal);
+            return self.refuse(client, refusal);
         }
-        self.try_engines(ClientSide::Waiting(caller)).await
+        self.try_engines(ClientSide::Waiting(client)).await
     }
 
     async fn try_engines(&mut self, client: ClientSide) -> Ending {
@@ -124,7 +124,7 @@
                 }
                 continue;
             };
-            if !self.try_acquire_grant(&engine).await {
+            if !self.try_acquire_warm_up_grant(&engine).await {
                 continue;
             }
             match self.attempt(&engine, client).await {
@@ -146,11 +146,11 @@
         let engine_response = match self.send(engine, in_flight, &mut client).await {
             Ok(engine_response) => engine_response,
             Err(SendFailure::ClientDisconnected) => {
-                self.on_maybe_run(engine);
+                self.on_may_have_run(engine);
                 return Ok(Ending::ClientDisconnected);
             }
             Err(SendFailure::DeadlineExceeded) => {
-                self.on_maybe_run(engine);
+                self.on_may_have_run(engine);
                 return Ok(self.deadline_exceeded(client).await);
             }
             Err(SendFailure::Failed(failure)) => {
@@ -179,7 +179,7 @@
             body: &self.prompt,
             last_event_id: self.forwarded.last_event_id.filter(|_| is_resumed),
             draw: self.draw,
-            grant: self.history.grant,
+            warm_up_grant: self.history.warm_up_grant,
         };
         let first_event_deadline = self.first_event_deadline();
         tokio::select! {
@@ -225,11 +225,11 @@
                 Err(client)
             }
             StreamEnd::ClientDisconnected => {
-                self.on_maybe_run(engine);
+                self.on_may_have_run(engine);
                 Ok(Ending::ClientDisconnected)
             }
             StreamEnd::DeadlineExceeded(client) => {
-                self.on_maybe_run(engine);
+                self.on_may_have_run(engine);
                 Ok(self.deadline_exceeded(client).await)
             }
         }
@@ -238,7 +238,7 @@
     /// Makes the turn durable if the route keeps turns. The client sees the end of the response
     /// only after that.
     async fn complete(&mut self, client: ClientSide, status: u16) -> Ending {
-        let ClientSide::Streaming(caller) = client else {
+        let ClientSide::Streaming(client) = client else {
             return Ending::Answered(status);
         };
         if !self.call.route.keeps_turns {
@@ -259,12 +259,12 @@
         let appending = records.append(program.as_ref(), &record, retention, &residency, deadline);
         let appended = tokio::select! {
             appended = appending => appended,
-            () = caller.disconnected() => return Ending::ClientDisconnected,
+            () = client.disconnected() => return Ending::ClientDisconnected,
         };
         let elapsed_secs = began.elapsed().as_secs_f64();
         self.gateway.metrics.append_seconds.observe(elapsed_secs);
         if appended.is_err() {
-            caller.abort().await;
+            client.abort().await;
             return Ending::Aborted("turn_not_recorded");
         }
         self.cache(record);
@@ -282,18 +282,18 @@
         let response = tokio::select! {
             response = buffered_response::read(&self.gateway, engine_response) => response,
             () = client.disconnected() => {
-                self.on_maybe_run(engine);
+                self.on_may_have_run(engine);
                 return Ok(Ending::ClientDisconnected);
             }
             () = tokio::time::sleep_until(self.call.deadline) => {
-                self.on_maybe_run(engine);
+                self.on_may_have_run(engine);
                 return Ok(self.deadline_exceeded(client).await);
             }
         };
         match (response, client) {
-            (Ok(response), ClientSide::Waiting(caller)) => {
+            (Ok(response), ClientSide::Waiting(client)) => {
                 self.on_outcome(engine, outcome_of(status));
-                caller.answer(response);
+                client.answer(response);
                 Ok(Ending::Answered(status.as_u16()))
             }
             // The engine that should have resumed the stream sent something else.
@@ -311,32 +311,32 @@
     /// Ends the request when no further engine may be tried.
     async fn give_up(&self, client: ClientSide, refusal: Refusal) -> Ending {
         match client {
-            ClientSide::Waiting(caller) => self.refuse(caller, refusal),
-            ClientSide::Streaming(caller) => {
-                caller.abort().await;
+            ClientSide::Waiting(client) => self.refuse(client, refusal),
+            ClientSide::Streaming(client) => {
+                client.abort().await;
                 Ending::Aborted("engine_failed")
             }
         }
     }
 
     async fn deadline_exceeded(&self, client: ClientSide) -> Ending {
-        let reason = if self.history.maybe_ran_on.is_empty() {
+        let reason = if self.history.may_have_run_on.is_empty() {
             RefusalReason::TimedOutUnsent
         } else {
             RefusalReason::TimedOut
         };
         match client {
-            ClientSide::Waiting(caller) => self.refuse(caller, Refusal::last(reason)),
-            ClientSide::Streaming(caller) => {
-                caller.abort().await;
+            ClientSide::Waiting(client) => self.refuse(client, Refusal::last(reason)),
+            ClientSide::Streaming(client) => {
+                client.abort().await;
                 Ending::Aborted(reason.name())
             }
         }
     }
 
-    fn refuse(&self, caller: Caller, refusal: Refusal) -> Ending {
+    fn refuse(&self, client: WaitingClient, refusal: Refusal) -> Ending {
         self.gateway.metrics.on_refused(refusal.reason);
-        caller.answer(refusal_response(&refusal));
+        client.answer(refusal_response(&refusal));
         Ending::Refused(refusal)
     }
 }
--- a/crates/gateway/src/exchange/engine_choice.rs
+++ b/crates/gateway/src/exchange/engine_choice.rs
@@ -28,7 +28,8 @@
 /// Multiple of the route's target time that a first event may take before another engine is tried.
 const FIRST_EVENT_TARGET_FACTOR: u32 = 4;
 
-/// Warming engines that may deny a grant before the request asks for no further one.
+/// Number of warming engines without an available grant after which the request asks for no more
+/// grants.
 const MAX_PASSED_OVER: usize = 3;
 
 /// Attempts of one request so far.
@@ -41,11 +42,11 @@
     pub(super) failed_previous_try: Option<String>,
     /// Engines that may have run the request. Never shrinks, because the client must not be told
     /// that a request did not run if it may have.
-    pub(super) maybe_ran_on: Vec<String>,
+    pub(super) may_have_run_on: Vec<String>,
     /// Engine process that may have run the request last.
     pub(super) last_run: Option<EngineKey>,
-    /// Engines of `maybe_ran_on` that have terminated since. They do not count as attempts allowed
-    /// by the route.
+    /// Engines of `may_have_run_on` that have terminated since. They do not count as attempts
+    /// allowed by the route.
     pub(super) terminated: Vec<String>,
     /// Engine at which the stream was resumed after that engine had failed.
     pub(super) resumed_at: Option<String>,
@@ -54,7 +55,7 @@
     /// Warming engines for which no grant was available.
     pub(super) passed_over: usize,
     /// Grant for the engine that was chosen last, if it is warming up.
-    pub(super) grant: Option<Grant>,
+    pub(super) warm_up_grant: Option<Grant>,
     /// Whether the request has waited because all engines were full or unreachable.
     pub(super) has_waited: bool,
     /// Instance of the engine that was chosen last.
@@ -80,7 +81,7 @@
     /// Number of attempts that count against the route's maximum.
     pub(super) fn counted_attempts(&self) -> usize {
         let counted_attempts = self
-            .maybe_ran_on
+            .may_have_run_on
             .iter()
             .filter(|ran| !self.terminated.contains(ran));
         counted_attempts.count()
@@ -93,7 +94,7 @@
     pub(super) fn may_wait_for_capacity(&self) -> bool {
         let time = self.call.deadline - self.call.received;
         let until = self.call.received + time.mul_f64(CAPACITY_WAIT_FRACTION);
-        let has_not_run = self.history.maybe_ran_on.is_empty() && self.forwarded.events == 0;
+        let has_not_run = self.history.may_have_run_on.is_empty() && self.forwarded.events == 0;
         has_not_run && Instant::now() < until && self.drain_refusal().is_none()
     }
 
@@ -108,7 +109,7 @@
         let rules = EngineRules::current(&self.gateway, &self.call);
         let view = &self.gateway.node.view;
         view.with_engines(|table| {
-            rules.apply(None, |rules| {
+            rules.with_rules(None, |rules| {
                 service_exclusion(table, &self.call.service, rules)
             })
         })
@@ -122,7 +123,7 @@
         if is_exhausted || Instant::now() >= self.call.deadline {
             return None;
         }
-        let may_repeat = history.maybe_ran_on.is_empty() || self.call.route.is_repeatable();
+        let may_repeat = history.may_have_run_on.is_empty() || self.call.route.is_repeatable();
         if !may_repeat {
             return None;
         }
@@ -148,7 +149,7 @@
         let warm_up = warm_ups.rule(&self.call.service, self.draw, may_ask);
         let warm_up = warm_up.as_ref().map(|rule| rule as &dyn EligibilityRule);
         let metadata = &self.call.metadata;
-        EngineRules::current(&self.gateway, &self.call).apply(warm_up, |rules| {
+        EngineRules::current(&self.gateway, &self.call).with_rules(warm_up, |rules| {
             self.gateway.choose_engine(&PlacementRequest {
                 service: &self.call.service,
                 key: metadata.placement_key(),
@@ -162,7 +163,7 @@
 
     /// Requests a grant concurrently with the other preparations if the request would go to a
     /// warming engine.
-    pub(super) async fn prefetch_grant(&self) {
+    pub(super) async fn prefetch_warm_up_grant(&self) {
         let warm_ups = &self.gateway.warm_ups;
         let service = &self.call.service;
         if warm_ups.rule(service, self.draw, true).is_none() {
@@ -177,7 +178,7 @@
 
     /// Acquires the grant that the chosen engine needs, if any. Returns false if the engine has to
     /// be passed over.
-    pub(super) async fn try_acquire_grant(&mut self, engine: &Engine) -> bool {
+    pub(super) async fn try_acquire_warm_up_grant(&mut self, engine: &Engine) -> bool {
         let request = &self.call.metadata.request_id;
         let acquiring = self
             .gateway
@@ -185,13 +186,13 @@
             .acquire_grant(request, engine, self.draw);
         let acquired = acquiring.await;
         self.history.passed_over += usize::from(acquired.is_err());
-        self.history.grant = acquired.unwrap_or_default();
+        self.history.warm_up_grant = acquired.unwrap_or_default();
         acquired.is_ok()
     }
 
     /// The refusal if all engines of the service are warming up and at their limit.
     pub(super) fn warm_up_refusal(&self) -> Option<Refusal> {
-        if !self.history.maybe_ran_on.is_empty() || self.forwarded.events > 0 {
+        if !self.history.may_have_run_on.is_empty() || self.forwarded.events > 0 {
             return None;
         }
         let service = &self.call.service;
@@ -199,7 +200,7 @@
         let rule = warm_ups.rule(service, self.draw, false)?;
         let view = &self.gateway.node.view;
         let exclusion = EngineRules::current(&self.gateway, &self.call)
-            .apply(Some(&rule), |rules| {
+            .with_rules(Some(&rule), |rules| {
                 view.with_engines(|table| service_exclusion(table, service, rules))
             });
         let after = warm_ups.retry_after(service)?;
@@ -249,11 +250,11 @@
         );
     }
 
-    /// Resumes a stream at the engine that broke it off. This is allowed once and needs no further
-    /// engine.
+    /// Resumes a stream at the engine that broke it off. Allowed once, even if the route's maximum
+    /// number of attempts is reached.
     fn resume_at_same_engine(&mut self) -> Option<Engine> {
         let is_stream = self.call.route.kind == RequestKind::Stream;
-        let last = self.history.maybe_ran_on.last().filter(|_| is_stream)?;
+        let last = self.history.may_have_run_on.last().filter(|_| is_stream)?;
         let run = self.history.last_run?;
         if self.history.resumed_at.is_some() {
             return None;
@@ -281,8 +282,8 @@
     /// be tried.
     pub(super) fn first_event_deadline(&self) -> Instant {
         let route = &self.call.route;
-        let another = self.history.counted_attempts() + 1 < route.max_attempts as usize;
-        if !another || !route.is_repeatable() {
+        let may_try_another = self.history.counted_attempts() + 1 < route.max_attempts as usize;
+        if !may_try_another || !route.is_repeatable() {
             return self.call.deadline;
         }
         let target = Duration::from_millis(route.target_ms);
@@ -290,11 +291,11 @@
         self.call.deadline.min(Instant::now() + timeout)
     }
 
-    pub(super) fn on_maybe_run(&mut self, engine: &Engine) {
+    pub(super) fn on_may_have_run(&mut self, engine: &Engine) {
         self.history.last_run = Some(engine.key());
-        let maybe_ran_on = &mut self.history.maybe_ran_on;
-        if !maybe_ran_on.contains(&engine.instance) {
-            maybe_ran_on.push(engine.instance.clone());
+        let may_have_run_on = &mut self.history.may_have_run_on;
+        if !may_have_run_on.contains(&engine.instance) {
+            may_have_run_on.push(engine.instance.clone());
         }
     }
 
@@ -326,7 +327,7 @@
                 self.gateway.warm_ups.on_unreachable(engine);
                 // The engine may have run the request and accepts no connection any more: it has
                 // terminated.
-                if was_excluded && history.maybe_ran_on.contains(instance) {
+                if was_excluded && history.may_have_run_on.contains(instance) {
                     history.terminated.push(instance.clone());
                 }
             }
@@ -337,7 +338,7 @@
             self.on_outcome(engine, outcome);
         }
         if !failure.did_not_run() {
-            self.on_maybe_run(engine);
+            self.on_may_have_run(engine);
         }
         log::info!(
             target: "attempt",
@@ -353,8 +354,8 @@
         );
     }
 
-    /// The request was not sent, which is no evidence about the engine. The engine is chosen again
-    /// only after a wait.
+    /// The request was not sent, which says nothing about the engine's health. The engine is chosen
+    /// again only after a wait.
     fn on_withheld(&mut self, engine: &Engine, failure: &AttemptFailure, began: Instant) {
         self.history.excluded.push(engine.instance.clone());
         self.gateway.metrics.on_withheld(engine);
@@ -392,7 +393,7 @@
         if is_key_valid && self.gateway.keys.is_fresh() {
             return None;
         }
-        if !self.history.maybe_ran_on.is_empty() {
+        if !self.history.may_have_run_on.is_empty() {
             return Some(Refusal::last(RefusalReason::EngineFailed));
         }
         Some(if is_key_valid {
@@ -406,7 +407,7 @@
     }
 
     pub(super) fn final_refusal(&self, exclusion: Option<Exclusion>) -> Refusal {
-        if !self.history.maybe_ran_on.is_empty() {
+        if !self.history.may_have_run_on.is_empty() {
             return Refusal::last(RefusalReason::EngineFailed);
         }
         if let Some(refusal) = self.drain_refusal() {
--- a/crates/gateway/src/exchange/preparation.rs
+++ b/crates/gateway/src/exchange/preparation.rs
@@ -32,10 +32,11 @@
 }
 
 impl Exchange {
-    /// Concurrently reads earlier turns, reserves tokens, acquires a grant of the tenant's rate
-    /// limit and looks up where the prompt was prefilled last.
+    /// Refuses a request that cannot be served. Then concurrently reads earlier turns, reserves
+    /// tokens, acquires a rate-limit grant for the tenant, looks up where the prompt was last
+    /// prefilled, and prefetches a warm-up grant if the request would go to a warming engine.
     pub(super) async fn prepare(&mut self) -> Result<(), Refusal> {
-        if let Some(refusal) = self.quorum_refusal() {
+        if let Some(refusal) = self.majority_refusal() {
             return Err(refusal);
         }
         // Checked first, so that a request that cannot be served does not wait.
@@ -49,9 +50,9 @@
             self.reserve(),
             self.acquire_rate_grant(),
             self.look_up_prefills(),
-            self.prefetch_grant()
+            self.prefetch_warm_up_grant()
         );
-        self.is_granted = granted.is_ok();
+        self.has_rate_grant = granted.is_ok();
         self.history.failed_previous_try =
             failed_previous_try.and_then(|failed| self.failed_engine(failed));
         // Checked before the other results: a request with a used identifier must not touch the
@@ -67,8 +68,8 @@
         Ok(())
     }
 
-    /// Refuses at once a request that needs a quorum of replicas while none is reachable.
-    fn quorum_refusal(&self) -> Option<Refusal> {
+    /// Refuses at once a request that needs a majority of replicas while none is reachable.
+    fn majority_refusal(&self) -> Option<Refusal> {
         let records = &self.gateway.records;
         let group = records.group_of(self.call.program().as_ref());
         if !records.health.is_lost(group) {
@@ -119,7 +120,7 @@
         }
         self.acquire_rate_grant_as(ProgramProgress::UnderWay)
             .await?;
-        self.is_granted = true;
+        self.has_rate_grant = true;
         Ok(())
     }
 
@@ -136,10 +137,10 @@
             .await
     }
 
-    /// Returns the grant if no engine may have run the request.
-    pub(super) fn return_unused_grant(&self) {
-        let tenant = self.call.tenant.as_ref().filter(|_| self.is_granted);
-        if let Some(tenant) = tenant.filter(|_| self.history.maybe_ran_on.is_empty()) {
+    /// Returns the rate-limit grant if no engine may have run the request.
+    pub(super) fn return_unused_rate_grant(&self) {
+        let tenant = self.call.tenant.as_ref().filter(|_| self.has_rate_grant);
+        if let Some(tenant) = tenant.filter(|_| self.history.may_have_run_on.is_empty()) {
             self.gateway.limits.return_grant(tenant);
         }
     }
@@ -187,15 +188,15 @@
             reserved_tokens,
             spent: None,
         };
-        self.is_charged.set(true);
-        let charging = self.gateway.records.charge(
+        self.may_be_reserved.set(true);
+        let reserving = self.gateway.records.reserve(
             &ledger_key.program,
             &ledger_key.turn,
             entry,
             ledger_key.retention,
             self.records_deadline(),
         );
-        let ledger = charging.await.map_err(|failure| {
+        let ledger = reserving.await.map_err(|failure| {
             let records = &self.gateway.records;
             let group = records.group_of(Some(&ledger_key.program));
             let after = records.retry_after_failure(group, failure);
@@ -288,10 +289,11 @@
         self.gateway.turns.borrow_mut().insert(record, until, now);
     }
 
-    /// Queues the replacement of the reservation by the number of generated tokens. Without a
-    /// reservation, this would burden replicas that have just recovered and use up the identifier.
+    /// Queues the replacement of the reservation by the number of generated tokens. Does nothing if
+    /// no reservation was sent: a settlement would then load replicas that have just recovered, and
+    /// use up the request's identifier.
     pub(super) fn settle(&self) {
-        let Some(ledger_key) = self.ledger_key().filter(|_| self.is_charged.get()) else {
+        let Some(ledger_key) = self.ledger_key().filter(|_| self.may_be_reserved.get()) else {
             return;
         };
         self.gateway.records.settle(Settlement {
--- a/crates/gateway/src/exchange/report.rs
+++ b/crates/gateway/src/exchange/report.rs
@@ -54,7 +54,7 @@
         };
         let failed_engine = self
             .history
-            .maybe_ran_on
+            .may_have_run_on
             .last()
             .or(self.history.excluded.last());
         log::info!(
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -15,7 +15,7 @@
 };
 use tokio::sync::oneshot;
 
-use crate::engine_pool::EnginePool;
+use crate::connection_pool::ConnectionPool;
 use crate::key_freshness::KeyFreshness;
 use crate::metrics::GatewayMetrics;
 use crate::node_network::relay_request;
@@ -25,13 +25,13 @@
 use crate::warm_ups::WarmUpAdmission;
 use crate::zone_drains::ZoneDrainWatch;
 
-/// Divides the process's memory limit; the quotient bounds the turn cache.
+/// The turn cache is limited to the process's memory limit divided by this.
 const TURN_CACHE_MEMORY_DIVISOR: u64 = 8;
-/// Divides the process's memory limit; the quotient bounds the bodies of open requests.
+/// The bodies of open requests are limited to the process's memory limit divided by this.
 const BODY_MEMORY_DIVISOR: u64 = 4;
 /// Number of prompt parts, counted from the end, that are looked up at directory nodes.
 const MAX_LOOKUP_PARTS: usize = 2;
-/// Longest list of names in one log line.
+/// Maximum number of names in a list in a log line.
 const MAX_LOGGED_NAMES: usize = 5;
 const BYTES_PER_MB: u64 = 1024 * 1024;
 const MAINTENANCE_INTERVAL: Duration = Duration::from_secs(1);
@@ -42,12 +42,13 @@
     pub node: Rc<Node>,
     /// Estimated load and prompt caches of the engines.
     pub placement: RefCell<Placement>,
-    /// Engines that last prefilled each prompt for which this gateway is the directory node.
+    /// For each prompt whose directory node is this gateway: the engine that last prefilled it or
+    /// failed to process it.
     pub directory: RefCell<PrefillDirectory>,
     /// Weighted split of each route's requests among its services.
     pub split: RefCell<WeightedSplit>,
     /// Idle connections to engines.
-    pub pool: EnginePool,
+    pub pool: ConnectionPool,
     /// Client of the replicated ledgers and turn records.
     pub records: Rc<RecordsClient>,
     /// Rate limits of tenants.
@@ -109,7 +110,7 @@
             placement: RefCell::new(Placement::with_region_latencies(latencies)),
             directory: RefCell::default(),
             split: RefCell::new(WeightedSplit::new(rand::random())),
-            pool: EnginePool::default(),
+            pool: ConnectionPool::default(),
             records,
             limits,
             turns: RefCell::new(TurnCache::new(
@@ -132,17 +133,18 @@
         self.node.clock.now()
     }
 
-    /// Whether routes, engines and zone drains are known.
+    /// Whether routes and engines are known, and zone drains are known or need no longer be waited
+    /// for.
     pub fn has_routing_state(&self) -> bool {
         let view = &self.node.view;
-        view.version() > 0 && view.engines_known() && self.drains.are_known()
+        view.version() > 0 && view.engines_known() && self.drains.are_known_or_overdue()
     }
 
     /// Whether the platform may send new clients here; the readiness endpoint reports it.
     pub fn is_ready(&self) -> bool {
         !self.draining.get()
             && self.has_routing_state()
-            && !self.records.lacks_most_quorums()
+            && !self.records.has_lost_most_majorities()
             && !self.keys.blocks_requests()
     }
 
@@ -220,16 +222,16 @@
         }
         let gateway = Rc::clone(self);
         tokio::task::spawn_local(async move {
-            if let Some(own) = gateway.node.gossip.publish_prefill(record).await {
+            if let Some(local_record) = gateway.node.gossip.publish_prefill(record).await {
                 let now = gateway.now();
-                gateway.directory.borrow_mut().insert(own, now);
+                gateway.directory.borrow_mut().insert(local_record, now);
             }
         });
     }
 
-    /// Asks directory nodes which engines last prefilled a prompt: for the session's own part, and
-    /// for the part that it branches off from. Returns the engine of the last part if that engine
-    /// failed it.
+    /// Looks up, at their directory nodes, which engines last prefilled the last two parts of a
+    /// prompt (never the first part): the session's own part and the part that it branches off
+    /// from. Returns the engine that failed the last part, if any.
     pub async fn look_up_prefills(&self, parts: &[PromptPart]) -> Option<EngineKey> {
         let from = parts.len().saturating_sub(MAX_LOOKUP_PARTS).max(1);
         let lookups = parts
--- a/crates/gateway/src/in_flight.rs
+++ b/crates/gateway/src/in_flight.rs
@@ -10,7 +10,7 @@
 
 use crate::gateway::Gateway;
 
-/// Fewest gaps between events from which an engine's step time is estimated.
+/// Minimum number of gaps between events from which an engine's step time is estimated.
 const MIN_GAPS: usize = 4;
 const MS_PER_S: f64 = 1_000.0;
 const US_PER_MS: f64 = 1_000.0;
@@ -21,8 +21,8 @@
     engine: Engine,
     forecast: Forecast,
     sent: Instant,
-    first: Cell<Option<Instant>>,
-    last: Cell<Option<Instant>>,
+    first_event_at: Cell<Option<Instant>>,
+    last_event_at: Cell<Option<Instant>>,
     events: Cell<u64>,
     /// Bytes of the response body so far.
     bytes: Cell<usize>,
@@ -44,8 +44,8 @@
             engine: engine.clone(),
             forecast,
             sent: Instant::now(),
-            first: Cell::default(),
-            last: Cell::default(),
+            first_event_at: Cell::default(),
+            last_event_at: Cell::default(),
             events: Cell::default(),
             bytes: Cell::default(),
             gaps: RefCell::default(),
@@ -82,12 +82,12 @@
     pub fn on_event(&self) {
         let now = Instant::now();
         self.events.set(self.events.get() + 1);
-        if let Some(last) = self.last.replace(Some(now)) {
-            let gap = u32::try_from((now - last).as_micros()).unwrap_or(u32::MAX);
+        if let Some(last_event_at) = self.last_event_at.replace(Some(now)) {
+            let gap = u32::try_from((now - last_event_at).as_micros()).unwrap_or(u32::MAX);
             self.gaps.borrow_mut().push(gap);
         }
-        if self.first.get().is_none() {
-            self.first.set(Some(now));
+        if self.first_event_at.get().is_none() {
+            self.first_event_at.set(Some(now));
             let mut placement = self.gateway.placement.borrow_mut();
             placement.on_first_event(&self.engine, self.forecast, now - self.sent);
         }
@@ -105,8 +105,9 @@
         placement.on_turn(&self.engine, turn);
     }
 
-    /// Time per step in milliseconds. A low quantile of the gaps, because a prefill of another
-    /// prompt lengthens a gap. The shortest gaps may separate events that arrived together.
+    /// Time per step in milliseconds. The lower quartile of the gaps: longer gaps may include a
+    /// prefill of another prompt, and the shortest may separate events that arrived together.
+    /// `None` if there are fewer than [`MIN_GAPS`].
     fn step_ms(&self) -> Option<f64> {
         let mut gaps = self.gaps.take();
         if gaps.len() < MIN_GAPS {
@@ -121,7 +122,7 @@
 impl Drop for InFlightRequest {
     fn drop(&mut self) {
         self.count(Purpose::EngineAnswer, self.bytes.get());
-        let is_prefilled = self.first.get().is_some();
+        let is_prefilled = self.first_event_at.get().is_some();
         let remaining_prefill = if is_prefilled {
             0
         } else {
--- a/crates/gateway/src/key_freshness.rs
+++ b/crates/gateway/src/key_freshness.rs
@@ -12,18 +12,20 @@
 /// milliseconds and for clock drift.
 const MARGIN_FRACTION: f64 = 0.04;
 /// How long requests wait after the keys have become stale: a gateway that was suspended gets a new
-/// confirmation within a heartbeat. After that, requests are refused at once.
+/// confirmation within a heartbeat. Once the keys have been stale for longer, requests are refused
+/// at once.
 const MAX_FRESHNESS_WAIT: Duration = Duration::from_millis(300);
-/// Bounds of the retry delay. Staleness is expected to last as long again as it has lasted, and few
-/// clients can wait longer than the maximum.
+/// Bounds of the retry delay. The delay is the time for which the keys have been stale so far, as
+/// an estimate of the time that remains; few clients can wait longer than the maximum.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(150);
 const MAX_RETRY_AFTER: Duration = Duration::from_millis(800);
 
 /// Decides whether the newest known configuration is recent enough for requests with keys to run.
 ///
-/// The age counts from the request for the confirmation ([`View::confirmation_age`]). A request
-/// accepted while the keys are fresh was therefore sent within the bound after any removal of its
-/// key that this gateway has not seen, even if the process is suspended afterwards.
+/// The age counts from the request for the confirmation ([`View::confirmation_age`]). So if a
+/// request is accepted although its key was removed and this gateway has not seen the removal, the
+/// request was sent within the bound after the removal, even if the process is suspended
+/// afterwards.
 pub struct KeyFreshness {
     view: Rc<View>,
     /// Largest age of a confirmation; `None` if no bound is configured.
@@ -43,7 +45,7 @@
         }
     }
 
-    /// Whether no known key can have been removed for longer than the bound.
+    /// False if a known key may have been removed longer ago than the bound.
     pub fn is_fresh(&self) -> bool {
         let Some(max_age) = self.max_age else {
             return true;
@@ -56,7 +58,8 @@
         is_fresh
     }
 
-    /// How long the keys have been known to be stale.
+    /// How long the keys have been known to be stale; counts from the first call after they became
+    /// stale.
     fn stale_for(&self) -> Duration {
         let since = self.stale_since.get().unwrap_or_else(Instant::now);
         self.stale_since.set(Some(since));
@@ -88,7 +91,8 @@
             }
         };
         let remaining_wait = MAX_FRESHNESS_WAIT.saturating_sub(self.stale_for());
-        // The request is refused later if none has arrived.
+        // After a timeout the request continues; `find_tenant` refuses it if the keys are still
+        // stale.
         let _ = tokio::time::timeout(remaining_wait, fresh).await;
     }
 }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -8,8 +8,8 @@
 mod attempt;
 mod buffered_response;
 mod call;
-mod caller;
-mod engine_pool;
+mod client;
+mod connection_pool;
 mod engine_rules;
 mod entry;
 mod exchange;
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -48,7 +48,7 @@
     /// Requests sent with a grant.
     pub granted_sends: Family<ServiceLabel, Counter>,
     /// Requests that passed over an engine for lack of a grant.
-    pub withheld: Family<ServiceLabel, Counter>,
+    pub passed_over: Family<ServiceLabel, Counter>,
 }
 
 impl WarmUpMetrics {
@@ -69,7 +69,7 @@
             (
                 "warm_up_withheld",
                 "Requests that passed over an engine that warms up, by service",
-                &self.withheld,
+                &self.passed_over,
             ),
         ];
         for (name, help, counter) in counters {
@@ -92,8 +92,8 @@
     }
 
     /// Counts a request that passed over an engine because it got no grant.
-    pub fn on_withheld(&self, service: &str) {
-        self.withheld
+    pub fn on_passed_over(&self, service: &str) {
+        self.passed_over
             .get_or_create(&ServiceLabel::of(service))
             .inc();
     }
@@ -129,11 +129,12 @@
     }
 }
 
-/// Metrics of one gateway. Gauges that mirror other state are set by [`crate::Gateway::update_gauges`].
+/// Metrics of one gateway. Gauges that mirror other state are set by
+/// [`crate::Gateway::update_gauges`].
 pub struct GatewayMetrics {
     /// Requests received.
     pub requests: Counter,
-    /// Requests that are currently open.
+    /// Requests received that have not ended yet.
     pub open_requests: Gauge,
     /// Requests by outcome.
     pub ended: Family<ReasonLabel, Counter>,
@@ -167,7 +168,7 @@
     pub residency_faults: Gauge,
     /// Engines in the current engine list.
     pub engines: Gauge,
-    /// Engine entries that cannot be parsed, where this gateway watches the store.
+    /// Engine entries that cannot be parsed; counted only if this gateway watches the store.
     pub unreadable_engines: Gauge,
     /// Zones with a drain in force.
     pub drained_zones: Gauge,
--- a/crates/gateway/src/quorum_health.rs
+++ b/crates/gateway/src/quorum_health.rs
@@ -11,8 +11,8 @@
 use ridgeworks_records::GroupId;
 use tokio::time::Instant;
 
-/// An operation that was abandoned earlier is no evidence about the replicas: its client ran out of
-/// time.
+/// Shortest wait after which an operation without a majority counts as a loss of the majority. One
+/// that is abandoned sooner says nothing about the replicas: its client ran out of time.
 const MIN_WAIT: Duration = Duration::from_millis(300);
 
 /// Reachability of one group's majority, judged by the last operations.
--- a/crates/gateway/src/rate_limits.rs
+++ b/crates/gateway/src/rate_limits.rs
@@ -53,8 +53,10 @@
 struct Denials {
     /// Shortest time after which a limiter expects to have a grant.
     retry: Option<Duration>,
-    answered: usize,
-    silent: usize,
+    /// Replies that a limiter has no grant.
+    exhausted: usize,
+    /// Errors and all other replies.
+    failed: usize,
 }
 
 impl RateLimits {
@@ -113,7 +115,7 @@
         } else {
             deadline
         };
-        let asking = self.ask_in_turn(&pending, group, &order);
+        let asking = self.ask_in_order(&pending, group, &order);
         let outcome = tokio::time::timeout_at(deadline, asking).await;
         match outcome.unwrap_or_else(|_| Err(Denials::default())) {
             Ok(()) => Ok(()),
@@ -163,7 +165,7 @@
     }
 
     /// Asks the limiters one by one; the next one is also asked if one is slow.
-    async fn ask_in_turn(
+    async fn ask_in_order(
         &self,
         pending: &PendingGrant<'_>,
         group: GroupId,
@@ -182,8 +184,8 @@
                 hedge_timer.as_mut().reset(Instant::now() + wait);
             }
             let (from, reply) = tokio::select! {
-                answer = pending_replies.next() => match answer {
-                    Some(answer) => answer,
+                reply = pending_replies.next() => match reply {
+                    Some(reply) => reply,
                     None => return Err(denials),
                 },
                 () = hedge_timer.as_mut(), if order.len() > 0 => {
@@ -230,10 +232,10 @@
                     tenant, progress, ..
                 } = pending;
                 selector.on_exhausted(&tenant.name, *progress, from, next, retry, now);
-                denials.answered += 1;
+                denials.exhausted += 1;
                 denials.retry = Some(denials.retry.map_or(retry, |known| known.min(retry)));
             }
-            Ok(_) | Err(_) => denials.silent += 1,
+            Ok(_) | Err(_) => denials.failed += 1,
         }
         false
     }
@@ -253,8 +255,8 @@
             per_ks = pending.limit.per_ks,
             burst = pending.limit.burst,
             version = pending.version,
-            exhausted = denials.answered,
-            silent = denials.silent,
+            exhausted = denials.exhausted,
+            silent = denials.failed,
             retry_ms = whole_ms(after);
             "no rate-limit grant for the request"
         );
--- a/crates/gateway/src/records_client.rs
+++ b/crates/gateway/src/records_client.rs
@@ -42,17 +42,18 @@
 const RESTORING_RETRY_AFTER: Duration = Duration::from_millis(700);
 /// How long a relay's report that it cannot reach a replica counts.
 const UNREACHABLE_REPORT_LIFETIME: Duration = Duration::from_secs(1);
-/// Timeout of one search for a lost majority. The next search uses the newest replica set.
-const SEARCH_TIMEOUT: Duration = Duration::from_secs(2);
+/// Timeout of one probe of a group that lost its majority. The next probe uses the newest replica
+/// set.
+const GROUP_PROBE_TIMEOUT: Duration = Duration::from_secs(2);
 /// Shortest timeout for a group that is probed because another one lost its majority. A gateway
 /// that is cut off from all groups finds out before a request to each of them has failed, which
 /// would take [`REPLICA_TIMEOUT`] each.
-const MIN_PRECAUTIONARY_SEARCH_TIMEOUT: Duration = Duration::from_millis(400);
+const MIN_PRECAUTIONARY_PROBE_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// Why records could not be read or written in time. A write may still have taken effect.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RecordsUnavailable {
-    /// Fewer replicas than a quorum replied.
+    /// Fewer replicas than a majority replied.
     NoMajority,
     /// Replicas replied that they are still reading their disks.
     Restoring,
@@ -140,8 +141,8 @@
     /// Reachability of each group's majority.
     pub health: GroupHealth,
     majority_lost: Notify,
-    /// Groups with a running search for their majority.
-    searching: RefCell<BTreeSet<GroupId>>,
+    /// Groups that are being probed for a majority.
+    probed_groups: RefCell<BTreeSet<GroupId>>,
     settlements: RefCell<Vec<Settlement>>,
 }
 
@@ -164,7 +165,7 @@
             paths: Rc::new(ReplicaPaths::new(network)),
             health: GroupHealth::default(),
             majority_lost: Notify::new(),
-            searching: RefCell::default(),
+            probed_groups: RefCell::default(),
             settlements: RefCell::default(),
         }
     }
@@ -177,20 +178,22 @@
 
     /// Whether more than half of the groups have lost their majority, so that this gateway can
     /// serve few turns.
-    pub fn lacks_most_quorums(&self) -> bool {
+    pub fn has_lost_most_majorities(&self) -> bool {
         let groups = self.node.view.groups();
         let groups = groups.map_or(1, |groups| groups.iter().count());
         2 * self.health.lost_count() > groups
     }
 
     /// Retry delay for a request that needs the unreachable majority of a group. Another gateway
-    /// may reach it, so the delay is short unless relays report the same loss. A general loss is
-    /// expected to last as long again as it has lasted.
+    /// may reach it, so the delay is short unless relays report that they cannot reach replicas
+    /// either. Then the delay is the time for which the majority has been unreachable so far, as an
+    /// estimate of the time that remains, clamped to [`MIN_RETRY_AFTER`] and [`MAX_RETRY_AFTER`].
+    /// Either delay is then jittered.
     pub fn retry_after(&self, group: GroupId) -> Duration {
-        let is_general = self
+        let is_unreachable_from_relays = self
             .paths
             .is_reported_unreachable(UNREACHABLE_REPORT_LIFETIME);
-        let wait = if is_general {
+        let wait = if is_unreachable_from_relays {
             let lost_for = self.health.lost_for(group);
             lost_for.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER)
         } else {
@@ -209,8 +212,9 @@
         }
     }
 
-    /// Records whether an operation reached the quorum of its group, and how long it was tried.
-    fn record_quorum_outcome(&self, group: GroupId, is_reached: bool, waited: Duration) {
+    /// Records whether an operation reached a majority of its group's replicas, and how long it was
+    /// tried.
+    fn record_majority_outcome(&self, group: GroupId, is_reached: bool, waited: Duration) {
         if !is_reached {
             if self.health.on_failed(group, waited) {
                 log::warn!(
@@ -235,32 +239,33 @@
         }
     }
 
-    /// Searches for a majority whenever one is lost, until the process ends. Requests to the group
-    /// are refused meanwhile, so nothing else would detect the recovery. The other groups are
-    /// probed once, because they may be lost as well.
-    pub async fn run_searches(self: Rc<Self>) {
+    /// Probes a group repeatedly from the loss of its majority until one is reachable again.
+    /// Requests to the group are refused meanwhile, so nothing else would detect the recovery. The
+    /// other groups are probed once, because they may have lost theirs as well. Runs until the
+    /// process ends.
+    pub async fn run_probes(self: Rc<Self>) {
         loop {
             self.majority_lost.notified().await;
             let groups = self.groups().await;
             for (group, _) in groups.iter() {
-                if self.searching.borrow_mut().insert(group) {
-                    tokio::task::spawn_local(Rc::clone(&self).search(group));
+                if self.probed_groups.borrow_mut().insert(group) {
+                    tokio::task::spawn_local(Rc::clone(&self).probe_group(group));
                 }
             }
         }
     }
 
-    async fn search(self: Rc<Self>, group: GroupId) {
+    async fn probe_group(self: Rc<Self>, group: GroupId) {
         loop {
             let make_request = |epoch: Epoch| ReplicaRequest::Settle {
                 group,
                 epoch,
                 settlements: Vec::new(),
             };
-            let search_timeout = if self.health.is_lost(group) {
-                SEARCH_TIMEOUT
+            let probe_timeout = if self.health.is_lost(group) {
+                GROUP_PROBE_TIMEOUT
             } else {
-                self.precautionary_search_timeout(group)
+                self.precautionary_probe_timeout(group)
             };
             let operation = Operation {
                 name: "search",
@@ -270,31 +275,31 @@
                 timeout: REPLICA_TIMEOUT,
                 residency: None,
             };
-            // The write records its outcome; a failed search is repeated.
+            // The write records its outcome; a failed probe is repeated.
             let _ = self
-                .write(make_request, operation, Instant::now() + search_timeout)
+                .write(make_request, operation, Instant::now() + probe_timeout)
                 .await;
             if !self.health.is_lost(group) {
                 break;
             }
         }
-        self.searching.borrow_mut().remove(&group);
+        self.probed_groups.borrow_mut().remove(&group);
     }
 
     /// Timeout for probing a group because another one lost its majority. Longer while replies are
     /// slow, because slow replicas are not lost.
-    fn precautionary_search_timeout(&self, group: GroupId) -> Duration {
+    fn precautionary_probe_timeout(&self, group: GroupId) -> Duration {
         let set = self.node.view.replica_set(group);
         let voters = set.map(|set| set.voters).unwrap_or_default();
         let silence_timeout = self
             .paths
-            .silence_timeout(&voters, MIN_PRECAUTIONARY_SEARCH_TIMEOUT);
-        silence_timeout.min(SEARCH_TIMEOUT)
+            .silence_timeout(&voters, MIN_PRECAUTIONARY_PROBE_TIMEOUT);
+        silence_timeout.min(GROUP_PROBE_TIMEOUT)
     }
 
     /// Merges an entry into a program's ledger at a majority. Returns the union of the ledgers of
     /// that majority.
-    pub async fn charge(
+    pub async fn reserve(
         &self,
         program: &ProgramId,
         turn: &TurnId,
@@ -322,9 +327,9 @@
         self.write(make_request, operation, deadline).await
     }
 
-    /// Whether a program's turns may be stored wherever its records may be: at the replicas of its
-    /// group, at any replica that may join it, and in any region to which one may be added. Copies
-    /// go to all of them (`docs/design/regions.md`).
+    /// Whether the residency allows every place to which a program's turns may be copied: the
+    /// replicas of its group, all replicas that may join it, and all regions to which one may be
+    /// added (`docs/design/regions.md`).
     pub fn may_store(&self, program: Option<&ProgramId>, residency: &Residency) -> bool {
         if residency.is_anywhere() {
             return true;
@@ -379,11 +384,11 @@
         is_newer.then_some(groups)
     }
 
-    fn order_by_preference(&self, replicas: Vec<Replica>, subject: &str) -> Vec<Replica> {
+    fn order_by_preference(&self, replicas: Vec<Replica>, hash_key: &str) -> Vec<Replica> {
         let zone = &self.node.settings.zone;
         let regions = &self.node.regions;
         self.paths
-            .order_by_preference(replicas, zone, regions, subject)
+            .order_by_preference(replicas, zone, regions, hash_key)
     }
 
     /// The group that stores a program's records; waits until the replica sets are known.
--- a/crates/gateway/src/records_client/reading.rs
+++ b/crates/gateway/src/records_client/reading.rs
@@ -62,7 +62,7 @@
         // majority.
         let is_restoring = outcome.is_err() && replies.has_unavailable();
         if !is_restoring {
-            self.record_quorum_outcome(group, outcome.is_ok(), began.elapsed());
+            self.record_majority_outcome(group, outcome.is_ok(), began.elapsed());
         }
         outcome.map_err(|_| {
             replies.log_failure("read", request, group, self.node.view.epoch());
--- a/crates/gateway/src/records_client/writing.rs
+++ b/crates/gateway/src/records_client/writing.rs
@@ -44,7 +44,7 @@
         let began = Instant::now();
         let writing = self.write_with_restarts(make_request, operation, &replies);
         let outcome = tokio::time::timeout_at(deadline, writing).await;
-        self.record_quorum_outcome(operation.group, outcome.is_ok(), began.elapsed());
+        self.record_majority_outcome(operation.group, outcome.is_ok(), began.elapsed());
         outcome.map_err(|_| {
             let epoch = self.node.view.epoch();
             replies.log_failure(operation.name, operation.subject, operation.group, epoch);
--- a/crates/gateway/src/replica_paths.rs
+++ b/crates/gateway/src/replica_paths.rs
@@ -28,9 +28,9 @@
 const MIN_RELAY_DELAY: Duration = Duration::from_millis(400);
 /// Timeout of a relayed request.
 pub const RELAY_TIMEOUT: Duration = Duration::from_millis(500);
-/// Most relays that are tried for one request while they report that they cannot reach the replica
-/// either. A relay that times out is not followed by another, because a replica that is slow for
-/// all would get the request several times.
+/// Maximum number of relays that are tried for one request while they report that they cannot reach
+/// the replica either. A relay that times out is not followed by another, because a replica that is
+/// slow for all would get the request several times.
 const MAX_RELAYS: usize = 3;
 /// How often a closed path is probed while requests are relayed.
 const PROBE_INTERVAL: Duration = Duration::from_millis(250);
@@ -38,8 +38,8 @@
 const PROBE_TIMEOUT: Duration = Duration::from_millis(700);
 /// How long a closed path is remembered. One that is still closed is detected again.
 const CLOSED_PATH_LIFETIME: Duration = Duration::from_secs(60);
-/// How long a replica that did not answer is asked last. Long enough for a failed replica to be
-/// replaced.
+/// How long a replica that did not answer stays last in the order in which replicas are asked. Long
+/// enough for a failed replica to be replaced.
 const SUSPICION_PERIOD: Duration = Duration::from_secs(3);
 
 /// Future reply of a replica.
@@ -113,8 +113,8 @@
     }
 
     /// Whether to relay another gateway's request to a replica. If the replica does not answer this
-    /// gateway either, the requester learns at once that the loss is general and tells its clients
-    /// to wait longer, which saves their tries.
+    /// gateway either, the requester learns at once that the replica is unreachable from other
+    /// gateways too, and tells its clients to wait longer, so that they do not use up their tries.
     pub fn can_relay_to(&self, replica: ReplicaId) -> bool {
         self.is_open(replica) && !self.is_suspected(replica)
     }
@@ -161,17 +161,17 @@
         reply
     }
 
-    /// Sends a request with a timeout of at least `least`, and longer if the replica's recent
+    /// Sends a request with a timeout of at least `min_timeout`, and longer if the replica's recent
     /// replies were slow: abandoning a busy replica wastes its work and moves the load to the next
     /// one.
     pub async fn ask_with_adaptive_timeout(
         self: &Rc<Self>,
         replica: &Replica,
         request: ReplicaRequest,
-        least: Duration,
+        min_timeout: Duration,
         residency: &Residency,
     ) -> Result<ReplicaReply, LinkError> {
-        let timeout = silence_timeout(self.network.slowest_reply(replica), least);
+        let timeout = silence_timeout(self.network.slowest_reply(replica), min_timeout);
         self.ask_in_residency(replica, request, timeout, residency)
             .await
     }
@@ -185,14 +185,15 @@
     ) -> Result<ReplicaReply, LinkError> {
         let mut direct = self.network.ask(replica, request.clone(), timeout);
         loop {
-            let waited_since = Instant::now();
-            // An immediate error comes from the machine itself, so a relay would fail as well.
+            let waiting_since = Instant::now();
             let silence_timeout =
                 silence_timeout(self.network.slowest_reply(replica), MIN_RELAY_DELAY);
             if let Ok(reply) = tokio::time::timeout(silence_timeout, &mut direct).await {
+                // An error before the timeout comes from the replica's machine itself, so a relay
+                // would fail as well.
                 return reply;
             }
-            if !self.network.has_received_since(replica, waited_since) {
+            if !self.network.has_received_since(replica, waiting_since) {
                 break;
             }
         }
@@ -291,23 +292,25 @@
         self.suspect(replica);
     }
 
-    /// How long the slowest of these replicas may be silent, at least `least`.
-    pub fn silence_timeout(&self, replicas: &[Replica], least: Duration) -> Duration {
-        let slowest = |replica| self.network.slowest_reply(replica);
-        let slowest = replicas.iter().map(slowest).max();
-        silence_timeout(slowest.unwrap_or_default(), least)
+    /// How long the slowest of these replicas may be silent, at least `min_timeout`.
+    pub fn silence_timeout(&self, replicas: &[Replica], min_timeout: Duration) -> Duration {
+        let reply_times = replicas
+            .iter()
+            .map(|replica| self.network.slowest_reply(replica));
+        let slowest = reply_times.max();
+        silence_timeout(slowest.unwrap_or_default(), min_timeout)
     }
 
     /// Orders replicas by preference: not suspected first, then directly reachable, then by
-    /// distance from `zone`, then by a hash of `subject`, which spreads the load.
+    /// distance from `zone`, then by a hash of `hash_key`, which spreads the load.
     pub fn order_by_preference(
         &self,
         mut replicas: Vec<Replica>,
         zone: &str,
         regions: &ZoneRegions,
-        subject: &str,
+        hash_key: &str,
     ) -> Vec<Replica> {
-        let seed = xxh3_64(subject.as_bytes());
+        let seed = xxh3_64(hash_key.as_bytes());
         replicas.sort_by_cached_key(|replica| {
             let is_suspected = self.is_suspected(replica.id);
             let is_closed = !self.is_open(replica.id);
--- a/crates/gateway/src/role.rs
+++ b/crates/gateway/src/role.rs
@@ -65,7 +65,7 @@
     listener::listen(Rc::clone(&gateway), callers, phase).await?;
     tokio::task::spawn_local(Rc::clone(&gateway).run_maintenance());
     tokio::task::spawn_local(Rc::clone(&gateway.records).run_settlements());
-    tokio::task::spawn_local(Rc::clone(&gateway.records).run_searches());
+    tokio::task::spawn_local(Rc::clone(&gateway.records).run_probes());
     run_until_stopped(&node, &settings_path, &mut signals).await;
     stop(&gateway, &stopping).await;
     Ok(())
--- a/crates/gateway/src/streaming.rs
+++ b/crates/gateway/src/streaming.rs
@@ -10,23 +10,23 @@
 use tokio::time::Instant;
 
 use crate::attempt::{AttemptFailure, EngineResponse};
-use crate::caller::{Caller, CallerDisconnected, StreamingCaller};
+use crate::client::{ClientDisconnected, StreamingClient, WaitingClient};
 
 /// The client, before or after the head of its response was sent.
 #[derive(Debug)]
 pub enum ClientSide {
     /// The head has not been sent.
-    Waiting(Caller),
+    Waiting(WaitingClient),
     /// The head has been sent.
-    Streaming(StreamingCaller),
+    Streaming(StreamingClient),
 }
 
 impl ClientSide {
     /// Completes when the client has disconnected.
     pub async fn disconnected(&mut self) {
         match self {
-            Self::Waiting(caller) => caller.disconnected().await,
-            Self::Streaming(caller) => caller.disconnected().await,
+            Self::Waiting(client) => client.disconnected().await,
+            Self::Streaming(client) => client.disconnected().await,
         }
     }
 
@@ -34,14 +34,14 @@
     fn streaming(
         self,
         engine_response: &EngineResponse,
-    ) -> Result<StreamingCaller, CallerDisconnected> {
+    ) -> Result<StreamingClient, ClientDisconnected> {
         match self {
-            Self::Streaming(caller) => Ok(caller),
-            Self::Waiting(caller) => {
+            Self::Streaming(client) => Ok(client),
+            Self::Waiting(client) => {
                 let mut head = Response::new(());
                 *head.status_mut() = engine_response.status;
                 *head.headers_mut() = client_headers(&engine_response.headers);
-                caller.start_stream(head)
+                client.start_stream(head)
             }
         }
     }
@@ -73,8 +73,8 @@
     DeadlineExceeded(ClientSide),
 }
 
-/// Forwards events until the stream ends. `first_event_deadline` bounds the wait for the first event of
-/// this attempt; it equals `deadline` if no other engine may be tried.
+/// Forwards events until the stream ends. `first_event_deadline` bounds the wait for the first
+/// event of this attempt; it equals `deadline` if no other engine may be tried.
 pub async fn forward_events(
     engine_response: &mut EngineResponse,
     mut client: ClientSide,
@@ -83,7 +83,7 @@
     first_event_deadline: Instant,
 ) -> StreamEnd {
     let mut splitter = EventSplitter::default();
-    let mut waits_to_deadline = first_event_deadline >= deadline;
+    let mut ignores_first_event_deadline = first_event_deadline >= deadline;
     // Timers are created once per stream, because streams have many events.
     let mut deadline_timer = pin!(tokio::time::sleep_until(deadline));
     let mut first_event_timer = pin!(tokio::time::sleep_until(first_event_deadline));
@@ -91,7 +91,7 @@
         let frame = tokio::select! {
             () = client.disconnected() => return StreamEnd::ClientDisconnected,
             () = deadline_timer.as_mut() => return StreamEnd::DeadlineExceeded(client),
-            () = first_event_timer.as_mut(), if !waits_to_deadline => {
+            () = first_event_timer.as_mut(), if !ignores_first_event_deadline => {
                 return StreamEnd::Failed(client, AttemptFailure::ResponseTimeout);
             }
             frame = engine_response.body.frame() => frame,
@@ -114,10 +114,10 @@
                 }
                 EventOrder::Next => {}
             }
-            waits_to_deadline = true;
+            ignores_first_event_deadline = true;
             client = match send_event(client, engine_response, event, forwarded).await {
                 Ok(client) => client,
-                Err(CallerDisconnected) => return StreamEnd::ClientDisconnected,
+                Err(ClientDisconnected) => return StreamEnd::ClientDisconnected,
             };
         }
     }
@@ -132,8 +132,8 @@
         return StreamEnd::Failed(client, AttemptFailure::Truncated);
     }
     match client.streaming(engine_response) {
-        Ok(caller) => StreamEnd::Complete(ClientSide::Streaming(caller)),
-        Err(CallerDisconnected) => StreamEnd::ClientDisconnected,
+        Ok(client) => StreamEnd::Complete(ClientSide::Streaming(client)),
+        Err(ClientDisconnected) => StreamEnd::ClientDisconnected,
     }
 }
 
@@ -158,8 +158,8 @@
     engine_response: &EngineResponse,
     event: Event,
     forwarded: &mut ForwardedEvents,
-) -> Result<ClientSide, CallerDisconnected> {
-    let caller = client.streaming(engine_response)?;
+) -> Result<ClientSide, ClientDisconnected> {
+    let client = client.streaming(engine_response)?;
     forwarded.first_at.get_or_insert_with(Instant::now);
     if event.id.is_some() {
         forwarded.last_event_id = event.id;
@@ -171,6 +171,6 @@
         forwarded.output.extend_from_slice(data);
         forwarded.output.push(b'\n');
     }
-    caller.send(Bytes::from(event.raw)).await?;
-    Ok(ClientSide::Streaming(caller))
+    client.send(Bytes::from(event.raw)).await?;
+    Ok(ClientSide::Streaming(client))
 }
--- a/crates/gateway/src/turn_cache.rs
+++ b/crates/gateway/src/turn_cache.rs
@@ -41,7 +41,7 @@
     /// too large.
     pub fn insert(&mut self, record: TurnRecord, until: Duration, now: Duration) {
         let turn = record.turn.clone();
-        let weight = record.weight();
+        let bytes = record.weight();
         let cached = CachedTurn {
             record: Rc::new(record),
             until,
@@ -50,7 +50,7 @@
         if self.turns.insert(turn.clone(), cached).is_some() {
             return;
         }
-        self.bytes += weight;
+        self.bytes += bytes;
         self.order.push_back((now, turn));
         while self.bytes > self.max_bytes {
             self.evict_oldest();
--- a/crates/gateway/src/warm_ups.rs
+++ b/crates/gateway/src/warm_ups.rs
@@ -27,7 +27,7 @@
 const TOTAL_TIMEOUT: Duration = LIMITER_TIMEOUT.saturating_mul(2);
 /// How long an engine is passed over after no limiter answered.
 const UNANSWERED_BACKOFF: Duration = Duration::from_millis(200);
-/// How long a limiter that did not answer is asked last.
+/// How long a limiter that did not answer stays last in the order in which limiters are asked.
 const UNRESPONSIVE_PERIOD: Duration = Duration::from_secs(3);
 
 /// Tracks warming engines and the grants for them. Disabled if the settings have no warm-up bound.
@@ -49,8 +49,8 @@
 pub struct WarmUpRule<'a> {
     admission: &'a WarmUpAdmission,
     now: Duration,
-    /// Random number from 0 to 1 that decides whether the request may go to an engine that has
-    /// barely warmed up.
+    /// Random number from 0 to 1. The request needs no grant for a warming engine whose `share` is
+    /// greater than this.
     draw: f64,
     /// Whether the request may ask a limiter for a grant.
     may_ask: bool,
@@ -114,7 +114,7 @@
         if !self.is_enabled || !self.needs_grant(key, draw, self.now()) {
             return Ok(None);
         }
-        if self.ask(engine).await {
+        if self.ensure_grant(engine).await {
             let grant = self.grant_pool.borrow_mut().take(key, self.now());
             if grant.is_some() {
                 return Ok(grant);
@@ -147,7 +147,7 @@
     }
 
     /// Handles a response of an engine, which may contain its remaining warm-up time.
-    pub fn on_answer(&self, engine: &Engine, warm_up: Option<Duration>) {
+    pub fn on_response(&self, engine: &Engine, warm_up: Option<Duration>) {
         if !self.is_enabled {
             return;
         }
@@ -293,7 +293,7 @@
     }
 
     /// Requests a grant for an engine unless one is in the pool. Returns whether one is available.
-    async fn ask(&self, engine: &Engine) -> bool {
+    async fn ensure_grant(&self, engine: &Engine) -> bool {
         let Some(limit) = self.limit(&engine.service) else {
             return false;
         };
@@ -304,13 +304,13 @@
             GrantState::Closed(_) => return false,
             GrantState::Ask(order) => order,
         };
-        let asking = self.ask_in_turn(engine, limit, group, &limiters, order);
+        let asking = self.ask_in_order(engine, limit, group, &limiters, order);
         let asked = tokio::time::timeout(TOTAL_TIMEOUT, asking).await;
         asked.unwrap_or(false)
     }
 
     /// Asks limiters one by one. Returns whether one issued a grant.
-    async fn ask_in_turn(
+    async fn ask_in_order(
         &self,
         engine: &Engine,
         limit: WarmUpLimit,
@@ -387,7 +387,8 @@
         false
     }
 
-    /// Passes the engine over for a while if no limiter has said for how long.
+    /// Closes the engine to this gateway's requests for [`UNANSWERED_BACKOFF`], unless it is closed
+    /// already, as after a reply that says when a grant is expected.
     fn back_off(&self, engine: &Engine) {
         let now = self.now();
         let mut grant_pool = self.grant_pool.borrow_mut();
@@ -397,7 +398,7 @@
     }
 
     fn log_passed_over(&self, request: &str, engine: &Engine) {
-        self.metrics.on_withheld(&engine.service);
+        self.metrics.on_passed_over(&engine.service);
         let closed = self
             .grant_pool
             .borrow()
@@ -413,8 +414,8 @@
         );
     }
 
-    /// When a client may retry: once a grant for the service's first engine is expected to be
-    /// available.
+    /// Retry delay until a grant is expected for any engine of the service; at least the limit's
+    /// interval between grants and [`RETRY_AFTER`]. `None` if the service has no warm-up limit.
     pub fn retry_after(&self, service: &str) -> Option<Duration> {
         let now = self.now();
         let min_interval = self.limit(service)?.min_interval();
--- a/crates/gateway/src/zone_drains.rs
+++ b/crates/gateway/src/zone_drains.rs
@@ -11,12 +11,13 @@
 
 use crate::metrics::{GatewayMetrics, ZoneServiceLabel};
 
-/// Bounds of the retry delay. A drain is expected to last as long again as it has lasted; retrying
-/// earlier would waste one of the client's tries.
+/// Bounds of the retry delay. The delay is the time for which the newest drain has lasted so far,
+/// as an estimate of the time that remains; retrying earlier would waste one of the client's tries.
 const MIN_RETRY_AFTER: Duration = Duration::from_secs(1);
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(30);
 
-/// Observes the zone drains in force.
+/// Reports the effects of zone drains: excluded engines, retry delays, and this gateway's open
+/// requests in drained zones.
 pub struct ZoneDrainWatch {
     node: Rc<Node>,
     /// Whether this gateway had open requests in each drained zone at the last check, so that an
@@ -39,9 +40,10 @@
         }
     }
 
-    /// Whether the drains are known or need not be. Requests stop waiting for unknown drains once
-    /// the bound on a drain taking effect has passed.
-    pub fn are_known(&self) -> bool {
+    /// Whether the drains are known, are not followed, or have been unknown since the start of the
+    /// process for longer than the bound on a drain taking effect. Requests stop waiting for
+    /// unknown drains then, and do not wait if there is no bound.
+    pub fn are_known_or_overdue(&self) -> bool {
         let drains = &self.node.view.drains;
         let bound = self.node.settings.bounds.zone_drain();
         let is_overdue = bound.is_none_or(|bound| self.node.clock.now() > bound);
--- a/crates/gateway/tests/replica_paths.rs
+++ b/crates/gateway/tests/replica_paths.rs
@@ -40,7 +40,7 @@
 
 struct FakeNetwork {
     direct: Cell<Behaviour>,
-    /// Whether other replies arrive directly meanwhile.
+    /// Whether other data arrives directly from the replica while a request waits.
     is_busy: Cell<bool>,
     slowest_reply: Cell<Duration>,
     relays: Vec<Behaviour>,
@@ -362,21 +362,22 @@
     let paths = Rc::new(ReplicaPaths::new(
         Rc::clone(&network) as Rc<dyn ReplicaNetwork>
     ));
-    let least = Duration::from_millis(200);
+    let min_timeout = Duration::from_millis(200);
     let asked = paths
-        .ask_with_adaptive_timeout(&replica(), read(), least, &Residency::anywhere())
+        .ask_with_adaptive_timeout(&replica(), read(), min_timeout, &Residency::anywhere())
         .await;
     assert_eq!(asked, Err(LinkError::TimedOut), "no slow reply is known");
     network.slowest_reply.set(Duration::from_millis(300));
     assert!(
         paths
-            .ask_with_adaptive_timeout(&replica(), read(), least, &Residency::anywhere())
+            .ask_with_adaptive_timeout(&replica(), read(), min_timeout, &Residency::anywhere())
             .await
             .is_ok()
     );
 }
 
-/// Guards against gateways waiting for each other to detect a failed replica.
+/// Otherwise the requesting gateway would wait until the relay's own request to the failed replica
+/// times out.
 #[tokio::test(start_paused = true)]
 async fn gateway_does_not_relay_to_a_suspected_replica() {
     let network = FakeNetwork::new(Behaviour::Silent, &[]);
@@ -437,9 +438,9 @@
         zone: zone.to_owned(),
         ..replica()
     });
-    for subject in 0..20 {
-        let subject = subject.to_string();
-        let ordered = paths.order_by_preference(replicas.to_vec(), "a", &regions, &subject);
+    for hash_key in 0..20 {
+        let hash_key = hash_key.to_string();
+        let ordered = paths.order_by_preference(replicas.to_vec(), "a", &regions, &hash_key);
         let zones: Vec<&str> = ordered
             .iter()
             .map(|replica| replica.zone.as_str())
