--- a/crates/node/src/metrics/readings.rs
+++ b/crates/node/src/metrics/readings.rs
@@ -153,7 +153,7 @@
         counter(
             "edge_clients_gone",
             "Answers that the client did not take",
-            counters.client_disconnects,
+            counters.clients_gone,
         ),
         counter(
             "edge_unanswered",
--- a/crates/node/tests/resident_cancel.rs
+++ b/crates/node/tests/resident_cancel.rs
@@ -26,7 +26,7 @@
     wait_until("the engine was asked", || {
         number += 1;
         let id = format!("r-{number}");
-        make(&id).disconnect_after_time(gateway, WAITS);
+        make(&id).send_with_timeout(gateway, WAITS);
         engine.runs().len() > before
     });
     let left = Instant::now();
@@ -39,8 +39,8 @@
 #[test]
 fn engines_are_told_in_time_wherever_a_request_is() {
     let deployment = Deployment::started(PROGRAM, 1, 0);
-    let tools = deployment.engine("tools", "i-tool", Script::always(Answer::Silent));
-    let models = deployment.engine("models", "i-model", Script::always(Answer::Silent));
+    let tools = deployment.start_engine("tools", "i-tool", Script::always(Answer::Silent));
+    let models = deployment.start_engine("models", "i-model", Script::always(Answer::Silent));
     let gateway = deployment.gateways[0].callers();
     let repeatable = told_after(gateway, &tools, |id| call_get("/tool/x", id));
     let once = told_after(gateway, &tools, |id| call_post("/once/x", id, "order"));
@@ -62,7 +62,7 @@
         events: 2,
         gap_ms: 1,
     });
-    let models = deployment.engine("models", "i-model", stream);
+    let models = deployment.start_engine("models", "i-model", stream);
     let gateway = deployment.gateways[0].callers();
     let turn = |id: &str| {
         call_post("/talk/x", id, "")
@@ -79,7 +79,7 @@
         .replicas
         .iter()
         .for_each(|replica| replica.signal(Signal::STOP));
-    turn("left").disconnect_after_time(gateway, WAITS);
+    turn("left").send_with_timeout(gateway, WAITS);
     deployment
         .replicas
         .iter()
--- a/crates/node/tests/resident_drains.rs
+++ b/crates/node/tests/resident_drains.rs
@@ -46,8 +46,8 @@
     }
 
     fn of(deployment: Deployment) -> Self {
-        let a = deployment.engine_in(ZONE, "tools", "i-a", ok());
-        let b = deployment.engine_in(OTHER_ZONE, "tools", "i-b", ok());
+        let a = deployment.start_engine_in(ZONE, "tools", "i-a", ok());
+        let b = deployment.start_engine_in(OTHER_ZONE, "tools", "i-b", ok());
         let zones = Self { deployment, a, b };
         // A gateway that has heard of no engine yet refuses.
         wait_until("all gateways serve", || {
@@ -151,7 +151,7 @@
         events: 30,
         gap_ms: 50,
     });
-    let engine = deployment.engine_in(ZONE, "models", "m-a", script);
+    let engine = deployment.start_engine_in(ZONE, "models", "m-a", script);
     let gateway = &deployment.gateways[0];
     wait_until("the engine is known", || {
         call_post("/chat/x", "first", "body")
@@ -211,8 +211,8 @@
         .with_zone_drain_bound(BOUND)
         .with_nodes(1, 0);
     deployment.set_residency("tool", &["north"]);
-    let _home = deployment.engine_in("zone-a", "tools", "i-a", ok());
-    let _abroad = deployment.engine_in("zone-b", "tools", "i-b", ok());
+    let _home = deployment.start_engine_in("zone-a", "tools", "i-a", ok());
+    let _abroad = deployment.start_engine_in("zone-b", "tools", "i-b", ok());
     let gateway = &deployment.gateways[0];
     wait_until("the engine at home serves", || {
         gateway.status("/tool/x") == 200
@@ -236,7 +236,7 @@
         events: 2,
         gap_ms: 1,
     });
-    let _engine = deployment.engine_in(ZONE, "models", "m-a", script);
+    let _engine = deployment.start_engine_in(ZONE, "models", "m-a", script);
     let gateway = &deployment.gateways[0];
     let turn = |id: &str| {
         let call = call_post("/chat/x", id, "prompt")
@@ -273,15 +273,15 @@
         times_logged(&deployment.gateways[0], "configuration in force") == 2
     });
     let silent = Script::always(Answer::Silent);
-    let first = deployment.engine_in(ZONE, "tools", "i-1", silent.clone());
+    let first = deployment.start_engine_in(ZONE, "tools", "i-1", silent.clone());
     let gateway = &deployment.gateways[0];
     let callers = gateway.callers();
     let running = std::thread::spawn(move || call("r").send(callers));
     wait_until("the request is at the first engine", || {
         !first.runs().is_empty()
     });
-    let second = deployment.engine_in(ZONE, "tools", "i-2", ok());
-    let third = deployment.engine_in(OTHER_ZONE, "tools", "i-3", ok());
+    let second = deployment.start_engine_in(ZONE, "tools", "i-2", ok());
+    let third = deployment.start_engine_in(OTHER_ZONE, "tools", "i-3", ok());
     deployment.drain_zone(ZONE);
     wait_until("the order is known", || gateway.has_logged(DRAINED));
     wait_until("both engines are known", || {
@@ -386,7 +386,7 @@
             gap_ms: 50,
         },
     );
-    let engine = deployment.engine_in(ZONE, "models", "m-a", script);
+    let engine = deployment.start_engine_in(ZONE, "models", "m-a", script);
     let gateway = &deployment.gateways[0];
     wait_until("the engine is known", || {
         call_post("/chat/x", "first", "body")
@@ -448,7 +448,7 @@
 #[test]
 fn an_order_is_over_that_a_store_without_its_history_does_not_list() {
     assert_stands_until_heard(LinkFault::Reset, |deployment| {
-        deployment.store.forget_history();
+        deployment.store.compact_history();
     });
 }
 
--- a/crates/node/tests/resident_engines.rs
+++ b/crates/node/tests/resident_engines.rs
@@ -24,8 +24,8 @@
 #[test]
 fn an_entry_that_is_spoiled_names_no_engine_until_it_is_written_again() {
     let deployment = Deployment::started(PROGRAM, 1, 0);
-    let spoiled = deployment.engine("tools", "i-1", ok());
-    let kept = deployment.engine("tools", "i-2", ok());
+    let spoiled = deployment.start_engine("tools", "i-1", ok());
+    let kept = deployment.start_engine("tools", "i-2", ok());
     let gateway = &deployment.gateways[0];
     wait_until("requests are served", || gateway.status("/tool/x") == 200);
     let mut entry = spoiled.entry("tools", "ready");
@@ -54,7 +54,7 @@
 #[test]
 fn an_engine_that_starts_again_under_its_identifier_is_served_by_at_once() {
     let deployment = Deployment::started(PROGRAM, 2, 0);
-    let earlier = deployment.engine("tools", "i-1", ok());
+    let earlier = deployment.start_engine("tools", "i-1", ok());
     list(&deployment, &earlier, 1_000);
     let callers = deployment.gateways.iter().map(Process::callers);
     let callers: Vec<_> = callers.collect();
@@ -65,7 +65,7 @@
         });
     }
     // Its clock has gone back meanwhile.
-    let later = deployment.engine("tools", "i-1", ok());
+    let later = deployment.start_engine("tools", "i-1", ok());
     list(&deployment, &later, 500);
     drop(earlier);
     wait_until("both gateways have heard of it", || {
--- a/crates/node/tests/resident_fleet.rs
+++ b/crates/node/tests/resident_fleet.rs
@@ -25,7 +25,7 @@
 
 fn fleet() -> (Deployment, EngineStandIn) {
     let deployment = Deployment::started(PROGRAM, GATEWAYS, 1);
-    let engine = deployment.engine("tools", "i-1", ok());
+    let engine = deployment.start_engine("tools", "i-1", ok());
     wait_until("all serve", || deployment.all_serve("/tool/x"));
     wait_until("a few watch", || watching(&deployment).len() == WATCHERS);
     (deployment, engine)
@@ -37,7 +37,7 @@
     let calls = deployment.store.calls();
     let began = Instant::now();
     deployment.configure_with_prefix("/moved/");
-    let next = deployment.engine("tools", "i-2", ok());
+    let next = deployment.start_engine("tools", "i-2", ok());
     let entry = engine.entry("tools", "draining");
     deployment.store.put("servers", "i-1", entry);
     wait_until("all serve the new route", || {
@@ -70,7 +70,7 @@
     const SMALL: u8 = 10;
     const SPAN: Duration = Duration::from_secs(8);
     let deployment = Deployment::started(PROGRAM, SMALL, 1);
-    let _engine = deployment.engine("tools", "i-1", ok());
+    let _engine = deployment.start_engine("tools", "i-1", ok());
     wait_until("all serve", || deployment.all_serve("/tool/x"));
     let calls = deployment.store.calls();
     std::thread::sleep(SPAN);
--- a/crates/node/tests/resident_groups.rs
+++ b/crates/node/tests/resident_groups.rs
@@ -90,7 +90,7 @@
 #[test]
 fn turns_and_budgets_of_each_group_hold_over_gateways() {
     let deployment = started(2);
-    let engine = deployment.engine("models", "i-1", stream(2));
+    let engine = deployment.start_engine("models", "i-1", stream(2));
     let (one, two) = (
         deployment.gateways[0].callers(),
         deployment.gateways[1].callers(),
@@ -122,7 +122,7 @@
 #[test]
 fn a_turn_is_found_whatever_its_program_was_called() {
     let deployment = started(2);
-    let _engine = deployment.engine("models", "i-1", stream(2));
+    let _engine = deployment.start_engine("models", "i-1", stream(2));
     let (one, two) = (
         deployment.gateways[0].callers(),
         deployment.gateways[1].callers(),
@@ -137,7 +137,7 @@
 #[test]
 fn a_lost_voter_changes_the_set_of_its_group_only() {
     let mut deployment = started(1);
-    let _engine = deployment.engine("models", "i-1", stream(2));
+    let _engine = deployment.start_engine("models", "i-1", stream(2));
     let gateway = deployment.gateways[0].callers();
     let programs = programs(&groups(&deployment));
     begin(gateway, &programs);
@@ -161,7 +161,7 @@
 #[test]
 fn a_group_without_a_majority_stops_its_own_programs_only() {
     let mut deployment = started(1);
-    let engine = deployment.engine("models", "i-1", stream(2));
+    let engine = deployment.start_engine("models", "i-1", stream(2));
     let gateway = deployment.gateways[0].callers();
     let [lost, kept] = programs(&groups(&deployment));
     send_until_served(gateway, &budgeted(&lost, "a-1", 1_000, 30));
@@ -199,7 +199,7 @@
 #[test]
 fn turns_of_all_groups_survive_a_kill_of_everything_and_a_lost_disk() {
     let mut deployment = started(1);
-    let _engine = deployment.engine("models", "i-1", stream(2));
+    let _engine = deployment.start_engine("models", "i-1", stream(2));
     let gateway = deployment.gateways[0].callers();
     let programs = programs(&groups(&deployment));
     begin(gateway, &programs);
@@ -221,7 +221,7 @@
 #[test]
 fn a_machine_of_one_group_retires_while_the_other_stays_as_it_is() {
     let deployment = started(1);
-    let _engine = deployment.engine("models", "i-1", stream(2));
+    let _engine = deployment.start_engine("models", "i-1", stream(2));
     let gateway = deployment.gateways[0].callers();
     let [first, _] = programs(&groups(&deployment));
     send_until_served(gateway, &turn(&first, "t-1", None));
--- a/crates/node/tests/resident_lifecycle.rs
+++ b/crates/node/tests/resident_lifecycle.rs
@@ -30,7 +30,7 @@
 #[test]
 fn a_changed_configuration_is_in_force_within_its_bound() {
     let mut deployment = Deployment::started(PROGRAM, 1, 0);
-    let _engine = deployment.engine("tools", "i-1", ok());
+    let _engine = deployment.start_engine("tools", "i-1", ok());
     let gateway = deployment.gateways[0].callers();
     wait_until("the engine serves", || status(gateway, "/tool/x") == 200);
     let began = std::time::Instant::now();
@@ -45,7 +45,7 @@
 #[test]
 fn an_older_configuration_never_comes_back() {
     let mut deployment = Deployment::started(PROGRAM, 1, 0);
-    let _engine = deployment.engine("tools", "i-1", ok());
+    let _engine = deployment.start_engine("tools", "i-1", ok());
     let gateway = deployment.gateways[0].callers();
     let old = deployment
         .store
@@ -64,7 +64,7 @@
 /// A change that is made after the fault has been on for a while, and is in force once it is over.
 fn survives(fault: StoreFault) {
     let mut deployment = Deployment::started(PROGRAM, 1, 0);
-    let engine = deployment.engine("tools", "i-1", ok());
+    let engine = deployment.start_engine("tools", "i-1", ok());
     let gateway = deployment.gateways[0].callers();
     wait_until("the engine serves", || status(gateway, "/tool/x") == 200);
     deployment.store.set_fault(fault);
@@ -74,7 +74,7 @@
     deployment
         .store
         .put("servers", "i-1", engine.entry("tools", "draining"));
-    let _next = deployment.engine("tools", "i-2", ok());
+    let _next = deployment.start_engine("tools", "i-2", ok());
     deployment.store.set_fault(StoreFault::None);
     wait_until("the new route is served by the new engine", || {
         status(gateway, "/moved/x") == 200
@@ -91,15 +91,15 @@
 #[test]
 fn a_store_that_forgot_its_history_is_listed_anew() {
     let mut deployment = Deployment::started(PROGRAM, 1, 0);
-    let engine = deployment.engine("tools", "i-1", ok());
+    let engine = deployment.start_engine("tools", "i-1", ok());
     let gateway = deployment.gateways[0].callers();
     wait_until("the engine serves", || status(gateway, "/tool/x") == 200);
     deployment.store.set_fault(StoreFault::Unavailable);
     std::thread::sleep(Duration::from_millis(200));
     deployment.configure(moved_routes("/moved/"));
-    let _next = deployment.engine("tools", "i-2", ok());
+    let _next = deployment.start_engine("tools", "i-2", ok());
     deployment.store.remove("servers", "i-1");
-    deployment.store.forget_history();
+    deployment.store.compact_history();
     deployment.store.set_fault(StoreFault::None);
     wait_until("the new route is served", || {
         status(gateway, "/moved/x") == 200
@@ -123,8 +123,8 @@
 #[test]
 fn entries_that_lapsed_with_the_store_count_again_when_they_are_back() {
     let deployment = Deployment::started(PROGRAM, 1, 0);
-    let living = deployment.engine("tools", "i-1", ok());
-    let dead = deployment.engine("tools", "i-2", ok());
+    let living = deployment.start_engine("tools", "i-1", ok());
+    let dead = deployment.start_engine("tools", "i-2", ok());
     let gateway = deployment.gateways[0].callers();
     let mut number = 0;
     let mut next_status = || {
@@ -158,7 +158,7 @@
 #[test]
 fn a_gateway_that_starts_while_the_store_is_down_learns_from_another() {
     let mut deployment = Deployment::started(PROGRAM, 1, 0);
-    let _engine = deployment.engine("tools", "i-1", ok());
+    let _engine = deployment.start_engine("tools", "i-1", ok());
     let first = deployment.gateways[0].callers();
     wait_until("the engine serves", || status(first, "/tool/x") == 200);
     deployment.store.set_fault(StoreFault::Silent);
@@ -183,7 +183,7 @@
     };
     wait_until("the gateway answers", || status(gateway, "/tool/x") == 503);
     deployment.configure(routes());
-    let _engine = deployment.engine("tools", "i-1", ok());
+    let _engine = deployment.start_engine("tools", "i-1", ok());
     let waiting = std::thread::spawn(move || status(gateway, "/tool/x"));
     std::thread::sleep(Duration::from_millis(50));
     deployment.store.set_fault(StoreFault::None);
@@ -214,7 +214,7 @@
             .store
             .put("servers", &format!("a-{number:03}"), entry);
     }
-    let _engine = deployment.engine("tools", "z-last", ok());
+    let _engine = deployment.start_engine("tools", "z-last", ok());
     // The only gateway, which nobody but the store can tell of engines.
     let gateway = {
         let gateway = deployment.add_gateway();
@@ -233,7 +233,7 @@
         events: 20,
         gap_ms: 50,
     });
-    let engine = deployment.engine("models", "i-1", slow);
+    let engine = deployment.start_engine("models", "i-1", slow);
     let gateway = deployment.gateways[0].callers();
     let serving = std::thread::spawn(move || {
         let mut reply = None;
@@ -267,7 +267,7 @@
 #[test]
 fn settings_are_read_again_and_bad_ones_change_nothing() {
     let deployment = Deployment::started(PROGRAM, 1, 0);
-    let _engine = deployment.engine("tools", "i-1", ok());
+    let _engine = deployment.start_engine("tools", "i-1", ok());
     let gateway = deployment.gateways[0].callers();
     wait_until("the engine serves", || status(gateway, "/tool/x") == 200);
     deployment.gateways[0].signal(Signal::HUP);
@@ -289,7 +289,7 @@
 #[test]
 fn metrics_are_told_at_the_settings_address() {
     let mut deployment = Deployment::started(PROGRAM, 1, 1);
-    let _engine = deployment.engine("tools", "i-1", ok());
+    let _engine = deployment.start_engine("tools", "i-1", ok());
     let gateway = deployment.gateways[0].callers();
     wait_until("the engine serves", || status(gateway, "/tool/x") == 200);
     let text = get(deployment.gateways[0].metrics(), "/metrics")
@@ -338,12 +338,12 @@
 #[test]
 fn clients_that_still_come_while_a_gateway_ends_are_answered_or_not_served() {
     let deployment = Deployment::started(PROGRAM, 1, 3);
-    let tools = deployment.engine("tools", "i-tool", ok());
+    let tools = deployment.start_engine("tools", "i-tool", ok());
     let stream = Script::always(Answer::Stream {
         events: 2,
         gap_ms: 1,
     });
-    let models = deployment.engine("models", "i-model", stream);
+    let models = deployment.start_engine("models", "i-model", stream);
     let gateway = deployment.gateways[0].callers();
     wait_until("the engines serve", || {
         let turn = call_post("/chat/x", "warm", "").send(gateway);
--- a/crates/node/tests/resident_quotas.rs
+++ b/crates/node/tests/resident_quotas.rs
@@ -29,7 +29,7 @@
 fn fleet(per_s: u64, burst: u64) -> (Deployment, EngineStandIn) {
     let mut deployment = Deployment::started(PROGRAM, GATEWAYS, 3);
     deployment.set_tenants(tenants(per_s, burst));
-    let engine = deployment.engine(
+    let engine = deployment.start_engine(
         "tools",
         "i-1",
         Script::always(Answer::Whole("fine".to_owned())),
--- a/crates/node/tests/resident_records.rs
+++ b/crates/node/tests/resident_records.rs
@@ -33,7 +33,7 @@
 #[test]
 fn a_turn_goes_on_from_another_gateway_byte_for_byte() {
     let deployment = Deployment::started(PROGRAM, 2, 3);
-    let engine = deployment.engine("models", "i-1", stream(2));
+    let engine = deployment.start_engine("models", "i-1", stream(2));
     let (one, two) = (
         deployment.gateways[0].callers(),
         deployment.gateways[1].callers(),
@@ -54,7 +54,7 @@
 #[test]
 fn a_turn_that_does_not_exist_is_not_found_and_runs_nowhere() {
     let deployment = Deployment::started(PROGRAM, 1, 3);
-    let engine = deployment.engine("models", "i-1", stream(2));
+    let engine = deployment.start_engine("models", "i-1", stream(2));
     let gateway = deployment.gateways[0].callers();
     send_until_served(gateway, &turn("t-1", None, "first"));
     let reply = turn("t-2", Some("nobody"), "x")
@@ -79,7 +79,7 @@
 #[test]
 fn one_lost_replica_stops_nothing_and_two_make_gateways_unsure() {
     let mut deployment = Deployment::started(PROGRAM, 2, 3);
-    let _engine = deployment.engine("models", "i-1", stream(2));
+    let _engine = deployment.start_engine("models", "i-1", stream(2));
     let (one, two) = (
         deployment.gateways[0].callers(),
         deployment.gateways[1].callers(),
@@ -108,7 +108,7 @@
 #[test]
 fn turns_survive_a_kill_of_everything_and_a_lost_disk() {
     let mut deployment = Deployment::started(PROGRAM, 1, 3);
-    let _engine = deployment.engine("models", "i-1", stream(2));
+    let _engine = deployment.start_engine("models", "i-1", stream(2));
     let gateway = deployment.gateways[0].callers();
     send_until_served(gateway, &turn("t-1", None, "first"));
     let before = deployment.voters();
@@ -147,7 +147,7 @@
 #[test]
 fn a_machine_that_retires_is_emptied_first() {
     let mut deployment = Deployment::started(PROGRAM, 1, 3);
-    let _engine = deployment.engine("models", "i-1", stream(2));
+    let _engine = deployment.start_engine("models", "i-1", stream(2));
     let gateway = deployment.gateways[0].callers();
     send_until_served(gateway, &turn("t-1", None, "first"));
     let retiring = deployment.replicas[1].name.clone();
@@ -191,7 +191,7 @@
 #[test]
 fn a_standby_has_copied_before_the_set_changes() {
     let mut deployment = Deployment::started(PROGRAM, 1, 4);
-    let _engine = deployment.engine("models", "i-1", stream(2));
+    let _engine = deployment.start_engine("models", "i-1", stream(2));
     deployment.wait_until_ready_gateways();
     send_until_served(
         deployment.gateways[0].callers(),
@@ -226,7 +226,7 @@
 fn a_budget_holds_over_gateways_and_their_deaths() {
     let mut deployment = Deployment::started(PROGRAM, 2, 3);
     // Two events of ten tokens each.
-    let engine = deployment.engine("models", "i-1", stream(2));
+    let engine = deployment.start_engine("models", "i-1", stream(2));
     let (one, two) = (
         deployment.gateways[0].callers(),
         deployment.gateways[1].callers(),
@@ -252,7 +252,7 @@
 #[test]
 fn a_gateway_that_reaches_no_quorum_wants_no_new_clients() {
     let mut deployment = Deployment::started(PROGRAM, 1, 3);
-    let _engine = deployment.engine("models", "i-1", stream(2));
+    let _engine = deployment.start_engine("models", "i-1", stream(2));
     let gateway = deployment.gateways[0].callers();
     send_until_served(gateway, &budgeted("b-1", "p", 100, 30));
     for replica in &mut deployment.replicas {
@@ -275,7 +275,7 @@
 #[test]
 fn an_identifier_that_was_used_frees_no_tokens() {
     let deployment = Deployment::started(PROGRAM, 1, 3);
-    let engine = deployment.engine("models", "i-1", stream(2));
+    let engine = deployment.start_engine("models", "i-1", stream(2));
     let gateway = deployment.gateways[0].callers();
     send_until_served(gateway, &budgeted("b-1", "p", 100, 60));
     wait_until("the turn is settled", || {
@@ -299,7 +299,7 @@
 #[test]
 fn a_turn_that_was_refused_before_anything_was_reserved_may_come_again() {
     let mut deployment = Deployment::started(PROGRAM, 1, 3);
-    let _engine = deployment.engine("models", "i-1", stream(2));
+    let _engine = deployment.start_engine("models", "i-1", stream(2));
     let gateway = deployment.gateways[0].callers();
     send_until_served(gateway, &budgeted("b-1", "p", 1_000, 30));
     deployment.replicas.iter_mut().for_each(Process::kill);
@@ -327,7 +327,7 @@
 #[test]
 fn without_replicas_a_budgeted_turn_is_refused_and_not_run() {
     let mut deployment = Deployment::started(PROGRAM, 1, 3);
-    let engine = deployment.engine("models", "i-1", stream(2));
+    let engine = deployment.start_engine("models", "i-1", stream(2));
     let gateway = deployment.gateways[0].callers();
     send_until_served(gateway, &budgeted("b-1", "p", 100, 30));
     for replica in &mut deployment.replicas {
@@ -367,7 +367,7 @@
 #[test]
 fn a_gateway_that_lost_the_majority_refuses_at_once_until_it_is_back() {
     let deployment = Deployment::started(PROGRAM, 1, 3);
-    let engine = deployment.engine("models", "i-1", stream(2));
+    let engine = deployment.start_engine("models", "i-1", stream(2));
     let gateway = deployment.gateways[0].callers();
     send_until_served(gateway, &budgeted("b-1", "p", 1_000, 30));
     let ran = engine.runs().len();
@@ -522,7 +522,7 @@
 #[test]
 fn an_identifier_that_is_used_again_and_left_makes_no_charge_smaller() {
     let deployment = Deployment::started(PROGRAM, 1, 3);
-    let engine = deployment.engine("models", "i-1", stream(2));
+    let engine = deployment.start_engine("models", "i-1", stream(2));
     let gateway = deployment.gateways[0].callers();
     send_until_served(gateway, &budgeted("b-1", "p", 30, 20));
     wait_until("the turn is settled", || {
@@ -532,7 +532,7 @@
     for replica in &deployment.replicas {
         replica.signal(Signal::STOP);
     }
-    budgeted("b-1", "p", 30, 20).disconnect_after_time(gateway, Duration::from_millis(150));
+    budgeted("b-1", "p", 30, 20).send_with_timeout(gateway, Duration::from_millis(150));
     for replica in &deployment.replicas {
         replica.signal(Signal::CONT);
     }
--- a/crates/node/tests/resident_regions.rs
+++ b/crates/node/tests/resident_regions.rs
@@ -29,7 +29,7 @@
     fn start(deployment: &Deployment, service: &str, script: &Script) -> Self {
         let start = |zone, region: &str| {
             let instance = format!("i-{region}-{service}");
-            deployment.engine_in(zone, service, &instance, script.clone())
+            deployment.start_engine_in(zone, service, &instance, script.clone())
         };
         Self {
             north: start("zone-a", "north"),
@@ -229,7 +229,7 @@
 #[test]
 fn an_engine_in_a_zone_that_nobody_names_gets_nothing_of_a_region() {
     let deployment = Deployment::started_with_regions(PROGRAM, 1, 0);
-    let far = deployment.engine_in("zone-x", "tools", "i-far", ok());
+    let far = deployment.start_engine_in("zone-x", "tools", "i-far", ok());
     let gateway = deployment.gateways[0].callers();
     send_until_served(gateway, &call_get("/tool/x", "warm"));
     let mut deployment = deployment;
--- a/crates/node/tests/resident_requests.rs
+++ b/crates/node/tests/resident_requests.rs
@@ -22,7 +22,7 @@
 #[test]
 fn a_whole_answer_comes_back_as_the_engine_gave_it() {
     let deployment = Deployment::started(PROGRAM, 1, 0);
-    let engine = deployment.engine("tools", "i-1", ok());
+    let engine = deployment.start_engine("tools", "i-1", ok());
     let gateway = deployment.gateways[0].callers();
     wait_until("the engine serves", || {
         call_get("/tool/x?q=1", "r-1")
@@ -84,7 +84,7 @@
 /// Sends one request to a single engine that answers as the script says first.
 fn one_request(prefix: &str, answer: Answer) -> (u16, usize) {
     let deployment = Deployment::started(PROGRAM, 1, 0);
-    let engine = deployment.engine("tools", "i-1", ok());
+    let engine = deployment.start_engine("tools", "i-1", ok());
     let gateway = deployment.gateways[0].callers();
     wait_until("the engine serves", || {
         call_get("/tool/warm", "warm")
@@ -133,7 +133,7 @@
 #[test]
 fn rejections_are_no_runs_and_become_a_promise() {
     let deployment = Deployment::started(PROGRAM, 1, 0);
-    let engine = deployment.engine("tools", "i-1", ok());
+    let engine = deployment.start_engine("tools", "i-1", ok());
     let gateway = deployment.gateways[0].callers();
     wait_until("the engine serves", || {
         let reply = call_get("/tool/warm", "warm").send(gateway);
@@ -160,7 +160,7 @@
 #[test]
 fn a_full_engine_is_asked_again_for_a_while() {
     let deployment = Deployment::started(PROGRAM, 1, 0);
-    let engine = deployment.engine("tools", "i-1", ok());
+    let engine = deployment.start_engine("tools", "i-1", ok());
     let gateway = deployment.gateways[0].callers();
     wait_until("the engine serves", || {
         let reply = call_get("/tool/warm", "warm").send(gateway);
@@ -177,12 +177,12 @@
 #[test]
 fn what_may_repeat_goes_to_another_engine() {
     let deployment = Deployment::started(PROGRAM, 1, 0);
-    let bad = deployment.engine(
+    let bad = deployment.start_engine(
         "tools",
         "i-bad",
         Script::always(Answer::ClosesWithoutResponse),
     );
-    let good = deployment.engine("tools", "i-good", ok());
+    let good = deployment.start_engine("tools", "i-good", ok());
     let gateway = deployment.gateways[0].callers();
     wait_until("both engines were asked", || {
         let reply = call_get("/tool/x", "r-1").send(gateway);
@@ -197,8 +197,8 @@
 fn an_engine_that_fails_what_it_runs_gets_little_more() {
     const REQUESTS: usize = 60;
     let deployment = Deployment::started(PROGRAM, 1, 0);
-    let bad = deployment.engine("tools", "i-bad", Script::always(Answer::Failure(500)));
-    let good = deployment.engine("tools", "i-good", ok());
+    let bad = deployment.start_engine("tools", "i-bad", Script::always(Answer::Failure(500)));
+    let good = deployment.start_engine("tools", "i-good", ok());
     let gateway = deployment.gateways[0].callers();
     wait_until("both engines were asked", || {
         call_post("/once/x", "r-1", "").send(gateway);
@@ -217,7 +217,7 @@
 fn a_second_answer_on_a_connection_reaches_nobody() {
     let deployment = Deployment::started(PROGRAM, 1, 0);
     let extra = Script::always(Answer::Extra("mine".to_owned()));
-    let _engine = deployment.engine("tools", "i-1", extra);
+    let _engine = deployment.start_engine("tools", "i-1", extra);
     let gateway = deployment.gateways[0].callers();
     wait_until("the engine serves", || {
         call_get("/tool/x", "warm")
@@ -237,8 +237,8 @@
 fn a_broken_stream_is_taken_up_without_a_seam() {
     let deployment = Deployment::started(PROGRAM, 1, 0);
     let breaks = Script::always(Answer::TruncatedStream { events: 3 });
-    let first = deployment.engine("models", "i-1", breaks);
-    let second = deployment.engine("models", "i-2", stream(8));
+    let first = deployment.start_engine("models", "i-1", breaks);
+    let second = deployment.start_engine("models", "i-2", stream(8));
     let gateway = deployment.gateways[0].callers();
     // With one engine only there is nobody to take the stream up.
     wait_until("both engines are known", || {
@@ -274,7 +274,7 @@
 fn a_stream_that_must_not_be_taken_up_is_broken_off() {
     let deployment = Deployment::started(PROGRAM, 1, 3);
     let breaks = Script::always(Answer::TruncatedStream { events: 3 });
-    let engine = deployment.engine("models", "i-1", breaks);
+    let engine = deployment.start_engine("models", "i-1", breaks);
     let gateway = deployment.gateways[0].callers();
     wait_until("the engine was asked", || {
         let reply = call_post("/talk/x", "r-1", "prompt").send(gateway);
@@ -290,7 +290,7 @@
 #[test]
 fn an_engine_that_ran_a_stream_and_ended_is_no_promise_that_nothing_ran() {
     let mut deployment = Deployment::started(PROGRAM, 1, 0);
-    let engine = deployment.engine("models", "i-1", stream(2));
+    let engine = deployment.start_engine("models", "i-1", stream(2));
     let mut routes = ridgeworks_platform_stand_ins::deployment::routes();
     routes[2]["max_attempts"] = serde_json::json!(1);
     deployment.configure(routes);
@@ -314,7 +314,7 @@
 #[test]
 fn turns_of_a_program_that_is_late_go_behind_others() {
     let deployment = Deployment::started(PROGRAM, 1, 0);
-    let engine = deployment.engine("models", "i-1", stream(2));
+    let engine = deployment.start_engine("models", "i-1", stream(2));
     let gateway = deployment.gateways[0].callers();
     wait_until("the engine serves", || {
         let reply = call_post("/chat/x", "warm", "").send(gateway);
@@ -335,7 +335,7 @@
 fn a_session_goes_on_at_its_engine_through_another_gateway() {
     const SESSIONS: usize = 16;
     let deployment = Deployment::started(PROGRAM, 5, 0);
-    let first = deployment.engine("models", "i-1", stream(2));
+    let first = deployment.start_engine("models", "i-1", stream(2));
     let gateways = [0, 1, 2, 3, 4].map(|index| deployment.gateways[index].callers());
     let turn = |number: usize, session: usize, tokens: usize| {
         let parts = format!("{:x}:20000,{:x}:{tokens}", 0xa00 + session, 0xb00 + session);
@@ -354,7 +354,7 @@
         assert_eq!(reply.expect("an answer").status, 200);
     }
     let names = ["i-2", "i-3", "i-4", "i-5", "i-6"];
-    let others = names.map(|name| deployment.engine("models", name, stream(2)));
+    let others = names.map(|name| deployment.start_engine("models", name, stream(2)));
     wait_until("all engines are known", || {
         call_post("/chat/x", "warm", "").send(gateways[4]);
         call_post("/chat/x", "cold", "")
@@ -385,7 +385,7 @@
         deployment.add_gateway().start();
     }
     deployment.wait_until_ready();
-    let failing = deployment.engine("models", "i-1", stream(2));
+    let failing = deployment.start_engine("models", "i-1", stream(2));
     let gateways: Vec<SocketAddr> = deployment.gateways.iter().map(Process::callers).collect();
     let turn = |number: usize, session: usize| {
         let parts = format!("{:x}:20000,{:x}:8000", 0xa00 + session, 0xb00 + session);
@@ -400,7 +400,7 @@
         let reply = turn(1, session).send(gateways[2 * session]);
         assert_eq!(reply.expect("an answer").status, 200);
     }
-    let _others = ["i-2", "i-3"].map(|name| deployment.engine("models", name, stream(2)));
+    let _others = ["i-2", "i-3"].map(|name| deployment.start_engine("models", name, stream(2)));
     for gateway in &deployment.gateways {
         wait_until("all engines are known", || knows_engines(gateway, 3));
     }
@@ -432,10 +432,10 @@
 #[test]
 fn a_client_that_leaves_cancels_its_request() {
     let deployment = Deployment::started(PROGRAM, 1, 0);
-    let silent = deployment.engine("tools", "i-silent", Script::always(Answer::Silent));
+    let silent = deployment.start_engine("tools", "i-silent", Script::always(Answer::Silent));
     let gateway = deployment.gateways[0].callers();
     wait_until("the engine was asked", || {
-        call_post("/once/x", "r-1", "").disconnect_after_time(gateway, Duration::from_millis(300));
+        call_post("/once/x", "r-1", "").send_with_timeout(gateway, Duration::from_millis(300));
         !silent.runs().is_empty()
     });
     wait_until("the engine noticed", || {
@@ -445,9 +445,9 @@
         events: 500,
         gap_ms: 20,
     });
-    let streaming = deployment.engine("models", "i-stream", slow);
+    let streaming = deployment.start_engine("models", "i-stream", slow);
     wait_until("the stream began", || {
-        call_post("/chat/x", "r-2", "").disconnect_after_frames(gateway, 2);
+        call_post("/chat/x", "r-2", "").send_and_read_frames(gateway, 2);
         !streaming.runs().is_empty()
     });
     wait_until("the engine noticed", || {
@@ -458,7 +458,7 @@
 #[test]
 fn a_request_gets_its_final_answer_at_its_route_s_time_out() {
     let deployment = Deployment::started(PROGRAM, 1, 0);
-    let _silent = deployment.engine("tools", "i-silent", Script::always(Answer::Silent));
+    let _silent = deployment.start_engine("tools", "i-silent", Script::always(Answer::Silent));
     let gateway = deployment.gateways[0].callers();
     wait_until("the engine was asked", || {
         let began = std::time::Instant::now();
@@ -476,8 +476,8 @@
 #[test]
 fn engines_that_leave_get_nothing_more() {
     let deployment = Deployment::started(PROGRAM, 1, 0);
-    let leaving = deployment.engine("tools", "i-1", ok());
-    let staying = deployment.engine("tools", "i-2", ok());
+    let leaving = deployment.start_engine("tools", "i-1", ok());
+    let staying = deployment.start_engine("tools", "i-2", ok());
     let gateway = deployment.gateways[0].callers();
     let mut number = 0;
     wait_until("both serve", || {
@@ -504,7 +504,7 @@
 #[test]
 fn bad_requests_get_clear_answers() {
     let deployment = Deployment::started(PROGRAM, 1, 0);
-    let engine = deployment.engine("tools", "i-1", ok());
+    let engine = deployment.start_engine("tools", "i-1", ok());
     let gateway = deployment.gateways[0].callers();
     wait_until("the engine serves", || {
         call_get("/tool/x", "r")
--- a/crates/node/tests/resident_silence.rs
+++ b/crates/node/tests/resident_silence.rs
@@ -23,7 +23,7 @@
 /// Gateways whose watches were all sent at the same moment, since a change has just answered them all.
 fn in_step(gateways: u8) -> (Deployment, EngineStandIn) {
     let mut deployment = Deployment::started(PROGRAM, gateways, 0);
-    let engine = deployment.engine("tools", "i-1", ok());
+    let engine = deployment.start_engine("tools", "i-1", ok());
     wait_until("all serve", || deployment.all_serve("/tool/x"));
     deployment.configure_with_prefix("/first/");
     wait_until("the first change is in force", || {
@@ -78,7 +78,7 @@
     deployment.store_link.set_fault(LinkFault::Stalled);
     std::thread::sleep(Duration::from_millis(50));
     deployment.store_link.set_fault(LinkFault::None);
-    let next = deployment.engine("tools", "i-2", ok());
+    let next = deployment.start_engine("tools", "i-2", ok());
     let leaving = engine.entry("tools", "draining");
     deployment.store.put("servers", "i-1", leaving);
     deployment.configure_with_prefix("/moved/");
--- a/crates/node/tests/resident_tenants.rs
+++ b/crates/node/tests/resident_tenants.rs
@@ -42,7 +42,7 @@
         deployment.add_gateway().start();
     }
     deployment.wait_until_ready_gateways();
-    let engine = deployment.engine(
+    let engine = deployment.start_engine(
         "tools",
         "i-1",
         Script::always(Answer::Whole("fine".to_owned())),
@@ -227,7 +227,7 @@
         let mut gateways = deployment.gateways.iter();
         gateways.all(|gateway| status(gateway, &keyed("r-1", "unknown")) == 401)
     });
-    let engine = deployment.engine(
+    let engine = deployment.start_engine(
         "models",
         "m-1",
         Script::always(Answer::Stream {
--- a/crates/node/tests/resident_warm_up.rs
+++ b/crates/node/tests/resident_warm_up.rs
@@ -36,7 +36,7 @@
     for _ in 0..GATEWAYS {
         deployment.add_gateway().start();
     }
-    let engine = deployment.engine("tools", "i-warm", fine());
+    let engine = deployment.start_engine("tools", "i-warm", fine());
     deployment.wait_until_ready();
     for gateway in &deployment.gateways {
         send_until_served(gateway.callers(), &call_get("/tool/x", "first"));
@@ -48,7 +48,7 @@
 
 /// Lists an engine that is new.
 fn warming_engine(deployment: &Deployment, instance: &str) -> EngineStandIn {
-    let engine = deployment.engine("away", instance, fine());
+    let engine = deployment.start_engine("away", instance, fine());
     engine.start_warm_up(WARM_UP, most());
     let entry = engine.entry_warming_up("tools");
     deployment.store.put("servers", instance, entry);
@@ -125,7 +125,7 @@
 #[test]
 fn an_engine_that_begins_to_warm_up_is_counted_once_an_answer_says_so() {
     let (deployment, _warm) = fleet();
-    let new = deployment.engine("tools", "i-turns", fine());
+    let new = deployment.start_engine("tools", "i-turns", fine());
     // Presumed to warm up at first.
     send_for(&deployment, WARM_UP + Duration::from_secs(2));
     new.start_warm_up(WARM_UP * 2, usize::MAX);
@@ -231,7 +231,7 @@
 #[test]
 fn a_service_without_such_a_limit_asks_nobody() {
     let deployment = Deployment::started(PROGRAM, GATEWAYS, 3);
-    let engine = deployment.engine("tools", "i-1", fine());
+    let engine = deployment.start_engine("tools", "i-1", fine());
     engine.start_warm_up(WARM_UP, usize::MAX);
     let entry = engine.entry_warming_up("tools");
     deployment.store.put("servers", "i-1", entry);
--- a/crates/scheduling/examples/decision_cost.rs
+++ b/crates/scheduling/examples/decision_cost.rs
@@ -28,13 +28,13 @@
 const HIGHEST_NANOS: u64 = 1_000_000_000;
 const LIMIT_P99_NANOS: u64 = 20_000;
 
-struct Costs {
+struct HandlingTimes {
     enqueue: Histogram<u64>,
     end: Histogram<u64>,
     tick: Histogram<u64>,
 }
 
-impl Costs {
+impl HandlingTimes {
     fn new() -> Self {
         let histogram = || Histogram::new_with_max(HIGHEST_NANOS, 3).expect("valid bounds");
         Self {
@@ -124,8 +124,8 @@
         }
     }
 
-    fn measure(&mut self) -> Costs {
-        let mut costs = Costs::new();
+    fn measure(&mut self) -> HandlingTimes {
+        let mut costs = HandlingTimes::new();
         for round in 0..ROUNDS {
             self.now = self.now + ROUND;
             let ending = self.below(self.running.len() as u64) as usize;
--- a/crates/scheduling/src/cache_tracking.rs
+++ b/crates/scheduling/src/cache_tracking.rs
@@ -52,18 +52,18 @@
             return;
         }
         self.retention.pause(run, tool, now);
-        let places = self.prefixes.places(run).iter();
-        let Some(place) = places.max_by_key(|place| place.tokens).copied() else {
+        let locations = self.prefixes.locations(run).iter();
+        let Some(location) = locations.max_by_key(|location| location.tokens).copied() else {
             return;
         };
-        let Some(state) = self.backends.get(place.backend) else {
+        let Some(state) = self.backends.get(location.backend) else {
             return;
         };
         let candidate = Candidate {
             run,
-            backend: place.backend,
-            tokens: place.tokens,
-            rebuild_micros: self.service_times.prefill_micros(place.tokens),
+            backend: location.backend,
+            tokens: location.tokens,
+            rebuild_micros: self.service_times.prefill_micros(location.tokens),
             budget_tokens: state.cache_capacity * self.settings.retained_permille / 1000,
         };
         for change in self.retention.request_lease(candidate, now) {
@@ -94,9 +94,9 @@
     pub(crate) fn run_ended(&mut self, run: RunId) {
         self.retention.end(run);
         self.ended_runs.insert(run);
-        for place in self.prefixes.forget_run(run) {
+        for location in self.prefixes.forget_run(run) {
             if self.settings.policy.retention {
-                self.release(run, place.backend);
+                self.release(run, location.backend);
             }
         }
     }
--- a/crates/scheduling/src/call_placement.rs
+++ b/crates/scheduling/src/call_placement.rs
@@ -5,7 +5,7 @@
 use crate::backends::{BackendIndex, BackendState};
 use crate::dispatcher::Dispatcher;
 use crate::event::Ticket;
-use crate::placement::{Choice, PlacementView, PrefixPlaces};
+use crate::placement::{Choice, PlacementView, PrefixLocations};
 use crate::queue::{Lane, WaitingCall};
 use crate::settings::PlacementRule;
 use crate::shares::PartnerIndex;
@@ -20,17 +20,17 @@
         let urgent = self.queue.get(ticket).map(|waiting| waiting.lane) == Some(Lane::Urgent);
         let affinity = match rule {
             _ if urgent => None,
-            PlacementRule::RoundRobin => self.affinity_or(ticket, Self::next_round_robin),
+            PlacementRule::RoundRobin => self.affinity_or(ticket, Self::round_robin_backend),
             PlacementRule::LeastReportedLoad => self.affinity_or(ticket, Self::least_reported),
             PlacementRule::TwoChoicesReportedLoad => self.affinity_or(ticket, Self::two_choices),
             PlacementRule::PrefixSticky => self.longest_prefix_backend(ticket),
             PlacementRule::LeastLoaded | PlacementRule::ExpectedCost => None,
         };
         let Some(waiting) = self.queue.get(ticket) else {
-            return Choice::Full { affinity: None };
+            return Choice::NoSuitableSlot { affinity: None };
         };
         match affinity {
-            Some(affinity) => self.choose_bound(waiting, affinity),
+            Some(affinity) => self.choose_preferred(waiting, affinity),
             None if rule == PlacementRule::ExpectedCost => self.least_cost(waiting),
             None => self.least_loaded(waiting),
         }
@@ -62,7 +62,7 @@
         view.least_cost(&waiting.call, ahead)
     }
 
-    fn choose_bound(&self, waiting: &WaitingCall, affinity: BackendIndex) -> Choice {
+    fn choose_preferred(&self, waiting: &WaitingCall, affinity: BackendIndex) -> Choice {
         let urgent = waiting.lane == Lane::Urgent;
         let state = self.backends.get(affinity);
         if state.is_some_and(|state| state.has_slot(urgent)) {
@@ -81,7 +81,7 @@
             .iter()
             .filter(|(_, state)| state.has_slot(urgent));
         let least = free.min_by_key(|(_, state)| state.in_flight);
-        least.map_or(Choice::Full { affinity: None }, |(backend, _)| {
+        least.map_or(Choice::NoSuitableSlot { affinity: None }, |(backend, _)| {
             Choice::Now {
                 backend,
                 move_from: None,
@@ -91,7 +91,7 @@
 
     fn longest_prefix_backend(&self, ticket: Ticket) -> Option<BackendIndex> {
         let waiting = self.queue.get(ticket)?;
-        PrefixPlaces::of(&waiting.call, &self.prefixes).best(&self.backends)
+        PrefixLocations::of(&waiting.call, &self.prefixes).best(&self.backends)
     }
 
     fn affinity_or(
@@ -103,10 +103,10 @@
         affinity.or_else(|| pick(self))
     }
 
-    fn next_round_robin(&mut self) -> Option<BackendIndex> {
+    fn round_robin_backend(&mut self) -> Option<BackendIndex> {
         let accepting = self.accepting();
-        let turn = self.next_round_robin as usize;
-        self.next_round_robin = self.next_round_robin.wrapping_add(1);
+        let turn = self.round_robin_counter as usize;
+        self.round_robin_counter = self.round_robin_counter.wrapping_add(1);
         accepting.get(turn % accepting.len().max(1)).copied()
     }
 
--- a/crates/scheduling/src/call_selection.rs
+++ b/crates/scheduling/src/call_selection.rs
@@ -32,12 +32,12 @@
     fn next_of_lane(&self, lane: &LaneQueue, index: BackendIndex) -> Option<Ticket> {
         let here = lane.head_of_affinity(Some(index));
         let anywhere = lane.head_of_affinity(None);
-        let bound = [here, anywhere].into_iter().flatten().min();
+        let preferred = [here, anywhere].into_iter().flatten().min();
         match self.settings.policy.placement {
             PlacementRule::RoundRobin
             | PlacementRule::LeastReportedLoad
             | PlacementRule::TwoChoicesReportedLoad
-            | PlacementRule::PrefixSticky => bound.map(|(_, ticket)| ticket),
+            | PlacementRule::PrefixSticky => preferred.map(|(_, ticket)| ticket),
             PlacementRule::LeastLoaded => lane.head().map(|(_, ticket)| ticket),
             PlacementRule::ExpectedCost => self.next_by_cost(lane, index),
         }
@@ -45,9 +45,10 @@
 
     fn next_by_cost(&self, lane: &LaneQueue, index: BackendIndex) -> Option<Ticket> {
         let (first_key, first) = lane.head()?;
-        let bound = [Some(index), None].map(|affinity| self.first_with_room(lane, affinity, index));
-        let bound = bound.into_iter().flatten().min();
-        if let Some((key, ticket)) = bound
+        let preferred =
+            [Some(index), None].map(|affinity| self.first_with_room(lane, affinity, index));
+        let preferred = preferred.into_iter().flatten().min();
+        if let Some((key, ticket)) = preferred
             && key.position - first_key.position <= LOCALITY_SLACK_MICROS
         {
             return Some(ticket);
@@ -55,8 +56,8 @@
         if self.should_run_at(first, index, 0) {
             return Some(first);
         }
-        let bound = bound.map(|(_, ticket)| ticket);
-        bound.or_else(|| self.first_to_leave_affinity(lane, index))
+        let preferred = preferred.map(|(_, ticket)| ticket);
+        preferred.or_else(|| self.first_cheaper_here(lane, index))
     }
 
     fn first_with_room(
@@ -77,7 +78,7 @@
         })
     }
 
-    fn first_to_leave_affinity(&self, lane: &LaneQueue, index: BackendIndex) -> Option<Ticket> {
+    fn first_cheaper_here(&self, lane: &LaneQueue, index: BackendIndex) -> Option<Ticket> {
         let mut heads = lane.iter().take(MAX_CANDIDATES).enumerate();
         let found = heads.find(|(ahead, (_, ticket))| self.should_run_at(*ticket, index, *ahead));
         found.map(|(_, (_, ticket))| ticket)
--- a/crates/scheduling/src/context_moves.rs
+++ b/crates/scheduling/src/context_moves.rs
@@ -13,9 +13,9 @@
         if !self.settings.policy.retention {
             return;
         }
-        for place in self.prefixes.places(run).to_vec() {
-            if place.backend != index {
-                self.release(run, place.backend);
+        for location in self.prefixes.locations(run).to_vec() {
+            if location.backend != index {
+                self.release(run, location.backend);
             }
         }
     }
--- a/crates/scheduling/src/dispatcher.rs
+++ b/crates/scheduling/src/dispatcher.rs
@@ -32,7 +32,7 @@
     pub(crate) service_times: ServiceTimeModel,
     pub(crate) random: ChaCha8Rng,
     pub(crate) next_serial: u64,
-    pub(crate) next_round_robin: u32,
+    pub(crate) round_robin_counter: u32,
     pub(crate) effects: Vec<Effect>,
 }
 
@@ -52,7 +52,7 @@
             service_times: ServiceTimeModel::default(),
             random: ChaCha8Rng::seed_from_u64(settings.seed),
             next_serial: 0,
-            next_round_robin: 0,
+            round_robin_counter: 0,
             effects: Vec::new(),
             settings,
         }
@@ -140,8 +140,9 @@
                     state.ejection.record_success();
                 }
                 if let GrantState::Running(since) = grant.state {
-                    let most = grant.waiting.call.max_output_tokens;
-                    self.service_times.record(end.usage, most, now.since(since));
+                    let max_output_tokens = grant.waiting.call.max_output_tokens;
+                    self.service_times
+                        .record(end.usage, max_output_tokens, now.since(since));
                 }
                 self.record_latency_weight(grant);
                 let tokens = end.usage.prompt + end.usage.output;
--- a/crates/scheduling/src/effect.rs
+++ b/crates/scheduling/src/effect.rs
@@ -37,8 +37,9 @@
         /// Backend at which it runs.
         backend: BackendName,
     },
-    /// The engine should keep the run's context regardless of its own eviction order. A lease that
-    /// ends at once returns the context to that order.
+    /// The engine should keep the run's context regardless of its own eviction order. An end
+    /// that is not in the future ends the lease: the engine may evict the context in its own order
+    /// again.
     Retain {
         /// Run that the context belongs to.
         run: RunId,
--- a/crates/scheduling/src/ejection.rs
+++ b/crates/scheduling/src/ejection.rs
@@ -5,7 +5,7 @@
 
 use ridgeworks_domain::MonotonicTime;
 
-/// Bounds the shift by which the ejection time is multiplied.
+/// Maximum number of doublings of the ejection time, so that `1 << doublings` does not overflow.
 const MAX_DOUBLINGS: u32 = 16;
 
 /// Thresholds of ejection, shared by all backends.
@@ -71,8 +71,8 @@
             return false;
         }
         let doublings = self.consecutive_ejections.min(MAX_DOUBLINGS);
-        let out = limits.base.saturating_mul(1 << doublings).min(limits.max);
-        self.health = Health::Ejected(now + out);
+        let ejection_time = limits.base.saturating_mul(1 << doublings).min(limits.max);
+        self.health = Health::Ejected(now + ejection_time);
         self.consecutive_ejections += 1;
         self.consecutive_failures = 0;
         true
--- a/crates/scheduling/src/engine_commands.rs
+++ b/crates/scheduling/src/engine_commands.rs
@@ -29,7 +29,7 @@
     Both,
 }
 
-/// A command to an engine.
+/// Change to what an engine serves: a model, adapter or version to load or unload, or its role.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum EngineCommand {
     /// Load a model, adapter or version from the weight store.
@@ -66,7 +66,7 @@
     pub store_bytes_per_second: u64,
     /// A command without a response is retried with a new token after this time, plus the transfer
     /// time of a load.
-    pub answer_timeout: Duration,
+    pub response_timeout: Duration,
 }
 
 #[derive(Debug, Default)]
@@ -110,7 +110,7 @@
 
     /// Records that an engine carried out or refused the command with this token; responses to
     /// earlier commands are ignored.
-    pub fn answered(&mut self, backend: &BackendName, token: FencingToken) {
+    pub fn response_received(&mut self, backend: &BackendName, token: FencingToken) {
         if let Some(engine) = self.engines.get_mut(backend)
             && engine.sent.as_ref().map(|(command, _)| command.token) == Some(token)
         {
@@ -165,7 +165,7 @@
             token,
             command: engine.waiting.pop_front()?,
         };
-        engine.sent = Some((fenced.clone(), until + self.limits.answer_timeout));
+        engine.sent = Some((fenced.clone(), until + self.limits.response_timeout));
         Some(fenced)
     }
 }
--- a/crates/scheduling/src/enqueue_calls.rs
+++ b/crates/scheduling/src/enqueue_calls.rs
@@ -8,7 +8,7 @@
 use crate::dispatcher::Dispatcher;
 use crate::effect::Effect;
 use crate::event::QueuedCall;
-use crate::placement::PrefixPlaces;
+use crate::placement::PrefixLocations;
 use crate::queue::{Lane, OrderKey, WaitingCall};
 use crate::settings::QueueOrder;
 use crate::shares::PartnerIndex;
@@ -51,19 +51,19 @@
 
     /// Computes the queue position and the latest start of a call.
     pub(crate) fn waiting_call(&mut self, now: MonotonicTime, call: QueuedCall) -> WaitingCall {
-        let owner = self.shares.index(&call.partner);
+        let partner = self.shares.index(&call.partner);
         let policy = &self.settings.policy;
         let lane = if policy.urgent_first && call.priority.urgent {
             Lane::Urgent
         } else if policy.shares {
-            Lane::Routine(owner)
+            Lane::Routine(partner)
         } else {
             Lane::Routine(PartnerIndex(0))
         };
-        let places = PrefixPlaces::of(&call, &self.prefixes);
-        let cached = places
+        let locations = PrefixLocations::of(&call, &self.prefixes);
+        let cached = locations
             .best(&self.backends)
-            .map_or(0, |backend| places.cached_at(backend));
+            .map_or(0, |backend| locations.cached_at(backend));
         let missing = call.prompt_tokens - cached;
         let work = self
             .service_times
@@ -79,7 +79,7 @@
                 serial: self.next_serial,
             },
             call,
-            partner: owner,
+            partner,
             lane,
             affinity: None,
             enqueued_at: now,
@@ -96,24 +96,26 @@
         } else {
             0
         };
-        let due = match policy.order {
+        let position = match policy.order {
             QueueOrder::ShortestCall => return call.max_total_tokens() as i64,
             QueueOrder::FirstComeFirstServed => arrival - rank,
             QueueOrder::LeastAttainedService => arrival + self.ageing_penalty_micros(call) - rank,
         };
         let lead = self.settings.deadline_lead.as_micros() as i64;
         let deadline = call.deadline.filter(|_| policy.deadline_order);
-        deadline.map_or(due, |deadline| due.min(deadline.micros as i64 - lead))
+        deadline.map_or(position, |deadline| {
+            position.min(deadline.micros as i64 - lead)
+        })
     }
 
     fn ageing_penalty_micros(&self, call: &QueuedCall) -> i64 {
         if call.priority.urgent {
             return 0;
         }
-        let most = self.settings.max_ageing_penalty.as_micros() as u64;
+        let max_penalty = self.settings.max_ageing_penalty.as_micros() as u64;
         let per_token = self.settings.ageing_micros_per_token;
         let penalty = call.attained_service.0.saturating_mul(per_token);
-        penalty.min(most) as i64
+        penalty.min(max_penalty) as i64
     }
 
     fn admission_view(&self, waiting: &WaitingCall) -> AdmissionView {
--- a/crates/scheduling/src/event.rs
+++ b/crates/scheduling/src/event.rs
@@ -29,7 +29,8 @@
 /// Priority class of a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Archive, Serialize, Deserialize)]
 pub struct Priority {
-    /// Whether the call takes strict precedence over all calls that are not urgent.
+    /// Whether the call takes strict precedence over all calls that are not urgent, called routine
+    /// calls.
     pub urgent: bool,
     /// Rank among the calls of one partner; higher goes first.
     pub rank: u8,
@@ -217,9 +218,9 @@
         /// Tokens of the context at the target; zero if the move failed.
         tokens: u64,
     },
-    /// A run waits for a tool or a sub-agent before its next call to this service.
+    /// A run paused: it waits for a tool or a sub-agent before its next call to this service.
     RunPaused {
-        /// The waiting run.
+        /// The paused run.
         run: RunId,
         /// Tool or sub-agent service that it waits for.
         tool: ServiceName,
--- a/crates/scheduling/src/grants.rs
+++ b/crates/scheduling/src/grants.rs
@@ -33,7 +33,8 @@
     pub state: GrantState,
     /// Whether the owner was asked to cancel the attempt.
     pub preempting: bool,
-    /// Time at which the grant expires.
+    /// Time at which the grant expires; in state `Moving`, the time at which it is sent to the owner
+    /// even if the move has not ended.
     pub expires_at: MonotonicTime,
 }
 
--- a/crates/scheduling/src/lib.rs
+++ b/crates/scheduling/src/lib.rs
@@ -1,6 +1,6 @@
 //! Queue order, partner shares, placement and cache retention, without I/O.
 //!
-//! [`Dispatcher`] is a state machine and the only queue in front of the backends of one service. It
+//! [`Dispatcher`] is a state machine and the only queue in front of the backends of one service, its *group*. It
 //! grants slots: the node that owns a run asks for one with [`Event::Enqueue`], writes its dispatch
 //! entry durably after [`Effect::Grant`], calls the backend itself and reports the end of the
 //! attempt with [`Event::AttemptEnded`].
--- a/crates/scheduling/src/placement.rs
+++ b/crates/scheduling/src/placement.rs
@@ -19,7 +19,7 @@
 /// Extra cost of a prefill into a full cache, as a multiple of the prefill time.
 const PRESSURE_SLOPE: f64 = 0.5;
 /// Latency weight that changes neither waiting nor prefill costs.
-const NEUTRAL_WEIGHT: f64 = 50.0;
+const NEUTRAL_LATENCY_WEIGHT: f64 = 50.0;
 
 /// Inputs of a placement decision.
 #[derive(Debug, Clone, Copy)]
@@ -45,13 +45,13 @@
     Now {
         /// Backend of the slot.
         backend: BackendIndex,
-        /// Engine from which the context should be moved first; `None` for no move.
+        /// Engine from which the context should be moved before the call runs; `None` for no move.
         move_from: Option<BackendIndex>,
     },
     /// Wait for a slot of this backend, which is cheaper than any free slot.
     WaitFor(BackendIndex),
     /// No suitable slot is free.
-    Full {
+    NoSuitableSlot {
         /// Accepting backend with the longest cached prefix; `None` if there is none.
         affinity: Option<BackendIndex>,
     },
@@ -59,20 +59,20 @@
 
 /// Engines that cache a prefix of one call's prompt.
 #[derive(Debug, Clone, Copy)]
-pub struct PrefixPlaces<'a> {
+pub struct PrefixLocations<'a> {
     own: &'a [CachedAt],
     inherited: &'a [CachedAt],
     prompt_tokens: u64,
     inherited_tokens: u64,
 }
 
-impl<'a> PrefixPlaces<'a> {
+impl<'a> PrefixLocations<'a> {
     /// Looks up the contexts of the call's run and of the run that it inherits from.
     pub fn of(call: &QueuedCall, prefixes: &'a PrefixMap) -> Self {
         let inherited = call.inherited;
         Self {
-            own: prefixes.places(call.run),
-            inherited: inherited.map_or(&[], |inherited| prefixes.places(inherited.run)),
+            own: prefixes.locations(call.run),
+            inherited: inherited.map_or(&[], |inherited| prefixes.locations(inherited.run)),
             prompt_tokens: call.prompt_tokens,
             inherited_tokens: inherited.map_or(0, |inherited| inherited.tokens),
         }
@@ -92,11 +92,13 @@
 
     /// The accepting backend with the longest cached prefix, if any.
     pub fn best(&self, backends: &BackendTable) -> Option<BackendIndex> {
-        let places = self.own.iter().chain(self.inherited);
-        let accepting = places.map(|place| place.backend).filter(|backend| {
-            let state = backends.get(*backend);
-            state.is_some_and(BackendState::accepts)
-        });
+        let locations = self.own.iter().chain(self.inherited);
+        let accepting = locations
+            .map(|location| location.backend)
+            .filter(|backend| {
+                let state = backends.get(*backend);
+                state.is_some_and(BackendState::accepts)
+            });
         accepting
             .map(|backend| (self.cached_at(backend), backend))
             .filter(|(tokens, _)| *tokens > 0)
@@ -105,9 +107,11 @@
     }
 }
 
-fn tokens_at(places: &[CachedAt], backend: BackendIndex) -> u64 {
-    let mut here = places.iter().filter(|place| place.backend == backend);
-    here.next().map_or(0, |place| place.tokens)
+fn tokens_at(locations: &[CachedAt], backend: BackendIndex) -> u64 {
+    let mut here = locations
+        .iter()
+        .filter(|location| location.backend == backend);
+    here.next().map_or(0, |location| location.tokens)
 }
 
 impl PlacementView<'_> {
@@ -118,21 +122,21 @@
         call: &QueuedCall,
         waiting_at: impl Fn(BackendIndex) -> usize,
     ) -> Choice {
-        let places = PrefixPlaces::of(call, self.prefixes);
+        let locations = PrefixLocations::of(call, self.prefixes);
         let urgent = call.priority.urgent;
-        let affinity = places.best(self.backends);
+        let affinity = locations.best(self.backends);
         let mut best: Option<(f64, BackendIndex)> = None;
         for (index, state) in self.backends.iter() {
-            if !state.has_slot(urgent) || !self.has_room(call, &places, index, state) {
+            if !state.has_slot(urgent) || !self.has_room(call, &locations, index, state) {
                 continue;
             }
-            let cost = self.cost(call, &places, index, state);
+            let cost = self.cost(call, &locations, index, state);
             if best.is_none_or(|(least, _)| cost < least) {
                 best = Some((cost, index));
             }
         }
         let Some((cost, backend)) = best else {
-            return Choice::Full { affinity };
+            return Choice::NoSuitableSlot { affinity };
         };
         if let Some(affinity) = affinity.filter(|affinity| *affinity != backend && !urgent)
             && let Some(state) = self.backends.get(affinity)
@@ -140,7 +144,7 @@
         {
             let wait = self.slot_wait(state, waiting_at(affinity));
             let affinity_cost =
-                self.cost(call, &places, affinity, state) + wait * self.wait_factor();
+                self.cost(call, &locations, affinity, state) + wait * self.wait_factor();
             if affinity_cost < cost {
                 return Choice::WaitFor(affinity);
             }
@@ -152,9 +156,9 @@
     /// Whether the backend has memory for the call: most of its context is cached there, or it fits
     /// beside the contexts in use.
     pub fn has_memory_for(&self, call: &QueuedCall, index: BackendIndex) -> bool {
-        let places = PrefixPlaces::of(call, self.prefixes);
+        let locations = PrefixLocations::of(call, self.prefixes);
         let state = self.backends.get(index);
-        state.is_some_and(|state| self.has_room(call, &places, index, state))
+        state.is_some_and(|state| self.has_room(call, &locations, index, state))
     }
 
     /// Calls that are urgent or have a deadline do not wait for memory: the delay would cost more than
@@ -162,12 +166,12 @@
     fn has_room(
         &self,
         call: &QueuedCall,
-        places: &PrefixPlaces<'_>,
+        locations: &PrefixLocations<'_>,
         index: BackendIndex,
         state: &BackendState,
     ) -> bool {
         let is_time_critical = call.priority.urgent || call.deadline.is_some();
-        let mostly_cached = places.cached_at(index) * 2 > call.prompt_tokens;
+        let mostly_cached = locations.cached_at(index) * 2 > call.prompt_tokens;
         let tokens = call.max_total_tokens();
         let fits = || self.working_set.fits(call.run, tokens, index, state);
         is_time_critical || mostly_cached || fits()
@@ -189,31 +193,32 @@
         if !there.accepts() {
             return true;
         }
-        let places = PrefixPlaces::of(call, self.prefixes);
+        let locations = PrefixLocations::of(call, self.prefixes);
         let wait = self.slot_wait(there, ahead) * self.wait_factor();
-        self.cost(call, &places, backend, here) < self.cost(call, &places, affinity, there) + wait
+        self.cost(call, &locations, backend, here)
+            < self.cost(call, &locations, affinity, there) + wait
     }
 
     /// Engine from which the call's context should be moved before it runs at `backend`; `None` if
     /// prefilling is faster or moves are disabled.
     pub fn move_source(&self, call: &QueuedCall, backend: BackendIndex) -> Option<BackendIndex> {
-        let places = PrefixPlaces::of(call, self.prefixes);
-        places
+        let locations = PrefixLocations::of(call, self.prefixes);
+        locations
             .own
             .iter()
-            .filter(|place| self.move_pays(&places, **place, backend))
-            .max_by_key(|place| place.tokens)
-            .map(|place| place.backend)
+            .filter(|location| self.is_move_faster(&locations, **location, backend))
+            .max_by_key(|location| location.tokens)
+            .map(|location| location.backend)
     }
 
     fn cost(
         &self,
         call: &QueuedCall,
-        places: &PrefixPlaces<'_>,
+        locations: &PrefixLocations<'_>,
         index: BackendIndex,
         state: &BackendState,
     ) -> f64 {
-        let missing = call.prompt_tokens - places.cached_at(index);
+        let missing = call.prompt_tokens - locations.cached_at(index);
         let prefill = self.service_times.prefill_micros(missing);
         let resident = self.prefixes.resident_tokens(index) as f64;
         let pressure = (resident / state.cache_capacity.max(1) as f64).min(1.0);
@@ -233,11 +238,16 @@
         }
     }
 
-    fn move_pays(&self, places: &PrefixPlaces<'_>, from: CachedAt, to: BackendIndex) -> bool {
+    fn is_move_faster(
+        &self,
+        locations: &PrefixLocations<'_>,
+        from: CachedAt,
+        to: BackendIndex,
+    ) -> bool {
         let Some(settings) = self.context_move else {
             return false;
         };
-        let missing = from.tokens.saturating_sub(places.cached_at(to));
+        let missing = from.tokens.saturating_sub(locations.cached_at(to));
         let moving_nanos = settings.nanos_per_token.saturating_mul(from.tokens);
         let moving = (settings.base_micros + moving_nanos / 1_000) as f64;
         from.backend != to && moving < self.service_times.prefill_micros(missing)
@@ -249,10 +259,10 @@
     }
 
     fn rebuild_factor(&self) -> f64 {
-        1.0 + (NEUTRAL_WEIGHT - f64::from(self.latency_weight)) / 100.0
+        1.0 + (NEUTRAL_LATENCY_WEIGHT - f64::from(self.latency_weight)) / 100.0
     }
 
     fn wait_factor(&self) -> f64 {
-        1.0 - (NEUTRAL_WEIGHT - f64::from(self.latency_weight)) / 200.0
+        1.0 - (NEUTRAL_LATENCY_WEIGHT - f64::from(self.latency_weight)) / 200.0
     }
 }
--- a/crates/scheduling/src/prefix_map.rs
+++ b/crates/scheduling/src/prefix_map.rs
@@ -46,15 +46,15 @@
 
 impl PrefixMap {
     /// Engines that cache the run's context, in no particular order.
-    pub fn places(&self, run: RunId) -> &[CachedAt] {
+    pub fn locations(&self, run: RunId) -> &[CachedAt] {
         self.by_run.get(&run).map_or(&[], Vec::as_slice)
     }
 
     /// Tokens of the run's context cached at the engine; 0 if it holds none.
     pub fn tokens_at(&self, run: RunId, backend: BackendIndex) -> u64 {
-        let places = self.places(run).iter();
-        let mut here = places.filter(|place| place.backend == backend);
-        here.next().map_or(0, |place| place.tokens)
+        let locations = self.locations(run).iter();
+        let mut here = locations.filter(|location| location.backend == backend);
+        here.next().map_or(0, |location| location.tokens)
     }
 
     /// Tokens of all contexts cached at the engine.
@@ -77,10 +77,13 @@
         let engine = self.engines.entry(backend).or_default();
         let before = engine.contexts.insert(run, tokens).unwrap_or(0);
         engine.resident_tokens = engine.resident_tokens - before + tokens;
-        let places = self.by_run.entry(run).or_default();
-        match places.iter_mut().find(|place| place.backend == backend) {
-            Some(place) => place.tokens = tokens,
-            None => places.push(CachedAt { backend, tokens }),
+        let locations = self.by_run.entry(run).or_default();
+        match locations
+            .iter_mut()
+            .find(|location| location.backend == backend)
+        {
+            Some(location) => location.tokens = tokens,
+            None => locations.push(CachedAt { backend, tokens }),
         }
     }
 
@@ -90,9 +93,9 @@
             let held = engine.contexts.remove(&run).unwrap_or(0);
             engine.resident_tokens -= held;
         }
-        if let Some(places) = self.by_run.get_mut(&run) {
-            places.retain(|place| place.backend != backend);
-            if places.is_empty() {
+        if let Some(locations) = self.by_run.get_mut(&run) {
+            locations.retain(|location| location.backend != backend);
+            if locations.is_empty() {
                 self.by_run.remove(&run);
             }
         }
@@ -148,10 +151,10 @@
 
     /// Removes a run at all engines and returns the removed entries.
     pub fn forget_run(&mut self, run: RunId) -> Vec<CachedAt> {
-        let places = self.places(run).to_vec();
-        for place in &places {
-            self.evict(run, place.backend);
+        let locations = self.locations(run).to_vec();
+        for location in &locations {
+            self.evict(run, location.backend);
         }
-        places
+        locations
     }
 }
--- a/crates/scheduling/src/queue.rs
+++ b/crates/scheduling/src/queue.rs
@@ -42,7 +42,7 @@
     pub partner: PartnerIndex,
     /// Lane that the call waits in.
     pub lane: Lane,
-    /// Position in the lane.
+    /// Sort key within the lane.
     pub key: OrderKey,
     /// Backend that the call prefers to wait for; `None` if any will do.
     pub affinity: Option<BackendIndex>,
--- a/crates/scheduling/src/retention.rs
+++ b/crates/scheduling/src/retention.rs
@@ -15,7 +15,7 @@
 const MIN_RETURN_PROBABILITY: f64 = 0.05;
 const VALUE_SCALE: f64 = 1.0e6;
 const NEUTRAL_MIN_GAIN_RATIO: f64 = 0.25;
-const NEUTRAL_WEIGHT: u8 = 50;
+const NEUTRAL_LATENCY_WEIGHT: u8 = 50;
 /// Decrease of the latency weight that halves the minimum gain of a longer lease.
 const WEIGHT_POINTS_PER_HALVING: f64 = 25.0;
 
@@ -116,7 +116,7 @@
         let pause = Pause {
             since: now,
             tool,
-            latency_weight: weight.or(before).unwrap_or(NEUTRAL_WEIGHT),
+            latency_weight: weight.or(before).unwrap_or(NEUTRAL_LATENCY_WEIGHT),
         };
         self.pauses.insert(run, pause);
     }
@@ -295,9 +295,10 @@
 }
 
 /// Minimum gain of a longer lease relative to the shorter one. Weights above the neutral one are
-/// treated as neutral: shorter leases lower the 95th percentile of latency on some workloads and raise
-/// it on others.
+/// treated as neutral, since leases shorter than the neutral ones do not reliably lower the 95th
+/// percentile of latency.
 fn min_gain_ratio(latency_weight: u8) -> f64 {
-    let points = f64::from(latency_weight.min(NEUTRAL_WEIGHT)) - f64::from(NEUTRAL_WEIGHT);
+    let points =
+        f64::from(latency_weight.min(NEUTRAL_LATENCY_WEIGHT)) - f64::from(NEUTRAL_LATENCY_WEIGHT);
     NEUTRAL_MIN_GAIN_RATIO * (points / WEIGHT_POINTS_PER_HALVING).exp2()
 }
--- a/crates/scheduling/src/service_time.rs
+++ b/crates/scheduling/src/service_time.rs
@@ -22,11 +22,13 @@
 /// Service-time model of one group of backends.
 #[derive(Debug, Clone)]
 pub struct ServiceTimeModel {
-    missing_squared: f64,
-    output_squared: f64,
-    missing_output: f64,
-    missing_time: f64,
-    output_time: f64,
+    // Exponentially decayed sums, over all samples, of products of missing tokens, generated tokens and
+    // the time in microseconds.
+    missing_squared_sum: f64,
+    output_squared_sum: f64,
+    missing_by_output_sum: f64,
+    missing_by_time_sum: f64,
+    output_by_time_sum: f64,
     prefill_micros: f64,
     step_micros: f64,
     output_ratio: f64,
@@ -36,11 +38,11 @@
 impl Default for ServiceTimeModel {
     fn default() -> Self {
         Self {
-            missing_squared: 0.0,
-            output_squared: 0.0,
-            missing_output: 0.0,
-            missing_time: 0.0,
-            output_time: 0.0,
+            missing_squared_sum: 0.0,
+            output_squared_sum: 0.0,
+            missing_by_output_sum: 0.0,
+            missing_by_time_sum: 0.0,
+            output_by_time_sum: 0.0,
             prefill_micros: PRIOR_PREFILL_MICROS,
             step_micros: PRIOR_STEP_MICROS,
             output_ratio: PRIOR_OUTPUT_RATIO,
@@ -55,11 +57,11 @@
         let micros = took.as_micros() as f64;
         let missing = usage.prompt.saturating_sub(usage.cached) as f64;
         let output = usage.output as f64;
-        self.missing_squared = self.missing_squared * DECAY + missing * missing;
-        self.output_squared = self.output_squared * DECAY + output * output;
-        self.missing_output = self.missing_output * DECAY + missing * output;
-        self.missing_time = self.missing_time * DECAY + missing * micros;
-        self.output_time = self.output_time * DECAY + output * micros;
+        self.missing_squared_sum = self.missing_squared_sum * DECAY + missing * missing;
+        self.output_squared_sum = self.output_squared_sum * DECAY + output * output;
+        self.missing_by_output_sum = self.missing_by_output_sum * DECAY + missing * output;
+        self.missing_by_time_sum = self.missing_by_time_sum * DECAY + missing * micros;
+        self.output_by_time_sum = self.output_by_time_sum * DECAY + output * micros;
         self.mean_micros += AVERAGE_GAIN * (micros - self.mean_micros);
         if max_output_tokens > 0 {
             let ratio = output / max_output_tokens as f64;
@@ -94,11 +96,11 @@
     }
 
     fn fit(&mut self) {
-        let first = self.missing_squared + PRIOR_PREFILL_WEIGHT;
-        let second = self.output_squared + PRIOR_STEP_WEIGHT;
-        let cross = self.missing_output;
-        let first_right = self.missing_time + PRIOR_PREFILL_WEIGHT * PRIOR_PREFILL_MICROS;
-        let second_right = self.output_time + PRIOR_STEP_WEIGHT * PRIOR_STEP_MICROS;
+        let first = self.missing_squared_sum + PRIOR_PREFILL_WEIGHT;
+        let second = self.output_squared_sum + PRIOR_STEP_WEIGHT;
+        let cross = self.missing_by_output_sum;
+        let first_right = self.missing_by_time_sum + PRIOR_PREFILL_WEIGHT * PRIOR_PREFILL_MICROS;
+        let second_right = self.output_by_time_sum + PRIOR_STEP_WEIGHT * PRIOR_STEP_MICROS;
         let determinant = first * second - cross * cross;
         if determinant <= f64::EPSILON {
             return;
--- a/crates/scheduling/src/settings.rs
+++ b/crates/scheduling/src/settings.rs
@@ -64,8 +64,9 @@
     pub deadline_order: bool,
     /// Whether calls that cannot meet their deadline are refused.
     pub deadline_refusal: bool,
-    /// Whether calls whose context is not cached wait until it fits into an engine's cache beside the
-    /// contexts in use.
+    /// Whether a call waits until its context fits into an engine's cache together with the contexts
+    /// in use. Urgent calls, calls with a deadline, and calls with more than half of their prompt
+    /// cached at the engine do not wait; an idle engine accepts any context.
     pub working_set: bool,
 }
 
@@ -156,8 +157,8 @@
     pub grant_timeout: Duration,
     /// Time after which the slot of an attempt whose end is not reported is freed.
     pub attempt_timeout: Duration,
-    /// Ageing: each token that the run has used orders a call as if it had arrived this much later,
-    /// in microseconds.
+    /// Penalty for attained service: a call's queue position is later by this much for each token that
+    /// its run has used, in microseconds.
     pub ageing_micros_per_token: u64,
     /// Upper bound of the delay that attained service adds to a call's position.
     pub max_ageing_penalty: Duration,
--- a/crates/scheduling/src/slot_grants.rs
+++ b/crates/scheduling/src/slot_grants.rs
@@ -7,7 +7,7 @@
 use crate::effect::Effect;
 use crate::event::{QueuedCall, Ticket};
 use crate::grants::{Grant, GrantState};
-use crate::placement::{Choice, PrefixPlaces};
+use crate::placement::{Choice, PrefixLocations};
 use crate::queue::{Lane, WaitingCall};
 use crate::settings::PlacementRule;
 
@@ -22,7 +22,7 @@
         match self.choose(ticket) {
             Choice::Now { backend, move_from } => self.grant(now, ticket, backend, move_from),
             Choice::WaitFor(affinity) => self.queue.set_affinity(ticket, Some(affinity)),
-            Choice::Full { affinity } => self.queue.set_affinity(ticket, affinity),
+            Choice::NoSuitableSlot { affinity } => self.queue.set_affinity(ticket, affinity),
         }
         self.extend_lease_while_waiting(now, ticket);
     }
@@ -114,8 +114,8 @@
         state: GrantState,
         expires_at: MonotonicTime,
     ) {
-        let places = PrefixPlaces::of(&waiting.call, &self.prefixes);
-        let reserved_tokens = waiting.call.max_total_tokens() - places.shared_at(index);
+        let locations = PrefixLocations::of(&waiting.call, &self.prefixes);
+        let reserved_tokens = waiting.call.max_total_tokens() - locations.shared_at(index);
         if let Some(backend) = self.backends.get_mut(index) {
             backend.in_flight += 1;
             backend.reserved_tokens += reserved_tokens;
@@ -138,8 +138,8 @@
             return;
         };
         let usable = state.cache_capacity * USABLE_PERMILLE / 1000;
-        let most_leased = usable.saturating_sub(state.reserved_tokens);
-        for change in self.retention.make_room(index, most_leased) {
+        let max_leased_tokens = usable.saturating_sub(state.reserved_tokens);
+        for change in self.retention.make_room(index, max_leased_tokens) {
             self.apply_retention(now, change);
         }
     }
--- a/crates/scheduling/tests/backends.rs
+++ b/crates/scheduling/tests/backends.rs
@@ -10,8 +10,8 @@
     Event, QueuedCall,
 };
 use support::{
-    OWNER, backend_name, call, complete, confirm, ended, enqueue_all, grants, group, millis,
-    settings, ticket,
+    OWNER, backend_name, call, complete, confirm, dispatcher_with_backends, ended, enqueue_all,
+    grants, millis, settings, ticket,
 };
 
 const START: MonotonicTime = MonotonicTime::ZERO;
@@ -35,7 +35,7 @@
     })
 }
 
-fn listed_empty(number: u64) -> Event {
+fn empty_listing(number: u64) -> Event {
     Event::CacheListing(CacheListing {
         backend: backend_name(1),
         number,
@@ -64,7 +64,7 @@
 
 #[test]
 fn a_leaving_backend_gets_no_new_calls() {
-    let mut dispatcher = group(settings(), 2);
+    let mut dispatcher = dispatcher_with_backends(settings(), 2);
     dispatcher.handle(START, Event::BackendLeaving(backend_name(0)));
     let granted = enqueue_all(&mut dispatcher, START, (1..=10).map(call));
     assert_eq!(granted.len(), 3);
@@ -73,7 +73,7 @@
 
 #[test]
 fn an_unconfirmed_grant_expires() {
-    let mut dispatcher = group(settings(), 1);
+    let mut dispatcher = dispatcher_with_backends(settings(), 1);
     for number in 1..=4 {
         dispatcher.handle(START, Event::Enqueue(call(number)));
     }
@@ -85,7 +85,7 @@
 
 #[test]
 fn running_attempts_reported_after_a_takeover_occupy_slots() {
-    let mut dispatcher = group(settings(), 1);
+    let mut dispatcher = dispatcher_with_backends(settings(), 1);
     for number in 1..=3 {
         let backend = backend_name(0);
         let call = call(number);
@@ -99,7 +99,7 @@
 
 #[test]
 fn losing_an_owner_drops_its_tickets_and_grants() {
-    let mut dispatcher = group(settings(), 1);
+    let mut dispatcher = dispatcher_with_backends(settings(), 1);
     enqueue_all(&mut dispatcher, START, (1..=10).map(call));
     dispatcher.handle(millis(1), Event::OwnerLost(OWNER));
     assert_eq!((dispatcher.queued(), dispatcher.in_flight()), (0, 0));
@@ -107,7 +107,7 @@
 
 #[test]
 fn a_failing_backend_is_ejected_and_then_probed_with_one_call() {
-    let mut dispatcher = group(settings(), 1);
+    let mut dispatcher = dispatcher_with_backends(settings(), 1);
     for number in 1..=3 {
         enqueue_all(&mut dispatcher, START, [call(number)]);
         dispatcher.handle(START, ended(number, AttemptOutcome::Failed));
@@ -124,7 +124,7 @@
 
 #[test]
 fn a_call_is_placed_where_its_prefix_is_cached() {
-    let mut dispatcher = group(settings(), 3);
+    let mut dispatcher = dispatcher_with_backends(settings(), 3);
     dispatcher.handle(START, stored(1, 20_000));
     let to = granted_backend(&mut dispatcher, millis(1), call_of_run(1, 21_000));
     assert_eq!(to, "engine-1");
@@ -132,7 +132,7 @@
 
 #[test]
 fn a_sub_agent_is_placed_where_its_inherited_context_is_cached() {
-    let mut dispatcher = group(settings(), 3);
+    let mut dispatcher = dispatcher_with_backends(settings(), 3);
     dispatcher.handle(START, stored(1, 20_000));
     let mut child = call(7);
     child.prompt_tokens = 21_000;
@@ -146,22 +146,22 @@
 
 #[test]
 fn a_gap_in_the_cache_events_triggers_one_listing_that_replaces_the_hints() {
-    let mut dispatcher = group(settings(), 3);
+    let mut dispatcher = dispatcher_with_backends(settings(), 3);
     dispatcher.handle(START, stored(1, 20_000));
     let effects = dispatcher.handle(START, stored(3, 20_000));
     assert!(requests_listing(&effects), "{effects:?}");
     let effects = dispatcher.handle(START, stored(5, 20_000));
     assert!(effects.is_empty(), "{effects:?}");
-    let effects = dispatcher.handle(START, listed_empty(4));
+    let effects = dispatcher.handle(START, empty_listing(4));
     assert!(requests_listing(&effects), "the listing is outdated");
-    dispatcher.handle(START, listed_empty(6));
+    dispatcher.handle(START, empty_listing(6));
     let to = granted_backend(&mut dispatcher, millis(1), call_of_run(1, 21_000));
     assert_eq!(to, "engine-0", "the hint of 20,000 tokens was replaced");
 }
 
 #[test]
 fn a_context_is_retained_through_a_pause_and_released_at_the_end_of_its_run() {
-    let mut dispatcher = group(settings(), 3);
+    let mut dispatcher = dispatcher_with_backends(settings(), 3);
     dispatcher.handle(START, stored(1, 20_000));
     let effects = dispatcher.handle(millis(1), paused());
     let [Effect::Retain { run, until, .. }] = effects.as_slice() else {
@@ -183,7 +183,7 @@
 fn lease_length(latency_weight: u8) -> Duration {
     let mut settings = settings();
     settings.partners[0].latency_weight = latency_weight;
-    let mut dispatcher = group(settings, 1);
+    let mut dispatcher = dispatcher_with_backends(settings, 1);
     let mut now = START;
     for number in 1..=100 {
         enqueue_all(&mut dispatcher, now, [call_of_run(number, 20_000)]);
@@ -211,7 +211,7 @@
 fn a_displaced_lease_ends_without_releasing_its_context() {
     let mut settings = settings();
     settings.default_cache_tokens = 30_000;
-    let mut dispatcher = group(settings, 2);
+    let mut dispatcher = dispatcher_with_backends(settings, 2);
     dispatcher.handle(START, stored(1, 20_000));
     dispatcher.handle(START, paused());
     for number in 0..50 {
@@ -251,7 +251,7 @@
 
 #[test]
 fn a_delayed_cache_event_of_an_ended_run_triggers_a_release() {
-    let mut dispatcher = group(settings(), 3);
+    let mut dispatcher = dispatcher_with_backends(settings(), 3);
     dispatcher.handle(START, stored(1, 20_000));
     dispatcher.handle(millis(2), Event::RunEnded(RUN));
     let effects = dispatcher.handle(millis(3), stored(2, 21_000));
@@ -266,7 +266,7 @@
 fn a_context_that_does_not_fit_waits_while_a_smaller_one_overtakes_it() {
     let mut settings = settings();
     settings.default_cache_tokens = 10_000;
-    let mut dispatcher = group(settings, 1);
+    let mut dispatcher = dispatcher_with_backends(settings, 1);
     let of_size = |number, tokens| QueuedCall {
         prompt_tokens: tokens,
         ..call(number)
@@ -282,7 +282,7 @@
 
 #[test]
 fn contexts_are_not_retained_after_many_pauses_without_return() {
-    let mut dispatcher = group(settings(), 3);
+    let mut dispatcher = dispatcher_with_backends(settings(), 3);
     for number in 0..1_000 {
         dispatcher.handle(START, stored(number, 20_000));
         dispatcher.handle(START, paused());
@@ -303,7 +303,7 @@
         nanos_per_token: 10,
         timeout,
     });
-    let mut dispatcher = group(settings, 2);
+    let mut dispatcher = dispatcher_with_backends(settings, 2);
     dispatcher.handle(START, stored(1, 50_000));
     dispatcher.handle(START, Event::BackendLeaving(backend_name(1)));
     enqueue_all(&mut dispatcher, START, [call(5)]);
@@ -320,7 +320,7 @@
 fn a_lease_ends_when_a_granted_call_needs_its_memory() {
     let mut settings = settings();
     settings.default_cache_tokens = 30_000;
-    let mut dispatcher = group(settings, 2);
+    let mut dispatcher = dispatcher_with_backends(settings, 2);
     dispatcher.handle(START, stored(1, 20_000));
     dispatcher.handle(START, paused());
     dispatcher.handle(START, Event::BackendLeaving(backend_name(0)));
--- a/crates/scheduling/tests/engine_commands.rs
+++ b/crates/scheduling/tests/engine_commands.rs
@@ -12,7 +12,7 @@
 
 const LIMITS: CommandLimits = CommandLimits {
     store_bytes_per_second: 1_000,
-    answer_timeout: Duration::from_secs(1),
+    response_timeout: Duration::from_secs(1),
 };
 
 fn commands() -> EngineCommands {
@@ -52,11 +52,11 @@
     commands.request(backend_name(0), EngineCommand::SetRole(EngineRole::Decode));
     let first = commands.due(millis(0)).remove(0);
     assert!(commands.due(millis(1)).is_empty());
-    commands.answered(&backend_name(0), first.token);
+    commands.response_received(&backend_name(0), first.token);
     let second = commands.due(millis(2)).remove(0);
     assert!(second.token > first.token);
     assert_eq!(second.command, EngineCommand::SetRole(EngineRole::Decode));
-    commands.answered(&backend_name(0), second.token);
+    commands.response_received(&backend_name(0), second.token);
     assert!(commands.is_idle());
 }
 
@@ -69,7 +69,7 @@
     let again = commands.due(millis(1_500)).remove(0);
     assert_eq!(again.command, first.command);
     assert!(again.token > first.token);
-    commands.answered(&backend_name(0), first.token);
+    commands.response_received(&backend_name(0), first.token);
     assert!(
         !commands.is_idle(),
         "the late response belongs to the earlier command"
--- a/crates/scheduling/tests/order.rs
+++ b/crates/scheduling/tests/order.rs
@@ -9,15 +9,15 @@
     AttemptOutcome, Dispatcher, DispatcherSettings, Effect, Event, QueuedCall,
 };
 use support::{
-    SLOTS, call, complete, ended, enqueue_all, grants, group, millis, partner, partners, settings,
-    ticket, urgent,
+    SLOTS, call, complete, dispatcher_with_backends, ended, enqueue_all, grants, millis, partner,
+    partners, settings, ticket, urgent,
 };
 
 const START: MonotonicTime = MonotonicTime::ZERO;
 
 /// A dispatcher with one engine, whose routine slots are all taken by calls 1 to 3.
 fn full_engine() -> Dispatcher {
-    let mut dispatcher = group(settings(), 1);
+    let mut dispatcher = dispatcher_with_backends(settings(), 1);
     let granted = enqueue_all(&mut dispatcher, START, (1..=3).map(call));
     assert_eq!(granted.len(), SLOTS as usize - 1);
     dispatcher
@@ -52,7 +52,7 @@
 
 #[test]
 fn calls_that_may_not_run_twice_are_never_preempted() {
-    let mut dispatcher = group(settings(), 1);
+    let mut dispatcher = dispatcher_with_backends(settings(), 1);
     let once = (1..=3).map(|number| QueuedCall {
         preemptible: false,
         ..call(number)
@@ -75,11 +75,11 @@
 #[test]
 fn ageing_bounds_the_wait_of_runs_with_much_attained_service() {
     let mut dispatcher = full_engine();
-    let most = DispatcherSettings::default().max_ageing_penalty;
+    let max_penalty = DispatcherSettings::default().max_ageing_penalty;
     enqueue_all(&mut dispatcher, millis(1), [with_attained(4, u64::MAX)]);
     let mut running = 1;
     let mut now = millis(1);
-    let bound = now + most + Duration::from_secs(1);
+    let bound = now + max_penalty + Duration::from_secs(1);
     for number in 100.. {
         now = now + Duration::from_millis(100);
         assert!(now < bound, "the run waited longer than the bound");
@@ -109,7 +109,7 @@
 
 #[test]
 fn a_returning_partner_gets_every_freed_slot_until_it_reaches_its_share() {
-    let mut dispatcher = group(settings(), 4);
+    let mut dispatcher = dispatcher_with_backends(settings(), 4);
     let slots = 4 * (u64::from(SLOTS) - 1);
     enqueue_all(&mut dispatcher, START, (1..=2 * slots).map(call));
     let returning = (100..100 + slots).map(|number| QueuedCall {
@@ -128,7 +128,7 @@
 fn shares_are_within_two_percent_while_both_partners_wait() {
     let mut settings = settings();
     settings.partners = partners([700, 300]);
-    let mut dispatcher = group(settings, 20);
+    let mut dispatcher = dispatcher_with_backends(settings, 20);
     let mut next = 1;
     let mut enqueue = |dispatcher: &mut Dispatcher, from: usize, count: usize| {
         for _ in 0..count {
@@ -161,7 +161,7 @@
 fn a_call_with_an_unmeetable_deadline_is_refused_at_once_with_a_retry_delay() {
     let mut settings = settings();
     settings.deadline_lead = Duration::ZERO;
-    let mut dispatcher = group(settings, 1);
+    let mut dispatcher = dispatcher_with_backends(settings, 1);
     enqueue_all(&mut dispatcher, START, (1..200).map(call));
     let mut late = with_attained(500, 20_000);
     late.deadline = Some(millis(3_000));
@@ -203,7 +203,7 @@
 fn a_full_queue_refuses_calls_at_once() {
     let mut settings = settings();
     settings.max_queued_per_partner = 2;
-    let mut dispatcher = group(settings, 1);
+    let mut dispatcher = dispatcher_with_backends(settings, 1);
     enqueue_all(&mut dispatcher, START, (1..=5).map(call));
     let effects = dispatcher.handle(millis(1), Event::Enqueue(call(6)));
     let (reason, retry_after) = refusal_of(&effects).unwrap();
--- a/crates/scheduling/tests/properties.rs
+++ b/crates/scheduling/tests/properties.rs
@@ -11,7 +11,9 @@
 use ridgeworks_scheduling::{
     AttemptOutcome, ContextMoveSettings, Dispatcher, DispatcherSettings, Effect, Event, Policy,
 };
-use support::{SLOTS, backend, backend_name, call, ended, group, settings, ticket, urgent};
+use support::{
+    SLOTS, backend, backend_name, call, dispatcher_with_backends, ended, settings, ticket, urgent,
+};
 
 const BACKENDS: u32 = 3;
 const MAX_QUEUED: usize = 8;
@@ -88,7 +90,7 @@
 impl World {
     fn new(settings: DispatcherSettings) -> Self {
         Self {
-            dispatcher: group(settings, BACKENDS),
+            dispatcher: dispatcher_with_backends(settings, BACKENDS),
             now: MonotonicTime::ZERO,
             next: 1,
             waiting: BTreeMap::new(),
--- a/crates/scheduling/tests/support/mod.rs
+++ b/crates/scheduling/tests/support/mod.rs
@@ -60,7 +60,7 @@
     }
 }
 
-pub fn group(settings: DispatcherSettings, backends: u32) -> Dispatcher {
+pub fn dispatcher_with_backends(settings: DispatcherSettings, backends: u32) -> Dispatcher {
     let mut dispatcher = Dispatcher::new(settings);
     for number in 0..backends {
         let event = Event::BackendUp(backend(number));
