--- a/crates/scheduling/src/settings.rs
+++ b/crates/scheduling/src/settings.rs
@@ -158,7 +158,7 @@
     /// Time after which the slot of an attempt whose end is not reported is freed.
     pub attempt_timeout: Duration,
     /// Penalty for attained service: a call's queue position is later by this much for each token that
-    /// its run has used, in microseconds.
+    /// its run has used, in microseconds. Calls that wait longer overcome it (ageing).
     pub ageing_micros_per_token: u64,
     /// Upper bound of the delay that attained service adds to a call's position.
     pub max_ageing_penalty: Duration,
