--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -247,7 +247,7 @@
     pub async fn look_up_prefill(&self, part: u64) -> Option<EngineKey> {
         let record = match self.node.gossip.directory_node(part) {
             Some(node) => self.node.gossip.query_prefill(node, part).await,
-            None => self.find_read(part),
+            None => self.find_prefill(part),
         };
         let record = record?;
         if record.is_failure() {
@@ -377,7 +377,7 @@
         metrics.replica_set_epoch.set(to_gauge(view.epoch().0));
         let store = &self.node.store;
         metrics.store_calls.set(to_gauge(store.calls()));
-        metrics.store_checks.set(to_gauge(store.checks()));
+        metrics.store_checks.set(to_gauge(store.probes()));
         metrics.silent_watches.set(to_gauge(store.silent_watches()));
         let silent_links = self.node.links.replaced();
         metrics.silent_links.set(to_gauge(silent_links));
@@ -423,7 +423,7 @@
         self.directory.borrow_mut().insert(record, now);
     }
 
-    fn find_read(&self, part: u64) -> Option<PrefillRecord> {
+    fn find_prefill(&self, part: u64) -> Option<PrefillRecord> {
         let directory = self.directory.borrow();
         directory.find(part, self.now()).cloned()
     }
--- a/crates/gateway/src/rate_limits.rs
+++ b/crates/gateway/src/rate_limits.rs
@@ -137,7 +137,7 @@
     }
 
     fn group_of(&self, tenant: &Tenant) -> GroupId {
-        let groups = self.node.view.groups();
+        let groups = self.node.view.replica_sets();
         groups.map_or(GroupId::default(), |groups| {
             groups.group_of_tenant(&tenant.name)
         })
--- a/crates/gateway/src/records_client.rs
+++ b/crates/gateway/src/records_client.rs
@@ -172,14 +172,14 @@
 
     /// The group that stores a program's records; the first one while no replica sets are known.
     pub fn group_of(&self, program: Option<&ProgramId>) -> GroupId {
-        let groups = self.node.view.groups();
+        let groups = self.node.view.replica_sets();
         groups.map_or(GroupId::default(), |groups| groups.group_of(program))
     }
 
     /// Whether more than half of the groups have lost their majority, so that this gateway can
     /// serve few turns.
     pub fn has_lost_most_majorities(&self) -> bool {
-        let groups = self.node.view.groups();
+        let groups = self.node.view.replica_sets();
         let groups = groups.map_or(1, |groups| groups.iter().count());
         2 * self.health.lost_count() > groups
     }
@@ -379,7 +379,7 @@
 
     /// The known replica sets, if that of this group is newer than `epoch`.
     fn newer_than(&self, group: GroupId, epoch: Epoch) -> Option<Rc<ReplicaGroups>> {
-        let groups = self.node.view.groups()?;
+        let groups = self.node.view.replica_sets()?;
         let is_newer = groups.set(group).is_some_and(|set| set.epoch > epoch);
         is_newer.then_some(groups)
     }
@@ -419,7 +419,7 @@
     async fn groups(&self) -> Rc<ReplicaGroups> {
         let mut changes = self.node.view.changes();
         loop {
-            if let Some(groups) = self.node.view.groups() {
+            if let Some(groups) = self.node.view.replica_sets() {
                 return groups;
             }
             if changes.changed().await.is_err() {
--- a/crates/gateway/src/records_client/reading.rs
+++ b/crates/gateway/src/records_client/reading.rs
@@ -122,7 +122,7 @@
                         }
                     }
                     Ok(ReplicaReply::Stale { groups }) => {
-                        self.node.view.adopt_groups(groups, Source::Peer);
+                        self.node.view.adopt_replica_sets(groups, Source::Peer);
                         return None;
                     }
                     Ok(ReplicaReply::Behind) => {
--- a/crates/gateway/src/records_client/writing.rs
+++ b/crates/gateway/src/records_client/writing.rs
@@ -63,7 +63,9 @@
             let request = make_request(set.epoch);
             match self.write_to_set(set, request, operation, replies).await {
                 WriteEnd::Durable(ledger) => return ledger,
-                WriteEnd::Restart(groups) => self.node.view.adopt_groups(groups, Source::Peer),
+                WriteEnd::Restart(groups) => {
+                    self.node.view.adopt_replica_sets(groups, Source::Peer)
+                }
             }
         }
     }
--- a/crates/gateway/src/warm_ups.rs
+++ b/crates/gateway/src/warm_ups.rs
@@ -264,7 +264,7 @@
     }
 
     fn group_of(&self, engine: &Engine) -> GroupId {
-        let groups = self.node.view.groups();
+        let groups = self.node.view.replica_sets();
         groups.map_or(GroupId::default(), |groups| {
             groups.group_of_engine(&engine.instance)
         })
--- a/crates/gateway/src/zone_drains.rs
+++ b/crates/gateway/src/zone_drains.rs
@@ -47,7 +47,7 @@
         let drains = &self.node.view.drains;
         let bound = self.node.settings.bounds.zone_drain();
         let is_overdue = bound.is_none_or(|bound| self.node.clock.now() > bound);
-        !drains.are_followed() || drains.are_known() || is_overdue
+        !drains.are_used() || drains.are_known() || is_overdue
     }
 
     pub fn has_any(&self) -> bool {
--- a/crates/replica/src/actor.rs
+++ b/crates/replica/src/actor.rs
@@ -434,7 +434,7 @@
         });
         self.read_all();
         self.publish_sets();
-        let newer = self.parts.view.groups();
+        let newer = self.parts.view.replica_sets();
         if let (Some(groups), Some(disk)) = (newer, self.disk.as_mut())
             && groups.epoch() > disk.state.epoch()
         {
@@ -590,7 +590,7 @@
         let groups = self.disk.as_ref().and_then(|disk| disk.state.groups());
         if let Some(groups) = groups {
             let groups = groups.clone();
-            self.parts.view.adopt_groups(groups, Source::Peer);
+            self.parts.view.adopt_replica_sets(groups, Source::Peer);
         }
     }
 
--- a/crates/replica/src/coordinator.rs
+++ b/crates/replica/src/coordinator.rs
@@ -16,7 +16,7 @@
     SetStep, StorageNode, initial_groups, plan_change,
 };
 use ridgeworks_resident::clock::whole_ms;
-use ridgeworks_resident::node::{REPLICA_SET_NAME, RegisteredGroups};
+use ridgeworks_resident::node::{REPLICA_SET_NAME, RegisteredReplicaSets};
 use ridgeworks_resident::view::Source;
 use ridgeworks_resident::watch_policy::{WatchControl, WatchTimings};
 
@@ -93,7 +93,7 @@
         let mut ticks = tokio::time::interval(TICK_INTERVAL);
         loop {
             ticks.tick().await;
-            let Some(groups) = self.replica.node.view.groups() else {
+            let Some(groups) = self.replica.node.view.replica_sets() else {
                 self.create_initial_sets().await;
                 continue;
             };
@@ -150,7 +150,7 @@
             return;
         };
         self.register_read_at = now;
-        let found = self.replica.node.read_groups().await;
+        let found = self.replica.node.read_replica_sets().await;
         log::info!(
             target: "dependency",
             group = group.0,
@@ -183,7 +183,8 @@
         let Some(groups) = initial_groups(&nodes, size) else {
             return;
         };
-        let Some(RegisteredGroups::Missing) = self.replica.node.read_groups().await else {
+        let Some(RegisteredReplicaSets::Missing) = self.replica.node.read_replica_sets().await
+        else {
             return;
         };
         let request = create(ObjectKind::ReplicaSets, REPLICA_SET_NAME, &groups);
@@ -200,7 +201,7 @@
             "replica set changed"
         );
         let view = &self.replica.node.view;
-        view.adopt_groups(groups, Source::Store);
+        view.adopt_replica_sets(groups, Source::Store);
     }
 
     async fn change_set(&mut self, group: GroupId, groups: &ReplicaGroups, nodes: &[StorageNode]) {
@@ -300,8 +301,8 @@
     /// Writes the changed set of a group if the register still holds the set that it was planned
     /// on.
     async fn write(&self, group: GroupId, planned_on: Epoch, change: ReplicaSet) {
-        let Some(RegisteredGroups::Found { groups, revision }) =
-            self.replica.node.read_groups().await
+        let Some(RegisteredReplicaSets::Found { groups, revision }) =
+            self.replica.node.read_replica_sets().await
         else {
             return;
         };
@@ -330,7 +331,7 @@
         );
         let new_members: Vec<Replica> = change.new_members().into_iter().cloned().collect();
         let view = &self.replica.node.view;
-        view.adopt_groups(changed.clone(), Source::Store);
+        view.adopt_replica_sets(changed.clone(), Source::Store);
         // The set stays joint until they have copied the rest, so they are told at once.
         self.new_members.ask(group, &changed, &new_members);
     }
--- a/crates/replica/src/copying.rs
+++ b/crates/replica/src/copying.rs
@@ -96,7 +96,7 @@
 
 /// The copy that this replica has to make for a joint set, if any.
 fn joint_job(replica: &ReplicaHandle) -> Option<CopyJob> {
-    let groups = replica.node.view.groups()?;
+    let groups = replica.node.view.replica_sets()?;
     let status = replica.status()?;
     let mut sets = groups.iter();
     let (group, set) = sets.find(|(group, set)| {
@@ -113,7 +113,7 @@
 
 /// The requested copies of groups that this replica is to join.
 fn preparation_jobs(replica: &ReplicaHandle) -> Vec<CopyJob> {
-    let (Some(groups), Some(status)) = (replica.node.view.groups(), replica.status()) else {
+    let (Some(groups), Some(status)) = (replica.node.view.replica_sets(), replica.status()) else {
         return Vec::new();
     };
     let me = status.id;
@@ -162,7 +162,7 @@
             self.replica.preparation.clear();
             self.me = me;
         }
-        let groups = self.replica.node.view.groups();
+        let groups = self.replica.node.view.replica_sets();
         let replica = &self.replica;
         let is_wanted = |group: GroupId| {
             let set = groups.as_ref().and_then(|groups| groups.set(group));
@@ -357,7 +357,7 @@
             ReplicaReply::Listed(listing) => Ok(listing),
             ReplicaReply::Stale { groups } => {
                 let view = &self.replica.node.view;
-                view.adopt_groups(groups, Source::Peer);
+                view.adopt_replica_sets(groups, Source::Peer);
                 Err(CopyError::Superseded)
             }
             _ => Err(CopyError::Source),
--- a/crates/replica/src/handle.rs
+++ b/crates/replica/src/handle.rs
@@ -88,7 +88,7 @@
         let mut changes = self.node.view.changes();
         let mut forwarded = Epoch::default();
         loop {
-            if let Some(groups) = self.node.view.groups()
+            if let Some(groups) = self.node.view.replica_sets()
                 && groups.epoch() > forwarded
             {
                 forwarded = groups.epoch();
@@ -154,7 +154,7 @@
             .is_some_and(|status| status.id == preparing.to);
         let PrepareRequest { group, groups, .. } = preparing;
         let epoch = groups.set(group).map(|set| set.epoch);
-        self.node.view.adopt_groups(groups, Source::Peer);
+        self.node.view.adopt_replica_sets(groups, Source::Peer);
         let epoch = epoch.filter(|_| is_recipient);
         let is_ready = epoch.is_some_and(|epoch| self.preparation.on_request(group, epoch));
         PeerReply::Prepared { is_ready }
@@ -209,7 +209,7 @@
 
     fn on_prefill(&self, _read: PrefillRecord) {}
 
-    fn find_read(&self, _part: u64) -> Option<PrefillRecord> {
+    fn find_prefill(&self, _part: u64) -> Option<PrefillRecord> {
         None
     }
 }
--- a/crates/resident/src/drain_handler.rs
+++ b/crates/resident/src/drain_handler.rs
@@ -24,21 +24,22 @@
 }
 
 impl WatchHandler for DrainHandler {
-    fn on_list(&self, objects: Vec<Object>, at: u64) {
+    fn on_list(&self, objects: Vec<Object>, list_revision: u64) {
         let orders = objects
             .into_iter()
             .map(|object| (object.name, object.revision));
-        let table = ZoneDrains::listed(orders.collect(), at);
+        let table = ZoneDrains::listed(orders.collect(), list_revision);
         self.view.adopt_drains(table, Source::Store);
     }
 
-    fn on_events(&self, events: Vec<ObjectEvent>, at: u64) {
+    fn on_events(&self, events: Vec<ObjectEvent>, complete_at: u64) {
         let changes = events.into_iter().map(|event| {
             let Object { name, revision, .. } = event.object;
             (name, (!event.gone).then_some(revision))
         });
         let changes: Vec<(String, Option<u64>)> = changes.collect();
-        self.view.change_drains(&changes, at, Source::Store);
+        self.view
+            .change_drains(&changes, complete_at, Source::Store);
     }
 
     fn on_confirmed(&self, age: Duration) {
@@ -49,11 +50,11 @@
         self.view.announce_confirmation();
     }
 
-    fn unconfirmed(&self) -> Option<Duration> {
+    fn confirmation_age(&self) -> Option<Duration> {
         self.view.drains.confirmation_age()
     }
 
     fn known_revision(&self) -> Option<u64> {
-        self.view.drains.at()
+        self.view.drains.revision()
     }
 }
--- a/crates/resident/src/http_server.rs
+++ b/crates/resident/src/http_server.rs
@@ -61,8 +61,8 @@
 
 fn serve_connection(stream: TcpStream, answer: Rc<impl Fn(&str) -> TextResponse + 'static>) {
     let service = service_fn(move |request: Request<Incoming>| {
-        let text = answer(request.uri().path());
-        async move { Ok::<_, std::convert::Infallible>(response(text)) }
+        let text_response = answer(request.uri().path());
+        async move { Ok::<_, std::convert::Infallible>(response(text_response)) }
     });
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
@@ -74,10 +74,10 @@
     });
 }
 
-fn response(text: TextResponse) -> Response<Full<Bytes>> {
-    let mut response = Response::new(Full::new(Bytes::from(text.body)));
-    *response.status_mut() = text.status;
-    let content_type = HeaderValue::from_static(text.content_type);
+fn response(text_response: TextResponse) -> Response<Full<Bytes>> {
+    let mut response = Response::new(Full::new(Bytes::from(text_response.body)));
+    *response.status_mut() = text_response.status;
+    let content_type = HeaderValue::from_static(text_response.content_type);
     response
         .headers_mut()
         .insert(header::CONTENT_TYPE, content_type);
--- a/crates/resident/src/logging.rs
+++ b/crates/resident/src/logging.rs
@@ -2,7 +2,7 @@
 //!
 //! Lines go through a bounded queue to a writer thread, so that a stalled reader of the output never blocks the
 //! networking thread. Lines are rate-limited by target and level; the suppressed ones are counted, and their number is logged
-//! with the first line after the second.
+//! when the first line of that target and level comes after the one-second window.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -33,7 +33,7 @@
 #[derive(Debug, Default)]
 pub struct LogCounters {
     /// Lines handed to the writer.
-    pub written: AtomicU64,
+    pub queued: AtomicU64,
     /// Lines dropped by the rate limit.
     pub suppressed: AtomicU64,
     /// Lines dropped because the queue was full.
@@ -49,7 +49,7 @@
         const CHECK_INTERVAL: Duration = Duration::from_millis(2);
         let limit = Instant::now() + timeout;
         let is_behind =
-            || self.flushed.load(Ordering::Acquire) < self.written.load(Ordering::Acquire);
+            || self.flushed.load(Ordering::Acquire) < self.queued.load(Ordering::Acquire);
         while is_behind() && Instant::now() < limit {
             std::thread::sleep(CHECK_INTERVAL);
         }
@@ -64,7 +64,7 @@
     /// `log4rs` rejected the configuration.
     Configuration(log4rs::config::runtime::ConfigErrors),
     /// A logger is already installed.
-    Started(log::SetLoggerError),
+    AlreadyInstalled(log::SetLoggerError),
 }
 
 impl fmt::Display for LogError {
@@ -72,7 +72,7 @@
         match self {
             Self::Thread(error) => write!(formatter, "cannot start the log writer thread: {error}"),
             Self::Configuration(error) => write!(formatter, "cannot configure the log: {error}"),
-            Self::Started(error) => write!(formatter, "cannot start the log: {error}"),
+            Self::AlreadyInstalled(error) => write!(formatter, "cannot start the log: {error}"),
         }
     }
 }
@@ -102,7 +102,7 @@
         .map_err(LogError::Configuration)?;
     log4rs::init_config(config)
         .map(|_| counters)
-        .map_err(LogError::Started)
+        .map_err(LogError::AlreadyInstalled)
 }
 
 fn write_lines(lines: &Receiver<Vec<u8>>, counters: &LogCounters) {
@@ -168,10 +168,10 @@
         }
         let mut line = Vec::new();
         JsonEncoder::new().encode(&mut SimpleWriter(&mut line), record)?;
-        // Counted before the writer can receive the line, so that `flushed` never exceeds `written`.
-        self.counters.written.fetch_add(1, Ordering::AcqRel);
+        // Counted before the writer can receive the line, so that `flushed` never exceeds `queued`.
+        self.counters.queued.fetch_add(1, Ordering::AcqRel);
         if self.lines.try_send(line).is_err() {
-            self.counters.written.fetch_sub(1, Ordering::AcqRel);
+            self.counters.queued.fetch_sub(1, Ordering::AcqRel);
             self.counters.lost.fetch_add(1, Ordering::Relaxed);
         }
         Ok(())
--- a/crates/resident/src/metrics.rs
+++ b/crates/resident/src/metrics.rs
@@ -43,7 +43,7 @@
 impl Collector for LogCollector {
     fn encode(&self, encoder: DescriptorEncoder) -> Result<(), std::fmt::Error> {
         let counters = [
-            ("log_lines_written", "Lines of the log", &self.0.written),
+            ("log_lines_written", "Lines of the log", &self.0.queued),
             (
                 "log_lines_suppressed",
                 "Lines left out because too many of their kind came in one second",
--- a/crates/resident/src/node.rs
+++ b/crates/resident/src/node.rs
@@ -41,10 +41,11 @@
 const WATCHER_ROLE_LIFETIME: Duration = Duration::from_secs(1);
 /// How long a node waits for a first heartbeat before it looks for other nodes in the store.
 const STORE_DISCOVERY_DELAY: Duration = Duration::from_millis(1_500);
-/// How often a replica reads the first sets. Their writer announces them in its next heartbeat, so reading matters only to a
-/// replica that receives none; the calls of all replicas add up.
+/// How often a replica reads the replica sets from the store until some are known. Their writer announces them in its next
+/// heartbeat, so only a replica that receives none depends on this. A shorter interval would load the store, since all replicas
+/// read.
 const REPLICA_SET_READ_INTERVAL: Duration = Duration::from_secs(1);
-/// How often a gateway that doesn't watch the store reads the replica set itself.
+/// How often a gateway that doesn't watch the store reads the replica sets itself.
 const FALLBACK_REPLICA_SET_READ_INTERVAL: Duration = Duration::from_secs(3);
 const SEED_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
@@ -74,7 +75,7 @@
     current_settings: RefCell<NodeSettings>,
     settings_unreadable: Cell<bool>,
     /// Last revision of the stored replica sets that could not be decoded; 0 for none.
-    unreadable_sets: Cell<u64>,
+    unreadable_replica_sets: Cell<u64>,
     /// Whether a seed has replied.
     has_seed_replied: Cell<bool>,
 }
@@ -92,7 +93,7 @@
     /// Binds the socket for heartbeats. [`Node::start`] binds the one for requests.
     pub async fn bind(settings: NodeSettings, clock: Clock) -> io::Result<Rc<Self>> {
         let is_gateway = settings.role == Role::Gateway;
-        let view = View::new(clock, is_gateway).needing_extras(settings.need_extras());
+        let view = View::new(clock, is_gateway).needing_protocol_1(settings.needs_protocol_1());
         let has_drains = is_gateway && settings.bounds.zone_drain().is_some();
         let view = Rc::new(if has_drains { view.with_drains() } else { view });
         let bound = settings.bounds.configuration();
@@ -121,7 +122,7 @@
             gossip: Rc::new(gossip),
             current_settings: RefCell::new(settings.clone()),
             settings_unreadable: Cell::new(false),
-            unreadable_sets: Cell::new(0),
+            unreadable_replica_sets: Cell::new(0),
             regions,
             traffic,
             has_seed_replied: Cell::new(false),
@@ -144,7 +145,7 @@
         let gossip = Rc::clone(&self.gossip);
         tokio::task::spawn_local(gossip.run(sources));
         tokio::task::spawn_local(Rc::clone(self).discover_members());
-        tokio::task::spawn_local(Rc::clone(self).discover_replica_set());
+        tokio::task::spawn_local(Rc::clone(self).discover_replica_sets());
         for seed in self.settings.seed_peers() {
             tokio::task::spawn_local(Rc::clone(self).fetch_view_from(seed));
         }
@@ -162,7 +163,7 @@
         );
         let engines = EngineHandler::new(Rc::clone(&self.view));
         self.watch_objects(ObjectKind::Engines, engines, &self.watch_control);
-        if self.view.drains.are_followed() {
+        if self.view.drains.are_used() {
             let drains = DrainHandler::new(Rc::clone(&self.view));
             self.watch_objects(ObjectKind::ZoneDrains, drains, &self.drain_watch_control);
         }
@@ -245,7 +246,7 @@
         role: WatcherRole,
         now: Duration,
     ) {
-        if !self.view.drains.are_followed() {
+        if !self.view.drains.are_used() {
             return;
         }
         let unconfirmed = self.view.drains.confirmation_age();
@@ -259,7 +260,7 @@
                 watches = should_watch,
                 place:? = role,
                 unconfirmed_ms:? = unconfirmed.map(|age| age.as_millis());
-                "watching for drains of zones changed"
+                "started or stopped watching zone drains in the platform store"
             );
         }
     }
@@ -298,35 +299,35 @@
     }
 
     /// Reads the replica sets and their revision from the store; `None` when the store doesn't answer or the object can't be decoded.
-    pub async fn read_groups(&self) -> Option<RegisteredGroups> {
+    pub async fn read_replica_sets(&self) -> Option<RegisteredReplicaSets> {
         let call = read(ObjectKind::ReplicaSets, REPLICA_SET_NAME);
         let answer = self.store.call(call, STORE_CALL_TIMEOUT).await.ok()?;
         match answer.outcome {
-            StoreOutcome::NotFound => Some(RegisteredGroups::Missing),
+            StoreOutcome::NotFound => Some(RegisteredReplicaSets::Missing),
             StoreOutcome::Done => {
                 let object = read_object(&answer.body).ok()?;
                 if let Err(error) = check_format_version(&object.spec) {
-                    self.log_unreadable_sets(object.revision, &error);
+                    self.log_unreadable_replica_sets(object.revision, &error);
                     return None;
                 }
                 let groups = match ReplicaGroups::deserialize(&object.spec) {
                     Ok(groups) => groups,
                     Err(error) => {
-                        self.log_unreadable_sets(object.revision, &error);
+                        self.log_unreadable_replica_sets(object.revision, &error);
                         return None;
                     }
                 };
-                self.view.adopt_groups(groups.clone(), Source::Store);
+                self.view.adopt_replica_sets(groups.clone(), Source::Store);
                 let revision = object.revision;
-                Some(RegisteredGroups::Found { groups, revision })
+                Some(RegisteredReplicaSets::Found { groups, revision })
             }
             _ => None,
         }
     }
 
     /// Logs, once per revision, that the object can't be decoded. The known sets stay in force.
-    fn log_unreadable_sets(&self, revision: u64, error: &dyn std::fmt::Display) {
-        if self.unreadable_sets.replace(revision) != revision {
+    fn log_unreadable_replica_sets(&self, revision: u64, error: &dyn std::fmt::Display) {
+        if self.unreadable_replica_sets.replace(revision) != revision {
             log::error!(
                 target: "dependency",
                 revision = revision,
@@ -355,7 +356,7 @@
 
     /// Asks the seeds for other nodes until a heartbeat arrives. A node that receives none for a while registers itself in
     /// the store and looks for others there; the others don't, so that calls to the store don't grow with the fleet. The replicas
-    /// become known with their set in any case, and their heartbeats name the other nodes.
+    /// become known with their sets in any case, and their heartbeats name the other nodes.
     async fn discover_members(self: Rc<Self>) {
         let started_at = self.clock.now();
         let mut is_registered = false;
@@ -388,19 +389,19 @@
 
     /// Reads the replica sets until some are known. A gateway that doesn't watch the store relies on those that do; a replica always
     /// reads the stored sets.
-    async fn discover_replica_set(self: Rc<Self>) {
+    async fn discover_replica_sets(self: Rc<Self>) {
         let is_replica = self.settings.role == Role::Replica;
         let mut read_at = Duration::ZERO;
         if is_replica {
             // Sets from other nodes may be stale: all that knew newer ones may be gone.
-            self.read_groups().await;
+            self.read_replica_sets().await;
         }
-        while self.view.groups().is_none() {
+        while self.view.replica_sets().is_none() {
             let now = self.clock.now();
             let is_late = now - read_at > FALLBACK_REPLICA_SET_READ_INTERVAL;
             if is_replica || self.watch_control.should_watch() || is_late {
                 read_at = now;
-                self.read_groups().await;
+                self.read_replica_sets().await;
             }
             let pause = if is_replica {
                 REPLICA_SET_READ_INTERVAL
@@ -415,13 +416,13 @@
     async fn fetch_view_from(self: Rc<Self>, seed: SocketAddr) {
         const MAX_ATTEMPTS: usize = 20;
         for _ in 0..MAX_ATTEMPTS {
-            if self.view.routes().is_some() && self.view.groups().is_some() {
+            if self.view.routes().is_some() && self.view.replica_sets().is_some() {
                 return;
             }
-            let answered = fetch_view(&self.links, &self.view, seed).await;
+            let replied = fetch_view(&self.links, &self.view, seed).await;
             self.has_seed_replied
-                .set(answered || self.has_seed_replied.get());
-            if answered && self.view.routes().is_some() {
+                .set(replied || self.has_seed_replied.get());
+            if replied && self.view.routes().is_some() {
                 return;
             }
             sleep_with_jitter(SEED_RETRY_INTERVAL).await;
@@ -431,7 +432,7 @@
 
 /// The replica sets in the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum RegisteredGroups {
+pub enum RegisteredReplicaSets {
     /// None have been written yet.
     Missing,
     /// The sets and the revision of their object.
--- a/crates/resident/src/peer/confirmation_query.rs
+++ b/crates/resident/src/peer/confirmation_query.rs
@@ -1,7 +1,7 @@
 //! Decides when to ask another node for its confirmations.
 //!
 //! The age in a heartbeat proves nothing: the datagram may have been delayed for any time by a frozen process, and would make
-//! an old confirmation look recent. So it only selects the node to query. The answer's age is counted from when the query was
+//! an old confirmation look recent. So it only selects the node to query. The age in the reply is counted from when the query was
 //! sent, on the clock of the requester, which includes any delay.
 
 use std::cell::Cell;
@@ -10,8 +10,8 @@
 /// Fraction of the configuration bound by which another node's confirmation must be more recent to be worth the two datagrams
 /// of a query.
 const MIN_GAIN_FRACTION: f64 = 0.1;
-/// After this time without an answer another node may be queried.
-const ANSWER_TIMEOUT: Duration = Duration::from_millis(300);
+/// After this time without a reply another node may be queried.
+const REPLY_TIMEOUT: Duration = Duration::from_millis(300);
 
 #[derive(Debug, Clone, Copy)]
 struct PendingQuery {
@@ -19,7 +19,7 @@
     sent_at: Duration,
 }
 
-/// Ages of two nodes' confirmations of the same kind; `None` where there was none.
+/// How long ago one part of the view was last confirmed, at this node and at another; `None` where it never was.
 #[derive(Debug, Clone, Copy)]
 pub struct ConfirmationAges {
     /// Age at this node.
@@ -47,13 +47,13 @@
     }
 
     /// Starts a query to a node with these ages and returns its number; `None` where a query is pending or the other node's
-    /// confirmations are not recent enough. One kind is enough, since each is confirmed by its own call to the store.
-    pub fn start(&self, kinds: &[ConfirmationAges], now: Duration) -> Option<u64> {
-        let gains = kinds.iter().any(|ages| self.gains(*ages));
+    /// confirmations are not recent enough. One part is enough, since each is confirmed by its own call to the store.
+    pub fn start(&self, parts: &[ConfirmationAges], now: Duration) -> Option<u64> {
+        let gains = parts.iter().any(|ages| self.gains(*ages));
         let is_free = self
             .pending
             .get()
-            .is_none_or(|pending| now.saturating_sub(pending.sent_at) > ANSWER_TIMEOUT);
+            .is_none_or(|pending| now.saturating_sub(pending.sent_at) > REPLY_TIMEOUT);
         if !gains || !is_free {
             return None;
         }
@@ -74,7 +74,7 @@
     }
 
     /// Ends the query with this number and returns the time since it was sent; `None` unless it is the pending one.
-    pub fn on_answer(&self, number: u64, now: Duration) -> Option<Duration> {
+    pub fn on_reply(&self, number: u64, now: Duration) -> Option<Duration> {
         let pending = self
             .pending
             .get()
--- a/crates/resident/src/peer/encoding.rs
+++ b/crates/resident/src/peer/encoding.rs
@@ -118,7 +118,7 @@
 
     fn body(&self) -> Cow<'_, Self> {
         match self {
-            // An answer to a query that was never sent.
+            // A reply to a query that was never sent.
             Self::Extension(_) => Cow::Owned(Self::FoundRead {
                 number: 0,
                 read: None,
--- a/crates/resident/src/peer/gossip.rs
+++ b/crates/resident/src/peer/gossip.rs
@@ -34,10 +34,10 @@
 use super::targets::{FAN_OUT, targets};
 use crate::clock::Clock;
 use crate::view::View;
-use crate::watch_policy::{self, SMALL_FLEET, WatchControl, WatcherRole};
+use crate::watch_policy::{self, LARGE_FLEET_GATEWAYS, WatchControl, WatcherRole};
 
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(250);
-/// Numbers of other nodes named in a heartbeat.
+/// How many other nodes a heartbeat names.
 const NAMED_REPLICAS: usize = 5;
 const NAMED_GATEWAYS: usize = 2;
 /// One in this many rounds of heartbeats names other nodes. The names are most of a heartbeat's bytes, and members change rarely.
@@ -66,8 +66,8 @@
     fn on_load(&self, from: &str, load: LoadReport);
     /// Records a prefill of a prompt whose directory node this is.
     fn on_prefill(&self, prefill: PrefillRecord);
-    /// The last recorded prefill of a prompt with this last part.
-    fn find_read(&self, part: u64) -> Option<PrefillRecord>;
+    /// The most recently recorded prefill of a prompt whose last part has this hash.
+    fn find_prefill(&self, part: u64) -> Option<PrefillRecord>;
 }
 
 /// Sends and receives heartbeats.
@@ -145,7 +145,7 @@
         if self.added_epoch.replace(self.view.epoch()) == self.view.epoch() {
             return;
         }
-        let Some(groups) = self.view.groups() else {
+        let Some(groups) = self.view.replica_sets() else {
             return;
         };
         let infos = groups.members().into_iter().filter_map(|replica| {
@@ -207,19 +207,19 @@
         let mut buffer = vec![0; MAX_DATAGRAM];
         let mut changes = self.view.changes();
         let mut announcement_due = std::pin::pin!(tokio::time::sleep(Duration::ZERO));
-        let mut has_change = false;
+        let mut is_announcement_pending = false;
         loop {
             tokio::select! {
                 _ = ticks.tick() => self.send_heartbeats(&*sources).await,
-                changed = changes.changed(), if !has_change => if changed.is_ok() {
-                    has_change = true;
+                changed = changes.changed(), if !is_announcement_pending => if changed.is_ok() {
+                    is_announcement_pending = true;
                     announcement_due.as_mut().reset(tokio::time::Instant::now() + CHANGE_DELAY);
                 },
-                () = announcement_due.as_mut(), if has_change => {
-                    has_change = false;
+                () = announcement_due.as_mut(), if is_announcement_pending => {
+                    is_announcement_pending = false;
                     self.announce_change(&*sources).await;
                 }
-                () = self.view.confirmation() => self.announce_confirmation(&*sources).await,
+                () = self.view.wait_for_announcement() => self.announce_confirmation(&*sources).await,
                 received = self.socket.recv_from(&mut buffer) => {
                     if let Ok((length, from)) = received {
                         self.on_datagram(&buffer[..length], from, &*sources).await;
@@ -238,7 +238,7 @@
     /// Sends a heartbeat to a few nodes at once after a change. They fetch the change and announce it in turn, so it spreads faster
     /// than by periodic heartbeats. In a small fleet every gateway watches the store itself.
     async fn announce_change(&self, sources: &impl GossipSources) {
-        if self.members.borrow().len() < SMALL_FLEET {
+        if self.members.borrow().len() < LARGE_FLEET_GATEWAYS {
             return;
         }
         self.send_to(self.random_members(FAN_OUT), sources).await;
@@ -247,7 +247,7 @@
     /// Sends a heartbeat after the store has confirmed this node's view. In a small fleet it goes to all nodes, so that one probe
     /// of the store is enough for all.
     async fn announce_confirmation(&self, sources: &impl GossipSources) {
-        self.send_to(self.random_members(SMALL_FLEET), sources)
+        self.send_to(self.random_members(LARGE_FLEET_GATEWAYS), sources)
             .await;
     }
 
@@ -284,7 +284,7 @@
     /// Targets of the next heartbeat. The seeds are among them while fewer than two others are known.
     fn targets(&self) -> Vec<SocketAddr> {
         let members = self.members.borrow();
-        let groups = self.view.groups();
+        let groups = self.view.replica_sets();
         let offset = self.next_offset.get();
         self.next_offset.set(offset.wrapping_add(FAN_OUT));
         let mut targets = targets(&self.me, members.iter(), groups.as_deref(), offset);
@@ -344,10 +344,10 @@
             }
             Ok(Datagram::Read(prefill)) => sources.on_prefill(prefill),
             Ok(Datagram::FindRead { number, part }) => {
-                let read = sources.find_read(part);
+                let read = sources.find_prefill(part);
                 self.send(from, &Datagram::FoundRead { number, read }).await;
             }
-            Ok(Datagram::FoundRead { number, read }) => self.queries.answer(number, read),
+            Ok(Datagram::FoundRead { number, read }) => self.queries.on_reply(number, read),
             Ok(Datagram::AskConfirmations { number }) => {
                 let told = self.view.confirmations();
                 self.send(from, &Datagram::Confirmed { number, told }).await;
@@ -419,7 +419,7 @@
         let reported_drains = reported.drains.and_then(|known| known.unconfirmed_ms);
         let drains = ConfirmationAges {
             own: drains.confirmation_age(),
-            peer: age(reported_drains).filter(|_| drains.are_followed()),
+            peer: age(reported_drains).filter(|_| drains.are_used()),
         };
         let ages = [configuration, engines, drains];
         if let Some(number) = self.confirmation_query.start(&ages, now) {
@@ -429,7 +429,7 @@
     }
 
     fn on_confirmed(&self, number: u64, confirmations: &Confirmations) {
-        if let Some(query_age) = self.confirmation_query.on_answer(number, self.clock.now()) {
+        if let Some(query_age) = self.confirmation_query.on_reply(number, self.clock.now()) {
             self.view.confirm(confirmations, query_age);
         }
     }
--- a/crates/resident/src/peer/gossip/prefill_directory.rs
+++ b/crates/resident/src/peer/gossip/prefill_directory.rs
@@ -15,27 +15,27 @@
 use super::Gossip;
 use crate::peer::message::Datagram;
 
-/// How long to wait for the answer of a directory node.
+/// How long to wait for the reply of a directory node.
 const QUERY_TIMEOUT: Duration = Duration::from_millis(12);
 /// A node without a heartbeat for this long is no directory node. In a large fleet the heartbeats of a node come every few seconds.
 const DIRECTORY_NODE_TIMEOUT: Duration = Duration::from_secs(6);
 
-type Answer = Option<PrefillRecord>;
+type PrefillReply = Option<PrefillRecord>;
 
-/// Queries that wait for their answers.
+/// Queries that wait for their replies.
 #[derive(Default)]
 pub struct PendingQueries {
     last: Cell<u64>,
-    pending: RefCell<HashMap<u64, oneshot::Sender<Answer>>>,
+    pending: RefCell<HashMap<u64, oneshot::Sender<PrefillReply>>>,
 }
 
-/// Number of pending queries from which on abandoned ones are removed.
+/// With this many pending queries or more, abandoned ones are removed.
 const CLEAN_UP_THRESHOLD: usize = 64;
 
 impl PendingQueries {
-    /// Starts a query and returns its number and the receiver of its answer. A caller may drop the receiver at any time, so
+    /// Starts a query and returns its number and the receiver of its reply. A caller may drop the receiver at any time, so
     /// abandoned queries are removed here when there are many.
-    pub fn start(&self) -> (u64, oneshot::Receiver<Answer>) {
+    pub fn start(&self) -> (u64, oneshot::Receiver<PrefillReply>) {
         let number = self.last.get() + 1;
         self.last.set(number);
         let (sender, receiver) = oneshot::channel();
@@ -47,11 +47,11 @@
         (number, receiver)
     }
 
-    /// Delivers an answer; one that nobody waits for is dropped.
-    pub fn answer(&self, number: u64, answer: Answer) {
+    /// Delivers a reply; one that nobody waits for is dropped.
+    pub fn on_reply(&self, number: u64, reply: PrefillReply) {
         if let Some(sender) = self.pending.borrow_mut().remove(&number) {
             // The caller may have given up.
-            let _ = sender.send(answer);
+            let _ = sender.send(reply);
         }
     }
 
@@ -84,17 +84,17 @@
         }
     }
 
-    /// Asks a directory node for the last prefill of a prompt with this last part; `None` where it has none or doesn't
-    /// answer in time.
+    /// Asks a directory node for the most recent prefill of a prompt whose last part has this hash; `None` where it has none or
+    /// doesn't reply in time.
     pub async fn query_prefill(&self, node: SocketAddr, part: u64) -> Option<PrefillRecord> {
-        let (number, answer) = self.queries.start();
+        let (number, reply) = self.queries.start();
         self.send(node, &Datagram::FindRead { number, part }).await;
-        let answered = tokio::time::timeout(QUERY_TIMEOUT, answer).await;
+        let received = tokio::time::timeout(QUERY_TIMEOUT, reply).await;
         self.queries.forget(number);
-        answered.ok()?.ok()?
+        received.ok()?.ok()?
     }
 
-    /// Address of the directory node for prompts with this last part; `None` where it is this node.
+    /// Address of the directory node for prompts whose last part has this hash; `None` where it is this node.
     pub fn directory_node(&self, part: u64) -> Option<SocketAddr> {
         let now = self.clock.now();
         let members = self.members.borrow();
--- a/crates/resident/src/peer/link.rs
+++ b/crates/resident/src/peer/link.rs
@@ -36,7 +36,7 @@
     Unreachable,
     /// The connection broke.
     Broken,
-    /// The link's queue is full.
+    /// The link's queue is full or closed.
     Full,
     /// The reply did not come in time.
     TimedOut,
--- a/crates/resident/src/peer/links.rs
+++ b/crates/resident/src/peer/links.rs
@@ -36,31 +36,32 @@
 #[derive(Debug, Clone, Copy)]
 struct ReplyTimes {
     slowest: Duration,
-    at: Instant,
+    recorded_at: Instant,
 }
 
 impl ReplyTimes {
     fn new() -> Self {
         Self {
             slowest: Duration::ZERO,
-            at: Instant::now(),
+            recorded_at: Instant::now(),
         }
     }
 
     fn slowest(&self) -> Duration {
-        let half_lives = self.at.elapsed().as_secs_f64() / SLOWEST_REPLY_HALF_LIFE.as_secs_f64();
+        let half_lives =
+            self.recorded_at.elapsed().as_secs_f64() / SLOWEST_REPLY_HALF_LIFE.as_secs_f64();
         self.slowest.mul_f64(0.5_f64.powf(half_lives))
     }
 
     fn record(&mut self, taken: Duration) {
         if taken >= self.slowest() {
             self.slowest = taken;
-            self.at = Instant::now();
+            self.recorded_at = Instant::now();
         }
     }
 }
 
-/// How long a node with this slowest recent reply may be silent before its link is suspect; at least `least`.
+/// How long a node with this slowest recent reply may be silent before its link is checked; at least `least`.
 pub fn silence_timeout(slowest_reply: Duration, least: Duration) -> Duration {
     least.max(slowest_reply * SLOWEST_REPLY_FACTOR)
 }
@@ -137,7 +138,7 @@
         self.table.replaced.get()
     }
 
-    /// Whether another node has sent a frame since then on its current link, even a reply that nobody waits for any more.
+    /// Whether another node has sent a frame at `since` or later on its current link, even a reply that nobody waits for any more.
     pub fn has_received_since(&self, node: SocketAddr, since: Instant) -> bool {
         let peers = self.table.peers.borrow();
         let peer = peers.get(&node);
@@ -204,7 +205,7 @@
                 None => break,
             }
         }
-        self.check(to);
+        self.start_check(to);
         state.replaced().await;
     }
 
@@ -222,12 +223,12 @@
             peer.is_some_and(|peer| peer.link.state.received_since(since).is_none())
         };
         if is_silent && since.elapsed() >= SILENCE {
-            self.check(to);
+            self.start_check(to);
         }
     }
 
     /// Starts a check of the link, unless one is running or was done recently.
-    fn check(self: &Rc<Self>, to: SocketAddr) {
+    fn start_check(self: &Rc<Self>, to: SocketAddr) {
         let mut peers = self.peers.borrow_mut();
         let Some(peer) = peers.get_mut(&to) else {
             return;
@@ -266,7 +267,8 @@
         let new_link = match outcome {
             CheckOutcome::NewLinkReplied(new_link) => new_link,
             CheckOutcome::OldLinkReplied => {
-                // Requests that were given up before their reply are not recorded.
+                // Requests that timed out recorded no reply time. The check's is recorded instead, which lengthens the silence
+                // timeout.
                 peer.reply_times.record(SILENCE + began.elapsed());
                 log::info!(target: "dependency", node:% = to, link_ms = link_ms; "late link to a node kept");
                 return;
@@ -288,9 +290,9 @@
 enum CheckOutcome {
     /// The old link works, but the node is slow.
     OldLinkReplied,
-    /// Only the new link works.
+    /// The new link was answered before the old one.
     NewLinkReplied(Link),
-    /// Neither link was answered.
+    /// Neither link was answered in time, or one of them failed first.
     NoReply,
 }
 
--- a/crates/resident/src/peer/message.rs
+++ b/crates/resident/src/peer/message.rs
@@ -84,7 +84,7 @@
     Extension(#[rkyv(with = Skip)] ExtensionReply),
 }
 
-/// Versions of a node's view.
+/// Versions of the parts of a node's view, to request what is newer.
 #[derive(Debug, Clone, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct ViewPosition {
     /// Version of its configuration, 0 when it has none.
@@ -120,7 +120,7 @@
     pub groups: Option<ReplicaGroups>,
     /// Milliseconds since the store last confirmed the sender's configuration; `None` when it never did.
     pub unconfirmed_ms: Option<u64>,
-    /// The same for its engines.
+    /// Milliseconds since the store last confirmed the sender's engines; `None` when it never did.
     pub engines_unconfirmed_ms: Option<u64>,
     /// The sender's drains of zones, where the requester uses them. Sent in a [`DrainSection`].
     #[rkyv(with = Skip)]
@@ -136,7 +136,7 @@
     pub has_starts: bool,
 }
 
-/// Versions of a node's view, with the time since the store confirmed that each is the newest.
+/// Versions of the parts of a node's view, with the time since the store confirmed that each is the newest.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct Confirmations {
     /// Version of its configuration, 0 when it has none.
@@ -215,7 +215,7 @@
 /// A gateway's observations of the engines.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// Its in-flight requests by engine.
+    /// Numbers of its in-flight requests by engine.
     pub open: Vec<(u64, u32)>,
     /// Outcomes of its requests at engines that failed some.
     pub suspects: Vec<ReportedOutcomes>,
@@ -252,7 +252,7 @@
     Heartbeat(Box<Heartbeat>),
     /// Tells a prompt's directory node that an engine processes the prompt.
     Read(PrefillRecord),
-    /// Asks a directory node for the last prefill of prompts with this last part.
+    /// Asks a directory node for the most recent prefill of a prompt with this last part.
     FindRead {
         /// Number of the query, unique at its sender.
         number: u64,
@@ -264,18 +264,18 @@
         /// Number of the query, unique at its sender.
         number: u64,
     },
-    /// Answer to [`Datagram::AskConfirmations`].
+    /// Reply to [`Datagram::AskConfirmations`].
     Confirmed {
         /// Number of the query.
         number: u64,
-        /// Versions of the node's view.
+        /// Versions of the replying node's view and the ages of their confirmations.
         told: Confirmations,
     },
-    /// Answer to [`Datagram::FindRead`].
+    /// Reply to [`Datagram::FindRead`].
     FoundRead {
         /// Number of the query.
         number: u64,
-        /// The last prefill; `None` where none is known.
+        /// The most recent prefill; `None` where none is known.
         read: Option<PrefillRecord>,
     },
     /// A datagram that nodes of protocol version 0 don't know; it is sent in a section and never in a body.
--- a/crates/resident/src/peer/purpose.rs
+++ b/crates/resident/src/peer/purpose.rs
@@ -25,7 +25,7 @@
         ReplicaRequest::Charge { .. } => Purpose::Reservation,
         ReplicaRequest::Settle { .. } => Purpose::Settlement,
         ReplicaRequest::Append { .. } => Purpose::Append,
-        ReplicaRequest::ReadChain { .. } => Purpose::Chain,
+        ReplicaRequest::ReadChain { .. } => Purpose::ChainRead,
         ReplicaRequest::Adopt { .. } => Purpose::View,
         ReplicaRequest::List { .. } | ReplicaRequest::Fetch { .. } => Purpose::Copy,
         ReplicaRequest::Admit(_) => Purpose::Limit,
--- a/crates/resident/src/peer/targets.rs
+++ b/crates/resident/src/peer/targets.rs
@@ -62,7 +62,8 @@
     targets
 }
 
-/// Nodes in rotation. Where there are many, those of the own zone come more often.
+/// The next nodes in rotation. Where there are more than two rounds of them, nodes in `me`'s zone get most of the places, as far
+/// as there are enough of them.
 fn zone_weighted(me: &MemberInfo, others: Vec<&Member>, offset: usize) -> Vec<SocketAddr> {
     if others.len() <= UNWEIGHTED_ROUNDS * FAN_OUT {
         return round_robin(&others, offset, FAN_OUT);
--- a/crates/resident/src/settings.rs
+++ b/crates/resident/src/settings.rs
@@ -45,7 +45,7 @@
 /// Resource limits of the process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct LimitSettings {
+pub struct ResourceLimitSettings {
     /// Memory, in MB.
     pub memory_mb: u64,
     /// Open file descriptors.
@@ -83,7 +83,7 @@
     /// Requests that a warming engine may get within a second, as a multiple of its warm-up rate; `None` where engines need
     /// no warm-up.
     pub warm_up_factor: Option<f64>,
-    /// Number of requests that it may get within that second beyond that multiple.
+    /// Number of requests that a warming engine may get within a second, in addition to `warm_up_factor`.
     pub warm_up_slack: Option<f64>,
     /// Window over which a tenant's requests are counted, in seconds.
     #[serde(default = "default_quota_window_s")]
@@ -91,7 +91,7 @@
     /// Fraction of a tenant's limit by which it may be exceeded within the window.
     #[serde(default = "default_quota_overshoot")]
     pub quota_overshoot: f64,
-    /// Number of requests by which a tenant's limit may be exceeded within the window beyond that fraction.
+    /// Number of requests by which a tenant's limit may be exceeded within the window, in addition to `quota_overshoot`.
     #[serde(default = "default_quota_slack")]
     pub quota_slack: f64,
 }
@@ -180,7 +180,7 @@
     /// Addresses to listen on.
     pub listen: ListenSettings,
     /// Resource limits of the process.
-    pub limits: LimitSettings,
+    pub limits: ResourceLimitSettings,
     /// Services of the platform.
     pub platform: PlatformSettings,
     /// Bounds that the deployment guarantees.
@@ -196,8 +196,8 @@
     Empty(&'static str),
     /// The value of `listen.metrics` is not `PORT/PATH`.
     MetricsAddress(String),
-    /// A time is negative or not finite, or 0 where it must not be.
-    Time(&'static str),
+    /// A time is negative or not finite, or 0 where the setting needs a time greater than 0.
+    InvalidTime(&'static str),
     /// A fraction or a count is negative or not finite.
     NegativeNumber(&'static str),
     /// The value is not a finite number above 0.
@@ -213,7 +213,10 @@
                 write!(formatter, "listen.metrics: {value:?} is not PORT/PATH")
             }
             Self::NegativeNumber(key) => write!(formatter, "{key}: must be 0 or more"),
-            Self::Time(key) => write!(formatter, "{key}: must be a time of 0 or more"),
+            Self::InvalidTime(key) => write!(
+                formatter,
+                "{key}: must be a finite time that is not negative, nor 0 where the setting needs a time greater than 0"
+            ),
             Self::NotPositive(key) => write!(formatter, "{key}: must be greater than 0"),
         }
     }
@@ -283,7 +286,7 @@
 
     /// Whether the guarantees depend on parts of the configuration and the engines that nodes of protocol version 0 don't
     /// send: regions and warm-up limits.
-    pub fn need_extras(&self) -> bool {
+    pub fn needs_protocol_1(&self) -> bool {
         self.zone_regions().has_multiple_regions() || self.bounds.warm_up_factor.is_some()
     }
 
@@ -329,17 +332,23 @@
         check(no_readiness, SettingsFault::Missing("listen.readiness"));
         let no_folder = !is_gateway && self.data_folder.is_none();
         check(no_folder, SettingsFault::Missing("data_folder"));
-        let is_time = |value: f64| value.is_finite() && value >= 0.0;
-        let bad_grace = !is_time(self.bounds.grace_s);
-        check(bad_grace, SettingsFault::Time("bounds.grace_s"));
-        let bad_contact = !is_time(self.bounds.contact_ms);
-        check(bad_contact, SettingsFault::Time("bounds.contact_ms"));
+        let is_non_negative = |value: f64| value.is_finite() && value >= 0.0;
+        let bad_grace = !is_non_negative(self.bounds.grace_s);
+        check(bad_grace, SettingsFault::InvalidTime("bounds.grace_s"));
+        let bad_contact = !is_non_negative(self.bounds.contact_ms);
+        check(bad_contact, SettingsFault::InvalidTime("bounds.contact_ms"));
         let configuration_ms = self.bounds.configuration_ms;
-        let bad_bound = !is_time(configuration_ms) || configuration_ms == 0.0;
-        check(bad_bound, SettingsFault::Time("bounds.configuration_ms"));
-        let is_positive = |value: f64| is_time(value) && value > 0.0;
+        let bad_bound = !is_non_negative(configuration_ms) || configuration_ms == 0.0;
+        check(
+            bad_bound,
+            SettingsFault::InvalidTime("bounds.configuration_ms"),
+        );
+        let is_positive = |value: f64| is_non_negative(value) && value > 0.0;
         let bad_removal = !self.bounds.key_removal_ms.is_none_or(is_positive);
-        check(bad_removal, SettingsFault::Time("bounds.key_removal_ms"));
+        check(
+            bad_removal,
+            SettingsFault::InvalidTime("bounds.key_removal_ms"),
+        );
         let bad_drain = !self.bounds.zone_drain_ms.is_none_or(is_positive);
         check(
             bad_drain,
@@ -350,19 +359,22 @@
             bad_factor,
             SettingsFault::NotPositive("bounds.warm_up_factor"),
         );
-        let bad_warm_slack = !self.bounds.warm_up_slack.is_none_or(is_time);
+        let bad_warm_slack = !self.bounds.warm_up_slack.is_none_or(is_non_negative);
         check(
             bad_warm_slack,
             SettingsFault::NegativeNumber("bounds.warm_up_slack"),
         );
         let bad_window = !is_positive(self.bounds.quota_window_s);
-        check(bad_window, SettingsFault::Time("bounds.quota_window_s"));
-        let bad_overshoot = !is_time(self.bounds.quota_overshoot);
+        check(
+            bad_window,
+            SettingsFault::InvalidTime("bounds.quota_window_s"),
+        );
+        let bad_overshoot = !is_non_negative(self.bounds.quota_overshoot);
         check(
             bad_overshoot,
             SettingsFault::NegativeNumber("bounds.quota_overshoot"),
         );
-        let bad_slack = !is_time(self.bounds.quota_slack);
+        let bad_slack = !is_non_negative(self.bounds.quota_slack);
         check(
             bad_slack,
             SettingsFault::NegativeNumber("bounds.quota_slack"),
--- a/crates/resident/src/store_client.rs
+++ b/crates/resident/src/store_client.rs
@@ -72,7 +72,7 @@
     address: Cell<SocketAddr>,
     idle: RefCell<Vec<Idle>>,
     calls: Cell<u64>,
-    checks: Cell<u64>,
+    probes: Cell<u64>,
     silent_watches: Cell<u64>,
 }
 
@@ -90,7 +90,7 @@
             address: Cell::new(address),
             idle: RefCell::default(),
             calls: Cell::new(0),
-            checks: Cell::new(0),
+            probes: Cell::new(0),
             silent_watches: Cell::new(0),
         }
     }
@@ -108,13 +108,13 @@
     }
 
     /// Number of probes answered beside an open watch.
-    pub fn checks(&self) -> u64 {
-        self.checks.get()
+    pub fn probes(&self) -> u64 {
+        self.probes.get()
     }
 
-    /// Counts a probe; see [`StoreClient::checks`].
-    pub fn on_check(&self) {
-        self.checks.set(self.checks.get() + 1);
+    /// Counts a probe; see [`StoreClient::probes`].
+    pub fn on_probe(&self) {
+        self.probes.set(self.probes.get() + 1);
     }
 
     /// Number of open watches that had missed changes.
--- a/crates/resident/src/store_watch.rs
+++ b/crates/resident/src/store_watch.rs
@@ -4,7 +4,7 @@
 //! once the known objects have been unconfirmed for too long ([`crate::watch_policy::WatchTimings`]), and after a failure it
 //! is probed with the shortest wait until it answers.
 //!
-//! An answer tells what was newest at some time between the request and itself, and may have been delayed for any time by a
+//! A reply tells what was newest at some time between the request and itself, and may have been delayed for any time by a
 //! frozen process or on its way. So a confirmation counts from when its request was sent.
 
 use std::cell::Cell;
@@ -76,10 +76,10 @@
 
 /// Receives the objects of a watched kind.
 pub trait WatchHandler {
-    /// Receives a complete list as of revision `at`.
-    fn on_list(&self, objects: Vec<Object>, at: u64);
-    /// Receives changes, complete up to revision `at`.
-    fn on_events(&self, events: Vec<ObjectEvent>, at: u64);
+    /// Receives a complete list as of `revision`.
+    fn on_list(&self, objects: Vec<Object>, revision: u64);
+    /// Receives changes, complete up to revision `complete_at`.
+    fn on_events(&self, events: Vec<ObjectEvent>, complete_at: u64);
     /// The store confirmed that the known objects were the newest `age` ago.
     fn on_confirmed(&self, age: Duration);
     /// The store confirmed the known objects beside an open watch or after an outage, which other nodes may need to learn at once.
@@ -89,7 +89,7 @@
         None
     }
     /// Time since the store confirmed, to this node or another, that nothing newer exists; `None` where it never did.
-    fn unconfirmed(&self) -> Option<Duration> {
+    fn confirmation_age(&self) -> Option<Duration> {
         None
     }
 }
@@ -106,7 +106,7 @@
         kind,
         handler,
         control,
-        at: None,
+        revision: None,
         history_gone: false,
         failures: 0,
         sent_at: Instant::now(),
@@ -123,7 +123,7 @@
     }
 }
 
-/// The store's answer to a watch.
+/// The store's reply to a watch.
 struct WatchReply {
     batch: WatchBatch,
     /// When the changes were known to be complete.
@@ -135,9 +135,11 @@
     kind: ObjectKind,
     handler: F,
     control: Rc<WatchControl>,
-    /// Revision up to which all changes are known; `None` before the first list.
-    at: Option<u64>,
-    /// Whether the store no longer has the history since that revision.
+    /// Revision up to which all changes are known; `None` before the first list, and while a new list is needed because the
+    /// store no longer has the history.
+    revision: Option<u64>,
+    /// Whether the store no longer has the history since the last known revision, so that a complete list is needed, even if other
+    /// nodes know newer changes.
     history_gone: bool,
     /// Consecutive failures.
     failures: u32,
@@ -154,66 +156,66 @@
         self.control.wait_until_watching().await;
         // Newer changes may have come from other nodes meanwhile.
         if !self.history_gone {
-            self.at = self.at.max(self.handler.known_revision());
+            self.revision = self.revision.max(self.handler.known_revision());
         }
     }
 
     async fn step(&mut self) -> Result<(), WatchError> {
-        match self.at {
+        match self.revision {
             None => self.list_all().await,
             // A watch sent during an outage would block for its whole wait after the store is back.
-            Some(at) if self.failures > 0 => {
-                let answer = self.probe(at).await?;
-                self.apply_reply(answer, at).await;
+            Some(revision) if self.failures > 0 => {
+                let reply = self.probe(revision).await?;
+                self.apply_reply(reply, revision).await;
                 Ok(())
             }
-            Some(at) => self.wait_for_changes(at).await,
+            Some(revision) => self.wait_for_changes(revision).await,
         }
     }
 
     async fn list_all(&mut self) -> Result<(), WatchError> {
         let sent_at = Instant::now();
-        let (objects, at) = list_objects(&self.store, self.kind).await?;
-        self.handler.on_list(objects, at);
+        let (objects, revision) = list_objects(&self.store, self.kind).await?;
+        self.handler.on_list(objects, revision);
         self.on_confirmed(sent_at);
-        self.at = Some(at);
+        self.revision = Some(revision);
         self.history_gone = false;
         Ok(())
     }
 
-    async fn wait_for_changes(&mut self, at: u64) -> Result<(), WatchError> {
+    async fn wait_for_changes(&mut self, revision: u64) -> Result<(), WatchError> {
         let timings = self.control.timings();
         // Only the end of a wait confirms that there was no change, so a wait ends while the last confirmation is still recent.
-        let wait = timings.wait.saturating_sub(self.unconfirmed());
+        let wait = timings.wait.saturating_sub(self.confirmation_age());
         let wait = wait.max(PROBE_WAIT);
-        let watch = self.send_watch(at, wait, timings.watch_timeout());
-        let answer = tokio::select! {
-            answer = watch => answer?,
-            missed = self.probe_until_missed(at) => missed?,
+        let watch = self.send_watch(revision, wait, timings.watch_timeout());
+        let reply = tokio::select! {
+            reply = watch => reply?,
+            missed = self.probe_until_missed(revision) => missed?,
         };
-        self.apply_reply(answer, at).await;
+        self.apply_reply(reply, revision).await;
         Ok(())
     }
 
     /// Probes the store beside an open watch each time the known objects have been unconfirmed for too long, until a probe
     /// returns changes that the watch has missed.
-    async fn probe_until_missed(&self, at: u64) -> Result<WatchReply, WatchError> {
+    async fn probe_until_missed(&self, revision: u64) -> Result<WatchReply, WatchError> {
         loop {
             self.control.wait_until_watching().await;
             let probe_after = self.control.timings().probe_after;
-            let age = self.unconfirmed();
+            let age = self.confirmation_age();
             if age < probe_after {
                 tokio::time::sleep(probe_after - age).await;
                 continue;
             }
-            let answer = self.probe(at).await?;
-            self.store.on_check();
-            let changes = answer.batch.events.len();
+            let reply = self.probe(revision).await?;
+            self.store.on_probe();
+            let changes = reply.batch.events.len();
             if changes > 0 {
                 self.on_missed_changes(changes);
-                return Ok(answer);
+                return Ok(reply);
             }
-            self.on_confirmed(answer.as_of);
+            self.on_confirmed(reply.as_of);
             self.handler.on_probe_confirmed();
         }
     }
@@ -230,22 +232,24 @@
     }
 
     /// Time since the store last confirmed the known objects, to this node or another.
-    fn unconfirmed(&self) -> Duration {
+    fn confirmation_age(&self) -> Duration {
         let own = self.confirmed_at.get().elapsed();
-        self.handler.unconfirmed().map_or(own, |told| told.min(own))
+        self.handler
+            .confirmation_age()
+            .map_or(own, |received| received.min(own))
     }
 
-    async fn probe(&self, at: u64) -> Result<WatchReply, WatchError> {
-        self.send_watch(at, PROBE_WAIT, PROBE_TIMEOUT).await
+    async fn probe(&self, revision: u64) -> Result<WatchReply, WatchError> {
+        self.send_watch(revision, PROBE_WAIT, PROBE_TIMEOUT).await
     }
 
     async fn send_watch(
         &self,
-        at: u64,
+        revision: u64,
         wait: Duration,
         timeout: Duration,
     ) -> Result<WatchReply, WatchError> {
-        let call = watch(self.kind, at, wait);
+        let call = watch(self.kind, revision, wait);
         let sent_at = Instant::now();
         let body = call_store(&self.store, call, timeout).await?;
         let batch = read_watch(&body)?;
@@ -255,9 +259,9 @@
         Ok(WatchReply { batch, as_of })
     }
 
-    async fn apply_reply(&mut self, answer: WatchReply, at: u64) {
-        let WatchReply { batch, as_of } = answer;
-        self.at = Some(batch.at.max(at));
+    async fn apply_reply(&mut self, reply: WatchReply, revision: u64) {
+        let WatchReply { batch, as_of } = reply;
+        self.revision = Some(batch.at.max(revision));
         let has_changes = !batch.events.is_empty();
         self.handler.on_events(batch.events, batch.at);
         // Confirmed before the delay, so that other parts of the node see it at once.
@@ -282,7 +286,7 @@
                 kind:? = self.kind,
                 lost_ms = whole_ms(self.failing_since.elapsed()),
                 failures = self.failures;
-                "platform store regained"
+                "platform store answers again"
             );
         }
         self.failures = 0;
@@ -295,7 +299,7 @@
                 kind:? = self.kind;
                 "platform store no longer has the history since the last known revision; listing again"
             );
-            self.at = None;
+            self.revision = None;
             self.history_gone = true;
             return;
         }
@@ -311,7 +315,7 @@
             );
         }
         self.failures += 1;
-        let longest = match self.at {
+        let longest = match self.revision {
             Some(_) => self.control.timings().max_backoff,
             None => MAX_FIRST_LIST_BACKOFF,
         };
@@ -346,7 +350,7 @@
     kind: ObjectKind,
 ) -> Result<(Vec<Object>, u64), WatchError> {
     let mut objects = Vec::new();
-    let mut at = None;
+    let mut revision = None;
     loop {
         let after = objects.last().map(|last: &Object| last.name.clone());
         let call = list(kind, after.as_deref());
@@ -354,14 +358,14 @@
         let Listing {
             items,
             more,
-            at: page_at,
+            at: page_revision,
         } = read_listing(&body)?;
         let is_empty = items.is_empty();
         objects.extend(items);
         // The watch that follows returns changes since the first page.
-        let at = *at.get_or_insert(page_at);
+        let revision = *revision.get_or_insert(page_revision);
         if !more || is_empty {
-            return Ok((objects, at));
+            return Ok((objects, revision));
         }
     }
 }
--- a/crates/resident/src/traffic.rs
+++ b/crates/resident/src/traffic.rs
@@ -32,7 +32,7 @@
     /// Writes of turns.
     Append,
     /// Reads of chains of turns.
-    Chain,
+    ChainRead,
     /// Copies of records between replicas.
     Copy,
     /// Rate limits of tenants and of engines that warm up.
@@ -56,7 +56,7 @@
         Self::Reservation,
         Self::Settlement,
         Self::Append,
-        Self::Chain,
+        Self::ChainRead,
         Self::Copy,
         Self::Limit,
         Self::View,
@@ -73,7 +73,7 @@
             Self::Reservation => "reservation",
             Self::Settlement => "settlement",
             Self::Append => "append",
-            Self::Chain => "chain",
+            Self::ChainRead => "chain",
             Self::Copy => "copy",
             Self::Limit => "limit",
             Self::View => "view",
--- a/crates/resident/src/view.rs
+++ b/crates/resident/src/view.rs
@@ -40,29 +40,30 @@
 pub struct View {
     clock: Clock,
     /// Whether the node uses engines.
-    follows_engines: bool,
+    uses_engines: bool,
     configuration: RefCell<Option<RouteConfiguration>>,
     routes: RefCell<Option<Rc<RouteTable>>>,
     engines: RefCell<EngineTable>,
     engines_known: Cell<bool>,
     unreadable_engines: Cell<usize>,
-    groups: RefCell<Option<Rc<ReplicaGroups>>>,
+    replica_sets: RefCell<Option<Rc<ReplicaGroups>>>,
     /// Zones whose engines get no new requests.
     pub drains: DrainView,
-    /// When the configuration was last confirmed to be the newest. Counted from the request whose answer confirmed it, at
-    /// this node and at each that passed the confirmation on.
+    /// When the configuration was last confirmed to be the newest. The age counts from when the confirming request was sent; each
+    /// node that relays the confirmation adds the age of its own request.
     confirmed: Cell<Option<Moment>>,
-    /// The same for the engines.
+    /// When the engines were last confirmed to have no newer change; the age counts as for `confirmed`.
     engines_confirmed: Cell<Option<Moment>>,
     changed: watch::Sender<()>,
     /// Notified when a confirmation is to be announced to other nodes.
     announcement: Notify,
     /// Notified at each confirmation of the configuration.
     confirmed_notify: Notify,
-    needs_extras: bool,
+    needs_protocol_1: bool,
     /// Whether the configuration is complete: it did not come, directly or indirectly, from a node of protocol version 0.
     has_extras: Cell<bool>,
-    /// The same for the engines.
+    /// Whether the engines have their warm-up times: no update of them came, directly or indirectly, from a node of protocol
+    /// version 0.
     has_starts: Cell<bool>,
     refused: Cell<Option<Refusal>>,
 }
@@ -72,47 +73,48 @@
 struct Refusal {
     /// Version of its configuration; 0 where it had engines only.
     version: u64,
-    at: Moment,
+    refused_at: Moment,
 }
 
 /// How long no view is fetched from other nodes after a refused update.
 const REFUSAL_BACKOFF: Duration = Duration::from_secs(1);
 
 impl View {
-    /// An empty view of a node that ignores drains of zones. `follows_engines` says whether it uses engines.
-    pub fn new(clock: Clock, follows_engines: bool) -> Self {
+    /// An empty view of a node that ignores drains of zones. `uses_engines` says whether it uses engines.
+    pub fn new(clock: Clock, uses_engines: bool) -> Self {
         Self {
             clock,
-            follows_engines,
+            uses_engines,
             configuration: RefCell::default(),
             routes: RefCell::default(),
             engines: RefCell::default(),
             engines_known: Cell::new(false),
             unreadable_engines: Cell::new(0),
-            groups: RefCell::default(),
+            replica_sets: RefCell::default(),
             drains: DrainView::new(clock, false),
             confirmed: Cell::new(None),
             engines_confirmed: Cell::new(None),
             changed: watch::Sender::new(()),
             announcement: Notify::new(),
             confirmed_notify: Notify::new(),
-            needs_extras: false,
+            needs_protocol_1: false,
             has_extras: Cell::new(true),
             has_starts: Cell::new(true),
             refused: Cell::new(None),
         }
     }
 
-    /// Sets whether the node's settings promise something that nodes of protocol version 0 don't know. Their configurations and
-    /// engines lack it and are refused (`docs/design/versions.md`, "What rests on all of them").
-    pub fn needing_extras(mut self, needs_extras: bool) -> Self {
-        self.needs_extras = needs_extras;
+    /// Sets whether the node's settings guarantee something (regions, warm-up limits) that needs fields which protocol version
+    /// 0 doesn't have. Configurations and engines that lack them are refused (`docs/design/versions.md`, "What rests on all of
+    /// them").
+    pub fn needing_protocol_1(mut self, needs_protocol_1: bool) -> Self {
+        self.needs_protocol_1 = needs_protocol_1;
         self
     }
 
     /// Whether configurations and engines from a node of this protocol version have all that this node needs.
     pub fn is_protocol_sufficient(&self, protocol: u16) -> bool {
-        !self.needs_extras || protocol > 0
+        !self.needs_protocol_1 || protocol > 0
     }
 
     /// Whether to fetch the view of a node of this protocol version: its updates would not be refused, and none was lately.
@@ -122,10 +124,10 @@
 
     fn was_refused_recently(&self) -> bool {
         let refused = self.refused.get();
-        refused.is_some_and(|refused| self.clock.since(refused.at) < REFUSAL_BACKOFF)
+        refused.is_some_and(|refused| self.clock.since(refused.refused_at) < REFUSAL_BACKOFF)
     }
 
-    /// Makes the node follow drains of zones.
+    /// Makes the node use drains of zones.
     pub fn with_drains(mut self) -> Self {
         self.drains = DrainView::new(self.clock, true);
         self
@@ -175,20 +177,20 @@
     }
 
     /// The newest known replica sets; `None` before the first ones.
-    pub fn groups(&self) -> Option<Rc<ReplicaGroups>> {
-        self.groups.borrow().clone()
+    pub fn replica_sets(&self) -> Option<Rc<ReplicaGroups>> {
+        self.replica_sets.borrow().clone()
     }
 
     /// The newest known set of a group; `None` where none is known.
     pub fn replica_set(&self, group: GroupId) -> Option<ReplicaSet> {
-        let groups = self.groups.borrow();
+        let groups = self.replica_sets.borrow();
         let set = groups.as_ref().and_then(|groups| groups.set(group));
         set.cloned()
     }
 
     /// Combined epoch of the newest known replica sets; 0 when none are known.
     pub fn epoch(&self) -> Epoch {
-        let groups = self.groups.borrow();
+        let groups = self.replica_sets.borrow();
         groups
             .as_ref()
             .map_or(Epoch::default(), |groups| groups.epoch())
@@ -208,8 +210,8 @@
 
     /// Records that the known engines were the newest `age` ago.
     pub fn confirm_engines_as_of(&self, age: Duration) {
-        let at = self.clock.ago(age);
-        let confirmed = self.engines_confirmed.get().max(Some(at));
+        let as_of = self.clock.ago(age);
+        let confirmed = self.engines_confirmed.get().max(Some(as_of));
         self.engines_confirmed.set(confirmed);
     }
 
@@ -229,7 +231,7 @@
         }
     }
 
-    /// Applies another node's answer to a request that was sent `request_age` ago.
+    /// Applies another node's reply to a request that was sent `request_age` ago.
     pub fn confirm(&self, received: &Confirmations, request_age: Duration) {
         let request_age_ms = whole_ms(request_age);
         let plus_request_age = |age: Option<u64>| age.map(|age| age.saturating_add(request_age_ms));
@@ -250,7 +252,7 @@
     }
 
     /// Waits for [`View::announce_confirmation`].
-    pub async fn confirmation(&self) {
+    pub async fn wait_for_announcement(&self) {
         self.announcement.notified().await;
     }
 
@@ -272,8 +274,8 @@
 
     /// Records that the known configuration was the newest `age` ago.
     pub fn confirm_as_of(&self, age: Duration) {
-        let at = self.clock.ago(age);
-        self.confirmed.set(self.confirmed.get().max(Some(at)));
+        let as_of = self.clock.ago(age);
+        self.confirmed.set(self.confirmed.get().max(Some(as_of)));
         self.confirmed_notify.notify_waiters();
     }
 
@@ -299,9 +301,9 @@
         self.announce();
     }
 
-    /// Applies a complete list of engines as of revision `at`.
-    pub fn adopt_engines(&self, entries: Vec<EngineEntry>, at: u64, source: Source) {
-        let changed = self.engines.borrow_mut().replace(entries, at);
+    /// Applies a complete list of engines as of `revision`.
+    pub fn adopt_engines(&self, entries: Vec<EngineEntry>, revision: u64, source: Source) {
+        let changed = self.engines.borrow_mut().replace(entries, revision);
         let first = !self.engines_known.replace(true);
         if changed || first {
             self.announce_engines(source);
@@ -328,7 +330,7 @@
         }
     }
 
-    /// Removes an engine, as told by a source that knows all changes up to `complete_at`.
+    /// Removes an engine, as reported by a source that knows all changes up to `complete_at`.
     pub fn remove_engine(&self, instance: &str, revision: u64, complete_at: u64, source: Source) {
         let removed = self
             .engines
@@ -347,12 +349,12 @@
     }
 
     /// Records that all changes of engines up to this revision are known.
-    pub fn advance_engines(&self, at: u64) {
-        self.engines.borrow_mut().advance(at);
+    pub fn advance_engines(&self, revision: u64) {
+        self.engines.borrow_mut().advance(revision);
     }
 
     /// Applies replica sets if they are newer than the known ones.
-    pub fn adopt_groups(&self, groups: ReplicaGroups, source: Source) {
+    pub fn adopt_replica_sets(&self, groups: ReplicaGroups, source: Source) {
         if groups.epoch() <= self.epoch() {
             return;
         }
@@ -366,13 +368,13 @@
             source = source.name();
             "replica set in force"
         );
-        *self.groups.borrow_mut() = Some(Rc::new(groups));
+        *self.replica_sets.borrow_mut() = Some(Rc::new(groups));
         self.announce();
     }
 
     /// Versions of this view, for a request for what is newer.
     pub fn position(&self) -> ViewPosition {
-        let engines = if !self.follows_engines {
+        let engines = if !self.uses_engines {
             KnownEngines::Unwanted
         } else if self.engines_known.get() {
             KnownEngines::UpTo(self.engines.borrow().at())
@@ -383,7 +385,7 @@
             version: self.version(),
             engines,
             epoch: self.epoch(),
-            wants_drains: self.drains.are_followed(),
+            wants_drains: self.drains.are_used(),
         }
     }
 
@@ -397,9 +399,9 @@
             _ if !self.engines_known.get() => None,
             KnownEngines::Unwanted => None,
             KnownEngines::Nothing => Some(self.engines.borrow().changes_since(0)),
-            KnownEngines::UpTo(at) => Some(self.engines.borrow().changes_since(at)),
+            KnownEngines::UpTo(revision) => Some(self.engines.borrow().changes_since(revision)),
         };
-        let groups = self.groups();
+        let groups = self.replica_sets();
         let groups = groups.filter(|groups| groups.epoch() > known.epoch);
         ViewUpdate {
             configuration: configuration.cloned(),
@@ -418,7 +420,7 @@
         }
     }
 
-    /// Applies another node's answer to a request for its view that was sent `request_age` ago.
+    /// Applies another node's reply to a request for its view that was sent `request_age` ago.
     pub fn adopt_update(&self, update: ViewUpdate, request_age: Duration) {
         let request_age_ms = whole_ms(request_age);
         let plus_request_age = |age: Option<u64>| age.map(|age| age.saturating_add(request_age_ms));
@@ -439,11 +441,11 @@
             .map_or(0, |configuration| configuration.version);
         let lacks_extras = configuration.is_some() && !has_extras;
         let lacks_warm_ups = engines.is_some() && !has_starts;
-        if self.needs_extras && (lacks_extras || lacks_warm_ups) {
+        if self.needs_protocol_1 && (lacks_extras || lacks_warm_ups) {
             self.refuse(version);
         }
-        let configuration = configuration.filter(|_| !(self.needs_extras && lacks_extras));
-        let engines = engines.filter(|_| !(self.needs_extras && lacks_warm_ups));
+        let configuration = configuration.filter(|_| !(self.needs_protocol_1 && lacks_extras));
+        let engines = engines.filter(|_| !(self.needs_protocol_1 && lacks_warm_ups));
         if let Some(configuration) = configuration {
             if version > self.version() {
                 self.has_extras.set(has_extras);
@@ -458,7 +460,7 @@
             self.confirm_engines(complete_at, plus_request_age(engines_unconfirmed_ms));
         }
         if let Some(groups) = groups {
-            self.adopt_groups(groups, Source::Peer);
+            self.adopt_replica_sets(groups, Source::Peer);
         }
         if let Some(received) = drains {
             let newest = received.table.newest();
@@ -471,8 +473,11 @@
     /// Notes that an update was refused because it is incomplete. The complete one comes from the store or another node.
     fn refuse(&self, version: u64) {
         let before = self.refused.get();
-        let at = self.clock.ago(Duration::ZERO);
-        self.refused.set(Some(Refusal { version, at }));
+        let refused_at = self.clock.ago(Duration::ZERO);
+        self.refused.set(Some(Refusal {
+            version,
+            refused_at,
+        }));
         if before.is_none_or(|before| before.version != version) {
             log::warn!(
                 target: "belief",
--- a/crates/resident/src/view/drains.rs
+++ b/crates/resident/src/view/drains.rs
@@ -16,7 +16,7 @@
 pub struct DrainView {
     clock: Clock,
     /// Whether the node uses them.
-    are_followed: bool,
+    are_used: bool,
     /// `None` before the first list.
     table: RefCell<Option<Rc<ZoneDrains>>>,
     /// When this node learned of each drain, by zone.
@@ -28,11 +28,11 @@
 }
 
 impl DrainView {
-    /// Drains are unknown at first. `are_followed` says whether the node uses them; otherwise they stay unknown.
-    pub fn new(clock: Clock, are_followed: bool) -> Self {
+    /// Drains are unknown at first. `are_used` says whether the node uses them; otherwise they stay unknown.
+    pub fn new(clock: Clock, are_used: bool) -> Self {
         Self {
             clock,
-            are_followed,
+            are_used,
             table: RefCell::default(),
             since: RefCell::default(),
             restored: RefCell::default(),
@@ -41,8 +41,8 @@
     }
 
     /// Whether the node uses drains of zones.
-    pub fn are_followed(&self) -> bool {
-        self.are_followed
+    pub fn are_used(&self) -> bool {
+        self.are_used
     }
 
     /// Whether a complete list has been received.
@@ -63,7 +63,7 @@
     }
 
     /// Revision up to which all changes are known; `None` before the first list.
-    pub fn at(&self) -> Option<u64> {
+    pub fn revision(&self) -> Option<u64> {
         self.table.borrow().as_ref().map(|table| table.at())
     }
 
@@ -75,13 +75,13 @@
 
     /// Records that the known drains were the newest `age` ago.
     pub fn confirm_as_of(&self, age: Duration) {
-        let at = self.clock.ago(age);
-        self.confirmed.set(self.confirmed.get().max(Some(at)));
+        let as_of = self.clock.ago(age);
+        self.confirmed.set(self.confirmed.get().max(Some(as_of)));
     }
 
     /// Confirms the drains if all changes up to `newest` are known, which was the newest revision `unconfirmed_ms` ago.
     pub fn confirm(&self, newest: u64, unconfirmed_ms: Option<u64>) {
-        let is_known = self.at().is_some_and(|at| newest <= at);
+        let is_known = self.revision().is_some_and(|known| newest <= known);
         if let Some(age) = unconfirmed_ms.filter(|_| is_known) {
             self.confirm_as_of(Duration::from_millis(age));
         }
@@ -89,7 +89,7 @@
 
     /// Whether another node knows a change that this one doesn't.
     pub fn is_behind(&self, received: &KnownDrains) -> bool {
-        self.are_followed && self.at().is_none_or(|at| received.newest > at)
+        self.are_used && self.revision().is_none_or(|known| received.newest > known)
     }
 
     /// Newest revision and confirmation age, for other nodes; `None` before the first list.
@@ -137,7 +137,7 @@
 
     /// Applies a complete table unless a newer one is known.
     pub fn adopt_drains(&self, received: ZoneDrains, source: Source) {
-        if !self.drains.are_followed {
+        if !self.drains.are_used {
             return;
         }
         let is_first = !self.drains.are_known();
@@ -150,22 +150,28 @@
         }
     }
 
-    /// Applies changes that are complete up to revision `at`: each has the zone and the revision of its drain, or `None`
+    /// Applies changes that are complete up to revision `complete_at`: each has the zone and the revision of its drain, or `None`
     /// where the drain has ended.
-    pub fn change_drains(&self, changes: &[(String, Option<u64>)], at: u64, source: Source) {
+    pub fn change_drains(
+        &self,
+        changes: &[(String, Option<u64>)],
+        complete_at: u64,
+        source: Source,
+    ) {
         let Some(known) = self.drains.table.borrow().clone() else {
             // Changes to a table that this node doesn't have.
             return;
         };
-        if at < known.at() {
+        if complete_at < known.at() {
             return;
         }
-        let next = known.after(changes, at);
+        let next = known.after(changes, complete_at);
         let mut has_unseen_end = false;
         for (zone, revision) in changes {
-            // A drain that began and ended within these changes. One that is known from other nodes has been handled before.
+            // True for a drain that began and ended since the known table. If another node has already reported the end,
+            // `complete_at` is not newer, and it isn't applied again.
             let was_never_known = !known.is_drained(zone) && !next.is_drained(zone);
-            if revision.is_none() && was_never_known && at > known.at() {
+            if revision.is_none() && was_never_known && complete_at > known.at() {
                 self.drains.on_restored(zone);
                 has_unseen_end = true;
             }
@@ -180,8 +186,8 @@
         let drains = &self.drains;
         match change {
             DrainChange::Started { zone, revision } => {
-                let age = drains.clock.ago(Duration::ZERO);
-                drains.since.borrow_mut().insert(zone.clone(), age);
+                let now = drains.clock.ago(Duration::ZERO);
+                drains.since.borrow_mut().insert(zone.clone(), now);
                 self.log_drain(zone, *revision, source, "zone drained");
             }
             DrainChange::Rewritten { zone, revision } => {
@@ -193,7 +199,7 @@
                 log::info!(
                     target: "belief",
                     zone = zone.as_str(),
-                    revision = drains.at(),
+                    revision = drains.revision(),
                     stood_ms = stood_ms,
                     source = source.name();
                     "zone taken back"
--- a/crates/resident/src/watch_handlers.rs
+++ b/crates/resident/src/watch_handlers.rs
@@ -35,11 +35,11 @@
 }
 
 impl WatchHandler for ConfigurationHandler {
-    fn on_list(&self, objects: Vec<Object>, _at: u64) {
+    fn on_list(&self, objects: Vec<Object>, _revision: u64) {
         objects.iter().for_each(|object| self.apply(object));
     }
 
-    fn on_events(&self, events: Vec<ObjectEvent>, _at: u64) {
+    fn on_events(&self, events: Vec<ObjectEvent>, _revision: u64) {
         let present = events.iter().filter(|event| !event.gone);
         present.for_each(|event| self.apply(&event.object));
     }
@@ -52,7 +52,7 @@
         self.0.announce_confirmation();
     }
 
-    fn unconfirmed(&self) -> Option<Duration> {
+    fn confirmation_age(&self) -> Option<Duration> {
         self.0.confirmation_age()
     }
 }
@@ -108,28 +108,30 @@
 }
 
 impl WatchHandler for EngineHandler {
-    fn on_list(&self, objects: Vec<Object>, at: u64) {
+    fn on_list(&self, objects: Vec<Object>, list_revision: u64) {
         let is_listed = |name: &String| objects.iter().any(|object| object.name == *name);
         self.unreadable.borrow_mut().retain(is_listed);
         let entries = objects.iter().filter_map(|object| self.read(object));
         self.view
-            .adopt_engines(entries.collect(), at, Source::Store);
+            .adopt_engines(entries.collect(), list_revision, Source::Store);
     }
 
-    fn on_events(&self, events: Vec<ObjectEvent>, at: u64) {
+    fn on_events(&self, events: Vec<ObjectEvent>, complete_at: u64) {
         for event in events {
             let Object { name, revision, .. } = &event.object;
             if event.gone {
                 self.forget(name);
-                self.view.remove_engine(name, *revision, at, Source::Store);
+                self.view
+                    .remove_engine(name, *revision, complete_at, Source::Store);
             } else if let Some(entry) = self.read(&event.object) {
                 self.view.adopt_engine(entry, Source::Store);
             } else {
-                // The engine named before the change may have been replaced by another.
-                self.view.remove_engine(name, *revision, at, Source::Store);
+                // The changed entry can't be decoded. The engine that it described before may have been replaced, so it is removed.
+                self.view
+                    .remove_engine(name, *revision, complete_at, Source::Store);
             }
         }
-        self.view.advance_engines(at);
+        self.view.advance_engines(complete_at);
     }
 
     fn on_confirmed(&self, age: Duration) {
@@ -140,7 +142,7 @@
         self.view.announce_confirmation();
     }
 
-    fn unconfirmed(&self) -> Option<Duration> {
+    fn confirmation_age(&self) -> Option<Duration> {
         self.view.engines_confirmation_age()
     }
 
--- a/crates/resident/src/watch_policy.rs
+++ b/crates/resident/src/watch_policy.rs
@@ -14,8 +14,8 @@
 use crate::peer::Member;
 use crate::store_watch::REPLY_TIMEOUT;
 
-/// Number of gateways from which on only some of them watch.
-pub const SMALL_FLEET: usize = 12;
+/// With this many other gateways or more, only some gateways watch.
+pub const LARGE_FLEET_GATEWAYS: usize = 12;
 /// Watching gateways in a large fleet, over all zones.
 const WATCHERS: usize = 6;
 /// Least number of watching gateways in each zone.
@@ -25,36 +25,42 @@
 /// Time after its start in which a node collects heartbeats before it relies on its watcher role. A shorter time makes nodes of a
 /// large fleet take it for a small one.
 const SETTLING: Duration = Duration::from_millis(1_200);
-/// When a node without any view first queries the store: after this delay and at most the spread more, by its name.
+/// A node without a view first queries the store after this delay plus a part of the spread that is decided by the hash of its
+/// name.
 const FIRST_QUERY_DELAY: Duration = Duration::from_millis(30);
 const FIRST_QUERY_SPREAD: Duration = Duration::from_millis(300);
-/// The same where a seed replies. The seeds query the store themselves, so that a starting fleet doesn't query it all at once.
+/// Delay and spread of a node's first query where a seed replies. The seeds query the store themselves, so that a starting
+/// fleet doesn't query it all at once.
 const SEEDED_QUERY_DELAY: Duration = Duration::from_secs(1);
 const SEEDED_QUERY_SPREAD: Duration = Duration::from_secs(1);
-/// Fraction of the configuration bound after which a view counts as stale, and the spread by name.
+/// Fraction of the configuration bound after which a view counts as stale, and the spread, of which a part decided by the hash
+/// of the node's name is added.
 const STALE_FRACTION: f64 = 0.6;
 const STALE_SPREAD: f64 = 0.2;
-/// Fraction of the configuration bound for which a watch in a large fleet waits at most, and the spread by name that is taken off.
-/// The spread keeps watches that ended together at a change from ending together again, so that some watcher's view is always fresh.
+/// Fraction of the configuration bound for which a watch in a large fleet waits at most, and the spread, of which a part
+/// decided by the hash of the node's name is subtracted. The spread keeps watches that ended together at a change from ending
+/// together again, so that some watcher's view is always fresh.
 const WAIT_FRACTION: f64 = 0.6;
 const WAIT_SPREAD: f64 = 0.15;
 /// How long a node keeps watching after its view was stale.
-const STALE_WATCH_TIME: Duration = Duration::from_secs(10);
+const WATCH_TIME_AFTER_STALE_VIEW: Duration = Duration::from_secs(10);
 /// Wait of a watch in a small fleet, where nothing depends on the end of the wait.
 const LONG_WAIT: Duration = Duration::from_secs(8);
-/// Fraction of the configuration bound after which a node of a small fleet probes the store beside its watches, and the
-/// spread by name. The spread lets mostly one node probe and tell the others. Without the probe, a watch whose connection has
-/// silent delays changes past the bound.
+/// Fraction of the configuration bound after which a node of a small fleet probes the store beside its watches, and the spread,
+/// of which a part decided by the hash of the node's name is added. The spread lets mostly one node probe and tell the others.
+/// Without the probe, a watch whose connection has silent delays changes past the bound.
 const PROBE_FRACTION: f64 = 0.4;
 const PROBE_SPREAD: f64 = 0.2;
-/// The same in a large fleet, where watches return before that.
+/// Fraction and spread for the probes of a node in a large fleet, where watches return before that.
 const LARGE_PROBE_FRACTION: f64 = 0.7;
 const LARGE_PROBE_SPREAD: f64 = 0.1;
-/// How long a silent watch may hide an order to empty a machine. Carrying out such an order takes seconds.
+/// Time without a confirmation after which the store is probed for orders to retire a machine. Longer than for other kinds of
+/// objects, since carrying out such an order takes seconds anyway.
 const RETIREMENT_PROBE_DELAY: Duration = Duration::from_secs(3);
-/// Longest backoff while the store doesn't answer: short enough for a retry and its answer within the configuration bound.
+/// Longest backoff while the store doesn't answer: short enough for a retry and its reply within the configuration bound.
 const MAX_BACKOFF: Duration = Duration::from_millis(800);
-/// The same for nodes that other nodes tell of changes, so that a large fleet doesn't retry all at once.
+/// Longest backoff of nodes with the role `Other`, which learn of changes from other nodes, so that a large fleet doesn't retry
+/// all at once.
 const MAX_OTHER_BACKOFF: Duration = Duration::from_millis(2_400);
 
 /// Whether a node is one of those that watch the store.
@@ -80,7 +86,7 @@
         !member.info.is_replica && now.saturating_sub(last) < SILENT_AFTER
     };
     let gateways: Vec<&Member> = members.filter(counts).collect();
-    if gateways.len() < SMALL_FLEET {
+    if gateways.len() < LARGE_FLEET_GATEWAYS {
         return WatcherRole::All;
     }
     let mut zones: Vec<&str> = gateways
@@ -160,12 +166,12 @@
             return true;
         }
         if age > self.stale_after {
-            self.stale_until = Some(now + STALE_WATCH_TIME);
+            self.stale_until = Some(now + WATCH_TIME_AFTER_STALE_VIEW);
         }
         self.stale_until.is_some_and(|until| now < until)
     }
 
-    /// Times of the node's watches. In a large fleet the answers to watches are what keeps the views of the other nodes confirmed.
+    /// Times of the node's watches. In a large fleet the replies to watches are what keeps the views of the other nodes confirmed.
     pub fn timings(&self, watcher_role: WatcherRole) -> WatchTimings {
         match watcher_role {
             WatcherRole::All => WatchTimings {
@@ -198,7 +204,7 @@
 }
 
 impl WatchTimings {
-    /// For watches of orders to empty a machine.
+    /// For watches of orders to retire a machine.
     pub const RETIREMENTS: Self = Self {
         wait: LONG_WAIT,
         probe_after: RETIREMENT_PROBE_DELAY,
--- a/crates/resident/tests/confirmations.rs
+++ b/crates/resident/tests/confirmations.rs
@@ -21,7 +21,7 @@
 
 const TIMEOUT: Duration = Duration::from_secs(5);
 
-fn told(unconfirmed_ms: u64) -> Confirmations {
+fn confirmations(unconfirmed_ms: u64) -> Confirmations {
     Confirmations {
         version: VERSION,
         unconfirmed_ms: Some(unconfirmed_ms),
@@ -33,7 +33,7 @@
 
 /// A heartbeat of another node with this address.
 fn heartbeat(from: SocketAddr, unconfirmed_ms: u64) -> Datagram {
-    heartbeat_of(from, told(unconfirmed_ms))
+    heartbeat_of(from, confirmations(unconfirmed_ms))
 }
 
 fn heartbeat_of(from: SocketAddr, confirmations: Confirmations) -> Datagram {
@@ -89,21 +89,21 @@
             .await
             .expect("a free port");
         let from = peer.local_addr().expect("a bound socket");
-        let told = |engines_newest| Confirmations {
+        let confirmations = |engines_newest| Confirmations {
             engines_newest,
             engines_unconfirmed_ms: Some(10),
-            ..told(TIMEOUT.as_millis() as u64)
+            ..confirmations(TIMEOUT.as_millis() as u64)
         };
         send(
             &peer,
             node.settings.peer_address(),
-            &heartbeat_of(from, told(3)),
+            &heartbeat_of(from, confirmations(3)),
         )
         .await;
         let number = next_query(&peer).await;
-        let told = told(3);
-        let answer = Datagram::Confirmed { number, told };
-        send(&peer, node.settings.peer_address(), &answer).await;
+        let told = confirmations(3);
+        let reply = Datagram::Confirmed { number, told };
+        send(&peer, node.settings.peer_address(), &reply).await;
         let confirmed = async {
             while node.view.engines_confirmation_age().is_none() {
                 sleep(Duration::from_millis(5)).await;
@@ -145,14 +145,14 @@
         sleep(late).await;
         let unknown = Datagram::Confirmed {
             number: number + 1,
-            told: told(0),
+            told: confirmations(0),
         };
         send(&peer, address, &unknown).await;
-        let answer = Datagram::Confirmed {
+        let reply = Datagram::Confirmed {
             number,
-            told: told(500),
+            told: confirmations(500),
         };
-        send(&peer, address, &answer).await;
+        send(&peer, address, &reply).await;
         let confirmed = async {
             while node.view.confirmation_age().is_none() {
                 sleep(Duration::from_millis(1)).await;
@@ -160,13 +160,13 @@
         };
         timeout(TIMEOUT, confirmed)
             .await
-            .expect("the node applies the answer");
+            .expect("the node applies the reply");
         let age = node.view.confirmation_age().expect("just confirmed");
         assert!(age >= Duration::from_millis(500) + late, "{age:?}");
-        // A second answer to the same query is ignored.
+        // A second reply to the same query is ignored.
         let again = Datagram::Confirmed {
             number,
-            told: told(0),
+            told: confirmations(0),
         };
         send(&peer, address, &again).await;
         sleep(Duration::from_millis(50)).await;
--- a/crates/resident/tests/drains.rs
+++ b/crates/resident/tests/drains.rs
@@ -83,10 +83,10 @@
     other.adopt_drains(listed(&[ZONE], 10), Source::Store);
     one.adopt_drains(listed(&[], 20), Source::Store);
     one.drains.confirm_as_of(Duration::ZERO);
-    let told = one.confirmations();
-    other.confirm(&told, Duration::ZERO);
+    let confirmations = one.confirmations();
+    other.confirm(&confirmations, Duration::ZERO);
     assert!(other.drains.confirmation_age().is_none());
-    let known = told.drains.expect("a table is known");
+    let known = confirmations.drains.expect("a table is known");
     assert!(other.drains.is_behind(&known));
     fetch(&one, &other, Duration::ZERO);
     assert!(!is_drained(&other));
--- a/crates/resident/tests/extension_messages.rs
+++ b/crates/resident/tests/extension_messages.rs
@@ -71,8 +71,10 @@
 }
 
 /// The same frame with an extension message of an unknown kind beside its body.
-fn with_unknown_kind(kind: MessageKind, harmless: &[u8]) -> Bytes {
-    let parts = unframe(harmless).expect("a valid frame").expect("a frame");
+fn with_unknown_kind(kind: MessageKind, version_0_body: &[u8]) -> Bytes {
+    let parts = unframe(version_0_body)
+        .expect("a valid frame")
+        .expect("a frame");
     let sections = [(UNKNOWN_KIND, vec![1, 2, 3])];
     Bytes::from(frame(kind as u16, parts.number, &sections, parts.body))
 }
@@ -178,13 +180,13 @@
 
 #[test]
 fn a_datagram_of_an_unknown_kind_decodes_as_unknown() {
-    let harmless = Datagram::FoundRead {
+    let version_0_body = Datagram::FoundRead {
         number: 0,
         read: None,
     };
     let bytes = with_unknown_kind(
         MessageKind::Datagram,
-        &encode(&harmless).expect("a message that can be encoded"),
+        &encode(&version_0_body).expect("a message that can be encoded"),
     );
     let read: Datagram = decode(&bytes).expect("a datagram");
     assert_eq!(
--- a/crates/resident/tests/heartbeats.rs
+++ b/crates/resident/tests/heartbeats.rs
@@ -16,7 +16,7 @@
 use tokio::time::{Instant, timeout_at};
 
 /// Longer than the time after its start in which a node names others in every heartbeat.
-const NAMING_START_OVER: Duration = Duration::from_millis(5_500);
+const AFTER_NAMING_START: Duration = Duration::from_millis(5_500);
 /// Twice the time between heartbeats that name others.
 const OBSERVATION_TIME: Duration = Duration::from_secs(4);
 
@@ -70,9 +70,9 @@
         let (all, naming) = count_heartbeats(&peer, begun + Duration::from_secs(4)).await;
         // The first heartbeat may be sent before the node knows any other.
         assert!(naming + 1 >= all && all > 8, "{naming} of {all}");
-        count_heartbeats(&peer, begun + NAMING_START_OVER).await;
+        count_heartbeats(&peer, begun + AFTER_NAMING_START).await;
         let (all, naming) =
-            count_heartbeats(&peer, begun + NAMING_START_OVER + OBSERVATION_TIME).await;
+            count_heartbeats(&peer, begun + AFTER_NAMING_START + OBSERVATION_TIME).await;
         assert!(all > 8, "{all}");
         assert!((1..=3).contains(&naming), "{naming} of {all}");
     });
--- a/crates/resident/tests/mixed_versions.rs
+++ b/crates/resident/tests/mixed_versions.rs
@@ -60,8 +60,8 @@
     read(&encode(&Envelope { number: 7, body }).expect("a message that can be encoded"))
 }
 
-fn view(needs_extras: bool) -> View {
-    View::new(Clock::start(), true).needing_extras(needs_extras)
+fn view(needs_protocol_1: bool) -> View {
+    View::new(Clock::start(), true).needing_protocol_1(needs_protocol_1)
 }
 
 /// The view of a node that has everything from the store.
@@ -165,22 +165,22 @@
 lost_machines = 1
 "#;
 
-fn need_extras(extra_lines: &str) -> bool {
+fn needs_protocol_1(extra_lines: &str) -> bool {
     let settings = NodeSettings::parse(&format!("{SETTINGS}{extra_lines}"));
-    settings.expect("settings").need_extras()
+    settings.expect("settings").needs_protocol_1()
 }
 
 #[test]
-fn regions_and_warm_up_bounds_need_extras() {
-    assert!(!need_extras(""));
-    assert!(!need_extras("zone_drain_ms = 2000.0"));
-    assert!(need_extras("warm_up_factor = 1.1"));
-    assert!(!need_extras("[zones]\na = \"north\"\nb = \"north\""));
-    assert!(need_extras("[zones]\na = \"north\"\nb = \"south\""));
+fn regions_and_warm_up_bounds_need_protocol_1() {
+    assert!(!needs_protocol_1(""));
+    assert!(!needs_protocol_1("zone_drain_ms = 2000.0"));
+    assert!(needs_protocol_1("warm_up_factor = 1.1"));
+    assert!(!needs_protocol_1("[zones]\na = \"north\"\nb = \"north\""));
+    assert!(needs_protocol_1("[zones]\na = \"north\"\nb = \"south\""));
 }
 
 const TIMEOUT: Duration = Duration::from_secs(5);
-const PAUSE: Duration = Duration::from_millis(10);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Counts requests for a view.
 struct RequestCounter(Rc<Cell<usize>>);
@@ -208,9 +208,9 @@
 
     fn on_load(&self, _from: &str, _load: LoadReport) {}
 
-    fn on_prefill(&self, _read: PrefillRecord) {}
+    fn on_prefill(&self, _prefill: PrefillRecord) {}
 
-    fn find_read(&self, _part: u64) -> Option<PrefillRecord> {
+    fn find_prefill(&self, _part: u64) -> Option<PrefillRecord> {
         None
     }
 }
@@ -276,14 +276,14 @@
 async fn wait_until(what: &str, holds: impl Fn() -> bool) {
     let waited = async {
         while !holds() {
-            sleep(PAUSE).await;
+            sleep(POLL_INTERVAL).await;
         }
     };
     timeout(TIMEOUT, waited).await.expect(what);
 }
 
 #[test]
-fn a_node_that_needs_extras_fetches_only_from_current_nodes() {
+fn a_node_that_needs_protocol_1_does_not_fetch_from_version_0_nodes() {
     run(async {
         let (node, address) = start_node("warm_up_factor = 1.1").await;
         let (version_0, version_0_requests) = other_node().await;
@@ -307,7 +307,7 @@
 }
 
 #[test]
-fn a_node_without_need_for_extras_fetches_from_version_0_nodes() {
+fn a_node_that_does_not_need_protocol_1_fetches_from_version_0_nodes() {
     run(async {
         let (_node, address) = start_node("").await;
         let (version_0, requests) = other_node().await;
--- a/crates/resident/tests/pending_queries.rs
+++ b/crates/resident/tests/pending_queries.rs
@@ -8,9 +8,9 @@
     let (one, _) = queries.start();
     let (two, mut answer) = queries.start();
     assert_ne!(one, two);
-    queries.answer(two, None);
+    queries.on_reply(two, None);
     assert_eq!(answer.try_recv(), Ok(None));
-    queries.answer(99, None);
+    queries.on_reply(99, None);
 }
 
 #[test]
--- a/crates/resident/tests/support/idle_node.rs
+++ b/crates/resident/tests/support/idle_node.rs
@@ -38,7 +38,7 @@
 
     fn on_prefill(&self, _read: PrefillRecord) {}
 
-    fn find_read(&self, _part: u64) -> Option<PrefillRecord> {
+    fn find_prefill(&self, _part: u64) -> Option<PrefillRecord> {
         None
     }
 }
--- a/crates/resident/tests/support/samples.rs
+++ b/crates/resident/tests/support/samples.rs
@@ -21,7 +21,7 @@
 const GROUP: GroupId = GroupId(3);
 const EPOCH: Epoch = Epoch(17);
 const REPLICA: ReplicaId = ReplicaId(0x0123_4567_89ab_cdef);
-const KEEP_MS: u64 = 600_000;
+const RETENTION_MS: u64 = 600_000;
 
 fn address(port: u16) -> SocketAddr {
     (Ipv4Addr::new(10, 1, 2, 3), port).into()
@@ -89,7 +89,7 @@
             program: program(),
             turn: turn("t2"),
             entry: entry(None),
-            ttl_ms: KEEP_MS,
+            ttl_ms: RETENTION_MS,
         },
         ReplicaRequest::Settle {
             group: GROUP,
@@ -98,14 +98,14 @@
                 program: program(),
                 turn: turn("t2"),
                 entry: entry(Some(33)),
-                ttl_ms: KEEP_MS,
+                ttl_ms: RETENTION_MS,
             }],
         },
         ReplicaRequest::Append {
             group: GROUP,
             epoch: EPOCH,
             record: record(),
-            ttl_ms: KEEP_MS,
+            ttl_ms: RETENTION_MS,
         },
         ReplicaRequest::ReadChain {
             group: GROUP,
@@ -276,7 +276,7 @@
         max_attempts: 3,
         resumable: true,
         keeps_turns: true,
-        retention_ms: KEEP_MS,
+        retention_ms: RETENTION_MS,
         is_public: false,
         residency: Residency::anywhere(), // not in version 0
     });
--- a/crates/resident/tests/traffic.rs
+++ b/crates/resident/tests/traffic.rs
@@ -53,7 +53,7 @@
 #[test]
 fn counts_are_exported_with_their_labels() {
     let traffic = traffic();
-    traffic.add_for_zone(Purpose::Chain, "zone-c", 41);
+    traffic.add_for_zone(Purpose::ChainRead, "zone-c", 41);
     let mut registry = Registry::default();
     registry.register_collector(Box::new(TrafficCollector(traffic.counts)));
     let mut text = String::new();
--- a/crates/resident/tests/watch_policy.rs
+++ b/crates/resident/tests/watch_policy.rs
@@ -74,13 +74,12 @@
     let mut others: Vec<Member> = (1..60).map(|number| member(number, 1)).collect();
     let long_after = LATER + Duration::from_secs(21);
     let info = &me.info;
-    let place_at =
-        |others: &[Member], now| watcher_role(&info.name, &info.zone, others.iter(), now);
-    assert_eq!(place_at(&others, long_after), WatcherRole::All);
+    let role_at = |others: &[Member], now| watcher_role(&info.name, &info.zone, others.iter(), now);
+    assert_eq!(role_at(&others, long_after), WatcherRole::All);
     for other in &mut others {
         other.info.is_replica = true;
     }
-    assert_eq!(place_at(&others, LATER), WatcherRole::All);
+    assert_eq!(role_at(&others, LATER), WatcherRole::All);
 }
 
 #[test]
