--- a/crates/gateway/src/entry.rs
+++ b/crates/gateway/src/entry.rs
@@ -70,7 +70,7 @@
         Err(_) => refuse(
             &gateway,
             &parts,
-            &Refusal::last(RefusalReason::EngineFailed),
+            &Refusal::without_retry(RefusalReason::EngineFailed),
         ),
     }
 }
@@ -108,7 +108,7 @@
     let max_bytes = caller_limits(gateway).max_body_bytes;
     let announced = hyper::body::Body::size_hint(&body).lower();
     if announced > max_bytes {
-        return Err(Refusal::last(RefusalReason::BodyTooLarge));
+        return Err(Refusal::without_retry(RefusalReason::BodyTooLarge));
     }
     let overloaded = Refusal::retry_later(RefusalReason::Overloaded, RETRY_AFTER);
     if gateway.open_requests() > MAX_OPEN_REQUESTS {
@@ -119,9 +119,9 @@
     let collected = match tokio::time::timeout(BODY_TIMEOUT, reading).await {
         Ok(Ok(collected)) => collected.to_bytes(),
         Ok(Err(error)) if error.is::<http_body_util::LengthLimitError>() => {
-            return Err(Refusal::last(RefusalReason::BodyTooLarge));
+            return Err(Refusal::without_retry(RefusalReason::BodyTooLarge));
         }
-        Ok(Err(_)) | Err(_) => return Err(Refusal::last(RefusalReason::BadRequest)),
+        Ok(Err(_)) | Err(_) => return Err(Refusal::without_retry(RefusalReason::BadRequest)),
     };
     let body_reservation = gateway.reserve_body(collected.len()).ok_or(overloaded)?;
     Ok((collected, body_reservation))
@@ -135,7 +135,7 @@
     open_request: OpenRequestGuard,
     received: Instant,
 ) -> Result<Call, Refusal> {
-    let bad_request = Refusal::last(RefusalReason::BadRequest);
+    let bad_request = Refusal::without_retry(RefusalReason::BadRequest);
     let metadata = read_metadata(&parts.headers).map_err(|_| bad_request)?;
     if metadata.request_id.is_empty() || parts.method == Method::CONNECT {
         return Err(bad_request);
@@ -222,7 +222,7 @@
     let bound = gateway.node.settings.bounds.configuration();
     let age = gateway.node.view.confirmation_age();
     if age.is_some_and(|age| age < bound) {
-        Refusal::last(reason)
+        Refusal::without_retry(reason)
     } else {
         Refusal::retry_later(RefusalReason::ConfigurationStale, RETRY_AFTER)
     }
--- a/crates/gateway/src/exchange.rs
+++ b/crates/gateway/src/exchange.rs
@@ -326,7 +326,7 @@
             RefusalReason::TimedOut
         };
         match client {
-            ClientSide::Waiting(client) => self.refuse(client, Refusal::last(reason)),
+            ClientSide::Waiting(client) => self.refuse(client, Refusal::without_retry(reason)),
             ClientSide::Streaming(client) => {
                 client.abort().await;
                 Ending::Aborted(reason.name())
--- a/crates/gateway/src/exchange/engine_choice.rs
+++ b/crates/gateway/src/exchange/engine_choice.rs
@@ -394,7 +394,7 @@
             return None;
         }
         if !self.history.may_have_run_on.is_empty() {
-            return Some(Refusal::last(RefusalReason::EngineFailed));
+            return Some(Refusal::without_retry(RefusalReason::EngineFailed));
         }
         Some(if is_key_valid {
             Refusal::retry_later(
@@ -402,13 +402,13 @@
                 self.gateway.keys.retry_after(),
             )
         } else {
-            Refusal::last(RefusalReason::UnknownKey)
+            Refusal::without_retry(RefusalReason::UnknownKey)
         })
     }
 
     pub(super) fn final_refusal(&self, exclusion: Option<Exclusion>) -> Refusal {
         if !self.history.may_have_run_on.is_empty() {
-            return Refusal::last(RefusalReason::EngineFailed);
+            return Refusal::without_retry(RefusalReason::EngineFailed);
         }
         if let Some(refusal) = self.drain_refusal() {
             return refusal;
--- a/crates/gateway/src/exchange/preparation.rs
+++ b/crates/gateway/src/exchange/preparation.rs
@@ -206,7 +206,7 @@
         self.gateway.metrics.reserve_seconds.observe(elapsed_secs);
         if ledger.is_settled(&ledger_key.turn) {
             // The identifier was used before, and its settled entry must not be reopened.
-            return Err(Refusal::last(RefusalReason::DuplicateRequestId));
+            return Err(Refusal::without_retry(RefusalReason::DuplicateRequestId));
         }
         if ledger.admits(&ledger_key.turn, reserved_tokens, budget) {
             let has_earlier_turns = ledger.entries.keys().any(|turn| *turn != ledger_key.turn);
@@ -223,7 +223,7 @@
             epoch = self.gateway.node.view.epoch().0;
             "budget does not hold the turn"
         );
-        Err(Refusal::last(RefusalReason::BudgetSpent))
+        Err(Refusal::without_retry(RefusalReason::BudgetSpent))
     }
 
     /// The body for the engine: all earlier turns, then the client's body.
@@ -259,7 +259,7 @@
                 Ok(prompt)
             }
             Ok(ChainOutcome::NoSuchTurn(missing)) if missing == previous => {
-                Err(Refusal::last(RefusalReason::NoSuchTurn))
+                Err(Refusal::without_retry(RefusalReason::NoSuchTurn))
             }
             // An earlier turn is missing, while the previous turn exists, so the client must not be
             // told that the turn does not exist.
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -291,13 +291,13 @@
                 );
             }
         });
-        for (service, costs, samples) in placement.news() {
+        for (service, costs, samples) in placement.cost_changes() {
             log::info!(
                 target: "belief",
                 service:% = service,
-                tokens_per_ms = costs.tokens_per_ms,
-                share_ms = costs.share_ms,
-                turn_ms = costs.turn_ms,
+                tokens_per_ms = costs.prefill_tokens_per_ms,
+                share_ms = costs.slowdown_ms,
+                turn_ms = costs.request_ms,
                 samples = samples;
                 "cost estimates of a service changed"
             );
@@ -353,7 +353,7 @@
             version = routes.version(),
             routes = join_names(&faults.routes).as_str(),
             tenants = join_names(&faults.tenants).as_str(),
-            keeping_turns = join_names(&faults.keeping).as_str(),
+            keeping_turns = join_names(&faults.partly_allowed_turn_routes).as_str(),
             count = count;
             "routes or tenants cannot be served in their regions"
         );
--- a/crates/gateway/src/in_flight.rs
+++ b/crates/gateway/src/in_flight.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 
 use ridgeworks_resident::traffic::Purpose;
-use ridgeworks_routing::{CallMetadata, Engine, EngineKey, Forecast, Turn};
+use ridgeworks_routing::{CallMetadata, Engine, EngineKey, Forecast, RequestSample};
 use tokio::time::Instant;
 
 use crate::gateway::Gateway;
@@ -95,14 +95,14 @@
 
     /// Records that the response is complete.
     pub fn on_complete(&self) {
-        let turn = Turn {
-            turn_ms: self.sent.elapsed().as_secs_f64() * MS_PER_S,
+        let sample = RequestSample {
+            request_ms: self.sent.elapsed().as_secs_f64() * MS_PER_S,
             step_ms: self.step_ms(),
             events: self.events.get(),
             open: self.forecast.open,
         };
         let mut placement = self.gateway.placement.borrow_mut();
-        placement.on_turn(&self.engine, turn);
+        placement.on_request_sample(&self.engine, sample);
     }
 
     /// Time per step in milliseconds. The lower quartile of the gaps: longer gaps may include a
@@ -126,7 +126,7 @@
         let remaining_prefill = if is_prefilled {
             0
         } else {
-            self.forecast.missing
+            self.forecast.missing_tokens
         };
         let mut placement = self.gateway.placement.borrow_mut();
         placement.on_ended(self.engine.key(), remaining_prefill);
--- a/crates/gateway/src/rate_limits.rs
+++ b/crates/gateway/src/rate_limits.rs
@@ -93,7 +93,7 @@
         let state = self.select_limiters(tenant, progress, &limiters);
         let order = match state {
             LimiterSelection::Granted => return Ok(()),
-            LimiterSelection::Closed(after) => {
+            LimiterSelection::Exhausted(after) => {
                 let denials = Denials {
                     retry: Some(after),
                     ..Denials::default()
--- a/crates/gateway/src/warm_ups.rs
+++ b/crates/gateway/src/warm_ups.rs
@@ -63,7 +63,7 @@
             return None;
         }
         let grant_pool = self.admission.grant_pool.borrow();
-        let may_acquire = self.may_ask && grant_pool.closed_for(key, self.now).is_none();
+        let may_acquire = self.may_ask && grant_pool.exhausted_for(key, self.now).is_none();
         (!may_acquire && !grant_pool.has(key, self.now)).then_some(Exclusion::WarmUp)
     }
 }
@@ -249,7 +249,7 @@
     }
 
     fn log_changes(&self, now: Duration) {
-        for change in self.engines.borrow_mut().news(now) {
+        for change in self.engines.borrow_mut().changes(now) {
             log::info!(
                 target: "belief",
                 engine = change.instance.as_str(),
@@ -301,7 +301,7 @@
         let limiters = self.limiters(group);
         let order = match self.select_limiters(engine, &limiters) {
             GrantState::Available => return true,
-            GrantState::Closed(_) => return false,
+            GrantState::Exhausted(_) => return false,
             GrantState::Ask(order) => order,
         };
         let asking = self.ask_in_order(engine, limit, group, &limiters, order);
@@ -392,8 +392,8 @@
     fn back_off(&self, engine: &Engine) {
         let now = self.now();
         let mut grant_pool = self.grant_pool.borrow_mut();
-        if grant_pool.closed_for(engine.key(), now).is_none() {
-            grant_pool.close(engine.key(), UNANSWERED_BACKOFF, now);
+        if grant_pool.exhausted_for(engine.key(), now).is_none() {
+            grant_pool.set_exhausted(engine.key(), UNANSWERED_BACKOFF, now);
         }
     }
 
@@ -402,7 +402,7 @@
         let closed = self
             .grant_pool
             .borrow()
-            .closed_for(engine.key(), self.now());
+            .exhausted_for(engine.key(), self.now());
         log::info!(
             target: "attempt",
             request = request,
@@ -422,7 +422,7 @@
         let grant_pool = self.grant_pool.borrow();
         let first = self.node.view.with_engines(|table| {
             let closed = table.ready(service);
-            let closed = closed.filter_map(|engine| grant_pool.closed_for(engine.key(), now));
+            let closed = closed.filter_map(|engine| grant_pool.exhausted_for(engine.key(), now));
             closed.min()
         });
         Some(
--- a/crates/laboratory/src/policies/landed.rs
+++ b/crates/laboratory/src/policies/landed.rs
@@ -6,7 +6,7 @@
 
 use ridgeworks_routing::{
     Engine as Listed, EngineEntry, EngineKey, EngineState, EngineTable, Forecast, Outcome,
-    Placement, PlacementRequest, PrefillDirectory, PrefillRecord, ServiceCosts, Turn,
+    Placement, PlacementRequest, PrefillDirectory, PrefillRecord, RequestSample, ServiceCosts,
 };
 
 use super::{Choosing, Policy};
@@ -107,10 +107,10 @@
         });
         let engine = &self.engines[under_way.engine];
         let placement = &mut self.placements[under_way.gateway];
-        placement.on_turn(
+        placement.on_request_sample(
             engine,
-            Turn {
-                turn_ms: now_ms - under_way.sent_ms,
+            RequestSample {
+                request_ms: now_ms - under_way.sent_ms,
                 step_ms,
                 events,
                 open: under_way.forecast.open,
@@ -185,7 +185,7 @@
         };
         self.on_outcome(&turn, Outcome::Failed, now_ms);
         let engine = self.engines[turn.engine].key();
-        self.placements[turn.gateway].on_ended(engine, turn.forecast.missing);
+        self.placements[turn.gateway].on_ended(engine, turn.forecast.missing_tokens);
     }
 
     fn on_report(&mut self, now_ms: f64) {
--- a/crates/quota/src/bucket.rs
+++ b/crates/quota/src/bucket.rs
@@ -65,7 +65,8 @@
             ProgramProgress::Beginning => 1.0 + self.share.capacity * RESERVED_FRACTION,
             ProgramProgress::UnderWay => 1.0,
         };
-        // A full bucket grants any request, however small it is.
+        // A full bucket that holds at least one token grants any request, even if its capacity is below one
+        // token plus the reserve.
         let required = required.min(self.share.capacity).max(1.0);
         if self.level >= required {
             self.level -= 1.0;
@@ -108,7 +109,8 @@
     ) -> LimiterDecision {
         let Some(bucket) = self.buckets.get_mut(name) else {
             if fresh.version < self.discarded_version {
-                // A lower limit may be among those that were discarded.
+                // The discarded bucket of this name may have had a newer version and a lower limit, so this
+                // limit may be outdated.
                 return LimiterDecision::Exhausted {
                     next: STALE_LIMIT_RETRY,
                     retry: STALE_LIMIT_RETRY,
@@ -141,13 +143,13 @@
     }
 
     /// Number of buckets that are not full.
-    pub(crate) fn len(&self) -> usize {
+    pub(crate) fn non_full_count(&self) -> usize {
         let taken = self.buckets.values().filter(|bucket| !bucket.is_full());
         taken.count()
     }
 
     /// Number of all buckets.
-    pub(crate) fn retained(&self) -> usize {
+    pub(crate) fn count(&self) -> usize {
         self.buckets.len()
     }
 }
--- a/crates/quota/src/limiter.rs
+++ b/crates/quota/src/limiter.rs
@@ -36,7 +36,7 @@
     bounds: QuotaBounds,
     /// Limiters that share each limit.
     limiters: usize,
-    /// When this limiter's memory of its grants begins.
+    /// Time since which this limiter knows all of its grants.
     known_since: Duration,
     buckets: Buckets,
 }
@@ -92,16 +92,16 @@
 
     /// Tenants with recent grants.
     pub fn len(&self) -> usize {
-        self.buckets.len()
+        self.buckets.non_full_count()
     }
 
     /// Whether no tenant has recent grants.
     pub fn is_empty(&self) -> bool {
-        self.buckets.len() == 0
+        self.buckets.non_full_count() == 0
     }
 
     /// Tenants whose limits are known.
     pub fn retained(&self) -> usize {
-        self.buckets.retained()
+        self.buckets.count()
     }
 }
--- a/crates/quota/src/limiter_selector.rs
+++ b/crates/quota/src/limiter_selector.rs
@@ -8,11 +8,12 @@
 
 use crate::limiter::ProgramProgress;
 
-/// Limiters asked for one request before it is refused. If one of five is empty by chance, as happens to a
-/// tenant with one request in two seconds, fewer than one request in a thousand is refused below the limit.
+/// Limiters asked for one request before it is refused. With three, fewer than one in a thousand requests of
+/// a tenant below its limit is refused, even at one request in two seconds, where one of five limiters may be
+/// empty by chance.
 const MAX_LIMITERS_ASKED: usize = 3;
-/// How long a grant that reached no engine may serve another request of the tenant. It extends the window of
-/// the limit by as much.
+/// How long a grant that reached no engine may serve another request of the tenant. The window of the limit
+/// is effectively longer by this time.
 const RETURNED_GRANT_LIFETIME: Duration = Duration::from_millis(400);
 /// Fraction of the time until a request may retry for which its limiter is not asked again. The longer a
 /// limiter's queue, the less often it is asked in vain.
@@ -58,7 +59,7 @@
     /// A returned grant serves the request.
     Granted,
     /// No limiter has a token for this long.
-    Closed(Duration),
+    Exhausted(Duration),
 }
 
 /// A gateway's knowledge of the limiters. Times are since the start of the process.
@@ -86,21 +87,21 @@
             return LimiterSelection::Granted;
         }
         state.exhausted_until.retain(|_, until| *until > now);
-        let mut open: Vec<LimiterCandidate> = limiters
+        let mut available: Vec<LimiterCandidate> = limiters
             .iter()
             .copied()
             .filter(|limiter| !state.exhausted_until.contains_key(&(limiter.key, progress)))
             .collect();
-        if open.is_empty()
+        if available.is_empty()
             && let Some(until) = state.next_available_at(progress)
         {
-            return LimiterSelection::Closed(until - now);
+            return LimiterSelection::Exhausted(until - now);
         }
         // Shuffled regardless of zones: the share of a limiter that is asked less would go unused.
-        open.shuffle(random);
-        open.sort_by_key(|limiter| limiter.is_unresponsive);
-        open.truncate(MAX_LIMITERS_ASKED);
-        LimiterSelection::Ask(open.into_iter().map(|limiter| limiter.key).collect())
+        available.shuffle(random);
+        available.sort_by_key(|limiter| limiter.is_unresponsive);
+        available.truncate(MAX_LIMITERS_ASKED);
+        LimiterSelection::Ask(available.into_iter().map(|limiter| limiter.key).collect())
     }
 
     /// A limiter had no token; `next` and `retry` are those of
--- a/crates/quota/src/share.rs
+++ b/crates/quota/src/share.rs
@@ -52,8 +52,9 @@
 }
 
 impl Share {
-    /// The share of one of several limiters. Together they hold the burst and a part of the allowed excess,
-    /// so that the bucket of a small tenant holds whole requests.
+    /// The share of one of several limiters. Together the full buckets of all limiters hold
+    /// `CAPACITY_FRACTION` of the headroom, but at least the burst. The burst of a small tenant alone,
+    /// divided among the limiters, could be less than one request each.
     pub fn new(limit: RateLimit, bounds: &QuotaBounds, limiters: usize) -> Self {
         let limiters = limiters.max(1) as f64;
         let headroom = bounds.headroom(limit);
--- a/crates/quota/src/warm_up.rs
+++ b/crates/quota/src/warm_up.rs
@@ -11,8 +11,8 @@
 use crate::limiter_selector::{LimiterCandidate, LimiterKey, LimiterSelection, LimiterSelector};
 use crate::share::Share;
 
-/// Lifetime of a grant from the time it was requested. Grants from before a window add to it for as long. A
-/// limiter answers within a few milliseconds.
+/// Lifetime of a grant from the time it was requested. A window may also contain requests whose grants were
+/// requested up to this long before it. A limiter answers within a few milliseconds.
 pub const GRANT_LIFETIME: Duration = Duration::from_millis(150);
 /// Grants that one limiter makes within this time can be sent within one window: a second and the lifetime of
 /// a grant.
@@ -71,9 +71,10 @@
     bounds: WarmUpBounds,
     /// Limiters that share each limit.
     limiters: usize,
-    /// When this limiter's memory of its grants begins.
+    /// Time since which this limiter knows all of its grants.
     known_since: Duration,
-    /// By instance, not by run: gateways that do not know of a restart yet count together with those that do.
+    /// By instance rather than by run, so that requests of gateways that have not learned of an engine's
+    /// restart yet take tokens from the same bucket as the others.
     buckets: Buckets,
 }
 
@@ -99,11 +100,11 @@
     ) -> LimiterDecision {
         let known = now.saturating_sub(self.known_since);
         if known < GRANT_WINDOW {
-            return exhausted_for(GRANT_WINDOW - known);
+            return exhausted_decision(GRANT_WINDOW - known);
         }
         let share = self.bounds.share(limit, self.limiters);
         if share.capacity < 1.0 {
-            return exhausted_for(MAX_WAIT);
+            return exhausted_decision(MAX_WAIT);
         }
         let fresh = Bucket::new(share, share.capacity, version, now);
         self.buckets
@@ -117,16 +118,16 @@
 
     /// Engines with recent grants.
     pub fn len(&self) -> usize {
-        self.buckets.len()
+        self.buckets.non_full_count()
     }
 
     /// Whether no engine has recent grants.
     pub fn is_empty(&self) -> bool {
-        self.buckets.len() == 0
+        self.buckets.non_full_count() == 0
     }
 }
 
-fn exhausted_for(time: Duration) -> LimiterDecision {
+fn exhausted_decision(time: Duration) -> LimiterDecision {
     LimiterDecision::Exhausted {
         next: time,
         retry: time,
@@ -166,7 +167,7 @@
     /// Ask these limiters in this order.
     Ask(Vec<LimiterKey>),
     /// There will be no grant for this long.
-    Closed(Duration),
+    Exhausted(Duration),
 }
 
 /// A gateway's unused grants and its knowledge of the limiters. Times are since the start of the process.
@@ -191,8 +192,8 @@
         if self.has(engine, now) {
             return GrantState::Available;
         }
-        if let Some(left) = self.closed_for(engine, now) {
-            return GrantState::Closed(left);
+        if let Some(left) = self.exhausted_for(engine, now) {
+            return GrantState::Exhausted(left);
         }
         let progress = ProgramProgress::UnderWay;
         let state = self
@@ -200,7 +201,7 @@
             .next(instance, progress, limiters, now, random);
         match state {
             LimiterSelection::Granted => GrantState::Available,
-            LimiterSelection::Closed(left) => GrantState::Closed(left),
+            LimiterSelection::Exhausted(left) => GrantState::Exhausted(left),
             LimiterSelection::Ask(mut order) => {
                 order.truncate(MAX_LIMITERS_ASKED);
                 GrantState::Ask(order)
@@ -208,21 +209,21 @@
         }
     }
 
-    /// A limiter had no grant. The engine's limiters are not asked again until the first of them reserves a
-    /// token for this request, or with many gateways most questions would be in vain.
+    /// A limiter had no grant. The engine's limiters are not asked again until the shortest known `retry`
+    /// delay has passed; with many gateways most requests to limiters would otherwise be refused.
     pub fn on_exhausted(
         &mut self,
         engine: EngineKey,
         instance: &str,
         limiter: LimiterKey,
-        wait: GrantDelay,
+        delay: GrantDelay,
         now: Duration,
     ) {
-        let GrantDelay { next, retry } = wait;
+        let GrantDelay { next, retry } = delay;
         let progress = ProgramProgress::UnderWay;
         self.selector
             .on_exhausted(instance, progress, limiter, next, retry, now);
-        self.close(engine, retry, now);
+        self.set_exhausted(engine, retry, now);
     }
 
     /// Adds a grant to the pool.
@@ -246,14 +247,14 @@
     }
 
     /// Records that there is no grant for an engine for this long, or for the shorter known time.
-    pub fn close(&mut self, engine: EngineKey, time: Duration, now: Duration) {
-        let left = self.closed_for(engine, now);
+    pub fn set_exhausted(&mut self, engine: EngineKey, time: Duration, now: Duration) {
+        let left = self.exhausted_for(engine, now);
         let time = left.map_or(time, |left| left.min(time));
         self.exhausted_until.insert(engine, now + time);
     }
 
     /// How long there is no grant for an engine; `None` if that is not known.
-    pub fn closed_for(&self, engine: EngineKey, now: Duration) -> Option<Duration> {
+    pub fn exhausted_for(&self, engine: EngineKey, now: Duration) -> Option<Duration> {
         let until = self
             .exhausted_until
             .get(&engine)
--- a/crates/quota/tests/simulation.rs
+++ b/crates/quota/tests/simulation.rs
@@ -51,7 +51,7 @@
 const OVERLOAD: Conditions = Conditions {
     faults: true,
     load: 4.0,
-    unused: 0.05,
+    unused_fraction: 0.05,
 };
 /// Many times the limit, so that buckets are always nearly empty.
 const FAR_OVERLOAD: Conditions = Conditions {
@@ -62,7 +62,7 @@
 const BELOW_LIMIT: Conditions = Conditions {
     faults: false,
     load: 0.625,
-    unused: 0.01,
+    unused_fraction: 0.01,
 };
 
 #[test]
@@ -232,11 +232,21 @@
         assert_eq!(order.last(), Some(&keys[1].key));
     }
     for key in &keys {
-        let closed = Duration::from_millis(100 * (key.key.0 + 1));
-        selector.on_exhausted("a", ProgramProgress::UnderWay, key.key, closed, closed, now);
+        let exhausted = Duration::from_millis(100 * (key.key.0 + 1));
+        selector.on_exhausted(
+            "a",
+            ProgramProgress::UnderWay,
+            key.key,
+            exhausted,
+            exhausted,
+            now,
+        );
     }
-    let closed = selector.next("a", ProgramProgress::UnderWay, &keys, now, &mut random);
-    assert_eq!(closed, LimiterSelection::Closed(Duration::from_millis(100)));
+    let exhausted = selector.next("a", ProgramProgress::UnderWay, &keys, now, &mut random);
+    assert_eq!(
+        exhausted,
+        LimiterSelection::Exhausted(Duration::from_millis(100))
+    );
     let later = now + Duration::from_millis(150);
     assert_eq!(
         selector.next("a", ProgramProgress::UnderWay, &keys, later, &mut random),
--- a/crates/quota/tests/support/algorithms.rs
+++ b/crates/quota/tests/support/algorithms.rs
@@ -89,7 +89,7 @@
         let state = selector.next(&name, progress, &candidates, now, context.random);
         let order = match state {
             LimiterSelection::Granted => return Answer::Granted,
-            LimiterSelection::Closed(_) => return Answer::Refused,
+            LimiterSelection::Exhausted(_) => return Answer::Refused,
             LimiterSelection::Ask(order) => order,
         };
         let mut answer = Answer::Unknown;
--- a/crates/quota/tests/support/mod.rs
+++ b/crates/quota/tests/support/mod.rs
@@ -59,7 +59,7 @@
     fn admit(&mut self, gateway: usize, tenant: usize, context: &mut Context<'_>) -> Answer;
     /// A grant reached no engine.
     fn return_grant(&mut self, gateway: usize, tenant: usize, now: Duration);
-    /// A limiter restarts without its memory.
+    /// A limiter restarts and has lost its state.
     fn restart(&mut self, limiter: usize, now: Duration);
 }
 
@@ -74,7 +74,7 @@
     /// Load as a multiple of the limit.
     pub load: f64,
     /// Fraction of the grants that reach no engine.
-    pub unused: f64,
+    pub unused_fraction: f64,
 }
 
 /// Results of one schedule for one tenant.
@@ -87,9 +87,9 @@
     pub fullest: f64,
 }
 
-struct Ran {
-    sent: Duration,
-    ran: Duration,
+struct SentRequest {
+    sent_at: Duration,
+    arrived_at: Duration,
 }
 
 /// Runs a schedule and returns the results for each tenant.
@@ -103,7 +103,7 @@
     let mut results = Vec::new();
     let mut arrivals = draw_arrivals(&mut random, &limits, conditions.load);
     arrivals.sort_unstable();
-    let mut ran: Vec<Vec<Ran>> = limits.iter().map(|_| Vec::new()).collect();
+    let mut sent_requests: Vec<Vec<SentRequest>> = limits.iter().map(|_| Vec::new()).collect();
     let mut counts = vec![(0, 0, 0); limits.len()];
     let mut restarts = faults.restarts().into_iter().peekable();
     for (now, tenant) in arrivals {
@@ -124,14 +124,14 @@
         match answer {
             Answer::Refused => *refused += 1,
             Answer::Unknown => *unknown += 1,
-            Answer::Granted if random.random_bool(conditions.unused) => {
+            Answer::Granted if random.random_bool(conditions.unused_fraction) => {
                 algorithm.return_grant(gateway, tenant, now);
             }
             Answer::Granted => {
                 let message_delay = Duration::from_millis(random.random_range(0..20));
-                ran[tenant].push(Ran {
-                    sent: now,
-                    ran: now + message_delay,
+                sent_requests[tenant].push(SentRequest {
+                    sent_at: now,
+                    arrived_at: now + message_delay,
                 });
             }
         }
@@ -142,7 +142,7 @@
             asked,
             refused,
             unknown,
-            fullest: fullest(&ran[tenant]) as f64 / BOUNDS.most(*limit),
+            fullest: fullest(&sent_requests[tenant]) as f64 / BOUNDS.most(*limit),
         });
     }
     results
@@ -179,12 +179,14 @@
     arrivals
 }
 
-/// Most requests that were sent and ran within one window.
-fn fullest(ran: &[Ran]) -> usize {
-    let windows = ran.iter().enumerate().map(|(first, begin)| {
-        let end = begin.sent + BOUNDS.window;
-        let inside = ran[first..].iter().take_while(|run| run.sent <= end);
-        inside.filter(|run| run.ran <= end).count()
+/// Most requests that were sent and arrived within one window.
+fn fullest(sent_requests: &[SentRequest]) -> usize {
+    let windows = sent_requests.iter().enumerate().map(|(first, begin)| {
+        let end = begin.sent_at + BOUNDS.window;
+        let inside = sent_requests[first..]
+            .iter()
+            .take_while(|request| request.sent_at <= end);
+        inside.filter(|request| request.arrived_at <= end).count()
     });
     windows.max().unwrap_or_default()
 }
@@ -263,7 +265,7 @@
         (0..limiters).map(is_down).collect()
     }
 
-    /// Times at which limiters are up again without their memory.
+    /// Times at which limiters are up again and have lost their state.
     fn restarts(&self) -> Vec<(Duration, usize)> {
         let ends = self.downs.iter();
         let mut restarts: Vec<(Duration, usize)> = ends
--- a/crates/quota/tests/support/warm_up_algorithms.rs
+++ b/crates/quota/tests/support/warm_up_algorithms.rs
@@ -85,7 +85,7 @@
     fn decide(
         &mut self,
         gateway: usize,
-        _world: &Deployment,
+        _deployment: &Deployment,
         context: &mut Context<'_>,
     ) -> Decision {
         let now = context.now;
@@ -93,7 +93,7 @@
         let pool = &mut self.pools[gateway];
         match pool.next(KEY, ENGINE, &candidates, now, context.random) {
             GrantState::Available => Decision::Send,
-            GrantState::Closed(_) => Decision::Skip,
+            GrantState::Exhausted(_) => Decision::Skip,
             GrantState::Ask(order) => Decision::Ask(order),
         }
     }
@@ -102,8 +102,8 @@
         self.limiters[limiter].grant(ENGINE, self.limit, VERSION, now)
     }
 
-    fn on_exhausted(&mut self, gateway: usize, from: LimiterKey, wait: GrantDelay, now: Duration) {
-        self.pools[gateway].on_exhausted(KEY, ENGINE, from, wait, now);
+    fn on_exhausted(&mut self, gateway: usize, from: LimiterKey, delay: GrantDelay, now: Duration) {
+        self.pools[gateway].on_exhausted(KEY, ENGINE, from, delay, now);
     }
 
     fn on_unresponsive(&mut self, gateway: usize, from: LimiterKey, now: Duration) {
@@ -131,7 +131,7 @@
     }
     let others = (0..deployment.gateways).filter(|other| !context.is_cut(*other));
     others
-        .filter(|other| !deployment.is_gone(*other, context.now))
+        .filter(|other| !deployment.is_crash_detected(*other, context.now))
         .count()
 }
 
@@ -196,12 +196,13 @@
         deployment: &Deployment,
         context: &mut Context<'_>,
     ) -> Decision {
-        let before = (0..deployment.gateways).filter(|other| {
+        let higher_ranked = (0..deployment.gateways).filter(|other| {
             let is_reachable = !context.is_cut(gateway) && !context.is_cut(*other);
-            let is_believed_running = is_reachable && !deployment.is_gone(*other, context.now);
+            let is_believed_running =
+                is_reachable && !deployment.is_crash_detected(*other, context.now);
             is_believed_running && self.ranks[*other] > self.ranks[gateway]
         });
-        if before.count() >= Self::COUNT {
+        if higher_ranked.count() >= Self::COUNT {
             return Decision::Skip;
         }
         let per_s = deployment.limit.per_ks as f64 / 1_000.0 / Self::COUNT as f64;
--- a/crates/quota/tests/support/warm_up_schedule.rs
+++ b/crates/quota/tests/support/warm_up_schedule.rs
@@ -47,7 +47,7 @@
         &mut self,
         _gateway: usize,
         _from: LimiterKey,
-        _wait: GrantDelay,
+        _delay: GrantDelay,
         _now: Duration,
     ) {
     }
@@ -56,8 +56,8 @@
     fn may_send(&self, _asked: Duration, _now: Duration) -> bool {
         true
     }
-    /// A limiter restarts without its memory; the last one replaces the first one and starts without memory
-    /// as well.
+    /// A limiter restarts and has lost its state; the last one replaces the first one and starts without
+    /// state as well.
     fn restart(&mut self, _limiter: usize, _now: Duration) {}
 }
 
@@ -66,20 +66,20 @@
     pub gateways: usize,
     pub limiters: usize,
     pub limit: WarmUpLimit,
-    /// Times at which gateways crash.
+    /// When each gateway crashes, by gateway; `None` if it does not.
     crashes: Vec<Option<Duration>>,
-    /// Spans in which gateways are frozen.
+    /// Start and end of each gateway's freeze, by gateway; `None` if it does not freeze.
     freezes: Vec<Option<(Duration, Duration)>>,
     /// Time at which the first limiter is replaced, and which gateways do not learn of it.
     replaced: Option<(Duration, Vec<bool>)>,
     /// Times at which all limiters restart, several times within a second.
     restarts: Vec<Duration>,
     /// Fraction of the messages that are lost.
-    lost: f64,
+    lost_fraction: f64,
     /// Fraction of the messages that are slow.
-    late: f64,
+    slow_message_fraction: f64,
     /// Fraction of the requests whose preparation is slow.
-    slow: f64,
+    slow_preparation_fraction: f64,
 }
 
 impl Deployment {
@@ -98,9 +98,9 @@
             freezes: vec![None; gateways],
             replaced: None,
             restarts: Vec::new(),
-            lost: 0.0,
-            late: 0.0,
-            slow: 0.0,
+            lost_fraction: 0.0,
+            slow_message_fraction: 0.0,
+            slow_preparation_fraction: 0.0,
         };
         if faults {
             deployment.draw_faults(random);
@@ -131,13 +131,13 @@
         if random.random_bool(0.4) {
             self.restarts = restarts.collect();
         }
-        self.lost = 0.02;
-        self.late = 0.05;
-        self.slow = if random.random_bool(0.5) { 0.9 } else { 0.02 };
+        self.lost_fraction = 0.02;
+        self.slow_message_fraction = 0.05;
+        self.slow_preparation_fraction = if random.random_bool(0.5) { 0.9 } else { 0.02 };
     }
 
-    /// Whether the gateway is known to be gone.
-    pub fn is_gone(&self, gateway: usize, now: Duration) -> bool {
+    /// Whether the gateway has crashed and the other gateways have detected it.
+    pub fn is_crash_detected(&self, gateway: usize, now: Duration) -> bool {
         self.crashes[gateway].is_some_and(|crash| crash + CRASH_DETECTION_TIME < now)
     }
 
@@ -167,7 +167,7 @@
 
     /// Time from the arrival of a request until it is ready for an engine.
     fn preparation_time(&self, random: &mut ChaCha8Rng) -> Duration {
-        let longest = if random.random_bool(self.slow) {
+        let longest = if random.random_bool(self.slow_preparation_fraction) {
             1_500
         } else {
             12
@@ -176,10 +176,10 @@
     }
 
     fn message_delay(&self, random: &mut ChaCha8Rng) -> Option<Duration> {
-        if random.random_bool(self.lost) {
+        if random.random_bool(self.lost_fraction) {
             return None;
         }
-        let longest = if random.random_bool(self.late) {
+        let longest = if random.random_bool(self.slow_message_fraction) {
             600
         } else {
             4
@@ -193,7 +193,7 @@
 /// Results of one schedule.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct WarmUpResults {
-    pub wanted: usize,
+    pub requested: usize,
     pub sent: usize,
     pub messages: usize,
     /// Sum of the waits of requests that were sent, in milliseconds.
@@ -207,10 +207,10 @@
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
     Restart(usize),
-    Wanted(usize),
-    Question(Ask),
-    Answered(Ask, Option<GrantDelay>),
-    Unanswered(Ask),
+    RequestArrived(usize),
+    LimiterRequest(Ask),
+    LimiterReply(Ask, Option<GrantDelay>),
+    LimiterTimeout(Ask),
     Dispatch(usize, Duration),
 }
 
@@ -298,7 +298,7 @@
         let mut at = BEGIN.as_secs_f64();
         while at < END.as_secs_f64() {
             let gateway = self.random.random_range(0..self.deployment.gateways);
-            self.push(Duration::from_secs_f64(at), Event::Wanted(gateway));
+            self.push(Duration::from_secs_f64(at), Event::RequestArrived(gateway));
             let drawn: f64 = self.random.random_range(f64::EPSILON..1.0);
             at -= drawn.ln() / per_s;
         }
@@ -306,9 +306,9 @@
 
     fn gateway_of_event(event: &Event) -> Option<usize> {
         match event {
-            Event::Wanted(gateway) | Event::Dispatch(gateway, _) => Some(*gateway),
-            Event::Answered(ask, ..) | Event::Unanswered(ask) => Some(ask.gateway),
-            Event::Restart(_) | Event::Question(_) => None,
+            Event::RequestArrived(gateway) | Event::Dispatch(gateway, _) => Some(*gateway),
+            Event::LimiterReply(ask, ..) | Event::LimiterTimeout(ask) => Some(ask.gateway),
+            Event::Restart(_) | Event::LimiterRequest(_) => None,
         }
     }
 
@@ -325,10 +325,10 @@
         }
         match event {
             Event::Restart(limiter) => self.algorithm.restart(limiter, now),
-            Event::Wanted(gateway) => self.want(gateway, now),
-            Event::Question(ask) => self.question(ask, now),
-            Event::Answered(ask, denial) => self.answered(ask, denial, now),
-            Event::Unanswered(mut ask) => {
+            Event::RequestArrived(gateway) => self.on_request(gateway, now),
+            Event::LimiterRequest(ask) => self.on_limiter_request(ask, now),
+            Event::LimiterReply(ask, delay) => self.on_limiter_reply(ask, delay, now),
+            Event::LimiterTimeout(mut ask) => {
                 if let Some(unresponsive) = ask.order.pop() {
                     self.algorithm
                         .on_unresponsive(ask.gateway, unresponsive, now);
@@ -339,8 +339,8 @@
         }
     }
 
-    fn want(&mut self, gateway: usize, now: Duration) {
-        self.results.wanted += 1;
+    fn on_request(&mut self, gateway: usize, now: Duration) {
+        self.results.requested += 1;
         let down = self.faults.down(now, self.deployment.limiters);
         let mut context = Context {
             now,
@@ -377,12 +377,12 @@
         }
         self.results.messages += 2;
         match self.deployment.message_delay(&mut self.random) {
-            Some(message_delay) => self.push(now + message_delay, Event::Question(ask)),
-            None => self.push(now + ANSWER_TIMEOUT, Event::Unanswered(ask)),
+            Some(message_delay) => self.push(now + message_delay, Event::LimiterRequest(ask)),
+            None => self.push(now + ANSWER_TIMEOUT, Event::LimiterTimeout(ask)),
         }
     }
 
-    fn question(&mut self, ask: Ask, now: Duration) {
+    fn on_limiter_request(&mut self, ask: Ask, now: Duration) {
         let Some(key) = ask.order.last().copied() else {
             return;
         };
@@ -392,29 +392,29 @@
         let index = key.0 as usize;
         let is_cut = self.faults.cut(now).contains(&(ask.gateway, index));
         if is_cut || down[limiter] {
-            self.push(now + ANSWER_TIMEOUT, Event::Unanswered(ask));
+            self.push(now + ANSWER_TIMEOUT, Event::LimiterTimeout(ask));
             return;
         }
-        let denial = match self.algorithm.grant(limiter, now) {
+        let delay = match self.algorithm.grant(limiter, now) {
             LimiterDecision::Granted => None,
             LimiterDecision::Exhausted { next, retry } => Some(GrantDelay { next, retry }),
         };
         match self.deployment.message_delay(&mut self.random) {
-            Some(message_delay) => self.push(now + message_delay, Event::Answered(ask, denial)),
-            None => self.push(now + ANSWER_TIMEOUT, Event::Unanswered(ask)),
+            Some(message_delay) => self.push(now + message_delay, Event::LimiterReply(ask, delay)),
+            None => self.push(now + ANSWER_TIMEOUT, Event::LimiterTimeout(ask)),
         }
     }
 
-    fn answered(&mut self, mut ask: Ask, denial: Option<GrantDelay>, now: Duration) {
+    fn on_limiter_reply(&mut self, mut ask: Ask, delay: Option<GrantDelay>, now: Duration) {
         let Some(key) = ask.order.pop() else {
             return;
         };
-        let Some(wait) = denial else {
+        let Some(delay) = delay else {
             let prepared = ask.asked + self.deployment.preparation_time(&mut self.random);
             self.push(now.max(prepared), Event::Dispatch(ask.gateway, ask.asked));
             return;
         };
-        self.algorithm.on_exhausted(ask.gateway, key, wait, now);
+        self.algorithm.on_exhausted(ask.gateway, key, delay, now);
         if now < ask.asked + ANSWER_TIMEOUT {
             self.ask(ask, now);
         }
--- a/crates/quota/tests/warm_up.rs
+++ b/crates/quota/tests/warm_up.rs
@@ -26,7 +26,7 @@
 
 /// Totals over many schedules.
 #[derive(Debug, Default)]
-#[allow(dead_code, reason = "what no test holds against a bound is printed")]
+#[allow(dead_code, reason = "fields that no test checks are only printed")]
 struct Totals {
     fullest: f64,
     broken: usize,
--- a/crates/resident/src/view.rs
+++ b/crates/resident/src/view.rs
@@ -463,7 +463,7 @@
             self.adopt_replica_sets(groups, Source::Peer);
         }
         if let Some(received) = drains {
-            let newest = received.table.newest();
+            let newest = received.table.unchanged_since();
             self.adopt_drains(received.table, Source::Peer);
             self.drains
                 .confirm(newest, plus_request_age(received.unconfirmed_ms));
--- a/crates/resident/src/view/drains.rs
+++ b/crates/resident/src/view/drains.rs
@@ -94,7 +94,7 @@
 
     /// Newest revision and confirmation age, for other nodes; `None` before the first list.
     pub fn known(&self) -> Option<KnownDrains> {
-        let newest = self.table.borrow().as_ref()?.newest();
+        let newest = self.table.borrow().as_ref()?.unchanged_since();
         Some(KnownDrains {
             newest,
             unconfirmed_ms: self.confirmation_age().map(whole_ms),
--- a/crates/routing/examples/choice_cost.rs
+++ b/crates/routing/examples/choice_cost.rs
@@ -46,7 +46,7 @@
     let started_at = Instant::now();
     for number in 0..ROUNDS {
         let key = format!("session-{number}");
-        let demand = PlacementRequest {
+        let request = PlacementRequest {
             service: "models",
             key: &key,
             parts: &[],
@@ -54,7 +54,7 @@
             excluded: &[],
             rules,
         };
-        black_box(placement.choose(table, &demand, Duration::from_secs(1)));
+        black_box(placement.choose(table, &request, Duration::from_secs(1)));
     }
     let each = started_at.elapsed() / ROUNDS;
     println!("{name}: {:.1} us a choice", each.as_secs_f64() * 1e6);
--- a/crates/routing/src/configuration.rs
+++ b/crates/routing/src/configuration.rs
@@ -32,7 +32,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct Route {
     pub name: String,
-    /// Host name, without a port; compared without case.
+    /// Host name without a port; ASCII case-insensitive.
     pub host: String,
     /// Prefix of the path, with a slash at both ends.
     pub path_prefix: String,
--- a/crates/routing/src/eligibility.rs
+++ b/crates/routing/src/eligibility.rs
@@ -8,7 +8,8 @@
 use crate::engine_table::{Engine, EngineTable};
 use crate::residency::{Residency, ZoneRegions};
 
-/// Why an engine is excluded. Ordered: a later variant is more likely to pass while the request waits.
+/// Why an engine is excluded. Ordered: a later variant is more likely to stop applying while the request
+/// waits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Exclusion {
     /// The engine's region is not one in which the request may be served.
@@ -61,16 +62,16 @@
 }
 
 /// Why all ready engines of a service are excluded; `None` if one is eligible or there is no engine. Of
-/// several reasons the greatest counts, as the most temporary one: a request that waits for it to pass may be
-/// served.
+/// several reasons the greatest counts, as the most temporary one: a request that waits until it no longer
+/// applies may be served.
 pub fn service_exclusion(
     table: &EngineTable,
     service: &str,
     rules: &[&dyn EligibilityRule],
 ) -> Option<Exclusion> {
-    let bars = table
+    let exclusions = table
         .ready(service)
         .map(|engine| first_exclusion(rules, engine));
-    let bars: Option<Vec<Exclusion>> = bars.collect();
-    bars?.into_iter().max()
+    let exclusions: Option<Vec<Exclusion>> = exclusions.collect();
+    exclusions?.into_iter().max()
 }
--- a/crates/routing/src/engine_health.rs
+++ b/crates/routing/src/engine_health.rs
@@ -18,8 +18,8 @@
     Served,
     /// The engine failed, or its answer was unusable.
     Failed,
-    /// The request did not reach the engine. Another engine can take it at little cost, so it starts a
-    /// backoff and is not counted as a failed request.
+    /// The request did not reach the engine. Another engine can take it at little cost, so this outcome only
+    /// makes the engine back off and does not count as a failed request.
     Unreachable,
 }
 
--- a/crates/routing/src/engine_load.rs
+++ b/crates/routing/src/engine_load.rs
@@ -12,7 +12,7 @@
 use crate::reported_outcomes::{MAX_SUSPECTS, ReportedOutcomes, ReportedSums};
 use crate::request::PromptPart;
 
-/// Reports that are older are dropped.
+/// Age at which reports are dropped.
 const REPORT_LIFETIME: Duration = Duration::from_secs(2);
 /// Weight of the newest interval between two reports in the moving average.
 const INTERVAL_WEIGHT: f64 = 0.05;
@@ -23,7 +23,7 @@
 /// again.
 const FAILING_SHARE: f64 = 0.25;
 const SERVING_SHARE: f64 = 0.1;
-/// Decayed failures from which on an engine is a suspect.
+/// Least number of decayed failures, own and reported, that makes an engine a suspect.
 const MIN_SUSPECT_FAILURES: f64 = 0.5;
 const MS_PER_S: f64 = 1_000.0;
 /// Prompt parts remembered for each engine, at about 45 bytes each. They are the larger part of a gateway's
@@ -125,7 +125,7 @@
     pub health: EngineHealth,
     /// Outcomes at suspects as seen by other gateways.
     reported_outcomes: ReportedSums,
-    /// The state that [`EngineLoad::failure_state_changes`] returned last.
+    /// The state that [`EngineLoad::update_failure_state`] returned last.
     is_failing: bool,
 }
 
@@ -137,20 +137,20 @@
             .plus(self.reported_outcomes.counts())
     }
 
-    /// Share of failed requests. The prior is `typical_share` for the reports, and the reported share for
+    /// Share of failed requests. The prior is `typical_failed_share` for the reports, and the reported share for
     /// this gateway's own requests: an engine may fail for some callers only.
-    pub fn failed_share(&self, typical_share: f64, now: Duration) -> f64 {
-        let reported_outcomes = self
+    pub fn failed_share(&self, typical_failed_share: f64, now: Duration) -> f64 {
+        let reported_share = self
             .reported_outcomes
             .counts()
-            .failed_share(PRIOR_OUTCOMES, typical_share);
-        let own_open = self.health.outcomes(now);
-        own_open.failed_share(PRIOR_OUTCOMES, reported_outcomes)
+            .failed_share(PRIOR_OUTCOMES, typical_failed_share);
+        let own_outcomes = self.health.outcomes(now);
+        own_outcomes.failed_share(PRIOR_OUTCOMES, reported_share)
     }
 
     /// The new state if the engine has started or ceased to fail requests. The two thresholds give
     /// hysteresis, so that the state does not flip with each request.
-    pub fn failure_state_changes(&mut self, now: Duration) -> Option<bool> {
+    pub fn update_failure_state(&mut self, now: Duration) -> Option<bool> {
         let share = self.failed_share(0.0, now);
         let limit = if self.is_failing {
             SERVING_SHARE
@@ -239,7 +239,7 @@
         let loaded = self.engines.iter().filter(|(_, load)| load.own_open > 0);
         let mut open: Vec<(EngineKey, u32)> =
             loaded.map(|(key, load)| (*key, load.own_open)).collect();
-        open.sort_unstable_by_key(|(key, own_open)| (std::cmp::Reverse(*own_open), *key));
+        open.sort_unstable_by_key(|(key, count)| (std::cmp::Reverse(*count), *key));
         open
     }
 
--- a/crates/routing/src/engine_table.rs
+++ b/crates/routing/src/engine_table.rs
@@ -98,11 +98,11 @@
     pub fn set_warm_ups(&mut self, warm_ups: Vec<EngineWarmUp>) {
         let warm_ups = warm_ups
             .into_iter()
-            .map(|start| (start.instance, start.warm_up_ms));
+            .map(|warm_up| (warm_up.instance, warm_up.warm_up_ms));
         let warm_ups: HashMap<String, u64> = warm_ups.collect();
         for entry in &mut self.entries {
-            let start = warm_ups.get(&entry.engine.instance);
-            entry.engine.warm_up_ms = start.copied().unwrap_or_default();
+            let warm_up = warm_ups.get(&entry.engine.instance);
+            entry.engine.warm_up_ms = warm_up.copied().unwrap_or_default();
         }
     }
 }
@@ -114,7 +114,7 @@
     revision: u64,
     /// Revision up to which the reporting table was complete. A removal may be reported with the revision of
     /// the last change before it, so [`EngineTable::changes_since`] uses this revision instead.
-    reported_at: u64,
+    reporter_revision: u64,
 }
 
 /// All engines, by instance.
@@ -122,6 +122,7 @@
 pub struct EngineTable {
     entries: HashMap<String, EngineEntry>,
     removed: HashMap<String, Tombstone>,
+    /// Revision up to which the table is complete.
     at: u64,
     /// Revision since which all changes are known.
     complete_since: u64,
@@ -152,7 +153,7 @@
         let changed = self.entries.values();
         let changed = changed.filter(|entry| entry.revision > revision);
         let removed = self.removed.iter();
-        let removed = removed.filter(|(_, tombstone)| tombstone.reported_at > revision);
+        let removed = removed.filter(|(_, tombstone)| tombstone.reporter_revision > revision);
         EngineChanges {
             is_whole: false,
             entries: changed.cloned().collect(),
@@ -203,26 +204,26 @@
         true
     }
 
-    /// Removes an engine as of a revision, as reported by a table that is complete up to `reported_at`;
+    /// Removes an engine as of a revision, as reported by a table that is complete up to `reporter_revision`;
     /// returns whether the engine was listed.
-    pub fn remove(&mut self, instance: &str, revision: u64, reported_at: u64) -> bool {
+    pub fn remove(&mut self, instance: &str, revision: u64, reporter_revision: u64) -> bool {
         let known = self.entries.get(instance).map(|known| known.revision);
         if known > Some(revision) {
             return false;
         }
         if self.removed.len() >= MAX_TOMBSTONES {
             self.removed.clear();
-            self.complete_since = reported_at;
+            self.complete_since = reporter_revision;
         }
-        let reported_at = reported_at.max(revision);
+        let reporter_revision = reporter_revision.max(revision);
         let earlier = self.removed.get(instance);
         if earlier.is_some_and(|earlier| earlier.revision >= revision) {
             return false;
         }
-        self.newest = self.newest.max(reported_at);
+        self.newest = self.newest.max(reporter_revision);
         let tombstone = Tombstone {
             revision,
-            reported_at,
+            reporter_revision,
         };
         self.removed.insert(instance.to_owned(), tombstone);
         self.entries.remove(instance).is_some()
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -51,7 +51,7 @@
 pub use route_table::{RouteTable, UnknownKey};
 pub use sample_window::SampleWindow;
 pub use service_model::{
-    PrefillSample, ServiceCosts, ServiceKey, ServiceModel, ServiceSummary, Turn,
+    PrefillSample, RequestSample, ServiceCosts, ServiceKey, ServiceModel, ServiceSummary,
 };
 pub use tenants::{KeyDigest, RateLimit, Tenant, TenantFault, TenantTable, check_tenants};
 pub use warm_up::{WarmUpChange, WarmUpLimit, WarmUpSource, WarmUps};
--- a/crates/routing/src/placement.rs
+++ b/crates/routing/src/placement.rs
@@ -6,8 +6,8 @@
 //! `docs/design/decisions.md`).
 //!
 //! Gateways decide independently and know each other's load only with a delay. If all of them took the engine
-//! that looked least loaded, they would overload it together. So each session has a few *candidates* by
-//! rendezvous hashing, the same at all gateways, and another engine is chosen only if it is better by a
+//! that looked least loaded, they would overload it together. So each session has a few *preferred engines*
+//! by rendezvous hashing, the same at all gateways, and another engine is chosen only if it is better by a
 //! margin.
 
 use std::collections::{HashMap, HashSet};
@@ -23,14 +23,14 @@
 use crate::region_latencies::RegionLatencies;
 use crate::request::PromptPart;
 use crate::service_model::{
-    PrefillSample, ServiceCosts, ServiceKey, ServiceModel, ServiceSummary, Turn,
+    PrefillSample, RequestSample, ServiceCosts, ServiceKey, ServiceModel, ServiceSummary,
 };
 
-/// Margin by which an engine that is not a candidate of the session has to be better, in in-flight requests.
-/// Counts lag by a heartbeat, in which each engine gets a few requests.
-const NON_CANDIDATE_MARGIN_REQUESTS: f64 = 4.0;
-/// Candidates of a session in the gateway's region, and in its zone.
-const CANDIDATES_PER_SESSION: usize = 2;
+/// Margin by which an engine that is not a preferred one of the session has to be better, in in-flight
+/// requests. Counts lag by a heartbeat, in which each engine gets a few requests.
+const NON_PREFERRED_MARGIN_REQUESTS: f64 = 4.0;
+/// Preferred engines of a session in the gateway's region, and in its zone.
+const PREFERRED_PER_SESSION: usize = 2;
 /// Sessions whose last engine is remembered.
 const MAX_SESSION_ENGINES: usize = 8_192;
 /// Extra cost of an engine in another zone, in milliseconds, for latency and traffic. The extra cost of
@@ -40,7 +40,7 @@
 const BACKOFF_COST_MS: f64 = 10_000.0;
 /// Cost of a failed request, in durations of a request: its own duration, the client's pause before a retry,
 /// and the risk that the program ends with the third failure.
-const FAILURE_COST_TURNS: f64 = 4.0;
+const FAILURE_COST_REQUESTS: f64 = 4.0;
 /// Fraction of a request's duration that grows with the engine's step time. The rest is prefill and waiting,
 /// and step times of one engine also differ with its batch.
 const STEP_FRACTION: f64 = 0.4;
@@ -100,9 +100,9 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Forecast {
     /// Prompt tokens that the engine was believed to lack in its cache.
-    pub missing: u64,
+    pub missing_tokens: u64,
     /// Tokens of this gateway's earlier requests that the engine had yet to prefill.
-    pub ahead: u64,
+    pub pending_tokens: u64,
     /// In-flight requests at the engine.
     pub open: u32,
     /// Whether the engine was believed to have cached the prompt's first part, so that only the session's own
@@ -120,7 +120,7 @@
 }
 
 /// An eligible engine.
-struct Candidate<'a> {
+struct EligibleEngine<'a> {
     engine: &'a Engine,
     key: EngineKey,
     /// Rank by rendezvous hashing; the highest is preferred.
@@ -161,30 +161,30 @@
         self.loads.expire(now);
         let costs = self.costs(request.service);
         let session = xxh3_64(request.key.as_bytes());
-        let candidates = candidates(table, request, session);
-        let fastest_step_ms = self.fastest_step_ms(&candidates);
+        let eligible_engines = eligible_engines(table, request, session);
+        let fastest_step_ms = self.fastest_step_ms(&eligible_engines);
         let last_engine = self.session_engines.get(&session);
-        let preferred = preferred(&candidates, request.zone, self.latencies.as_ref());
-        let reports = self.report_weight(&candidates, &costs);
-        let typical_share = self.typical_failed_share(&candidates, now);
-        let costed = candidates.iter().map(|candidate| {
-            let open = self.estimated_open(candidate.key, reports);
-            let mut cost = self.cost(candidate, request, &costs, open, now);
-            cost += self.slow_step_ms(candidate, &costs, fastest_step_ms);
-            cost += self.failure_ms(candidate, &costs, typical_share, now);
-            let has_affinity = last_engine == Some(&candidate.key)
-                || self.caches_session_part(candidate.key, request);
-            if !has_affinity && !preferred.contains(&candidate.key) {
-                cost += NON_CANDIDATE_MARGIN_REQUESTS * costs.open_ms(candidate.engine.slots);
+        let preferred = preferred(&eligible_engines, request.zone, self.latencies.as_ref());
+        let reports = self.report_weight(&eligible_engines, &costs);
+        let typical_failed_share = self.typical_failed_share(&eligible_engines, now);
+        let costed = eligible_engines.iter().map(|eligible| {
+            let open = self.estimated_in_flight(eligible.key, reports);
+            let mut cost = self.cost(eligible, request, &costs, open, now);
+            cost += self.slow_step_ms(eligible, &costs, fastest_step_ms);
+            cost += self.failure_ms(eligible, &costs, typical_failed_share, now);
+            let has_affinity = last_engine == Some(&eligible.key)
+                || self.caches_session_part(eligible.key, request);
+            if !has_affinity && !preferred.contains(&eligible.key) {
+                cost += NON_PREFERRED_MARGIN_REQUESTS * costs.open_ms(eligible.engine.slots);
             }
-            (cost, candidate)
+            (cost, eligible)
         });
         let best = costed.min_by(|one, two| {
             let by_cost = one.0.total_cmp(&two.0);
             by_cost.then(two.1.rank.cmp(&one.1.rank))
         });
-        best.map(|(cost_ms, candidate)| Choice {
-            engine: candidate.engine,
+        best.map(|(cost_ms, eligible)| Choice {
+            engine: eligible.engine,
             cost_ms,
         })
     }
@@ -217,8 +217,8 @@
         let open = self.loads.open_at(engine_key);
         let load = self.loads.entry(engine_key);
         let forecast = Forecast {
-            missing: load.parts.missing(parts),
-            ahead: load.pending_prefill_tokens,
+            missing_tokens: load.parts.missing(parts),
+            pending_tokens: load.pending_prefill_tokens,
             open,
             is_certain: parts.len() == 1
                 || parts
@@ -226,7 +226,9 @@
                     .is_some_and(|part| load.parts.is_cached(*part)),
         };
         load.own_open += 1;
-        load.pending_prefill_tokens = load.pending_prefill_tokens.saturating_add(forecast.missing);
+        load.pending_prefill_tokens = load
+            .pending_prefill_tokens
+            .saturating_add(forecast.missing_tokens);
         for part in parts {
             load.parts.insert(*part);
         }
@@ -236,27 +238,29 @@
     /// The first event of a request has arrived, so its prompt is prefilled.
     pub fn on_first_event(&mut self, engine: &Engine, forecast: Forecast, taken: Duration) {
         let load = self.loads.entry(engine.key());
-        load.pending_prefill_tokens = load.pending_prefill_tokens.saturating_sub(forecast.missing);
-        if forecast.open >= engine.slots || forecast.ahead > 0 {
+        load.pending_prefill_tokens = load
+            .pending_prefill_tokens
+            .saturating_sub(forecast.missing_tokens);
+        if forecast.open >= engine.slots || forecast.pending_tokens > 0 {
             // It waited for a slot or for other prefills, perhaps also for those of other gateways, so it is
             // no sample.
             return;
         }
         self.model(&engine.service)
             .on_prefill_sample(PrefillSample {
-                tokens: forecast.missing,
+                tokens: forecast.missing_tokens,
                 first_ms: taken.as_secs_f64() * MS_PER_S,
                 is_certain: forecast.is_certain,
             });
     }
 
     /// A request was answered.
-    pub fn on_turn(&mut self, engine: &Engine, turn: Turn) {
-        if let Some(step_ms) = turn.step_ms {
+    pub fn on_request_sample(&mut self, engine: &Engine, sample: RequestSample) {
+        if let Some(step_ms) = sample.step_ms {
             self.health(engine.key()).on_step_time(step_ms);
         }
-        if turn.open < engine.slots {
-            self.model(&engine.service).on_turn(turn);
+        if sample.open < engine.slots {
+            self.model(&engine.service).on_request_sample(sample);
         }
     }
 
@@ -270,7 +274,7 @@
     }
 
     /// Services whose costs have changed notably since the last call, with the number of samples.
-    pub fn news(&mut self) -> Vec<(ServiceKey, ServiceCosts, u32)> {
+    pub fn cost_changes(&mut self) -> Vec<(ServiceKey, ServiceCosts, u32)> {
         let models = self.models.iter_mut();
         let changes =
             models.filter_map(|(key, model)| Some((*key, model.changed_costs()?, model.samples())));
@@ -296,9 +300,9 @@
     /// Takes summaries of another gateway.
     pub fn on_summaries(&mut self, summaries: Vec<ServiceSummary>) {
         for summary in summaries {
-            let known = self.models.len() < MAX_SERVICES;
+            let has_room = self.models.len() < MAX_SERVICES;
             let key = ServiceKey(summary.service);
-            if known || self.models.contains_key(&key) {
+            if has_room || self.models.contains_key(&key) {
                 self.models.entry(key).or_default().on_summary(summary);
             }
         }
@@ -320,7 +324,7 @@
             let Some(load) = self.loads.get_mut(engine.key()) else {
                 continue;
             };
-            if let Some(is_failing) = load.failure_state_changes(now) {
+            if let Some(is_failing) = load.update_failure_state(now) {
                 changes.push(FailureStateChange {
                     instance: &engine.instance,
                     is_failing,
@@ -355,12 +359,16 @@
 
     /// The older a report is in relation to a request's duration, the more of the reported requests have
     /// ended, so the less it counts.
-    fn report_weight(&self, candidates: &[Candidate<'_>], costs: &ServiceCosts) -> ReportWeight {
-        let reported = candidates
+    fn report_weight(
+        &self,
+        eligible_engines: &[EligibleEngine<'_>],
+        costs: &ServiceCosts,
+    ) -> ReportWeight {
+        let reported = eligible_engines
             .iter()
-            .map(|candidate| f64::from(self.loads.reported_open_requests(candidate.key)));
-        let mean = reported.sum::<f64>() / candidates.len().max(1) as f64;
-        let age = self.loads.report_age_ms() / costs.turn_ms.max(1.0);
+            .map(|eligible| f64::from(self.loads.reported_open_requests(eligible.key)));
+        let mean = reported.sum::<f64>() / eligible_engines.len().max(1) as f64;
+        let age = self.loads.report_age_ms() / costs.request_ms.max(1.0);
         ReportWeight {
             mean,
             weight: (-age).exp(),
@@ -369,7 +377,7 @@
 
     /// Estimated in-flight requests at an engine: this gateway's own, and those of others between the
     /// reported count and the mean of all engines.
-    fn estimated_open(&self, key: EngineKey, reports: ReportWeight) -> f64 {
+    fn estimated_in_flight(&self, key: EngineKey, reports: ReportWeight) -> f64 {
         let reported = f64::from(self.loads.reported_open_requests(key));
         let others = reports.mean + reports.weight * (reported - reports.mean);
         f64::from(self.loads.own_open_requests(key)) + others
@@ -381,20 +389,21 @@
         last.is_some_and(|(part, load)| load.parts.cached(*part) > 0)
     }
 
-    fn fastest_step_ms(&self, candidates: &[Candidate<'_>]) -> Option<f64> {
-        let steps = candidates.iter().filter_map(|candidate| {
-            let load = self.loads.get(candidate.key)?;
+    fn fastest_step_ms(&self, eligible_engines: &[EligibleEngine<'_>]) -> Option<f64> {
+        let steps = eligible_engines.iter().filter_map(|eligible| {
+            let load = self.loads.get(eligible.key)?;
             load.health.step_ms()
         });
         steps.min_by(f64::total_cmp)
     }
 
-    /// Share of failed requests over all candidates.
-    fn typical_failed_share(&self, candidates: &[Candidate<'_>], now: Duration) -> f64 {
-        // Own requests only: reports cover suspects alone and would bias the share.
-        let loads = candidates
+    /// Share of failed requests over all eligible engines.
+    fn typical_failed_share(&self, eligible_engines: &[EligibleEngine<'_>], now: Duration) -> f64 {
+        // Only this gateway's own requests: reports cover only engines suspected of failing (see
+        // `reported_outcomes`) and would bias the share.
+        let loads = eligible_engines
             .iter()
-            .filter_map(|candidate| self.loads.get(candidate.key));
+            .filter_map(|eligible| self.loads.get(eligible.key));
         let outcomes = loads.map(|load| load.health.outcomes(now));
         let all = outcomes.fold(OutcomeCounts::default(), OutcomeCounts::plus);
         all.failed_share(PRIOR_OUTCOMES, 0.0)
@@ -403,16 +412,16 @@
     /// Expected loss at an engine that fails more requests than is typical.
     fn failure_ms(
         &self,
-        candidate: &Candidate<'_>,
+        eligible: &EligibleEngine<'_>,
         costs: &ServiceCosts,
-        typical_share: f64,
+        typical_failed_share: f64,
         now: Duration,
     ) -> f64 {
-        let Some(load) = self.loads.get(candidate.key) else {
+        let Some(load) = self.loads.get(eligible.key) else {
             return 0.0;
         };
-        let excess = load.failed_share(typical_share, now) - typical_share;
-        excess.max(0.0) * FAILURE_COST_TURNS * costs.turn_ms
+        let excess = load.failed_share(typical_failed_share, now) - typical_failed_share;
+        excess.max(0.0) * FAILURE_COST_REQUESTS * costs.request_ms
     }
 
     fn model(&mut self, service: &str) -> &mut ServiceModel {
@@ -425,13 +434,13 @@
 
     fn cost(
         &self,
-        candidate: &Candidate<'_>,
+        eligible: &EligibleEngine<'_>,
         request: &PlacementRequest<'_>,
         costs: &ServiceCosts,
         open: f64,
         now: Duration,
     ) -> f64 {
-        let engine = candidate.engine;
+        let engine = eligible.engine;
         let slots = f64::from(engine.slots);
         let queued = (open + 1.0 - slots).max(0.0);
         let mut cost = open * costs.open_ms(engine.slots);
@@ -443,14 +452,14 @@
                 .as_ref()
                 .map_or(0.0, |latencies| latencies.extra_ms(&engine.zone));
         }
-        let known = self.loads.get(candidate.key);
+        let known = self.loads.get(eligible.key);
         let missing = known.map_or_else(
             || prompt_tokens(request.parts),
             |load| load.parts.missing(request.parts),
         );
         // All other requests at the engine wait during the prefill.
         let waiting = 1.0 + open.min(slots);
-        cost += prefill_wait_tokens(request.parts, missing, waiting) / costs.tokens_per_ms;
+        cost += prefill_wait_tokens(request.parts, missing, waiting) / costs.prefill_tokens_per_ms;
         if known.is_some_and(|load| load.health.is_backing_off(now)) {
             cost += BACKOFF_COST_MS;
         }
@@ -460,74 +469,74 @@
     /// Expected loss at an engine whose decode steps are longer than those of the fastest.
     fn slow_step_ms(
         &self,
-        candidate: &Candidate<'_>,
+        eligible: &EligibleEngine<'_>,
         costs: &ServiceCosts,
         fastest_step_ms: Option<f64>,
     ) -> f64 {
         let step = self
             .loads
-            .get(candidate.key)
+            .get(eligible.key)
             .and_then(|load| load.health.step_ms());
         let (Some(step), Some(fastest_step_ms)) = (step, fastest_step_ms) else {
             return 0.0;
         };
-        (step / fastest_step_ms.max(0.1) - 1.0) * STEP_FRACTION * costs.turn_ms
+        (step / fastest_step_ms.max(0.1) - 1.0) * STEP_FRACTION * costs.request_ms
     }
 }
 
 /// Tokens of prefill that the requests of a batch wait for, summed over the requests.
 fn prefill_wait_tokens(parts: &[PromptPart], missing: u64, waiting: f64) -> f64 {
-    let own_open = parts.last().map_or(0, |part| part.tokens.min(missing));
-    let shared = (missing - own_open) as f64;
+    let own_tokens = parts.last().map_or(0, |part| part.tokens.min(missing));
+    let shared = (missing - own_tokens) as f64;
     let shared_waiting = 1.0 + SHARED_PREFILL_WEIGHT * (waiting - 1.0);
-    waiting * own_open as f64 + shared_waiting * shared
+    waiting * own_tokens as f64 + shared_waiting * shared
 }
 
-fn candidates<'a>(
+fn eligible_engines<'a>(
     table: &'a EngineTable,
     request: &PlacementRequest<'a>,
     session: u64,
-) -> Vec<Candidate<'a>> {
+) -> Vec<EligibleEngine<'a>> {
     let ready = table.ready(request.service);
     let allowed = ready.filter(|engine| !request.excluded.contains(&engine.instance));
     let allowed = allowed.filter(|engine| first_exclusion(request.rules, engine).is_none());
-    let candidates = allowed.map(|engine| {
+    let eligible_engines = allowed.map(|engine| {
         let key = engine.key();
-        Candidate {
+        EligibleEngine {
             engine,
             key,
             rank: rendezvous_rank(session, key),
         }
     });
-    candidates.collect()
+    eligible_engines.collect()
 }
 
-/// The candidates that a session prefers: the first by rank in the gateway's region and in its zone. If its
+/// The engines that a session prefers: the first by rank in the gateway's region and in its zone. If its
 /// region has none, the first of all regions count, or gateways would all choose the engine that looks least
 /// loaded.
 fn preferred(
-    candidates: &[Candidate<'_>],
+    eligible_engines: &[EligibleEngine<'_>],
     zone: &str,
     latencies: Option<&RegionLatencies>,
 ) -> Vec<EngineKey> {
-    let mut ranked: Vec<&Candidate<'_>> = candidates.iter().collect();
-    ranked.sort_unstable_by_key(|candidate| std::cmp::Reverse(candidate.rank));
+    let mut ranked: Vec<&EligibleEngine<'_>> = eligible_engines.iter().collect();
+    ranked.sort_unstable_by_key(|eligible| std::cmp::Reverse(eligible.rank));
     let is_own_region =
         |zone: &str| latencies.is_none_or(|latencies| latencies.is_own_region(zone));
     let own_region = ranked
         .iter()
-        .filter(|candidate| is_own_region(&candidate.engine.zone));
-    let first: Vec<_> = own_region.take(CANDIDATES_PER_SESSION).collect();
+        .filter(|eligible| is_own_region(&eligible.engine.zone));
+    let first: Vec<_> = own_region.take(PREFERRED_PER_SESSION).collect();
     let first = if first.is_empty() {
-        ranked.iter().take(CANDIDATES_PER_SESSION).collect()
+        ranked.iter().take(PREFERRED_PER_SESSION).collect()
     } else {
         first
     };
     let near = ranked
         .iter()
-        .filter(|candidate| candidate.engine.zone == zone);
-    let preferred = first.into_iter().chain(near.take(CANDIDATES_PER_SESSION));
-    preferred.map(|candidate| candidate.key).collect()
+        .filter(|eligible| eligible.engine.zone == zone);
+    let preferred = first.into_iter().chain(near.take(PREFERRED_PER_SESSION));
+    preferred.map(|eligible| eligible.key).collect()
 }
 
 fn rendezvous_rank(session: u64, key: EngineKey) -> u64 {
--- a/crates/routing/src/prefill_directory.rs
+++ b/crates/routing/src/prefill_directory.rs
@@ -37,8 +37,9 @@
 }
 
 impl PrefillRecord {
-    /// The record of a prompt that an engine has failed. The gateway that gets the client's retry finds it
-    /// and excludes the engine. `None` for prompts with too many parts or without a part of their own.
+    /// A record that an engine failed to serve a prompt. The gateway that receives the client's retry finds
+    /// it and excludes the engine. `None` for prompts with more than `MAX_PARTS` parts, or with fewer than
+    /// two: a single part may be shared by several sessions.
     pub fn failed(engine: u64, parts: &[PromptPart]) -> Option<Self> {
         let [_, .., last] = parts else {
             return None;
--- a/crates/routing/src/refusal.rs
+++ b/crates/routing/src/refusal.rs
@@ -122,7 +122,7 @@
 
 impl Refusal {
     /// A refusal that a retry does not change.
-    pub fn last(reason: RefusalReason) -> Self {
+    pub fn without_retry(reason: RefusalReason) -> Self {
         Self {
             reason,
             retry_after: None,
--- a/crates/routing/src/region_latencies.rs
+++ b/crates/routing/src/region_latencies.rs
@@ -11,7 +11,7 @@
 /// slower, while nothing makes them faster than the network, so fast samples count more.
 const FASTER_SAMPLE_WEIGHT: f64 = 0.5;
 const SLOWER_SAMPLE_WEIGHT: f64 = 0.05;
-/// Relative change of a latency from which on it is logged again.
+/// Relative change of a latency above which it is logged again.
 const REPORTED_CHANGE_FRACTION: f64 = 0.25;
 const MS_PER_S: f64 = 1_000.0;
 
--- a/crates/routing/src/residency.rs
+++ b/crates/routing/src/residency.rs
@@ -7,12 +7,12 @@
 /// The regions in which something may be served and stored.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct Residency {
-    /// `None` allows any region; an empty set, as from an intersection, allows none.
+    /// `None` allows every region; an empty set, as from an intersection, allows none.
     regions: Option<BTreeSet<String>>,
 }
 
 impl Residency {
-    /// Allows any region.
+    /// Allows every region.
     pub fn anywhere() -> Self {
         Self::default()
     }
@@ -24,12 +24,12 @@
         }
     }
 
-    /// Whether any region is allowed.
+    /// Whether every region is allowed.
     pub fn is_anywhere(&self) -> bool {
         self.regions.is_none()
     }
 
-    /// Whether a region is allowed. An unknown region, `None`, is allowed only if any region is.
+    /// Whether a region is allowed. An unknown region, `None`, is allowed only without a restriction.
     pub fn allows(&self, region: Option<&str>) -> bool {
         match &self.regions {
             None => true,
@@ -47,7 +47,7 @@
         Self { regions }
     }
 
-    /// The allowed regions; none if any region is allowed.
+    /// The allowed regions; empty also if every region is allowed.
     pub fn regions(&self) -> impl Iterator<Item = &str> {
         self.regions.iter().flatten().map(String::as_str)
     }
@@ -104,13 +104,13 @@
         residency.allows(self.region(zone))
     }
 
-    /// Whether the residency allows any region of the deployment.
+    /// Whether the residency allows at least one region of the deployment; always true without a restriction.
     pub fn allows_any(&self, residency: &Residency) -> bool {
         let mut regions = self.by_zone.values();
         residency.is_anywhere() || regions.any(|region| residency.allows(Some(region)))
     }
 
-    /// Whether the residency allows all regions of the deployment.
+    /// Whether the residency allows all regions of the deployment; always true without a restriction.
     pub fn allows_all(&self, residency: &Residency) -> bool {
         let mut regions = self.by_zone.values();
         residency.is_anywhere()
--- a/crates/routing/src/residency_faults.rs
+++ b/crates/routing/src/residency_faults.rs
@@ -14,7 +14,7 @@
     /// Tenants that allow no region of the deployment.
     pub tenants: BTreeSet<String>,
     /// Routes that keep turns and allow only some regions of the deployment.
-    pub keeping: BTreeSet<String>,
+    pub partly_allowed_turn_routes: BTreeSet<String>,
 }
 
 impl ResidencyFaults {
@@ -22,19 +22,19 @@
     pub fn of(table: &RouteTable, regions: &ZoneRegions) -> Self {
         let served = |route: &&crate::Route| regions.allows_any(&route.residency);
         let unserved = table.routes().filter(|route| !served(route));
-        let keeping = table.routes().filter(|route| route.keeps_turns);
-        let keeping = keeping.filter(served);
-        let keeping = keeping.filter(|route| !regions.allows_all(&route.residency));
+        let partly_allowed = table.routes().filter(|route| route.keeps_turns);
+        let partly_allowed = partly_allowed.filter(served);
+        let partly_allowed = partly_allowed.filter(|route| !regions.allows_all(&route.residency));
         let tenants = table.tenants();
         let tenants = tenants.filter(|tenant| !regions.allows_any(&tenant.residency));
         Self {
             routes: unserved.map(|route| route.name.clone()).collect(),
             tenants: tenants.map(|tenant| tenant.name.clone()).collect(),
-            keeping: keeping.map(|route| route.name.clone()).collect(),
+            partly_allowed_turn_routes: partly_allowed.map(|route| route.name.clone()).collect(),
         }
     }
 
     pub fn count(&self) -> usize {
-        self.routes.len() + self.tenants.len() + self.keeping.len()
+        self.routes.len() + self.tenants.len() + self.partly_allowed_turn_routes.len()
     }
 }
--- a/crates/routing/src/service_model.rs
+++ b/crates/routing/src/service_model.rs
@@ -13,13 +13,13 @@
 
 use crate::sample_window::SampleWindow;
 
-/// Rate of prefill assumed before there are samples: the geometric mean of the known range of engines (20 to
-/// 400).
+/// Rate of prefill assumed before there are samples, in tokens per millisecond: the geometric mean of the
+/// range of known engines (20 to 400).
 const DEFAULT_TOKENS_PER_MS: f64 = 90.0;
 /// Range of plausible rates of prefill, in tokens per millisecond.
 const TOKENS_PER_MS_RANGE: std::ops::RangeInclusive<f64> = 5.0..=1_000.0;
 /// Duration of a request assumed before there are samples, in milliseconds.
-const DEFAULT_TURN_MS: f64 = 300.0;
+const DEFAULT_REQUEST_MS: f64 = 300.0;
 /// Least difference of prompt lengths for an estimate of the rate of prefill, in tokens.
 const MIN_TOKEN_SPREAD: f64 = 100.0;
 /// Least difference of in-flight requests for an estimate of the slowdown of a batch.
@@ -31,9 +31,9 @@
 const SAMPLE_WEIGHT: f64 = 0.05;
 /// Weight of the newest slope or received summary in an exponential average.
 const SMOOTHING_WEIGHT: f64 = 0.2;
-/// Samples from which on a gateway's own estimates replace those of other gateways.
+/// Least number of samples at which a gateway's own estimates replace those of other gateways.
 const MIN_OWN_SAMPLES: u32 = 9;
-/// Ratio between costs from which on a change is logged.
+/// Ratio between costs above which a change is logged.
 const REPORTED_CHANGE_RATIO: f64 = 1.3;
 /// Quantile of samples that hardly waited.
 const LOW_QUANTILE: f64 = 0.25;
@@ -103,9 +103,9 @@
 impl ServiceSummary {
     fn costs(&self) -> ServiceCosts {
         ServiceCosts {
-            tokens_per_ms: f64::from(self.tokens_per_s) / THOUSAND,
-            share_ms: f64::from(self.share_us) / THOUSAND,
-            turn_ms: f64::from(self.turn_us) / THOUSAND,
+            prefill_tokens_per_ms: f64::from(self.tokens_per_s) / THOUSAND,
+            slowdown_ms: f64::from(self.share_us) / THOUSAND,
+            request_ms: f64::from(self.turn_us) / THOUSAND,
         }
     }
 }
@@ -123,9 +123,9 @@
 
 /// Measurements of a request that was answered.
 #[derive(Debug, Clone, Copy)]
-pub struct Turn {
+pub struct RequestSample {
     /// Time from the sending of the request to the end of the answer, in milliseconds.
-    pub turn_ms: f64,
+    pub request_ms: f64,
     /// Time between two events without a prefill in between, in milliseconds.
     pub step_ms: Option<f64>,
     pub events: u64,
@@ -137,11 +137,11 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ServiceCosts {
     /// Rate of prefill in tokens per millisecond.
-    pub tokens_per_ms: f64,
+    pub prefill_tokens_per_ms: f64,
     /// Slowdown of each other request in the batch by one more request.
-    pub share_ms: f64,
+    pub slowdown_ms: f64,
     /// Duration of a request.
-    pub turn_ms: f64,
+    pub request_ms: f64,
 }
 
 /// Samples and estimates for the engines of one service.
@@ -151,11 +151,12 @@
     steps: SampleWindow,
     events: RunningMean,
     /// Durations of requests by the requests that were in flight.
-    turns: SampleWindow,
+    durations: SampleWindow,
     /// A low quantile of these durations, of requests that hardly waited for a slot.
-    turn_ms: Option<f64>,
+    request_ms: Option<f64>,
     samples: u32,
-    /// Sums of the first prefills, for a rate before there is a slope.
+    /// Sums of tokens and of times over the first prefills, for a rate until there are enough samples for a
+    /// slope.
     first_tokens: f64,
     first_ms: f64,
     ms_per_token: Option<f64>,
@@ -184,12 +185,13 @@
     }
 
     /// A request was answered.
-    pub fn on_turn(&mut self, turn: Turn) {
+    pub fn on_request_sample(&mut self, sample: RequestSample) {
         self.samples = self.samples.saturating_add(1);
-        self.turns.push(f64::from(turn.open), turn.turn_ms);
-        if let Some(step_ms) = turn.step_ms {
-            self.steps.push(f64::from(turn.open), step_ms);
-            self.events.push(turn.events as f64);
+        self.durations
+            .push(f64::from(sample.open), sample.request_ms);
+        if let Some(step_ms) = sample.step_ms {
+            self.steps.push(f64::from(sample.open), step_ms);
+            self.events.push(sample.events as f64);
         }
         self.on_sample();
     }
@@ -200,9 +202,12 @@
         self.received = Some(match self.received {
             None => costs,
             Some(received) => ServiceCosts {
-                tokens_per_ms: smoothed(Some(received.tokens_per_ms), costs.tokens_per_ms),
-                share_ms: smoothed(Some(received.share_ms), costs.share_ms),
-                turn_ms: smoothed(Some(received.turn_ms), costs.turn_ms),
+                prefill_tokens_per_ms: smoothed(
+                    Some(received.prefill_tokens_per_ms),
+                    costs.prefill_tokens_per_ms,
+                ),
+                slowdown_ms: smoothed(Some(received.slowdown_ms), costs.slowdown_ms),
+                request_ms: smoothed(Some(received.request_ms), costs.request_ms),
             },
         });
         self.costs.set(None);
@@ -214,13 +219,14 @@
             return None;
         }
         let costs = self.costs();
-        // The own rate alone: with received rates gateways would confirm each other forever.
-        let rate = self.own_rate().unwrap_or(costs.tokens_per_ms);
+        // Only this gateway's own rate where it is known: if received rates were included, gateways would
+        // reinforce each other's estimates forever.
+        let rate = self.own_rate().unwrap_or(costs.prefill_tokens_per_ms);
         Some(ServiceSummary {
             service: key.0,
             tokens_per_s: (rate * THOUSAND) as u32,
-            share_us: (costs.share_ms * THOUSAND) as u32,
-            turn_us: (costs.turn_ms * THOUSAND) as u32,
+            share_us: (costs.slowdown_ms * THOUSAND) as u32,
+            turn_us: (costs.request_ms * THOUSAND) as u32,
         })
     }
 
@@ -230,9 +236,9 @@
             return costs;
         }
         let costs = ServiceCosts {
-            tokens_per_ms: self.tokens_per_ms(),
-            share_ms: self.share_ms(),
-            turn_ms: self.turn_ms(),
+            prefill_tokens_per_ms: self.prefill_tokens_per_ms(),
+            slowdown_ms: self.slowdown_ms(),
+            request_ms: self.request_ms(),
         };
         self.costs.set(Some(costs));
         costs
@@ -268,7 +274,7 @@
             // Slopes that are only noise count too, or the mean would be biased upwards.
             self.ms_per_token = Some(smoothed(self.ms_per_token, ms_per_token));
         }
-        self.turn_ms = self.turns.y_quantile(LOW_QUANTILE);
+        self.request_ms = self.durations.y_quantile(LOW_QUANTILE);
         self.min_rate = self.prefills.ratio_quantile(1.0 - LOW_QUANTILE);
         if let Some(growth) = self.steps.slope(MEDIAN, MIN_OPEN_SPREAD) {
             self.step_growth = Some(smoothed(self.step_growth, growth.max(0.0)));
@@ -282,8 +288,8 @@
         Some(rate.max(self.min_rate.unwrap_or(0.0)))
     }
 
-    fn tokens_per_ms(&self) -> f64 {
-        let received = self.received.map(|received| received.tokens_per_ms);
+    fn prefill_tokens_per_ms(&self) -> f64 {
+        let received = self.received.map(|received| received.prefill_tokens_per_ms);
         let first = (self.first_ms > 0.0 && self.first_tokens > 0.0)
             .then_some(self.first_tokens / self.first_ms);
         let own = self.own_rate();
@@ -296,24 +302,26 @@
         rate.clamp(*TOKENS_PER_MS_RANGE.start(), *TOKENS_PER_MS_RANGE.end())
     }
 
-    fn turn_ms(&self) -> f64 {
-        let received = self.received.map(|received| received.turn_ms);
-        let own = self.turn_ms.or_else(|| self.turns.y_quantile(LOW_QUANTILE));
+    fn request_ms(&self) -> f64 {
+        let received = self.received.map(|received| received.request_ms);
+        let own = self
+            .request_ms
+            .or_else(|| self.durations.y_quantile(LOW_QUANTILE));
         let is_known = self.samples >= MIN_OWN_SAMPLES;
-        let turn_ms = if is_known { own } else { received.or(own) };
-        turn_ms.unwrap_or(DEFAULT_TURN_MS)
+        let request_ms = if is_known { own } else { received.or(own) };
+        request_ms.unwrap_or(DEFAULT_REQUEST_MS)
     }
 
     /// Each request in a batch makes every decode step of the others longer.
-    fn share_ms(&self) -> f64 {
+    fn slowdown_ms(&self) -> f64 {
         if self.samples < MIN_OWN_SAMPLES
             && let Some(received) = self.received
         {
-            return received.share_ms;
+            return received.slowdown_ms;
         }
         let events = self.events.get().unwrap_or(0.0);
         let growth_ms = self.step_growth.map_or(0.0, |growth| growth * events);
-        growth_ms.min(self.turn_ms())
+        growth_ms.min(self.request_ms())
     }
 }
 
@@ -321,19 +329,19 @@
     /// Whether no cost differs by more than [`REPORTED_CHANGE_RATIO`].
     fn is_similar(&self, other: &Self) -> bool {
         let is_similar = |one: f64, two: f64| one.max(two) <= one.min(two) * REPORTED_CHANGE_RATIO;
-        is_similar(self.tokens_per_ms, other.tokens_per_ms)
-            && is_similar(self.share_ms, other.share_ms)
-            && is_similar(self.turn_ms, other.turn_ms)
+        is_similar(self.prefill_tokens_per_ms, other.prefill_tokens_per_ms)
+            && is_similar(self.slowdown_ms, other.slowdown_ms)
+            && is_similar(self.request_ms, other.request_ms)
     }
 
     /// Cost of each position in the queue of an engine with this many slots.
     pub fn queue_position_ms(&self, slots: u32) -> f64 {
-        self.turn_ms / f64::from(slots.max(1))
+        self.request_ms / f64::from(slots.max(1))
     }
 
     /// Cost of one more in-flight request at an engine with this many slots.
     pub fn open_ms(&self, slots: u32) -> f64 {
         // The request is slowed by the others and slows them as much.
-        (2.0 * self.share_ms).max(self.queue_position_ms(slots) * MIN_SLOT_FRACTION)
+        (2.0 * self.slowdown_ms).max(self.queue_position_ms(slots) * MIN_SLOT_FRACTION)
     }
 }
--- a/crates/routing/src/tenants.rs
+++ b/crates/routing/src/tenants.rs
@@ -56,7 +56,7 @@
 /// Why a set of tenants is invalid. Keys are identified by position, never by text.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum TenantFault {
-    /// The name is empty or contains a character that is invalid in a header.
+    /// The name is empty or contains a control character.
     BadName {
         /// Position of the tenant, from 0.
         position: usize,
--- a/crates/routing/src/warm_up.rs
+++ b/crates/routing/src/warm_up.rs
@@ -9,7 +9,8 @@
 use crate::engine_table::{Engine, EngineEntry};
 
 const MS_PER_KS: u64 = 1_000_000;
-/// Fraction of the usual warm-up time over which the share of a warm engine ramps up.
+/// Fraction of the configured warm-up duration over which the share of requests that need no grant rises to
+/// 1.
 const RAMP_FRACTION: f64 = 0.5;
 /// How long an engine counts as unreachable after a failed connection.
 const UNREACHABLE_PERIOD: Duration = Duration::from_secs(15);
@@ -21,12 +22,12 @@
 pub struct WarmUpLimit {
     /// Requests in 1000 seconds.
     pub per_ks: u64,
-    /// Duration of a warm-up that no entry or answer limits, in milliseconds.
+    /// Warm-up duration assumed if neither the engine's entry nor an answer gives one, in milliseconds.
     pub duration_ms: u64,
 }
 
 impl WarmUpLimit {
-    /// Duration of a warm-up that no entry or answer limits.
+    /// Warm-up duration assumed if neither the engine's entry nor an answer gives one.
     pub fn duration(&self) -> Duration {
         Duration::from_millis(self.duration_ms)
     }
@@ -97,7 +98,7 @@
     /// cold for the first gateway that reaches it.
     unreachable_until: Duration,
     source: WarmUpSource,
-    /// Whether the last change returned by [`WarmUps::news`] was the start of a warm-up.
+    /// Whether the last change returned by [`WarmUps::changes`] was the start of a warm-up.
     is_reported_warming: bool,
     /// When the run was last listed.
     last_listed: Duration,
@@ -163,7 +164,8 @@
         };
     }
 
-    /// Fraction of the engine's usual requests that need no grant: 0 while it warms up, then rising to 1.
+    /// Fraction of the requests to this engine that need no grant from a limiter: 0 while it warms up, then
+    /// rising linearly to 1 over `RAMP_FRACTION` of the configured warm-up duration.
     fn share(&self, now: Duration) -> f64 {
         let end = self.end();
         if now < end {
@@ -286,8 +288,9 @@
         entry.or_insert_with(|| RunWarmUp::new(engine, limit))
     }
 
-    /// Fraction of the engine's usual requests that need no grant: 0 while it warms up, then rising to 1, so
-    /// that its load grows gradually.
+    /// Fraction of the requests to this engine that need no grant from a limiter: 0 while it warms up, then
+    /// rising linearly to 1 over `RAMP_FRACTION` of the configured warm-up duration, so that its load grows
+    /// gradually.
     pub fn share(&self, engine: EngineKey, now: Duration) -> f64 {
         let run = self.runs.get(&engine);
         run.map_or(1.0, |run| run.share(now))
@@ -310,7 +313,7 @@
     }
 
     /// Engines that have started to warm up or have become warm since the last call.
-    pub fn news(&mut self, now: Duration) -> Vec<WarmUpChange> {
+    pub fn changes(&mut self, now: Duration) -> Vec<WarmUpChange> {
         let mut changes = Vec::new();
         for run in self.runs.values_mut() {
             let left = run.end().checked_sub(now).filter(|left| !left.is_zero());
--- a/crates/routing/src/zone_drains.rs
+++ b/crates/routing/src/zone_drains.rs
@@ -17,7 +17,7 @@
     orders: BTreeMap<String, u64>,
     /// Revision up to which the table is complete.
     at: u64,
-    /// Revision since which no change is known; at most `at`.
+    /// Revision since which the orders are known not to have changed; at most `at`.
     newest: u64,
 }
 
@@ -51,9 +51,9 @@
         self.at
     }
 
-    /// Revision since which there has been no change. A node that knows the orders as of it or later knows
-    /// this table.
-    pub fn newest(&self) -> u64 {
+    /// Revision since which the orders are known not to have changed. A node that knows the orders as of this
+    /// revision or later knows this table.
+    pub fn unchanged_since(&self) -> u64 {
         self.newest
     }
 
@@ -116,10 +116,10 @@
                 Some(_) => None,
             }
         });
-        let over = self.orders.keys();
-        let over = over.filter(|zone| !received.orders.contains_key(*zone));
-        let over = over.map(|zone| DrainChange::Ended { zone: zone.clone() });
-        ordered.chain(over).collect()
+        let ended = self.orders.keys();
+        let ended = ended.filter(|zone| !received.orders.contains_key(*zone));
+        let ended = ended.map(|zone| DrainChange::Ended { zone: zone.clone() });
+        ordered.chain(ended).collect()
     }
 }
 
--- a/crates/routing/tests/engine_restarts.rs
+++ b/crates/routing/tests/engine_restarts.rs
@@ -44,9 +44,9 @@
     assert_eq!(placement.open_at(earlier.key(), NOW), 1);
     assert_eq!(placement.open_at(later.key(), NOW), 0);
     let forecast = placement.on_sent("session", &later, &parts());
-    assert_eq!((forecast.missing, forecast.open), (1_000, 0));
+    assert_eq!((forecast.missing_tokens, forecast.open), (1_000, 0));
     let again = placement.on_sent("session", &later, &parts());
-    assert_eq!(again.missing, 0);
+    assert_eq!(again.missing_tokens, 0);
 }
 
 /// Late messages: a gateway's report, a directory record, and the answer to an earlier request.
@@ -68,7 +68,10 @@
     placement.on_first_event(&earlier, forecast, Duration::from_millis(30));
     placement.on_ended(earlier.key(), 0);
     assert_eq!(placement.open_at(later.key(), NOW), 0);
-    assert_eq!(placement.on_sent("new", &later, &parts()).missing, 1_000);
+    assert_eq!(
+        placement.on_sent("new", &later, &parts()).missing_tokens,
+        1_000
+    );
     let listed = table(2, 5);
     let changes = placement.failure_state_changes(&listed, NOW);
     assert!(changes.is_empty(), "{changes:?}");
@@ -82,7 +85,9 @@
     placement.on_ended(earlier.key(), 0);
     placement.retain(&table(2, 5), NOW);
     assert_eq!(
-        placement.on_sent("session", &earlier, &parts()).missing,
+        placement
+            .on_sent("session", &earlier, &parts())
+            .missing_tokens,
         1_000
     );
 }
--- a/crates/routing/tests/failing_engines.rs
+++ b/crates/routing/tests/failing_engines.rs
@@ -71,7 +71,7 @@
     other.on_outcome(EngineKey::of("i-1"), Outcome::Failed, NOW);
     let report = other.report(NOW);
     let mut placement = Placement::default();
-    let share = |placement: &mut Placement| {
+    let requests_to_failing = |placement: &mut Placement| {
         let keys = (0..64).map(|number| format!("session-{number}"));
         let chosen = keys.filter(|key| {
             let instance = choose(placement, &table, &request(key, &[], &[]), NOW);
@@ -79,12 +79,12 @@
         });
         chosen.count()
     };
-    let before = share(&mut placement);
+    let before = requests_to_failing(&mut placement);
     assert!(before > 4, "{before}");
     for number in 0..12 {
         placement.on_report(&number.to_string(), report.clone(), NOW);
     }
-    assert_eq!(share(&mut placement), 0);
+    assert_eq!(requests_to_failing(&mut placement), 0);
 }
 
 /// The gateway that saw the failure reports it; the others report that they saw none.
@@ -98,7 +98,7 @@
         succeeded.on_outcome(EngineKey::of("i-2"), Outcome::Served, NOW);
     }
     assert!(succeeded.report(NOW).suspects.is_empty());
-    succeeded.on_report("unlucky", failed_once.report(NOW), NOW);
+    succeeded.on_report("gateway-1", failed_once.report(NOW), NOW);
     let reported = succeeded.report(NOW).suspects;
     assert_eq!(reported.len(), 1);
     assert_eq!((reported[0].ended, reported[0].failed), (300, 0));
@@ -148,7 +148,7 @@
     placement.on_report("other", other.report(NOW), NOW);
     let parts = [part(1, 12_000), part(2, 2_000)];
     let forecast = send(&mut placement, "i-1", &parts);
-    placement.on_ended(EngineKey::of("i-1"), forecast.missing);
+    placement.on_ended(EngineKey::of("i-1"), forecast.missing_tokens);
     let chosen = choose(&mut placement, &table, &request("s", &parts, &[]), NOW);
     assert_eq!(chosen.expect("an engine"), "i-1");
 }
--- a/crates/routing/tests/placement.rs
+++ b/crates/routing/tests/placement.rs
@@ -41,7 +41,7 @@
     let mut placement = Placement::default();
     let parts = [part(1, 12_000), part(2, 2_000)];
     let forecast = send(&mut placement, "i-1", &parts);
-    placement.on_ended(EngineKey::of("i-1"), forecast.missing);
+    placement.on_ended(EngineKey::of("i-1"), forecast.missing_tokens);
     let chosen = choose(&mut placement, &table, &request("s", &parts, &[]), NOW);
     assert_eq!(chosen.expect("an engine"), "i-1");
     for _ in 0..30 {
@@ -165,7 +165,7 @@
             let chosen = choose(&mut placement, &table, &request("s", &parts, &[]), NOW);
             is_placed &= chosen.is_some();
             let forecast = send(&mut placement, "i-1", &parts);
-            placement.on_first_event(&engine("i-1", "zone-a"), forecast, Duration::from_millis(forecast.missing % 9));
+            placement.on_first_event(&engine("i-1", "zone-a"), forecast, Duration::from_millis(forecast.missing_tokens % 9));
             placement.on_ended(EngineKey::of("i-1"), 0);
         }
         is_placed && choose(&mut placement, &table, &request("s", &[], &[]), NOW).is_some()
@@ -173,16 +173,16 @@
 }
 
 /// Trains a placement with prefills at this rate.
-fn train(placement: &mut Placement, tokens_per_ms: u64) {
+fn train(placement: &mut Placement, prefill_tokens_per_ms: u64) {
     let trained_engine = engine("i-teacher", "zone-a");
     for index in 0..40 {
         let tokens = 400 + 100 * (index % 20);
         let forecast = Forecast {
-            missing: tokens,
+            missing_tokens: tokens,
             is_certain: true,
             ..Forecast::default()
         };
-        let taken = Duration::from_micros(5_000 + tokens * 1_000 / tokens_per_ms);
+        let taken = Duration::from_micros(5_000 + tokens * 1_000 / prefill_tokens_per_ms);
         placement.on_first_event(&trained_engine, forecast, taken);
     }
 }
@@ -191,11 +191,11 @@
 fn slow_prefill_keeps_a_session_at_a_busier_engine() {
     let table = table(["i-1", "i-2"].map(|name| engine(name, "zone-a")));
     let parts = [part(1, 2_500), part(2, 1_000)];
-    let chosen = |tokens_per_ms| {
+    let chosen = |prefill_tokens_per_ms| {
         let mut placement = Placement::default();
-        train(&mut placement, tokens_per_ms);
+        train(&mut placement, prefill_tokens_per_ms);
         let forecast = send(&mut placement, "i-1", &parts);
-        placement.on_ended(EngineKey::of("i-1"), forecast.missing);
+        placement.on_ended(EngineKey::of("i-1"), forecast.missing_tokens);
         for _ in 0..3 {
             send(&mut placement, "i-1", &[]);
         }
@@ -210,7 +210,7 @@
     let mut placement = Placement::default();
     send(&mut placement, "i-1", &[part(1, 2_500), part(2, 1_000)]);
     let forecast = send(&mut placement, "i-1", &[part(1, 2_500), part(2, 1_800)]);
-    assert_eq!(forecast.missing, 800);
+    assert_eq!(forecast.missing_tokens, 800);
 }
 
 #[test]
@@ -218,12 +218,12 @@
     let mut placement = Placement::default();
     let first = send(&mut placement, "i-1", &[part(1, 2_500)]);
     let second = send(&mut placement, "i-1", &[part(2, 100)]);
-    assert_eq!(second.ahead, 2_500);
+    assert_eq!(second.pending_tokens, 2_500);
     placement.on_first_event(&engine("i-1", "zone-a"), first, Duration::from_millis(70));
     let third = send(&mut placement, "i-1", &[part(3, 100)]);
-    assert_eq!(third.ahead, 100);
+    assert_eq!(third.pending_tokens, 100);
     placement.on_ended(EngineKey::of("i-1"), 100);
-    assert_eq!(send(&mut placement, "i-1", &[]).ahead, 100);
+    assert_eq!(send(&mut placement, "i-1", &[]).pending_tokens, 100);
 }
 
 #[test]
@@ -262,9 +262,9 @@
     assert_eq!(placement.costs("models"), learned);
 }
 
-fn certain(missing: u64) -> Forecast {
+fn certain(missing_tokens: u64) -> Forecast {
     Forecast {
-        missing,
+        missing_tokens,
         is_certain: true,
         ..Forecast::default()
     }
--- a/crates/routing/tests/region_latencies.rs
+++ b/crates/routing/tests/region_latencies.rs
@@ -86,7 +86,7 @@
         let mut placement = placement_with_latency(40);
         let parts = [part(1, tokens), part(2, tokens)];
         let forecast = send(&mut placement, "i-beyond", &parts);
-        placement.on_ended(EngineKey::of("i-beyond"), forecast.missing);
+        placement.on_ended(EngineKey::of("i-beyond"), forecast.missing_tokens);
         let first = chosen(&mut placement, &engines, &request("s", &parts, &[]));
         assert_eq!(first, expected, "{tokens}");
     }
--- a/crates/routing/tests/residency.rs
+++ b/crates/routing/tests/residency.rs
@@ -16,9 +16,9 @@
 /// A deployment with the residencies of a route and a tenant.
 #[derive(Debug, Clone)]
 struct Case {
-    /// Regions of the zones in the settings.
+    /// Region of each zone in the settings, as an index into `REGIONS`.
     regions: [usize; 3],
-    /// Zones of the engines.
+    /// Zone of each engine, as an index into `ZONES`.
     engines: Vec<usize>,
     /// Regions of the route and of the tenant; `None` for no restriction.
     route: Option<Vec<usize>>,
@@ -143,7 +143,7 @@
 }
 
 #[test]
-fn an_unknown_zone_is_allowed_only_if_any_region_is() {
+fn an_unknown_zone_is_allowed_only_without_a_restriction() {
     let regions = ZoneRegions::from([("zone-a", "north")]);
     let north = Residency::within(["north".to_owned()]);
     assert!(regions.allows(&north, "zone-a"));
@@ -196,7 +196,7 @@
     let expected = ResidencyFaults {
         routes: names(&["kept-nowhere"]),
         tenants: names(&["beta"]),
-        keeping: names(&["kept-north"]),
+        partly_allowed_turn_routes: names(&["kept-north"]),
     };
     assert_eq!(faults, expected);
     assert_eq!(faults.count(), 3);
--- a/crates/routing/tests/service_model.rs
+++ b/crates/routing/tests/service_model.rs
@@ -2,7 +2,8 @@
 
 use quickcheck::{TestResult, quickcheck};
 use ridgeworks_routing::{
-    PrefillSample, SampleWindow, ServiceCosts, ServiceKey, ServiceModel, ServiceSummary, Turn,
+    PrefillSample, RequestSample, SampleWindow, ServiceCosts, ServiceKey, ServiceModel,
+    ServiceSummary,
 };
 
 /// A linear congruential generator with the same sequence in each run.
@@ -20,7 +21,7 @@
 
 /// A simulated engine.
 struct Engine {
-    tokens_per_ms: f64,
+    prefill_tokens_per_ms: f64,
     first_ms: f64,
     step_ms: f64,
     growth_ms: f64,
@@ -42,19 +43,19 @@
     } else {
         tokens
     };
-    let queue_ms = random.next().powi(2) * 1_000.0 / engine.tokens_per_ms;
+    let queue_ms = random.next().powi(2) * 1_000.0 / engine.prefill_tokens_per_ms;
     model.on_prefill_sample(PrefillSample {
         tokens: tokens as u64,
-        first_ms: engine.first_ms + queue_ms + sample_prefill / engine.tokens_per_ms,
+        first_ms: engine.first_ms + queue_ms + sample_prefill / engine.prefill_tokens_per_ms,
         is_certain: true,
     });
 }
 
-fn sample_turn(model: &mut ServiceModel, engine: &Engine, random: &mut Random) {
+fn sample_request(model: &mut ServiceModel, engine: &Engine, random: &mut Random) {
     let open = (random.next() * 16.0).floor();
     let step_ms = engine.step_ms + engine.growth_ms * open;
-    model.on_turn(Turn {
-        turn_ms: step_ms * EVENTS as f64 + random.next() * 100.0,
+    model.on_request_sample(RequestSample {
+        request_ms: step_ms * EVENTS as f64 + random.next() * 100.0,
         step_ms: Some(step_ms * (1.0 + random.next() * 0.1)),
         events: EVENTS,
         open: open as u32,
@@ -63,10 +64,10 @@
 
 #[test]
 fn prefill_rates_of_slow_and_fast_engines_are_estimated() {
-    for (seed, tokens_per_ms) in [20.0, 37.9, 90.0, 270.0, 400.0].into_iter().enumerate() {
+    for (seed, prefill_tokens_per_ms) in [20.0, 37.9, 90.0, 270.0, 400.0].into_iter().enumerate() {
         let mut random = Random(seed as u64);
         let engine = Engine {
-            tokens_per_ms,
+            prefill_tokens_per_ms,
             first_ms: 5.0,
             step_ms: 10.0,
             growth_ms: 0.1,
@@ -75,25 +76,28 @@
         for _ in 0..200 {
             sample_prefill(&mut model, &engine, 0.15, &mut random);
         }
-        let ratio = model.costs().tokens_per_ms / tokens_per_ms;
-        assert!((0.7..1.4).contains(&ratio), "{tokens_per_ms}: {ratio}");
+        let ratio = model.costs().prefill_tokens_per_ms / prefill_tokens_per_ms;
+        assert!(
+            (0.7..1.4).contains(&ratio),
+            "{prefill_tokens_per_ms}: {ratio}"
+        );
     }
 }
 
 #[test]
 fn two_prefills_distinguish_slow_engines_from_fast_ones() {
     let mut rates = Vec::new();
-    for tokens_per_ms in [38.0, 270.0] {
+    for prefill_tokens_per_ms in [38.0, 270.0] {
         let mut model = ServiceModel::default();
         for tokens in [3_000_u64, 1_500] {
-            let first_ms = 4.0 + tokens as f64 / tokens_per_ms;
+            let first_ms = 4.0 + tokens as f64 / prefill_tokens_per_ms;
             model.on_prefill_sample(PrefillSample {
                 tokens,
                 first_ms,
                 is_certain: true,
             });
         }
-        rates.push(model.costs().tokens_per_ms);
+        rates.push(model.costs().prefill_tokens_per_ms);
     }
     assert!(rates[0] < 45.0, "{rates:?}");
     assert!(rates[1] > 150.0, "{rates:?}");
@@ -103,9 +107,9 @@
 fn the_prefill_rate_follows_a_change_of_the_engines() {
     let mut random = Random(7);
     let mut model = ServiceModel::default();
-    for tokens_per_ms in [270.0, 38.0] {
+    for prefill_tokens_per_ms in [270.0, 38.0] {
         let engine = Engine {
-            tokens_per_ms,
+            prefill_tokens_per_ms,
             first_ms: 5.0,
             step_ms: 10.0,
             growth_ms: 0.1,
@@ -114,14 +118,14 @@
             sample_prefill(&mut model, &engine, 0.1, &mut random);
         }
     }
-    let rate = model.costs().tokens_per_ms;
+    let rate = model.costs().prefill_tokens_per_ms;
     assert!((28.0..55.0).contains(&rate), "{rate}");
 }
 
 #[test]
 fn the_slowdown_of_a_batch_is_estimated() {
     let engine = Engine {
-        tokens_per_ms: 38.0,
+        prefill_tokens_per_ms: 38.0,
         first_ms: 5.0,
         step_ms: 14.0,
         growth_ms: 0.46,
@@ -129,9 +133,9 @@
     let mut random = Random(3);
     let mut model = ServiceModel::default();
     for _ in 0..200 {
-        sample_turn(&mut model, &engine, &mut random);
+        sample_request(&mut model, &engine, &mut random);
     }
-    let share = model.costs().share_ms;
+    let share = model.costs().slowdown_ms;
     let exact = engine.growth_ms * EVENTS as f64;
     assert!(
         (0.6 * exact..1.6 * exact).contains(&share),
@@ -150,9 +154,9 @@
     };
     model.on_summary(received);
     let expected = ServiceCosts {
-        tokens_per_ms: 38.0,
-        share_ms: 5.0,
-        turn_ms: 700.0,
+        prefill_tokens_per_ms: 38.0,
+        slowdown_ms: 5.0,
+        request_ms: 700.0,
     };
     assert_eq!(model.costs(), expected);
     // The gateway has no samples of its own, so it sends no summary.
@@ -180,16 +184,16 @@
         for (tokens, first_ms) in prefills {
             model.on_prefill_sample(PrefillSample { tokens, first_ms, is_certain: true });
         }
-        for (turn_ms, step_ms, events) in turns {
+        for (request_ms, step_ms, events) in turns {
             let step_ms = Some(step_ms);
-            model.on_turn(Turn { turn_ms, step_ms, events, open: 3 });
+            model.on_request_sample(RequestSample { request_ms, step_ms, events, open: 3 });
         }
         for (tokens_per_s, share_us, turn_us) in summaries {
             model.on_summary(ServiceSummary { service: 1, tokens_per_s, share_us, turn_us });
         }
         let costs = model.costs();
-        let values = [costs.tokens_per_ms, costs.open_ms(0), costs.queue_position_ms(0)];
+        let values = [costs.prefill_tokens_per_ms, costs.open_ms(0), costs.queue_position_ms(0)];
         let is_sound = values.iter().all(|value| value.is_finite() && *value >= 0.0);
-        TestResult::from_bool(is_sound && costs.tokens_per_ms > 0.0)
+        TestResult::from_bool(is_sound && costs.prefill_tokens_per_ms > 0.0)
     }
 }
--- a/crates/routing/tests/warm_up.rs
+++ b/crates/routing/tests/warm_up.rs
@@ -155,11 +155,11 @@
         .engines
         .on_drain_ended(own.iter(), &limits(), at(100));
     assert!(tracker.is_warming(&engine, 4_099));
-    let changes = tracker.engines.news(at(200));
+    let changes = tracker.engines.changes(at(200));
     assert_eq!(changes[0].source, WarmUpSource::DrainEnded);
     assert_eq!(changes[0].left, Some(at(3_900)));
-    assert!(tracker.engines.news(at(300)).is_empty(), "returned once");
-    assert_eq!(tracker.engines.news(at(4_200))[0].left, None);
+    assert!(tracker.engines.changes(at(300)).is_empty(), "returned once");
+    assert_eq!(tracker.engines.changes(at(4_200))[0].left, None);
 }
 
 #[test]
--- a/crates/routing/tests/zone_drains.rs
+++ b/crates/routing/tests/zone_drains.rs
@@ -59,7 +59,7 @@
     let next = table.after(&changes, 10);
     let orders: Vec<_> = next.orders().collect();
     assert_eq!(orders, [("b", 7), ("c", 10)]);
-    assert_eq!((next.at(), next.newest()), (10, 10));
+    assert_eq!((next.at(), next.unchanged_since()), (10, 10));
 }
 
 /// A list without an order does not show whether there was one before, so a node that knows one must not take
@@ -68,19 +68,19 @@
 fn a_list_does_not_confirm_orders_from_before_it() {
     let before = listed(&[("a", 50)], 60);
     let fresh = listed(&[], 100);
-    assert!(fresh.newest() > before.at());
+    assert!(fresh.unchanged_since() > before.at());
 }
 
 #[test]
 fn an_equal_table_that_overlaps_in_time_keeps_the_revision_of_the_last_change() {
     let mut table = listed(&[("a", 5)], 9).after(&[], 40);
-    assert_eq!((table.at(), table.newest()), (40, 9));
+    assert_eq!((table.at(), table.unchanged_since()), (40, 9));
     // Another node listed the same orders at 30, so there was no change in between.
     assert_eq!(table.take(listed(&[("a", 5)], 30).after(&[], 50)), []);
-    assert_eq!((table.at(), table.newest()), (50, 9));
+    assert_eq!((table.at(), table.unchanged_since()), (50, 9));
     // There may have been changes between 50 and 70.
     assert_eq!(table.take(listed(&[("a", 5)], 70)), []);
-    assert_eq!((table.at(), table.newest()), (70, 70));
+    assert_eq!((table.at(), table.unchanged_since()), (70, 70));
 }
 
 #[test]
@@ -156,7 +156,7 @@
     turns
 }
 
-/// Sessions that lose their engines all at once must not flock to the same engines.
+/// Sessions that lose their engines all at once must not all be sent to the same engines.
 #[test]
 fn sessions_of_a_drained_zone_spread_over_the_other_engines() {
     let turns = turns_after_a_drain(&[]);
