--- a/crates/records/src/chain_read.rs
+++ b/crates/records/src/chain_read.rs
@@ -15,7 +15,7 @@
 pub enum ChainOutcome {
     /// The complete chain, oldest turn first.
     Complete(Vec<TurnRecord>),
-    /// A majority of the voters has no record of this turn.
+    /// A majority of the voters returned this turn as missing.
     NoSuchTurn(TurnId),
 }
 
@@ -23,7 +23,8 @@
 pub struct ChainRead {
     set: ReplicaSet,
     next_turn: TurnId,
-    denied: BTreeSet<ReplicaId>,
+    /// Voters that returned the next turn as missing.
+    reported_missing: BTreeSet<ReplicaId>,
     newest_first: Vec<TurnRecord>,
 }
 
@@ -32,7 +33,7 @@
         Self {
             set,
             next_turn: turn,
-            denied: BTreeSet::new(),
+            reported_missing: BTreeSet::new(),
             newest_first: Vec::new(),
         }
     }
@@ -46,11 +47,11 @@
         &self.next_turn
     }
 
-    /// The voters that haven't denied having the next turn.
+    /// The voters that haven't returned the next turn as missing.
     pub fn candidates(&self) -> Vec<Replica> {
         let voters = self.set.voters.iter();
-        let open = voters.filter(|voter| !self.denied.contains(&voter.id));
-        open.cloned().collect()
+        let remaining = voters.filter(|voter| !self.reported_missing.contains(&voter.id));
+        remaining.cloned().collect()
     }
 
     /// Handles the reply of one replica to a request for the next turn; `None` while the read goes
@@ -62,7 +63,7 @@
         missing: Option<TurnId>,
     ) -> Option<ChainOutcome> {
         if !records.is_empty() {
-            self.denied.clear();
+            self.reported_missing.clear();
         }
         self.newest_first.extend(records);
         let Some(missing) = missing else {
@@ -71,8 +72,8 @@
             return Some(ChainOutcome::Complete(chain));
         };
         self.next_turn = missing;
-        self.denied.insert(from);
-        let is_certain = self.set.has_voter_majority(&self.denied);
+        self.reported_missing.insert(from);
+        let is_certain = self.set.has_voter_majority(&self.reported_missing);
         is_certain.then(|| ChainOutcome::NoSuchTurn(self.next_turn.clone()))
     }
 }
--- a/crates/records/src/groups.rs
+++ b/crates/records/src/groups.rs
@@ -13,7 +13,7 @@
 use crate::identifiers::{Epoch, ProgramId, ReplicaId};
 use crate::replica_set::{Replica, ReplicaSet};
 
-/// Number of a group of replicas.
+/// Index of a group of replicas.
 #[derive(
     Debug,
     Clone,
--- a/crates/records/src/message.rs
+++ b/crates/records/src/message.rs
@@ -42,7 +42,7 @@
     Charge {
         /// The program's group.
         group: GroupId,
-        /// The epoch of the set whose quorum the sender counts.
+        /// Epoch of the set by which the sender counts replies; the replica rejects any other.
         epoch: Epoch,
         program: ProgramId,
         /// The turn that the tokens are reserved for.
@@ -52,19 +52,19 @@
         /// How long the ledger is kept after its last change, in milliseconds.
         ttl_ms: u64,
     },
-    /// Settles turns in their ledgers. Nobody waits for the reply, so the replica may make it
-    /// durable together with later changes.
+    /// Settles turns in their ledgers. The sender doesn't wait for the reply, so the replica may
+    /// write the change together with later ones.
     Settle {
         /// The group of all these programs.
         group: GroupId,
-        /// The epoch of the set whose quorum the sender counts.
+        /// Epoch of the set by which the sender counts replies; the replica rejects any other.
         epoch: Epoch,
         settlements: Vec<Settlement>,
     },
     Append {
         /// The group of the turn's program.
         group: GroupId,
-        /// The epoch of the set whose quorum the sender counts.
+        /// Epoch of the set by which the sender counts replies; the replica rejects any other.
         epoch: Epoch,
         record: TurnRecord,
         /// How long the record is kept, in milliseconds.
@@ -74,7 +74,8 @@
     ReadChain {
         /// The group of the turn's program.
         group: GroupId,
-        /// The epoch of the set whose quorum the sender counts.
+        /// Epoch of the set by which the sender counts replies; the replica rejects any other,
+        /// unless it has the newest turn.
         epoch: Epoch,
         /// The newest turn.
         turn: TurnId,
@@ -102,7 +103,8 @@
     },
 }
 
-/// One page of a replica's records, ordered by their last change.
+/// One page of a group's records at a replica, in the order of their last changes: identifiers of
+/// turns, and whole ledgers.
 #[derive(Debug, Clone, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct Listing {
     /// Turns, each with its remaining time to live in milliseconds.
@@ -129,7 +131,8 @@
     Chain {
         /// The records, newest first.
         records: Vec<TurnRecord>,
-        /// The first turn that the replica has no record of; `None` when the chain is complete.
+        /// The first turn of the chain that isn't in the reply, because the replica has no record
+        /// of it or because the reply is full; `None` when the chain is complete.
         missing: Option<TurnId>,
     },
     Listed(Listing),
--- a/crates/records/src/plan.rs
+++ b/crates/records/src/plan.rs
@@ -41,7 +41,8 @@
 /// Progress of copies, as reported by the storage nodes.
 #[derive(Debug, Clone, Default)]
 pub struct CopyProgress {
-    /// Replicas outside the set that recently held all records of a read quorum.
+    /// Replicas outside the set that recently held all records that a read quorum of the voters
+    /// holds.
     pub prepared: BTreeSet<ReplicaId>,
     /// Replicas that have finished copying at the set's epoch.
     pub copied: BTreeSet<ReplicaId>,
@@ -180,16 +181,16 @@
 /// nodes. Where there is none, a lost voter stays and a retiring one leaves.
 fn wanted_voters(voters: &[Replica], nodes: &[StorageNode], size: usize) -> Vec<Replica> {
     let staying = voters.iter().filter(|voter| !is_retiring(voter, nodes));
-    let (alive, lost): (Vec<&Replica>, Vec<&Replica>) =
+    let (kept, lost): (Vec<&Replica>, Vec<&Replica>) =
         staying.partition(|voter| is_alive(voter, nodes) || is_starting(voter, nodes));
-    let mut wanted: Vec<Replica> = alive.into_iter().cloned().collect();
+    let mut wanted: Vec<Replica> = kept.into_iter().cloned().collect();
     add_candidates(&mut wanted, voters, nodes, size);
-    let mut absent: Vec<&Replica> = lost
+    let mut unreplaced: Vec<&Replica> = lost
         .into_iter()
         .filter(|voter| !was_replaced(voter, nodes))
         .collect();
     while wanted.len() < size.min(voters.len()) {
-        let Some(voter) = absent.pop() else {
+        let Some(voter) = unreplaced.pop() else {
             break;
         };
         wanted.push(voter.clone());
@@ -200,7 +201,7 @@
     wanted
 }
 
-/// Whether a voter's node now runs another replica, so that the voter's disk is lost.
+/// Whether a voter's node now runs another replica, which means that the voter's disk is lost.
 fn was_replaced(voter: &Replica, nodes: &[StorageNode]) -> bool {
     nodes
         .iter()
--- a/crates/records/src/replica.rs
+++ b/crates/records/src/replica.rs
@@ -23,7 +23,8 @@
 const LISTING_PAGE: usize = 1_024;
 /// Bytes of records after which a reply takes no further record.
 const MAX_FETCH_BYTES: usize = 4 * 1024 * 1024;
-const MAX_CHAIN_RECORDS: usize = 256;
+/// Most records of a chain in one reply; the reader requests the rest.
+const MAX_CHAIN_RECORDS_PER_REPLY: usize = 256;
 
 /// Newest version of the disk's format that this program reads, and the one that it writes
 /// (`docs/design/versions.md`, "Disks").
@@ -96,7 +97,7 @@
     value: T,
     expires_at_ms: u64,
     group: GroupId,
-    changed: ChangeNumber,
+    last_change: ChangeNumber,
 }
 
 impl<T> Retained<T> {
@@ -117,7 +118,7 @@
     ledgers: BTreeMap<ProgramId, Retained<ProgramLedger>>,
     changes: BTreeMap<GroupId, ChangeLog>,
     turn_bytes: usize,
-    max_turn_bytes: usize,
+    max_total_turn_bytes: usize,
     /// Whether some records of the disk aren't restored yet.
     is_restoring: bool,
     /// Whether some ledgers of the disk aren't restored yet.
@@ -128,7 +129,7 @@
 
 impl ReplicaState {
     /// An empty replica that keeps at most this many bytes of turns.
-    pub fn new(id: ReplicaId, max_turn_bytes: usize) -> Self {
+    pub fn new(id: ReplicaId, max_total_turn_bytes: usize) -> Self {
         Self {
             id,
             log_id: 0,
@@ -138,7 +139,7 @@
             ledgers: BTreeMap::new(),
             changes: BTreeMap::new(),
             turn_bytes: 0,
-            max_turn_bytes,
+            max_total_turn_bytes,
             is_restoring: false,
             is_restoring_ledgers: false,
             absent: BTreeSet::new(),
@@ -226,15 +227,15 @@
         let mut changes = Vec::new();
         let turn_bytes = &mut self.turn_bytes;
         let logs = &mut self.changes;
-        let mut remove_from_log = |group: GroupId, changed: ChangeNumber| {
+        let mut remove_from_log = |group: GroupId, last_change: ChangeNumber| {
             if let Some(log) = logs.get_mut(&group) {
-                log.remove_change(changed);
+                log.remove_change(last_change);
             }
         };
         self.turns.retain(|turn, retained| {
             let keep = retained.expires_at_ms > now_ms;
             if !keep {
-                remove_from_log(retained.group, retained.changed);
+                remove_from_log(retained.group, retained.last_change);
                 *turn_bytes -= retained.value.weight();
                 changes.push(Change::Delete(RecordKey::Turn(turn.clone())));
             }
@@ -243,7 +244,7 @@
         self.ledgers.retain(|program, retained| {
             let keep = retained.expires_at_ms > now_ms;
             if !keep {
-                remove_from_log(retained.group, retained.changed);
+                remove_from_log(retained.group, retained.last_change);
                 changes.push(Change::Delete(RecordKey::Ledger(program.clone())));
             }
             keep
@@ -337,7 +338,7 @@
     }
 
     /// Merges another copy of a ledger; returns the change to make durable, if any.
-    fn join_ledger(
+    fn merge_ledger(
         &mut self,
         group: GroupId,
         program: &ProgramId,
@@ -364,7 +365,7 @@
         }
         let key = || RecordKey::Ledger(program.clone());
         let log = change_log(&mut self.changes, self.log_id, retained.group);
-        log.log_change(&mut retained.changed, key);
+        log.log_change(&mut retained.last_change, key);
         let stored = StoredRecord::Ledger(
             program.clone(),
             retained.value.clone(),
@@ -377,7 +378,7 @@
         if self.turns.contains_key(&record.turn) {
             return Handled::durable(Vec::new(), ReplicaReply::Done);
         }
-        if self.turn_bytes + record.weight() > self.max_turn_bytes {
+        if self.turn_bytes + record.weight() > self.max_total_turn_bytes {
             return Handled::immediate(ReplicaReply::Unavailable);
         }
         self.put_turn(group, record.clone(), expires_at_ms);
@@ -388,14 +389,17 @@
     fn put_turn(&mut self, group: GroupId, record: TurnRecord, expires_at_ms: u64) {
         self.turn_bytes += record.weight();
         let turn = record.turn.clone();
-        let mut changed = self.turns.get(&turn).and_then(|retained| retained.changed);
+        let mut last_change = self
+            .turns
+            .get(&turn)
+            .and_then(|retained| retained.last_change);
         let key = || RecordKey::Turn(turn.clone());
-        change_log(&mut self.changes, self.log_id, group).log_change(&mut changed, key);
+        change_log(&mut self.changes, self.log_id, group).log_change(&mut last_change, key);
         let retained = Retained {
             value: record,
             expires_at_ms,
             group,
-            changed,
+            last_change,
         };
         if let Some(earlier) = self.turns.insert(turn, retained) {
             self.turn_bytes -= earlier.value.weight();
@@ -410,7 +414,8 @@
             if retained.is_none() && self.is_restoring && !self.absent.contains(&turn) {
                 return ReplicaReply::Unavailable;
             }
-            let Some(retained) = retained.filter(|_| records.len() < MAX_CHAIN_RECORDS) else {
+            let Some(retained) = retained.filter(|_| records.len() < MAX_CHAIN_RECORDS_PER_REPLY)
+            else {
                 let missing = Some(turn);
                 return ReplicaReply::Chain { records, missing };
             };
@@ -441,6 +446,6 @@
         value: ProgramLedger::default(),
         expires_at_ms,
         group,
-        changed: None,
+        last_change: None,
     })
 }
--- a/crates/records/src/replica/copying.rs
+++ b/crates/records/src/replica/copying.rs
@@ -44,7 +44,7 @@
         ttl_ms: u64,
         now_ms: u64,
     ) -> Vec<Change> {
-        let change = self.join_ledger(group, &program, ledger, now_ms + ttl_ms);
+        let change = self.merge_ledger(group, &program, ledger, now_ms + ttl_ms);
         change.into_iter().collect()
     }
 
--- a/crates/records/src/replica/restoring.rs
+++ b/crates/records/src/replica/restoring.rs
@@ -97,7 +97,7 @@
             // Merged, since the ledger may have changed while the disk was read.
             StoredRecord::Ledger(program, ledger, expires_at_ms) => {
                 let group = self.group_of(&program);
-                self.join_ledger(group, &program, &ledger, expires_at_ms);
+                self.merge_ledger(group, &program, &ledger, expires_at_ms);
             }
             StoredRecord::Set(set) => self.groups = Some(ReplicaGroups::single(set)),
             StoredRecord::Groups(groups) => self.groups = Some(groups),
--- a/crates/records/src/replica_set.rs
+++ b/crates/records/src/replica_set.rs
@@ -167,8 +167,10 @@
         let new_members = self.new_members();
         let staying = incoming.len() - new_members.len();
         let leaving = self.voters.len() - staying;
-        let holders = majority(self.voters.len()) + new_members.len();
-        if holders >= majority(incoming.len()) + leaving {
+        // The least number of replicas that hold an acknowledged write once the new members have
+        // copied.
+        let min_holders = majority(self.voters.len()) + new_members.len();
+        if min_holders >= majority(incoming.len()) + leaving {
             new_members
         } else {
             incoming.iter().collect()
--- a/crates/records/tests/simulator/storage.rs
+++ b/crates/records/tests/simulator/storage.rs
@@ -10,13 +10,13 @@
 use super::DisabledMechanism;
 use super::world::Address;
 
-const MAX_TURN_BYTES: usize = 1 << 30;
+const MAX_TOTAL_TURN_BYTES: usize = 1 << 30;
 pub const TTL_MS: u64 = 1 << 40;
 
 /// Key of a record on the simulated disk.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 enum DiskKey {
-    /// Sorts first, since ledgers are restored to the groups that are known.
+    /// Sorts first: restoring a ledger needs the replica sets to determine its program's group.
     Groups,
     Record(RecordKey),
 }
@@ -67,7 +67,7 @@
     }
 }
 
-pub struct StorageNode {
+pub struct SimulatedNode {
     pub index: usize,
     pub incarnation: u64,
     pub running: bool,
@@ -82,18 +82,19 @@
     pub positions: BTreeMap<(GroupId, ReplicaId), ListPosition>,
     /// Copies requested before the set of a group changes: the epoch, and when the request expires.
     pub copy_requests: BTreeMap<GroupId, (Epoch, u64)>,
-    /// The epoch of each group at which this node recently held all records of a read quorum.
+    /// By group, the epoch at which this node recently held all records that a read quorum of the
+    /// voters holds.
     pub prepared: BTreeMap<GroupId, Epoch>,
     disabled: DisabledMechanism,
 }
 
-impl StorageNode {
+impl SimulatedNode {
     pub fn new(index: usize, id: u64, disabled: DisabledMechanism) -> Self {
         Self {
             index,
             incarnation: 0,
             running: true,
-            state: ReplicaState::new(ReplicaId(id), MAX_TURN_BYTES),
+            state: ReplicaState::new(ReplicaId(id), MAX_TOTAL_TURN_BYTES),
             disk: BTreeMap::new(),
             unsynced: VecDeque::new(),
             submitted: 0,
@@ -224,7 +225,7 @@
 
     /// Starts the process with the records of its disk.
     pub fn start(&mut self) {
-        let mut state = ReplicaState::new(self.state.id(), MAX_TURN_BYTES);
+        let mut state = ReplicaState::new(self.state.id(), MAX_TOTAL_TURN_BYTES);
         if self.disabled != DisabledMechanism::NoLives {
             state.set_log_id(self.incarnation);
         }
@@ -240,6 +241,6 @@
     /// Loses the disk; the next start is that of another replica.
     pub fn wipe(&mut self, new_id: u64) {
         self.disk.clear();
-        self.state = ReplicaState::new(ReplicaId(new_id), MAX_TURN_BYTES);
+        self.state = ReplicaState::new(ReplicaId(new_id), MAX_TOTAL_TURN_BYTES);
     }
 }
--- a/crates/records/tests/simulator/world.rs
+++ b/crates/records/tests/simulator/world.rs
@@ -12,12 +12,12 @@
 use rand_chacha::ChaCha8Rng;
 use ridgeworks_records::{
     ChainOutcome, CopyProgress, Epoch, GroupId, Handled, ProgramLedger, QuorumWrite, ReplicaGroups,
-    ReplicaId, ReplicaReply, ReplicaRequest, ReplicaSet, SetStep, StorageNode as ObservedNode,
-    TurnId, TurnRecord, Wait, WriteProgress, assign_groups, plan_change,
+    ReplicaId, ReplicaReply, ReplicaRequest, ReplicaSet, SetStep, StorageNode, TurnId, TurnRecord,
+    Wait, WriteProgress, assign_groups, plan_change,
 };
 
 use super::gateway::{MAX_TURN_TOKENS, Operation, Purpose, StateMachine, program_id};
-use super::storage::{CopyTask, NO_REQUEST, StorageNode, TTL_MS};
+use super::storage::{CopyTask, NO_REQUEST, SimulatedNode, TTL_MS};
 use super::{DisabledMechanism, Outcome};
 
 const STORAGE_NODES: usize = 4;
@@ -25,15 +25,18 @@
 const GATEWAYS: usize = 2;
 const PROGRAMS: usize = 3;
 const BUDGET: u64 = 8 * MAX_TURN_TOKENS;
+
+// Times are in milliseconds of virtual time.
 const END: u64 = 12_000;
 const FAULTS_UNTIL: u64 = 8_000;
-const OPERATION_TIME: u64 = 1_500;
-const RETRY: u64 = 60;
+const OPERATION_TIMEOUT: u64 = 1_500;
+const RETRY_INTERVAL: u64 = 60;
 const COORDINATOR_INTERVAL: u64 = 150;
-/// How long a node copies before a change of a set after the last request.
+/// How long a request to copy before a set changes stays valid unless it is repeated.
 const COPY_REQUEST_LIFETIME: u64 = 700;
-const LOSS: f64 = 0.03;
-const DUPLICATION: f64 = 0.03;
+
+const LOSS_PROBABILITY: f64 = 0.03;
+const DUPLICATION_PROBABILITY: f64 = 0.03;
 
 /// Sender or receiver of a message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -110,7 +113,7 @@
 
 #[derive(Default)]
 struct Program {
-    handed_out: u64,
+    generated_tokens: u64,
     /// The newest turn that was answered completely.
     newest: Option<TurnId>,
 }
@@ -121,7 +124,7 @@
     now: u64,
     order: u64,
     queue: BinaryHeap<Reverse<Scheduled>>,
-    storage: Vec<StorageNode>,
+    storage: Vec<SimulatedNode>,
     partitioned: BTreeSet<usize>,
     /// Number of groups; each has its own replicas on the same nodes.
     group_count: usize,
@@ -153,7 +156,7 @@
 
     fn new(seed: u64, disabled: DisabledMechanism) -> Self {
         let storage =
-            (0..STORAGE_NODES).map(|index| StorageNode::new(index, 100 + index as u64, disabled));
+            (0..STORAGE_NODES).map(|index| SimulatedNode::new(index, 100 + index as u64, disabled));
         let mut world = Self {
             random: ChaCha8Rng::seed_from_u64(seed),
             now: 0,
@@ -188,17 +191,17 @@
         self.queue.push(Reverse(Scheduled { at, order, event }));
     }
 
-    fn number(&mut self) -> u64 {
+    fn next_number(&mut self) -> u64 {
         self.next_number += 1;
         self.next_number
     }
 
     /// Sends a message over the network, which may delay, lose or duplicate it.
     fn send(&mut self, event: Event) {
-        if self.random.random_bool(LOSS) {
+        if self.random.random_bool(LOSS_PROBABILITY) {
             return;
         }
-        let copies = if self.random.random_bool(DUPLICATION) {
+        let copies = if self.random.random_bool(DUPLICATION_PROBABILITY) {
             2
         } else {
             1
--- a/crates/records/tests/simulator/world/changes.rs
+++ b/crates/records/tests/simulator/world/changes.rs
@@ -22,7 +22,7 @@
     /// Writes the initial sets unless they exist.
     fn create_initial_sets(&mut self, node: usize) {
         if self.register.is_none() {
-            let observed: Vec<ObservedNode> = self
+            let observed: Vec<StorageNode> = self
                 .storage
                 .iter()
                 .map(|storage| self.observe(storage))
@@ -42,18 +42,18 @@
         set: &ReplicaSet,
         groups: &ReplicaGroups,
     ) {
-        let observed: Vec<ObservedNode> = self
+        let observed: Vec<StorageNode> = self
             .storage
             .iter()
             .map(|storage| self.observe(storage))
             .collect();
         let since = self.changed_at.get(&group).copied().unwrap_or_default();
-        let is_patient = self.now - since < 800;
+        let may_wait = self.now - since < 800;
         let copies = CopyProgress {
             prepared: self.prepared(group, set.epoch),
             copied: self.copied(group, set.epoch),
         };
-        let change = match plan_change(set, &observed, REPLICAS, &copies, is_patient) {
+        let change = match plan_change(set, &observed, REPLICAS, &copies, may_wait) {
             Some(SetStep::Write(change)) => change,
             Some(SetStep::Prepare { new_members, .. }) => {
                 let ids: BTreeSet<ReplicaId> = new_members.iter().map(|member| member.id).collect();
@@ -84,7 +84,7 @@
         let until = self.now + COPY_REQUEST_LIFETIME;
         for node in 0..STORAGE_NODES {
             let is_partitioned = self.partitioned.contains(&node);
-            let is_lost = self.random.random_bool(LOSS);
+            let is_lost = self.random.random_bool(LOSS_PROBABILITY);
             let storage = &mut self.storage[node];
             if !storage.running
                 || is_partitioned
@@ -127,8 +127,8 @@
         ready.map(|storage| storage.state.id()).collect()
     }
 
-    pub(super) fn observe(&self, storage: &StorageNode) -> ObservedNode {
-        ObservedNode {
+    pub(super) fn observe(&self, storage: &SimulatedNode) -> StorageNode {
+        StorageNode {
             replica: storage.replica(),
             alive: storage.running && !self.partitioned.contains(&storage.index),
             starting: false,
@@ -177,15 +177,15 @@
         }
         let me = storage.state.id();
         let all_durable = storage.durable == storage.submitted;
-        let requested = storage
+        let request = storage
             .copy_requests
             .get(&group)
             .filter(|(_, until)| now < *until);
-        let requested = requested.map(|(epoch, _)| *epoch);
+        let requested_epoch = request.map(|(epoch, _)| *epoch);
         let Some(copy) = storage.copies.get_mut(&group) else {
             return;
         };
-        if copy.is_preparing() && requested != Some(copy.set.epoch) {
+        if copy.is_preparing() && requested_epoch != Some(copy.set.epoch) {
             // The copy is no longer requested: the voter is back, or the set has changed.
             storage.copies.remove(&group);
             storage.prepared.remove(&group);
@@ -194,14 +194,14 @@
         if all_durable && copy.set.voters.iter().any(|voter| voter.id == me) {
             copy.done.insert(me);
         }
-        let mut pause = RETRY;
+        let mut pause = RETRY_INTERVAL;
         if copy.set.has_read_quorum(&copy.done) {
             let epoch = copy.set.epoch;
             if all_durable && copy.is_preparing() {
                 // Another round copies what has changed meanwhile.
                 *copy = CopyTask::new(group, copy.groups.clone());
                 storage.prepared.insert(group, epoch);
-                pause = 3 * RETRY;
+                pause = 3 * RETRY_INTERVAL;
             } else if all_durable {
                 storage.copies.remove(&group);
                 storage.prepared.remove(&group);
@@ -226,7 +226,7 @@
     pub(super) fn request_page_or_turns(&mut self, node: usize, group: GroupId) {
         let me = self.storage[node].state.id();
         let pick = self.random.random::<u32>() as usize;
-        let number = self.number();
+        let number = self.next_number();
         let Some(copy) = self.storage[node].copies.get_mut(&group) else {
             return;
         };
--- a/crates/records/tests/simulator/world/faults.rs
+++ b/crates/records/tests/simulator/world/faults.rs
@@ -22,13 +22,14 @@
         }
     }
 
-    pub(super) fn crash(&mut self, node: usize, longest: u64) {
+    /// Crashes a running node; it starts again after 20 ms to four times `downtime_scale`.
+    pub(super) fn crash(&mut self, node: usize, downtime_scale: u64) {
         if !self.storage[node].running {
             return;
         }
         let kept = self.random.random_range(0..3);
         self.storage[node].crash(kept);
-        let down = self.random.random_range(20..longest * 4);
+        let down = self.random.random_range(20..downtime_scale * 4);
         self.schedule(down, Event::Start { node });
     }
 
@@ -55,7 +56,7 @@
         }
         self.outcome.wipes += 1;
         self.crash(node, 300);
-        let id = self.number();
+        let id = self.next_number();
         self.storage[node].wipe(id);
     }
 
--- a/crates/records/tests/simulator/world/gateways.rs
+++ b/crates/records/tests/simulator/world/gateways.rs
@@ -10,7 +10,7 @@
             self.known[gateway] = self.register.clone();
         }
         let program = self.random.random_range(0..PROGRAMS);
-        let number = self.number();
+        let number = self.next_number();
         let purpose = match self.random.random_range(0..10) {
             0..=5 => Purpose::Reserve {
                 program,
@@ -29,11 +29,11 @@
         let Some(groups) = self.known[gateway].clone() else {
             return;
         };
-        let number = self.number();
+        let number = self.next_number();
         let group = groups.group_of(Some(&program_id(purpose.program())));
         let set = groups.set(group).expect("the group exists").clone();
         let state_machine = StateMachine::Write(QuorumWrite::new(group, set.clone()));
-        let deadline = self.now + OPERATION_TIME;
+        let deadline = self.now + OPERATION_TIMEOUT;
         let mut operation = Operation {
             gateway,
             group,
@@ -47,7 +47,9 @@
         self.retry(number);
     }
 
-    /// Sends the request to every replica that may contribute, repeatedly until the deadline.
+    /// Sends an operation's request and schedules the next attempt; drops the operation after its
+    /// deadline. The first attempt of a write to a ledger goes to a write quorum only. All other
+    /// attempts go to every member (writes) or every candidate (reads).
     pub(super) fn retry(&mut self, number: u64) {
         let Some(operation) = self.operations.get_mut(&number) else {
             return;
@@ -90,7 +92,7 @@
                 request,
             });
         }
-        self.schedule(RETRY, Event::Retry { operation: number });
+        self.schedule(RETRY_INTERVAL, Event::Retry { operation: number });
     }
 
     pub(super) fn gateway_reply(&mut self, from: ReplicaId, number: u64, reply: ReplicaReply) {
@@ -202,8 +204,8 @@
     pub(super) fn run_turn(&mut self, gateway: usize, program: usize, turn: TurnId) {
         let spent = self.random.random_range(1..=MAX_TURN_TOKENS);
         let state = &mut self.programs[program];
-        state.handed_out += spent;
-        if state.handed_out > BUDGET + MAX_TURN_TOKENS {
+        state.generated_tokens += spent;
+        if state.generated_tokens > BUDGET + MAX_TURN_TOKENS {
             self.outcome.overspent += 1;
         }
         let record = TurnRecord {
--- a/crates/replica/src/actor.rs
+++ b/crates/replica/src/actor.rs
@@ -74,12 +74,12 @@
 
 /// Settings and connections of the actor.
 pub struct ReplicaParts {
-    /// Folder of the store.
+    /// Folder of the local database.
     pub folder: PathBuf,
     /// Name of the node.
     pub node_name: String,
     /// Largest total size of turns, in bytes.
-    pub max_turn_bytes: usize,
+    pub max_total_turn_bytes: usize,
     /// The node's view of the cluster.
     pub view: Rc<View>,
     /// Metrics of the replica.
@@ -88,12 +88,12 @@
     pub disk_events: mpsc::UnboundedSender<DiskEvent>,
     /// Where the replica's status is published within the process; `None` while the disk isn't
     /// open.
-    pub status: Rc<Cell<Option<OpenReplica>>>,
+    pub status: Rc<Cell<Option<LocalReplicaStatus>>>,
 }
 
 /// Status of a replica with an open disk.
 #[derive(Debug, Clone, Copy)]
-pub struct OpenReplica {
+pub struct LocalReplicaStatus {
     /// The status that other nodes are sent.
     pub published: ReplicaStatus,
     /// Whether all records of the disk are restored, so that other replicas can copy them.
@@ -104,22 +104,22 @@
     batch: u64,
     /// When the request was handled; `None` if the reply may wait for later changes, so that its
     /// latency says nothing about the replica.
-    requested_at: Option<Instant>,
+    handled_at: Option<Instant>,
     reply_sender: oneshot::Sender<PeerReply>,
     reply: ReplicaReply,
 }
 
-struct OpenDisk {
+struct DiskSession {
     store: Arc<Store>,
     state: ReplicaState,
     /// Whether records read from the disk are still needed; checked by the thread that reads them.
     is_read_wanted: Arc<AtomicBool>,
     opened_at: Instant,
-    /// The store's counters that the metrics already include.
+    /// The local database's counters that the metrics already include.
     counted: Option<StoreCountersSnapshot>,
 }
 
-impl OpenDisk {
+impl DiskSession {
     /// Restores the records that a request needs and that aren't restored yet.
     fn restore_for(&mut self, request: &ReplicaRequest) -> Result<(), DiskError> {
         let mut last = None;
@@ -141,7 +141,7 @@
 /// The actor of one replica.
 pub struct ReplicaActor {
     parts: ReplicaParts,
-    disk: Option<OpenDisk>,
+    disk: Option<DiskSession>,
     /// Number of openings of the disk; tells apart events of an earlier one.
     opening: u64,
     submitted: u64,
@@ -261,7 +261,8 @@
         self.commit_and_reply(handled, Some(reply_sender));
     }
 
-    /// Replies with those of these turns that the replica doesn't have.
+    /// Replies with the given turns that the replica doesn't have: all of them while its disk isn't
+    /// open.
     pub fn missing(
         &mut self,
         _cx: CX![],
@@ -340,10 +341,10 @@
     fn open_disk(&mut self) {
         let folder = self.parts.folder.clone();
         let node_name = self.parts.node_name.clone();
-        let max_turn_bytes = self.parts.max_turn_bytes;
+        let max_total_turn_bytes = self.parts.max_total_turn_bytes;
         let disk_events = self.parts.disk_events.clone();
         tokio::task::spawn_blocking(move || {
-            let opened = disk::open(&folder, &node_name, max_turn_bytes);
+            let opened = disk::open(&folder, &node_name, max_total_turn_bytes);
             // The process may be shutting down.
             let _ = disk_events.send(DiskEvent::Opened(Box::new(opened)));
         });
@@ -365,7 +366,7 @@
                     ControlFlow::Break(())
                 }
             });
-            // The store has to be closed before the folder can be opened again.
+            // The local database has to be closed before the folder can be opened again.
             drop(store);
             // The process may be shutting down.
             let _ = disk_events.send(DiskEvent::AllRead { opening, outcome });
@@ -425,7 +426,7 @@
             epoch = opened.state.epoch().0;
             "disk opened"
         );
-        self.disk = Some(OpenDisk {
+        self.disk = Some(DiskSession {
             store: opened.store,
             state: opened.state,
             is_read_wanted: Arc::new(AtomicBool::new(true)),
@@ -491,7 +492,7 @@
         let batch = self.submitted + u64::from(!self.pending.is_empty());
         self.waiting.push_back(WaitingReply {
             batch,
-            requested_at: (wait == Wait::Durable).then(Instant::now),
+            handled_at: (wait == Wait::Durable).then(Instant::now),
             reply_sender,
             reply,
         });
@@ -577,8 +578,8 @@
             && waiting.batch <= self.durable
         {
             if let Some(waiting) = self.waiting.pop_front() {
-                if let Some(requested_at) = waiting.requested_at {
-                    self.latency.on_reply(requested_at.elapsed());
+                if let Some(handled_at) = waiting.handled_at {
+                    self.latency.on_reply(handled_at.elapsed());
                 }
                 send(waiting.reply_sender, waiting.reply);
             }
@@ -595,7 +596,7 @@
     }
 
     fn publish_status(&self) {
-        let status = self.disk.as_ref().map(|disk| OpenReplica {
+        let status = self.disk.as_ref().map(|disk| LocalReplicaStatus {
             published: ReplicaStatus {
                 id: disk.state.id(),
                 copied: disk.state.copied_for_change(),
--- a/crates/replica/src/coordinator.rs
+++ b/crates/replica/src/coordinator.rs
@@ -1,7 +1,8 @@
 //! Changes replica sets where needed, and reports the progress of retirements.
 //!
 //! Every storage node runs a coordinator. Nodes act after a delay that grows with their rank among
-//! the set's members; if two act at once, the register's compare-and-swap accepts only one change.
+//! the set's members; if two act at once, the platform store's compare-and-swap accepts only one
+//! change.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -33,25 +34,26 @@
 const PREPARE_TIMEOUT: Duration = Duration::from_secs(10);
 /// How long a joint set waits for live replicas that haven't finished copying.
 const COPY_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// How long the initial sets wait for as many nodes as one set needs.
+/// Time of the node's clock before which the initial sets are only written with at least as many
+/// live nodes as one set needs.
 const INITIAL_SET_TIMEOUT: Duration = Duration::from_secs(2);
 /// How long the number of live storage nodes has to be constant before the initial sets are
-/// written: it determines the number of groups permanently. 36 storage nodes hear each other within
-/// 2 s.
+/// written: it determines the number of groups permanently.
 const INITIAL_SET_QUIET_PERIOD: Duration = Duration::from_millis(750);
 const STORE_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Minimum time between reads of the register by a member that has lost its read quorum.
-const REGISTER_READ_INTERVAL: Duration = Duration::from_secs(2);
-/// Members of a group that watch the store for retirements: the first in rank, which acts, and one
-/// standby.
+/// Minimum time between reads of the platform store by a member that has lost its read quorum.
+const STORE_READ_INTERVAL: Duration = Duration::from_secs(2);
+/// Members of a group that watch the platform store for retirements: the first in rank, which
+/// acts, and one standby.
 const WATCHERS: u32 = 2;
 
 /// A coordinator's state of one group.
 #[derive(Debug, Default)]
 struct GroupState {
-    /// The current epoch, and when it became known to this node.
+    /// The current epoch.
     epoch: Epoch,
-    since: Duration,
+    /// When the current epoch became known to this node.
+    epoch_known_since: Duration,
     /// The step that is due, and since when.
     due: Option<(SetStep, Duration)>,
 }
@@ -59,7 +61,7 @@
 pub struct Coordinator {
     replica: Rc<ReplicaHandle>,
     retirements: Retirements,
-    /// Whether this node watches the store for retirements.
+    /// Whether this node watches the platform store for retirements.
     store_watch: Rc<WatchControl>,
     /// Replicas that copy before they join.
     new_members: NewMembers,
@@ -67,8 +69,8 @@
     groups: BTreeMap<GroupId, GroupState>,
     /// Number of live storage nodes while there is no set, and since when it is constant.
     discovered: (usize, Duration),
-    /// When the register was last read for newer sets.
-    register_read_at: Duration,
+    /// When the platform store was last read for newer sets.
+    store_read_at: Duration,
 }
 
 impl Coordinator {
@@ -85,7 +87,7 @@
             store_watch,
             groups: BTreeMap::new(),
             discovered: (0, Duration::ZERO),
-            register_read_at: Duration::ZERO,
+            store_read_at: Duration::ZERO,
         }
     }
 
@@ -121,8 +123,8 @@
     }
 
     /// Has the first members of each group watch for retirements, since they change the set and
-    /// write the status. So the number of calls to the store doesn't grow with the number of
-    /// storage nodes.
+    /// write the status. So the number of calls to the platform store doesn't grow with the
+    /// number of storage nodes.
     fn update_watching(&self, groups: &ReplicaGroups, nodes: &[StorageNode]) {
         let own = self.own_groups(groups).into_iter();
         let mut ranks = own.filter_map(|group| self.rank(groups.set(group)?, nodes));
@@ -131,16 +133,16 @@
             log::info!(
                 target: "belief",
                 watches = is_due;
-                "watching for retirements changed"
+                "started or stopped watching for retirements"
             );
         }
     }
 
-    /// Reads the register when a set has no live read quorum. The known set may be outdated, and
-    /// the nodes that knew of a newer one may be lost.
+    /// Reads the platform store when a set has no live read quorum. The known set may be outdated,
+    /// and the nodes that knew of a newer one may be lost.
     async fn read_newer_sets(&mut self, groups: &ReplicaGroups, nodes: &[StorageNode]) {
         let now = self.now();
-        if now.saturating_sub(self.register_read_at) <= REGISTER_READ_INTERVAL {
+        if now.saturating_sub(self.store_read_at) <= STORE_READ_INTERVAL {
             return;
         }
         let alive = alive(nodes);
@@ -149,7 +151,7 @@
         let Some((group, set)) = sets.find(|(_, set)| !set.has_read_quorum(&alive)) else {
             return;
         };
-        self.register_read_at = now;
+        self.store_read_at = now;
         let found = self.replica.node.read_replica_sets().await;
         log::info!(
             target: "dependency",
@@ -157,7 +159,7 @@
             epoch = set.epoch.0,
             alive = alive.len(),
             is_answered = found.is_some();
-            "no read quorum is alive; read the register for a newer replica set"
+            "no read quorum is alive; read the platform store for a newer replica set"
         );
     }
 
@@ -176,8 +178,9 @@
         };
         let rank = alive.iter().take_while(|id| **id < me.id).count();
         let rank = u32::try_from(rank).unwrap_or(u32::MAX);
-        let patience = INITIAL_SET_QUIET_PERIOD.saturating_add(RANK_DELAY.saturating_mul(rank));
-        if now.saturating_sub(self.discovered.1) < patience {
+        let required_delay =
+            INITIAL_SET_QUIET_PERIOD.saturating_add(RANK_DELAY.saturating_mul(rank));
+        if now.saturating_sub(self.discovered.1) < required_delay {
             return;
         }
         let Some(groups) = initial_groups(&nodes, size) else {
@@ -254,9 +257,9 @@
     ) -> Option<SetStep> {
         let state = self.groups.entry(group).or_default();
         if state.epoch != set.epoch {
-            (state.epoch, state.since) = (set.epoch, now);
+            (state.epoch, state.epoch_known_since) = (set.epoch, now);
         }
-        let is_patient = now.saturating_sub(state.since) < COPY_TIMEOUT;
+        let may_wait = now.saturating_sub(state.epoch_known_since) < COPY_TIMEOUT;
         // Nothing can be copied while replicas restore their records from disk, and a joint set
         // would only add writes to each of them.
         if !self.replica.is_fully_restored() {
@@ -272,7 +275,7 @@
             copied: self.copied(group, set.epoch, &nodes),
         };
         let size = self.replica.node.settings.bounds.replicas();
-        plan_change(set, &nodes, size, &copies, is_patient)
+        plan_change(set, &nodes, size, &copies, may_wait)
     }
 
     /// Live replicas that have finished copying at this epoch of a group.
@@ -298,8 +301,8 @@
         u32::try_from(before.count()).ok()
     }
 
-    /// Writes the changed set of a group if the register still holds the set that it was planned
-    /// on.
+    /// Writes the changed set of a group if the platform store still holds the set that it was
+    /// planned on.
     async fn write(&self, group: GroupId, planned_on: Epoch, change: ReplicaSet) {
         let Some(RegisteredReplicaSets::Found { groups, revision }) =
             self.replica.node.read_replica_sets().await
@@ -340,8 +343,8 @@
         let is_changing = groups.iter().any(|(_, set)| set.incoming.is_some());
         for (node, written) in self.retirements.open() {
             let members = groups.members();
-            let holds = members.iter().any(|member| member.node == node);
-            let state = if holds || is_changing {
+            let is_member = members.iter().any(|member| member.node == node);
+            let state = if is_member || is_changing {
                 RetirementState::Running
             } else {
                 RetirementState::Done
--- a/crates/replica/src/copying.rs
+++ b/crates/replica/src/copying.rs
@@ -72,12 +72,12 @@
     loop {
         copier.drop_unwanted();
         if let Some(job) = joint_job(&replica) {
-            copier.copy_for(&job).await;
+            copier.copy_for_joint_set(&job).await;
             continue;
         }
         let jobs = preparation_jobs(&replica);
         for job in &jobs {
-            copier.prepare_for(job).await;
+            copier.run_preparation_round(job).await;
         }
         let pause = if jobs.is_empty() {
             IDLE_INTERVAL
@@ -118,7 +118,7 @@
     };
     let me = status.id;
     let is_due = |group: GroupId, set: &ReplicaSet| {
-        let is_wanted = replica.preparation.wanted(group) == Some(set.epoch);
+        let is_wanted = replica.preparation.requested_epoch(group) == Some(set.epoch);
         is_wanted && set.incoming.is_none() && !set.has_member(me)
     };
     let due = groups.iter().filter(|(group, set)| is_due(*group, set));
@@ -153,7 +153,8 @@
         }
     }
 
-    /// Drops the state of copies that are no longer requested.
+    /// Drops the state of copies that are no longer needed, and the positions and requests of all
+    /// copies when the disk was closed or replaced.
     fn drop_unwanted(&mut self) {
         let me = self.replica.status().map(|status| status.id);
         if self.me != me {
@@ -167,7 +168,7 @@
         let is_wanted = |group: GroupId| {
             let set = groups.as_ref().and_then(|groups| groups.set(group));
             let is_copier = set.zip(me).is_some_and(|(set, me)| set.is_copier(me));
-            is_copier || replica.preparation.wanted(group).is_some()
+            is_copier || replica.preparation.requested_epoch(group).is_some()
         };
         self.positions.retain(|(group, _), _| is_wanted(*group));
         self.started_at.retain(|group, started_at| {
@@ -185,7 +186,7 @@
     }
 
     /// Makes one round of copying before the set changes.
-    async fn prepare_for(&mut self, job: &CopyJob) {
+    async fn run_preparation_round(&mut self, job: &CopyJob) {
         let (group, epoch) = (job.group, job.set.epoch);
         if !self.started_at.contains_key(&group) {
             log::info!(
@@ -202,7 +203,7 @@
             return;
         }
         let preparation = &self.replica.preparation;
-        if !preparation.is_ready(group, epoch) {
+        if !preparation.is_prepared(group, epoch) {
             log::info!(
                 target: "belief",
                 group = group.0,
@@ -211,11 +212,11 @@
                 "copy before a change of the replica set caught up"
             );
         }
-        preparation.set_ready(group, epoch);
+        preparation.set_prepared(group, epoch);
     }
 
     /// Copies what changed since the last round, or everything, for a joint set.
-    async fn copy_for(&mut self, job: &CopyJob) {
+    async fn copy_for_joint_set(&mut self, job: &CopyJob) {
         let start = Instant::now();
         let mut copied = BTreeSet::new();
         // A voter needs no copy of its own records. The reply to an empty batch comes once the
@@ -275,7 +276,7 @@
         if job.pace == Pace::Unthrottled {
             return is_newest;
         }
-        let is_requested = replica.preparation.wanted(job.group) == Some(job.set.epoch);
+        let is_requested = replica.preparation.requested_epoch(job.group) == Some(job.set.epoch);
         is_newest && is_requested && joint_job(replica).is_none()
     }
 
@@ -367,7 +368,7 @@
     async fn copy_turns(&self, listed: Vec<(TurnId, u64)>) -> Result<(), CopyError> {
         let mut missing = self.replica.missing(listed).await;
         while !missing.is_empty() {
-            let keep: HashMap<TurnId, u64> = missing.iter().cloned().collect();
+            let ttls_ms: HashMap<TurnId, u64> = missing.iter().cloned().collect();
             let turns = missing.iter().take(FETCH_COUNT);
             let turns: Vec<TurnId> = turns.map(|(turn, _)| turn.clone()).collect();
             let requested: BTreeSet<TurnId> = turns.iter().cloned().collect();
@@ -378,7 +379,7 @@
             let received: BTreeSet<TurnId> =
                 fetched.iter().map(|record| record.turn.clone()).collect();
             let records = fetched.into_iter().map(|record| {
-                let ttl_ms = keep.get(&record.turn).copied().unwrap_or_default();
+                let ttl_ms = ttls_ms.get(&record.turn).copied().unwrap_or_default();
                 CopiedRecord::Turn(record, ttl_ms)
             });
             if !self.replica.copy(self.job.group, records.collect()).await {
--- a/crates/replica/src/disk.rs
+++ b/crates/replica/src/disk.rs
@@ -24,16 +24,16 @@
 /// Records that are passed on at once while restoring.
 const RESTORE_BATCH: usize = 32;
 /// How long the restoring thread pauses after each batch, as a multiple of the time taken to read
-/// it. This leaves the processor to requests, and isn't higher because copies for a changed set
-/// wait until all records are restored.
+/// it. The pause leaves processor time to requests; a longer one would delay copies for a changed
+/// set, which wait until all records are restored.
 const PAUSE_FACTOR: u32 = 3;
 /// Memory for cached pages of the database, in bytes. Small, since requests are served from memory.
 const CACHE_BYTES: usize = 4 * 1024 * 1024;
 
-/// An error of the store, a record or the format of the disk.
+/// An error of the local database, a record or the format of the disk.
 #[derive(Debug)]
 pub enum DiskError {
-    /// The store failed.
+    /// The local database failed.
     Store(StoreError),
     /// A record can't be encoded or decoded.
     Record,
@@ -74,11 +74,11 @@
     pub is_new: bool,
 }
 
-/// Opens the store in this folder and reads the replica sets. Blocks.
+/// Opens the local database in this folder and reads the replica sets. Blocks.
 pub fn open(
     folder: &Path,
     node_name: &str,
-    max_turn_bytes: usize,
+    max_total_turn_bytes: usize,
 ) -> Result<OpenedDisk, DiskError> {
     let creation = StoreCreationId(rand::random());
     let mut settings = StoreSettings::new(folder, node_name, creation);
@@ -88,7 +88,7 @@
     let creation = opened.store.identity().creation_id;
     // Half of the identifier suffices to tell one disk from another.
     let id = ReplicaId(creation.0 as u64);
-    let mut state = ReplicaState::new(id, max_turn_bytes);
+    let mut state = ReplicaState::new(id, max_total_turn_bytes);
     state.set_log_id(rand::random());
     if let Some(bytes) = opened.store.record(SET_KEY)? {
         state.restore(decode(&bytes)?);
@@ -148,7 +148,7 @@
     }
 }
 
-/// The store operation for a change.
+/// The database operation for a change.
 pub fn operation(change: &Change) -> Result<StoreOperation, DiskError> {
     match change {
         Change::Put(record) => {
--- a/crates/replica/src/handle.rs
+++ b/crates/replica/src/handle.rs
@@ -15,12 +15,12 @@
 use stakker::{ActorOwn, call};
 use tokio::sync::{mpsc, oneshot};
 
-use crate::actor::{CopiedRecord, DiskEvent, OpenReplica, ReplicaActor};
+use crate::actor::{CopiedRecord, DiskEvent, LocalReplicaStatus, ReplicaActor};
 use crate::limiters::{CLEAN_UP_INTERVAL, LocalLimiters};
 use crate::metrics::ReplicaMetrics;
 use crate::preparation::Preparation;
 
-/// Handle of this process's replica.
+/// Serves requests of other nodes, and gives the other tasks of this process access to the replica.
 pub struct ReplicaHandle {
     /// The node that the replica runs on.
     pub node: Rc<Node>,
@@ -30,7 +30,7 @@
     limiters: LocalLimiters,
     actors: ActorRuntime,
     actor: ActorOwn<ReplicaActor>,
-    status: Rc<Cell<Option<OpenReplica>>>,
+    status: Rc<Cell<Option<LocalReplicaStatus>>>,
 }
 
 impl ReplicaHandle {
@@ -39,7 +39,7 @@
         metrics: Rc<ReplicaMetrics>,
         actors: ActorRuntime,
         actor: ActorOwn<ReplicaActor>,
-        status: Rc<Cell<Option<OpenReplica>>>,
+        status: Rc<Cell<Option<LocalReplicaStatus>>>,
     ) -> Self {
         let bounds = &node.settings.bounds;
         let limiters = LocalLimiters::new(bounds.quota(), bounds.warm_up(), bounds.replicas());
@@ -128,8 +128,8 @@
         )
     }
 
-    /// Returns those of these turns that the replica doesn't have, each with its time to live in
-    /// milliseconds.
+    /// Returns the given turns that the replica doesn't have (all of them while its disk isn't
+    /// open), each with its time to live in milliseconds.
     pub async fn missing(&self, turns: Vec<(TurnId, u64)>) -> Vec<(TurnId, u64)> {
         let (reply_sender, reply_receiver) = oneshot::channel();
         call!([self.actor], missing(turns, reply_sender));
@@ -146,8 +146,8 @@
         })
     }
 
-    /// Handles a request to copy before this replica joins a set; replies whether the copy is
-    /// ready.
+    /// Handles a request to copy before this replica joins a set; replies whether it is
+    /// prepared.
     fn prepare(&self, preparing: PrepareRequest) -> PeerReply {
         let is_recipient = self
             .status()
--- a/crates/replica/src/latency.rs
+++ b/crates/replica/src/latency.rs
@@ -1,8 +1,8 @@
 //! Detects when a replica is slow to reply, and logs it.
 //!
 //! Gateways only see that a replica is slow. The log line of the replica shows why: the number of
-//! its requests, the time of its replies, and the lag of its timers, which only a lack of processor
-//! time causes.
+//! its requests, the time of its replies, and the lag of its timers, which grows when the process
+//! lacks processor time or the actor's thread is blocked.
 
 use std::time::{Duration, Instant};
 
--- a/crates/replica/src/lib.rs
+++ b/crates/replica/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! - `actor` holds the state machine and the disk.
 //! - `coordinator` changes the replica sets by which nodes are alive (`liveness`), asks
-//!   `new_members` to copy first, and carries out retirements.
+//!   `new_members` to copy first, and reports the progress of retirements.
 //! - `copying` copies the records that a replica needs to join a set; `preparation` tracks which
 //!   copies are requested.
 
--- a/crates/replica/src/limiters.rs
+++ b/crates/replica/src/limiters.rs
@@ -33,16 +33,16 @@
     bounds: QuotaBounds,
     warm_up: Option<WarmUpBounds>,
     /// Number of limiters that share each limit.
-    limiters: usize,
+    limiter_count: usize,
     groups: RefCell<BTreeMap<GroupId, GroupLimiters>>,
 }
 
 impl LocalLimiters {
-    pub fn new(bounds: QuotaBounds, warm_up: Option<WarmUpBounds>, limiters: usize) -> Self {
+    pub fn new(bounds: QuotaBounds, warm_up: Option<WarmUpBounds>, limiter_count: usize) -> Self {
         Self {
             bounds,
             warm_up,
-            limiters,
+            limiter_count,
             groups: RefCell::default(),
         }
     }
@@ -63,8 +63,8 @@
     fn new_group(&self, now: Duration) -> GroupLimiters {
         let engines = self.warm_up;
         GroupLimiters {
-            tenants: Limiter::new(self.bounds, self.limiters, now),
-            engines: engines.map(|bounds| GrantLimiter::new(bounds, self.limiters, now)),
+            tenants: Limiter::new(self.bounds, self.limiter_count, now),
+            engines: engines.map(|bounds| GrantLimiter::new(bounds, self.limiter_count, now)),
         }
     }
 
@@ -81,8 +81,8 @@
             per_ks: request.per_ks,
             duration_ms: 0,
         };
-        let verdict = limiter.grant(&request.engine, limit, request.version, now);
-        Some(match verdict {
+        let decision = limiter.grant(&request.engine, limit, request.version, now);
+        Some(match decision {
             LimiterDecision::Granted => GrantReply::Granted,
             LimiterDecision::Exhausted { next, retry } => GrantReply::Exhausted {
                 next_ms: whole_ms(next),
--- a/crates/replica/src/new_members.rs
+++ b/crates/replica/src/new_members.rs
@@ -12,22 +12,24 @@
 
 /// Timeout of a request to a new member.
 const ASK_TIMEOUT: Duration = Duration::from_millis(700);
-/// How long a new member counts as ready after its reply. It is asked every 200 ms; an older reply
-/// belongs to a change that was given up.
-const READY_LIFETIME: Duration = Duration::from_secs(1);
+/// How long a new member counts as prepared after its reply. It is asked every 200 ms; an older
+/// reply belongs to a change that was given up.
+const PREPARED_LIFETIME: Duration = Duration::from_secs(1);
 
 /// State of one new member.
 #[derive(Debug, Clone, Copy, Default)]
 struct NewMember {
     is_pending: bool,
     /// The epoch that it has copied for, and when it replied so.
-    ready: Option<(Epoch, Instant)>,
+    prepared: Option<(Epoch, Instant)>,
 }
 
 impl NewMember {
-    fn is_ready(&self, epoch: Epoch) -> bool {
-        let ready = self.ready.filter(|(_, at)| at.elapsed() < READY_LIFETIME);
-        ready.is_some_and(|(of, _)| of == epoch)
+    fn is_prepared(&self, epoch: Epoch) -> bool {
+        let prepared = self
+            .prepared
+            .filter(|(_, at)| at.elapsed() < PREPARED_LIFETIME);
+        prepared.is_some_and(|(prepared_epoch, _)| prepared_epoch == epoch)
     }
 }
 
@@ -48,13 +50,14 @@
         }
     }
 
-    /// New members that recently held all records of a read quorum of this group's epoch.
+    /// New members that recently held all records that a read quorum of the voters holds, at this
+    /// epoch of the group.
     pub fn prepared(&self, group: GroupId, epoch: Epoch) -> BTreeSet<ReplicaId> {
         let known = self.known.borrow();
-        let ready = known
-            .iter()
-            .filter(|((of, _), new_member)| *of == group && new_member.is_ready(epoch));
-        ready.map(|((_, id), _)| *id).collect()
+        let prepared = known.iter().filter(|((member_group, _), new_member)| {
+            *member_group == group && new_member.is_prepared(epoch)
+        });
+        prepared.map(|((_, id), _)| *id).collect()
     }
 
     /// Whether a replica was asked to copy for a group.
@@ -67,7 +70,7 @@
     pub fn ask(&self, group: GroupId, groups: &ReplicaGroups, replicas: &[Replica]) {
         let is_wanted = |id: ReplicaId| replicas.iter().any(|replica| replica.id == id);
         let mut known = self.known.borrow_mut();
-        known.retain(|(of, id), _| *of != group || is_wanted(*id));
+        known.retain(|(member_group, id), _| *member_group != group || is_wanted(*id));
         for replica in replicas {
             let new_member = known.entry((group, replica.id)).or_default();
             if !std::mem::replace(&mut new_member.is_pending, true) {
@@ -87,17 +90,23 @@
         let known = Rc::clone(&self.known);
         async move {
             let epoch = groups.set(group).map(|set| set.epoch);
-            let is_ready = is_ready(&node, group, groups, &replica).await;
+            let is_prepared = request_preparation(&node, group, groups, &replica).await;
             if let Some(new_member) = known.borrow_mut().get_mut(&(group, replica.id)) {
                 new_member.is_pending = false;
-                let ready = epoch.filter(|_| is_ready);
-                new_member.ready = ready.map(|epoch| (epoch, Instant::now()));
+                let prepared = epoch.filter(|_| is_prepared);
+                new_member.prepared = prepared.map(|epoch| (epoch, Instant::now()));
             }
         }
     }
 }
 
-async fn is_ready(node: &Node, group: GroupId, groups: ReplicaGroups, replica: &Replica) -> bool {
+/// Asks a replica to copy; returns whether it replied that it has.
+async fn request_preparation(
+    node: &Node,
+    group: GroupId,
+    groups: ReplicaGroups,
+    replica: &Replica,
+) -> bool {
     let Ok(address) = replica.address.parse() else {
         log::error!(
             target: "belief",
--- a/crates/replica/src/preparation.rs
+++ b/crates/replica/src/preparation.rs
@@ -22,8 +22,8 @@
 struct CopyRequest {
     epoch: Epoch,
     requested_at: Instant,
-    /// Whether the replica recently held all records of a read quorum.
-    is_ready: bool,
+    /// Whether the replica recently held all records that a read quorum of the voters holds.
+    is_prepared: bool,
 }
 
 impl CopyRequest {
@@ -42,47 +42,48 @@
 
 impl Preparation {
     /// Handles a request for a copy of what the voters of a group hold at this epoch; returns
-    /// whether the copy is ready.
+    /// whether the replica is prepared.
     pub fn on_request(&self, group: GroupId, epoch: Epoch) -> bool {
         let mut requests = self.requests.borrow_mut();
         let known = requests
             .get(&group)
             .filter(|request| request.epoch == epoch && request.is_current());
-        let is_ready = known.is_some_and(|request| request.is_ready);
+        let is_prepared = known.is_some_and(|request| request.is_prepared);
         if known.is_none() {
             self.arrived.notify_one();
         }
         let request = CopyRequest {
             epoch,
             requested_at: Instant::now(),
-            is_ready,
+            is_prepared,
         };
         requests.insert(group, request);
-        is_ready
+        is_prepared
     }
 
     /// The epoch of a group for which a copy is requested; `None` if none is.
-    pub fn wanted(&self, group: GroupId) -> Option<Epoch> {
+    pub fn requested_epoch(&self, group: GroupId) -> Option<Epoch> {
         let requests = self.requests.borrow();
         let request = requests.get(&group)?;
         request.is_current().then_some(request.epoch)
     }
 
-    /// Whether the replica recently held all records of a read quorum of this epoch.
-    pub fn is_ready(&self, group: GroupId, epoch: Epoch) -> bool {
+    /// Whether the replica recently held all records that a read quorum of this epoch's voters
+    /// holds.
+    pub fn is_prepared(&self, group: GroupId, epoch: Epoch) -> bool {
         let requests = self.requests.borrow();
         let request = requests.get(&group);
-        request.is_some_and(|request| request.epoch == epoch && request.is_ready)
+        request.is_some_and(|request| request.epoch == epoch && request.is_prepared)
     }
 
-    /// Notes that the replica holds all records of a read quorum of this epoch.
-    pub fn set_ready(&self, group: GroupId, epoch: Epoch) {
+    /// Notes that the replica holds all records that a read quorum of this epoch's voters holds.
+    pub fn set_prepared(&self, group: GroupId, epoch: Epoch) {
         let mut requests = self.requests.borrow_mut();
         if let Some(request) = requests
             .get_mut(&group)
             .filter(|request| request.epoch == epoch)
         {
-            request.is_ready = true;
+            request.is_prepared = true;
         }
     }
 
--- a/crates/replica/src/retirements.rs
+++ b/crates/replica/src/retirements.rs
@@ -27,7 +27,7 @@
         open.map(|(node, state)| (node.clone(), *state)).collect()
     }
 
-    /// Updates the state of a retirement after it was written to the store.
+    /// Updates the state of a retirement after it was written to the platform store.
     pub fn on_written(&self, node: &str, state: RetirementState) {
         if let Some(known) = self.0.borrow_mut().get_mut(node) {
             *known = Some(state);
--- a/crates/replica/src/role.rs
+++ b/crates/replica/src/role.rs
@@ -78,13 +78,13 @@
 
 fn start_actor(node: &Rc<Node>, folder: PathBuf, metrics: Rc<ReplicaMetrics>) -> Rc<ReplicaHandle> {
     let memory = node.settings.limits.memory_mb * BYTES_PER_MB;
-    let max_turn_bytes = memory * TURN_MEMORY_PERCENT / 100;
+    let max_total_turn_bytes = memory * TURN_MEMORY_PERCENT / 100;
     let (disk_events, event_receiver) = mpsc::unbounded_channel();
     let status = Rc::new(Cell::new(None));
     let parts = ReplicaParts {
         folder,
         node_name: node.settings.name.clone(),
-        max_turn_bytes: usize::try_from(max_turn_bytes).unwrap_or(usize::MAX),
+        max_total_turn_bytes: usize::try_from(max_total_turn_bytes).unwrap_or(usize::MAX),
         view: Rc::clone(&node.view),
         metrics: Rc::clone(&metrics),
         disk_events,
--- a/crates/replica/tests/actor.rs
+++ b/crates/replica/tests/actor.rs
@@ -9,7 +9,7 @@
     Epoch, GroupId, LedgerEntry, ProgramId, ReplicaReply, ReplicaRequest, Settlement, TurnId,
 };
 use ridgeworks_replica::disk;
-use support::{ActorHarness, MAX_TURN_BYTES, NODE, adopt, charge, on_runtime};
+use support::{ActorHarness, MAX_TOTAL_TURN_BYTES, NODE, adopt, charge, on_runtime};
 
 fn settle(program: &str, turn: &str, spent: u64) -> ReplicaRequest {
     ReplicaRequest::Settle {
@@ -36,7 +36,7 @@
         let name = from.file_name().expect("a name");
         std::fs::copy(&from, copy.path().join(name)).expect("a copy");
     }
-    let mut opened = disk::open(copy.path(), NODE, MAX_TURN_BYTES).expect("the folder opens");
+    let mut opened = disk::open(copy.path(), NODE, MAX_TOTAL_TURN_BYTES).expect("the folder opens");
     let id = opened.state.id();
     let probe = charge(program, "probe", 1);
     while let Some(key) = opened.state.missing_record(&probe) {
--- a/crates/replica/tests/golden_records.rs
+++ b/crates/replica/tests/golden_records.rs
@@ -15,7 +15,7 @@
 use ridgeworks_storage::{Store, StoreCreationId, StoreOperation, StoreSettings, WriteBatch};
 
 const NODE: &str = "node-1";
-const MAX_TURN_BYTES: usize = 1024 * 1024;
+const MAX_TOTAL_TURN_BYTES: usize = 1024 * 1024;
 
 fn golden(name: &str) -> Vec<u8> {
     let folder = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/golden/v0");
@@ -68,7 +68,7 @@
 }
 
 fn rejected_version(folder: &tempfile::TempDir) -> Option<Option<u16>> {
-    match open(folder.path(), NODE, MAX_TURN_BYTES) {
+    match open(folder.path(), NODE, MAX_TOTAL_TURN_BYTES) {
         Ok(_) => None,
         Err(DiskError::Version(version)) => Some(version),
         Err(error) => panic!("{error}"),
--- a/crates/replica/tests/support/mod.rs
+++ b/crates/replica/tests/support/mod.rs
@@ -12,7 +12,7 @@
     Epoch, GroupId, LedgerEntry, ProgramId, Replica, ReplicaGroups, ReplicaId, ReplicaReply,
     ReplicaRequest, ReplicaSet, TurnId,
 };
-use ridgeworks_replica::actor::{DiskEvent, OpenReplica, ReplicaActor, ReplicaParts};
+use ridgeworks_replica::actor::{DiskEvent, LocalReplicaStatus, ReplicaActor, ReplicaParts};
 use ridgeworks_replica::metrics::ReplicaMetrics;
 use ridgeworks_resident::clock::Clock;
 use ridgeworks_resident::peer::PeerReply;
@@ -20,7 +20,7 @@
 use stakker::{ActorOwn, Stakker, actor, call, ret_nop};
 use tokio::sync::{mpsc, oneshot};
 
-pub const MAX_TURN_BYTES: usize = 1024 * 1024;
+pub const MAX_TOTAL_TURN_BYTES: usize = 1024 * 1024;
 pub const NODE: &str = "replica-1";
 
 pub fn on_runtime<F: Future>(test: F) -> F::Output {
@@ -38,7 +38,7 @@
     start: Instant,
     at: Duration,
     disk_events: mpsc::UnboundedReceiver<DiskEvent>,
-    status: Rc<Cell<Option<OpenReplica>>>,
+    status: Rc<Cell<Option<LocalReplicaStatus>>>,
 }
 
 impl ActorHarness {
@@ -50,7 +50,7 @@
         let parts = ReplicaParts {
             folder: folder.to_owned(),
             node_name: NODE.to_owned(),
-            max_turn_bytes: MAX_TURN_BYTES,
+            max_total_turn_bytes: MAX_TOTAL_TURN_BYTES,
             view: Rc::new(View::new(Clock::start(), false)),
             metrics: Rc::new(ReplicaMetrics::register(&mut Registry::default())),
             disk_events: sender,
--- a/crates/replica/tests/support/stored.rs
+++ b/crates/replica/tests/support/stored.rs
@@ -1,4 +1,4 @@
-//! One record of each kind in the first disk version, which wrote the golden files from these.
+//! One record of each kind of disk version 0. The golden files hold their encoding.
 
 use ridgeworks_records::{Epoch, GroupId, ReplicaGroups, ReplicaSet, StoredRecord};
 
