--- a/crates/api/src/connect.rs
+++ b/crates/api/src/connect.rs
@@ -70,7 +70,7 @@
 
 /// An answer for the HTTP edge to send.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct HttpAnswer {
+pub struct HttpResponse {
     /// HTTP status.
     pub status: u16,
     /// Value of the `Content-Type` header.
@@ -162,7 +162,7 @@
 }
 
 /// Writes the answer in the format of the request.
-pub fn encode_response<M>(content_type: &str, message: &M) -> Result<HttpAnswer, ConnectError>
+pub fn encode_response<M>(content_type: &str, message: &M) -> Result<HttpResponse, ConnectError>
 where
     M: Message + Serialize,
 {
@@ -173,7 +173,7 @@
         }
         BodyFormat::Protobuf => message.encode_to_vec(),
     };
-    Ok(HttpAnswer {
+    Ok(HttpResponse {
         status: HTTP_OK,
         content_type: format.media_type(),
         retry_after_seconds: None,
@@ -182,10 +182,10 @@
 }
 
 /// Writes an error.
-pub fn encode_error(error: &ConnectError) -> HttpAnswer {
+pub fn encode_error(error: &ConnectError) -> HttpResponse {
     // The body holds only strings, so that encoding it cannot fail.
     let body = serde_json::to_vec(&error.to_body()).unwrap_or_default();
-    HttpAnswer {
+    HttpResponse {
         status: error.http_status(),
         content_type: JSON_MEDIA_TYPE,
         retry_after_seconds: error.retry_after_ms().map(whole_seconds),
--- a/crates/api/src/operator.rs
+++ b/crates/api/src/operator.rs
@@ -1,6 +1,6 @@
 //! Methods of the service `ridgeworks.v1.Operator`, their requests and their answers.
 
-use crate::connect::{self, HttpAnswer, RequestHead};
+use crate::connect::{self, HttpResponse, RequestHead};
 use crate::connect_error::ConnectError;
 use crate::v1;
 
@@ -61,7 +61,7 @@
 
         impl OperatorResponse {
             /// Writes the answer in the format of the request.
-            pub fn encode(&self, content_type: &str) -> Result<HttpAnswer, ConnectError> {
+            pub fn encode(&self, content_type: &str) -> Result<HttpResponse, ConnectError> {
                 match self {
                     $(Self::$method(message) => connect::encode_response(content_type, message),)*
                 }
--- a/crates/api/tests/client.rs
+++ b/crates/api/tests/client.rs
@@ -7,14 +7,14 @@
 use std::time::Duration;
 
 use ridgeworks_api::client::{ClientError, ClientSettings, OperatorClient};
-use ridgeworks_api::connect::{HttpAnswer, RequestHead, encode_error, encode_response};
+use ridgeworks_api::connect::{HttpResponse, RequestHead, encode_error, encode_response};
 use ridgeworks_api::{ConnectCode, ConnectError, OperatorMethod, OperatorRequest, v1};
 
 const PROTOBUF: &str = "application/proto";
 
 /// What a stub does with one request.
 enum Reaction {
-    Answer(HttpAnswer),
+    Answer(HttpResponse),
     /// Takes the request and sends what is no HTTP answer.
     LoseAnswer,
 }
@@ -152,7 +152,7 @@
 
 #[test]
 fn an_answer_that_is_no_connect_error_gets_the_code_of_its_status() {
-    let page = HttpAnswer {
+    let page = HttpResponse {
         status: 404,
         content_type: "text/html",
         retry_after_seconds: None,
--- a/crates/configuration/src/lease.rs
+++ b/crates/configuration/src/lease.rs
@@ -11,7 +11,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use ridgeworks_domain::weakening::{Weakening, is_off};
+use ridgeworks_domain::safeguard::{Safeguard, is_disabled};
 use ridgeworks_domain::{MonotonicTime, NodeId};
 
 use crate::message::VoterAnswer;
@@ -74,7 +74,7 @@
     /// Whether the lease holds at `now`.
     pub fn holds(&self, now: MonotonicTime) -> bool {
         self.granted_from
-            .is_some_and(|sent_at| now < sent_at + LEASE_TIME || is_off(Weakening::Lease))
+            .is_some_and(|sent_at| now < sent_at + LEASE_TIME || is_disabled(Safeguard::Lease))
     }
 
     /// When the renewal was sent that the lease counts from.
--- a/crates/domain/src/lib.rs
+++ b/crates/domain/src/lib.rs
@@ -9,10 +9,10 @@
 pub mod objects;
 pub mod refusal;
 pub mod run_id;
+pub mod safeguard;
 pub mod time;
 pub mod token_count;
 pub mod units;
-pub mod weakening;
 
 pub use ballot::Ballot;
 pub use call::{BackendAddress, CallEnd, CallRequest, ServiceKind};
@@ -22,6 +22,6 @@
 };
 pub use refusal::{InvalidRequest, Refusal, RefusalReason};
 pub use run_id::RunId;
+pub use safeguard::Safeguard;
 pub use time::MonotonicTime;
 pub use units::Cost;
-pub use weakening::Weakening;
--- a/crates/domain/src/run_id.rs
+++ b/crates/domain/src/run_id.rs
@@ -57,7 +57,7 @@
 
 impl RunId {
     /// Joins a number that was never used before (its low 56 bits count) with the run's replicas.
-    pub fn compose(unique: u64, replicas: [NodeId; REPLICAS_PER_RUN]) -> Self {
+    pub fn from_parts(unique: u64, replicas: [NodeId; REPLICAS_PER_RUN]) -> Self {
         let unique = u128::from(unique) & ((1 << UNIQUE_BITS) - 1);
         let joined = replicas.iter().fold(unique, |joined, replica| {
             (joined << HINT_BITS) | u128::from(ReplicaHint::of(*replica).0)
@@ -65,7 +65,7 @@
         Self(joined)
     }
 
-    /// Hints of the first replicas, in the order given to [`RunId::compose`].
+    /// Hints of the first replicas, in the order given to [`RunId::from_parts`].
     pub fn replica_hints(self) -> [ReplicaHint; REPLICAS_PER_RUN] {
         std::array::from_fn(|index| {
             let shift = HINT_BITS * (REPLICAS_PER_RUN - 1 - index) as u32;
--- a/crates/domain/src/weakening.rs
+++ b/crates/domain/src/safeguard.rs
@@ -1,11 +1,11 @@
 //! Mechanisms that a test build can leave out, to show that the check of each promise can fail.
 //!
 //! Only the feature `weakened` compiles the switch in: it reads [`VARIABLE`] once, a list of names separated by
-//! commas. Without the feature [`is_off`] is a constant `false`, and the compiler drops every hook.
+//! commas. Without the feature [`is_disabled`] is a constant `false`, and the compiler drops every hook.
 
 /// A mechanism that can be left out.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Weakening {
+pub enum Safeguard {
     /// A run's owner takes calls by their numbers; without it a call gets whatever number is next.
     Sequence,
     /// An entry counts once a majority of the replicas has it; without it one replica is enough.
@@ -36,7 +36,7 @@
 
 /// Whether a mechanism is left out.
 #[cfg(not(feature = "weakened"))]
-pub const fn is_off(_: Weakening) -> bool {
+pub const fn is_disabled(_: Safeguard) -> bool {
     false
 }
 
@@ -45,14 +45,14 @@
 /// # Panics
 /// Panics when [`VARIABLE`] names no mechanism: a run that weakened nothing would prove nothing.
 #[cfg(feature = "weakened")]
-pub fn is_off(weakening: Weakening) -> bool {
+pub fn is_disabled(safeguard: Safeguard) -> bool {
     use std::sync::OnceLock;
-    static OFF: OnceLock<Vec<Weakening>> = OnceLock::new();
-    OFF.get_or_init(read).contains(&weakening)
+    static OFF: OnceLock<Vec<Safeguard>> = OnceLock::new();
+    OFF.get_or_init(read).contains(&safeguard)
 }
 
 #[cfg(feature = "weakened")]
-fn read() -> Vec<Weakening> {
+fn read() -> Vec<Safeguard> {
     let names = std::env::var(VARIABLE).unwrap_or_default();
     let names = names.split(',').filter(|name| !name.is_empty());
     names
@@ -61,19 +61,19 @@
 }
 
 #[cfg(feature = "weakened")]
-fn named(name: &str) -> Option<Weakening> {
+fn named(name: &str) -> Option<Safeguard> {
     Some(match name {
-        "sequence" => Weakening::Sequence,
-        "majority" => Weakening::Majority,
-        "reserve" => Weakening::Reserve,
-        "context-release" => Weakening::ContextRelease,
-        "text-offset" => Weakening::TextOffset,
-        "whole-answer" => Weakening::WholeAnswer,
-        "fence" => Weakening::Fence,
-        "single-attempt" => Weakening::SingleAttempt,
-        "leaving" => Weakening::Leaving,
-        "drain" => Weakening::Drain,
-        "lease" => Weakening::Lease,
+        "sequence" => Safeguard::Sequence,
+        "majority" => Safeguard::Majority,
+        "reserve" => Safeguard::Reserve,
+        "context-release" => Safeguard::ContextRelease,
+        "text-offset" => Safeguard::TextOffset,
+        "whole-answer" => Safeguard::WholeAnswer,
+        "fence" => Safeguard::Fence,
+        "single-attempt" => Safeguard::SingleAttempt,
+        "leaving" => Safeguard::Leaving,
+        "drain" => Safeguard::Drain,
+        "lease" => Safeguard::Lease,
         _ => return None,
     })
 }
--- a/crates/domain/tests/weakening.rs
+++ b/crates/domain/tests/safeguard.rs
@@ -2,10 +2,10 @@
 
 #![cfg(not(feature = "weakened"))]
 
-use ridgeworks_domain::weakening::{Weakening, is_off};
+use ridgeworks_domain::safeguard::{Safeguard, is_disabled};
 
 /// Evaluated by the compiler, so that no environment can change it.
-const LEASE_IS_OFF: bool = is_off(Weakening::Lease);
+const LEASE_IS_OFF: bool = is_disabled(Safeguard::Lease);
 
 #[test]
 fn no_mechanism_is_left_out_without_the_feature() {
--- a/crates/http-edge/src/body.rs
+++ b/crates/http-edge/src/body.rs
@@ -7,7 +7,7 @@
 use tiny_http::Request;
 
 use crate::counters::{EdgeCounters, increment};
-use crate::error::{FaultAnswer, RequestFault};
+use crate::error::{FaultResponse, RequestFault};
 use crate::fault_response;
 use crate::request::path_of;
 use crate::settings::EdgeSettings;
@@ -44,7 +44,7 @@
     }
 
     /// Writes a refusal.
-    pub(crate) fn refuse(mut self, answer: FaultAnswer) -> io::Result<()> {
+    pub(crate) fn refuse(mut self, answer: FaultResponse) -> io::Result<()> {
         match self.request.take() {
             Some(request) if is_discardable(&request) => fault_response::respond(request, answer),
             Some(request) => {
--- a/crates/http-edge/src/counters.rs
+++ b/crates/http-edge/src/counters.rs
@@ -45,7 +45,7 @@
     /// Requests whose connection broke before the body was whole.
     broken_requests,
     /// Answers that could not be written because the client left or stopped reading.
-    clients_gone,
+    client_disconnects,
     /// Handlers that ended without an answer; the client got 500.
     unanswered,
     /// Handlers that panicked.
--- a/crates/http-edge/src/error.rs
+++ b/crates/http-edge/src/error.rs
@@ -53,7 +53,7 @@
 
 /// The answer to a request that no handler answered.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct FaultAnswer {
+pub struct FaultResponse {
     /// HTTP status.
     pub status: u16,
     /// Headers besides the length and the content type, which is JSON.
@@ -62,7 +62,7 @@
     pub body: Vec<u8>,
 }
 
-impl FaultAnswer {
+impl FaultResponse {
     /// The answer of an edge whose handler has no form of its own, with a code of the Connect
     /// protocol. A fault that passes carries when to come back, in whole seconds.
     pub fn plain(fault: RequestFault, retry_after: Duration) -> Self {
@@ -141,14 +141,14 @@
     /// A header holds a character that HTTP does not allow there.
     InvalidHeader,
     /// The client left or stopped reading.
-    ClientGone(io::ErrorKind),
+    ClientDisconnected(io::ErrorKind),
 }
 
 impl fmt::Display for ResponseError {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::InvalidHeader => write!(formatter, "a response header is malformed"),
-            Self::ClientGone(kind) => write!(formatter, "the client is gone: {kind}"),
+            Self::ClientDisconnected(kind) => write!(formatter, "the client is gone: {kind}"),
         }
     }
 }
--- a/crates/http-edge/src/fault_response.rs
+++ b/crates/http-edge/src/fault_response.rs
@@ -4,7 +4,7 @@
 
 use tiny_http::{Request, Response};
 
-use crate::error::FaultAnswer;
+use crate::error::FaultResponse;
 
 const JSON: &str = "application/json";
 
@@ -12,7 +12,7 @@
 const NO_PROTOCOL: &str = "none";
 
 /// Answers a request, whose body is then read away.
-pub(crate) fn respond(request: Request, answer: FaultAnswer) -> io::Result<()> {
+pub(crate) fn respond(request: Request, answer: FaultResponse) -> io::Result<()> {
     let response = Response::from_data(answer.body).with_status_code(answer.status);
     let mut response = with_header(response, "Content-Type", JSON);
     for header in answer.headers {
@@ -25,7 +25,7 @@
 ///
 /// `tiny_http` gives the socket up to an upgrade only, whose head has no length. The length
 /// therefore goes into the head behind another header's value, and the body follows by hand.
-pub(crate) fn respond_and_abandon(request: Request, answer: FaultAnswer) -> io::Result<()> {
+pub(crate) fn respond_and_abandon(request: Request, answer: FaultResponse) -> io::Result<()> {
     let kind_and_length = format!("{JSON}\r\nContent-Length: {}", answer.body.len());
     let response = Response::from_data(Vec::new()).with_status_code(answer.status);
     let mut response = with_header(response, "Content-Type", &kind_and_length);
--- a/crates/http-edge/src/lib.rs
+++ b/crates/http-edge/src/lib.rs
@@ -23,9 +23,9 @@
 mod stream;
 
 pub use counters::{CountersSnapshot, EdgeCounters};
-pub use error::{EdgeError, FaultAnswer, RequestFault, ResponseError};
+pub use error::{EdgeError, FaultResponse, RequestFault, ResponseError};
 pub use request::{EdgeRequest, Header, Method};
 pub use responder::{AnswerStatus, Responder};
 pub use server::{EdgeServer, Handler};
 pub use settings::EdgeSettings;
-pub use stream::{ClientGone, StreamWriter};
+pub use stream::{ClientDisconnected, StreamWriter};
--- a/crates/http-edge/src/responder.rs
+++ b/crates/http-edge/src/responder.rs
@@ -64,11 +64,11 @@
 
     /// Sends a whole JSON answer.
     pub fn json(self, status: u16, headers: &[Header], body: &[u8]) -> Result<(), ResponseError> {
-        self.whole(status, "application/json", headers, body)
+        self.respond_with(status, "application/json", headers, body)
     }
 
     /// Sends a whole answer of any content type.
-    pub fn whole(
+    pub fn respond_with(
         mut self,
         status: u16,
         content_type: &str,
@@ -129,7 +129,9 @@
 
     fn send_parts(&mut self, parts: &[&[u8]]) -> Result<Box<dyn Write + Send>, ResponseError> {
         let Some(mut writer) = self.writer.take() else {
-            return Err(ResponseError::ClientGone(std::io::ErrorKind::NotConnected));
+            return Err(ResponseError::ClientDisconnected(
+                std::io::ErrorKind::NotConnected,
+            ));
         };
         let mut written = Ok(());
         for part in parts {
@@ -138,8 +140,8 @@
         match written.and_then(|()| writer.flush()) {
             Ok(()) => Ok(writer),
             Err(error) => {
-                increment(&self.shared.counters.clients_gone);
-                Err(ResponseError::ClientGone(error.kind()))
+                increment(&self.shared.counters.client_disconnects);
+                Err(ResponseError::ClientDisconnected(error.kind()))
             }
         }
     }
@@ -154,7 +156,7 @@
             let answer = self
                 .shared
                 .handler
-                .fault_answer(fault, &self.path, settings);
+                .fault_response(fault, &self.path, settings);
             let content_type = "application/json";
             let _ = self.write_whole(answer.status, content_type, &answer.headers, &answer.body);
         }
--- a/crates/http-edge/src/server.rs
+++ b/crates/http-edge/src/server.rs
@@ -12,7 +12,7 @@
 use crate::acceptor::{SERVICE_STACK_BYTES, Supervisor, SupervisorEvent, lock_servers};
 use crate::admission::Admission;
 use crate::counters::EdgeCounters;
-use crate::error::{EdgeError, FaultAnswer, RequestFault};
+use crate::error::{EdgeError, FaultResponse, RequestFault};
 use crate::listener;
 use crate::request::EdgeRequest;
 use crate::responder::Responder;
@@ -26,14 +26,14 @@
 
     /// Words the answer to a request for `path` that this handler did not answer, so that all
     /// answers of one interface have one form.
-    fn fault_answer(
+    fn fault_response(
         &self,
         fault: RequestFault,
         path: &str,
         settings: &EdgeSettings,
-    ) -> FaultAnswer {
+    ) -> FaultResponse {
         let _ = path;
-        FaultAnswer::plain(fault, settings.retry_after)
+        FaultResponse::plain(fault, settings.retry_after)
     }
 }
 
@@ -90,7 +90,7 @@
 
     /// Refuses every further request with a typed 503, also on open connections. The listener stays
     /// open until the edge is dropped, so that callers learn at once that their request did not run.
-    pub fn stop_accepting(&self) {
+    pub fn refuse_new_requests(&self) {
         self.shared.stopping.store(true, Ordering::SeqCst);
     }
 
@@ -98,14 +98,14 @@
     /// connections that were taken before are still answered.
     ///
     /// A process that ends with an open listener cuts off whoever connected at the last moment.
-    pub fn close_listener(&self) {
+    pub fn stop_accepting_connections(&self) {
         self.shared.listener_closed.store(true, Ordering::SeqCst);
         // Fails only where it is closed already.
         let _ = SockRef::from(&self.listener).shutdown(Shutdown::Read);
     }
 
     /// Waits until neither a request nor a refusal is in progress; false when `timeout` is over
-    /// before. Without [`EdgeServer::stop_accepting`] a new request may follow at once.
+    /// before. Without [`EdgeServer::refuse_new_requests`] a new request may follow at once.
     pub fn wait_until_idle(&self, timeout: Duration) -> bool {
         self.shared.admission.wait_until_idle(timeout)
     }
@@ -113,7 +113,7 @@
 
 impl Drop for EdgeServer {
     fn drop(&mut self) {
-        self.stop_accepting();
+        self.refuse_new_requests();
         self.shared.closed.store(true, Ordering::SeqCst);
         let _ = self.supervisor.send(SupervisorEvent::Closed);
         let servers = std::mem::take(&mut *lock_servers(&self.shared));
--- a/crates/http-edge/src/serving.rs
+++ b/crates/http-edge/src/serving.rs
@@ -133,8 +133,8 @@
 fn refuse(shared: &Shared, request: HeldRequest, fault: RequestFault) {
     let answer = shared
         .handler
-        .fault_answer(fault, request.path(), &shared.settings);
+        .fault_response(fault, request.path(), &shared.settings);
     if request.refuse(answer).is_err() {
-        increment(&shared.counters.clients_gone);
+        increment(&shared.counters.client_disconnects);
     }
 }
--- a/crates/http-edge/src/settings.rs
+++ b/crates/http-edge/src/settings.rs
@@ -42,7 +42,7 @@
 
 impl EdgeSettings {
     /// The default bounds on this address.
-    pub fn on(listen: SocketAddr) -> Self {
+    pub fn with_defaults(listen: SocketAddr) -> Self {
         Self {
             listen,
             max_concurrent_requests: DEFAULT_MAX_CONCURRENT_REQUESTS,
@@ -59,6 +59,6 @@
 
     /// The default bounds on a free loopback port.
     pub fn on_free_loopback_port() -> Self {
-        Self::on(SocketAddr::from((Ipv4Addr::LOCALHOST, 0)))
+        Self::with_defaults(SocketAddr::from((Ipv4Addr::LOCALHOST, 0)))
     }
 }
--- a/crates/http-edge/src/stream.rs
+++ b/crates/http-edge/src/stream.rs
@@ -15,15 +15,15 @@
 
 /// The client left or did not read within the write time-out; holds the kind of the failed write.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct ClientGone(pub io::ErrorKind);
+pub struct ClientDisconnected(pub io::ErrorKind);
 
-impl fmt::Display for ClientGone {
+impl fmt::Display for ClientDisconnected {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(formatter, "the client is gone: {}", self.0)
     }
 }
 
-impl std::error::Error for ClientGone {}
+impl std::error::Error for ClientDisconnected {}
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum StreamState {
@@ -60,9 +60,9 @@
 
     /// Sends one chunk and flushes it to the socket. An empty chunk sends nothing. A client that
     /// closed its socket is noticed on the first or second send after that.
-    pub fn send(&mut self, chunk: &[u8]) -> Result<(), ClientGone> {
+    pub fn send(&mut self, chunk: &[u8]) -> Result<(), ClientDisconnected> {
         if let StreamState::Gone(kind) = self.state {
-            return Err(ClientGone(kind));
+            return Err(ClientDisconnected(kind));
         }
         if chunk.is_empty() || self.discards_body {
             return Ok(());
@@ -72,9 +72,9 @@
     }
 
     /// Ends the answer as whole.
-    pub fn finish(mut self) -> Result<(), ClientGone> {
+    pub fn finish(mut self) -> Result<(), ClientDisconnected> {
         if let StreamState::Gone(kind) = self.state {
-            return Err(ClientGone(kind));
+            return Err(ClientDisconnected(kind));
         }
         let written = self.write_last_chunk();
         self.note(written)?;
@@ -100,11 +100,11 @@
         self.writer.flush()
     }
 
-    fn note(&mut self, written: io::Result<()>) -> Result<(), ClientGone> {
+    fn note(&mut self, written: io::Result<()>) -> Result<(), ClientDisconnected> {
         written.map_err(|error| {
             self.state = StreamState::Gone(error.kind());
-            increment(&self.counters.clients_gone);
-            ClientGone(error.kind())
+            increment(&self.counters.client_disconnects);
+            ClientDisconnected(error.kind())
         })
     }
 }
--- a/crates/http-edge/tests/answers.rs
+++ b/crates/http-edge/tests/answers.rs
@@ -7,7 +7,7 @@
 
 use crossbeam_channel::{Receiver, Sender, bounded, unbounded};
 use ridgeworks_http_edge::{
-    ClientGone, EdgeRequest, EdgeSettings, Header, Method, Responder, ResponseError,
+    ClientDisconnected, EdgeRequest, EdgeSettings, Header, Method, Responder, ResponseError,
 };
 use support::{Client, PATIENCE, echo, small_settings, start, wait_until};
 
@@ -99,8 +99,8 @@
     client.send(b"GET / HTTP/1.1\r\n\r\n");
     client.read_head();
     drop(client);
-    let ClientGone(_) = end.recv_timeout(PATIENCE).expect("noticed");
-    assert_eq!(edge.counters().snapshot().clients_gone, 1);
+    let ClientDisconnected(_) = end.recv_timeout(PATIENCE).expect("noticed");
+    assert_eq!(edge.counters().snapshot().client_disconnects, 1);
 }
 
 #[test]
@@ -115,7 +115,10 @@
     let mut client = Client::connect(edge.address());
     client.send(b"GET / HTTP/1.1\r\n\r\n");
     let gone = end.recv_timeout(PATIENCE).expect("given up");
-    assert_eq!(gone, Some(ClientGone(std::io::ErrorKind::WouldBlock)));
+    assert_eq!(
+        gone,
+        Some(ClientDisconnected(std::io::ErrorKind::WouldBlock))
+    );
 }
 
 #[test]
--- a/crates/http-edge/tests/closing.rs
+++ b/crates/http-edge/tests/closing.rs
@@ -31,8 +31,8 @@
     connected.post("/", b"x");
     assert_eq!(connected.read_answer().status, 200);
 
-    edge.stop_accepting();
-    edge.close_listener();
+    edge.refuse_new_requests();
+    edge.stop_accepting_connections();
     TcpStream::connect(edge.address()).expect_err("nobody connects any more");
 
     connected.post("/", b"x");
--- a/crates/http-edge/tests/limits.rs
+++ b/crates/http-edge/tests/limits.rs
@@ -184,7 +184,7 @@
     let mut client = Client::connect(address);
     client.post("/", b"");
     entries.recv_timeout(PATIENCE).expect("in progress");
-    edge.stop_accepting();
+    edge.refuse_new_requests();
     assert!(!edge.wait_until_idle(std::time::Duration::ZERO));
     let mut late = Client::connect(address);
     late.post("/", b"");
--- a/crates/membership/tests/identity.rs
+++ b/crates/membership/tests/identity.rs
@@ -78,7 +78,7 @@
 fn replicas_are_found_by_the_hints_of_a_run() {
     let membership = knows_an_old_member();
     let [known, other] = [member(1, 0, 1).node, member(2, 0, 1).node];
-    let run = RunId::compose(5, [known, other, membership.own().node]);
+    let run = RunId::from_parts(5, [known, other, membership.own().node]);
     let found = membership.replicas_of(run);
     let nodes: Vec<Vec<_>> = found
         .into_iter()
--- a/crates/node/src/daemon.rs
+++ b/crates/node/src/daemon.rs
@@ -172,6 +172,6 @@
         max_body_bytes: edge.max_body_bytes,
         read_timeout: Duration::from_millis(edge.idle_timeout_ms),
         write_timeout: Duration::from_millis(edge.write_timeout_ms),
-        ..HttpEdgeSettings::on(settings.listen)
+        ..HttpEdgeSettings::with_defaults(settings.listen)
     }
 }
--- a/crates/node/src/directory/mod.rs
+++ b/crates/node/src/directory/mod.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 use ridgeworks_configuration::{ConfigurationRole, ConfigurationSet, MachineState};
-use ridgeworks_domain::weakening::{Weakening, is_off};
+use ridgeworks_domain::safeguard::{Safeguard, is_disabled};
 use ridgeworks_domain::{
     BackendName, MonotonicTime, NodeId, Refusal, RegionName, RunId, ServiceName,
 };
@@ -181,7 +181,7 @@
         let role = self.configuration.borrow();
         let machine = role.machines().get(backend.as_str());
         let leaving = machine.is_some_and(|machine| machine.state != MachineState::Live);
-        leaving && !is_off(Weakening::Leaving)
+        leaving && !is_disabled(Safeguard::Leaving)
     }
 
     /// All members as they are now.
--- a/crates/node/src/directory/replicas.rs
+++ b/crates/node/src/directory/replicas.rs
@@ -41,7 +41,7 @@
             return Err(Refusal::retry_after(reason, crate::RETRY_DELAY));
         };
         Ok(NewRun {
-            run: RunId::compose(unique, nodes),
+            run: RunId::from_parts(unique, nodes),
             replicas,
         })
     }
--- a/crates/node/src/dispatcher/backend_list.rs
+++ b/crates/node/src/dispatcher/backend_list.rs
@@ -4,7 +4,7 @@
 
 use ridgeworks_configuration::{ConfigurationSet, MachineList, MachineState};
 use ridgeworks_domain::objects::Backend;
-use ridgeworks_domain::weakening::{Weakening, is_off};
+use ridgeworks_domain::safeguard::{Safeguard, is_disabled};
 use ridgeworks_domain::{BackendName, ServiceName};
 use ridgeworks_scheduling::Event;
 
@@ -42,7 +42,7 @@
             listed.remove(&backend.name);
             continue;
         }
-        let leaving = machine.state == MachineState::Leaving && !is_off(Weakening::Leaving);
+        let leaving = machine.state == MachineState::Leaving && !is_disabled(Safeguard::Leaving);
         let backend = backend.clone();
         listed.insert(backend.name.clone(), ListedBackend { backend, leaving });
     }
--- a/crates/node/src/dispatcher/engine_poll.rs
+++ b/crates/node/src/dispatcher/engine_poll.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use ridgeworks_domain::objects::Backend;
-use ridgeworks_domain::weakening::{Weakening, is_off};
+use ridgeworks_domain::safeguard::{Safeguard, is_disabled};
 use ridgeworks_domain::{BackendName, RunId, ServiceKind, ServiceName};
 use ridgeworks_scheduling::{CacheChange, CacheEvent, CacheListing, CachedContext, LoadReport};
 use ridgeworks_worker_pool::spawn_detached;
@@ -213,7 +213,7 @@
             let backend = backend.clone();
             self.report(EngineNews::Instance { backend, instance });
         }
-        if health.status == HealthStatus::Leaving && !is_off(Weakening::Leaving) {
+        if health.status == HealthStatus::Leaving && !is_disabled(Safeguard::Leaving) {
             self.report(EngineNews::Leaving(backend));
         }
     }
--- a/crates/node/src/inbound/chat.rs
+++ b/crates/node/src/inbound/chat.rs
@@ -9,7 +9,7 @@
 };
 use ridgeworks_domain::token_count::count_tokens;
 use ridgeworks_domain::{CallRequest, Cost, InvalidRequest, Refusal, RefusalReason};
-use ridgeworks_http_edge::{ClientGone, EdgeRequest, Header, Responder, StreamWriter};
+use ridgeworks_http_edge::{ClientDisconnected, EdgeRequest, Header, Responder, StreamWriter};
 use serde::Serialize;
 use serde_json::{Map, Value};
 
@@ -182,7 +182,7 @@
     started: &mut Started,
     first: OwnerAnswer,
     mut writer: StreamWriter,
-) -> Result<(), ClientGone> {
+) -> Result<(), ClientDisconnected> {
     let mut streamed = StreamedText::default();
     let mut answer = Ok(first);
     loop {
@@ -218,7 +218,7 @@
     head: &CompletionHead,
     writer: &mut StreamWriter,
     text: &[u8],
-) -> Result<(), ClientGone> {
+) -> Result<(), ClientDisconnected> {
     if text.is_empty() {
         return Ok(());
     }
@@ -235,7 +235,7 @@
     mut writer: StreamWriter,
     answer: &[u8],
     spent: Cost,
-) -> Result<(), ClientGone> {
+) -> Result<(), ClientDisconnected> {
     let usage = usage(&String::from_utf8_lossy(answer), spent);
     let reason = Some(FINISH_REASON.to_owned());
     let last = chunk(head, ChatDelta::default(), reason, Some(usage));
@@ -269,14 +269,17 @@
     started: &mut Started,
     mut writer: StreamWriter,
     refusal: &Refusal,
-) -> Result<(), ClientGone> {
+) -> Result<(), ClientDisconnected> {
     edge.metrics().count_refusal(refusal);
     started.metrics.refused(refusal);
     write_event(&mut writer, &refusal_body(refusal))?;
     writer.finish()
 }
 
-fn write_event(writer: &mut StreamWriter, value: &impl Serialize) -> Result<(), ClientGone> {
+fn write_event(
+    writer: &mut StreamWriter,
+    value: &impl Serialize,
+) -> Result<(), ClientDisconnected> {
     let mut event = b"data: ".to_vec();
     event.extend_from_slice(&to_json(value));
     event.extend_from_slice(b"\n\n");
--- a/crates/node/src/inbound/edge.rs
+++ b/crates/node/src/inbound/edge.rs
@@ -9,7 +9,7 @@
 use ridgeworks_api::operator::SERVICE_PATH;
 use ridgeworks_domain::{InvalidRequest, Refusal, RefusalReason};
 use ridgeworks_http_edge::{
-    EdgeRequest, EdgeSettings, FaultAnswer, Handler, Method, RequestFault, Responder,
+    EdgeRequest, EdgeSettings, FaultResponse, Handler, Method, RequestFault, Responder,
 };
 use sha2::{Digest, Sha256};
 
@@ -107,7 +107,7 @@
             (Method::Get | Method::Head, METRICS_PATH) => {
                 let text = self.metrics.text();
                 // A client that left is told nothing.
-                let _ = responder.whole(OK, metrics::CONTENT_TYPE, &[], text.as_bytes());
+                let _ = responder.respond_with(OK, metrics::CONTENT_TYPE, &[], text.as_bytes());
                 Route::Metrics
             }
             (_, path) if path.starts_with(SERVICE_PATH) => {
@@ -157,14 +157,14 @@
             .count_request(route, status.get().unwrap_or_default());
     }
 
-    fn fault_answer(
+    fn fault_response(
         &self,
         fault: RequestFault,
         path: &str,
         settings: &EdgeSettings,
-    ) -> FaultAnswer {
+    ) -> FaultResponse {
         self.metrics.count_refusal(&fault::refusal(fault, settings));
-        fault::fault_answer(fault, path, settings)
+        fault::fault_response(fault, path, settings)
     }
 }
 
--- a/crates/node/src/inbound/fault.rs
+++ b/crates/node/src/inbound/fault.rs
@@ -6,14 +6,14 @@
 use ridgeworks_api::connect::encode_error;
 use ridgeworks_api::operator::SERVICE_PATH;
 use ridgeworks_domain::{InvalidRequest, Refusal, RefusalReason};
-use ridgeworks_http_edge::{EdgeSettings, FaultAnswer, Header, RequestFault};
+use ridgeworks_http_edge::{EdgeSettings, FaultResponse, Header, RequestFault};
 
 use super::answer::{invalid, to_json};
 
 const LENGTH_HEADER: &str = "content-length";
 
 /// The answer to a request that no handler answered.
-pub fn fault_answer(fault: RequestFault, path: &str, settings: &EdgeSettings) -> FaultAnswer {
+pub fn fault_response(fault: RequestFault, path: &str, settings: &EdgeSettings) -> FaultResponse {
     let refusal = refusal(fault, settings);
     if path.starts_with(SERVICE_PATH) {
         operator_answer(fault, refusal, settings)
@@ -44,12 +44,12 @@
 }
 
 // The status stays the one of HTTP for the fault: 408 tells a slow body from one that was cut off.
-fn caller_answer(fault: RequestFault, refusal: &Refusal) -> FaultAnswer {
+fn caller_answer(fault: RequestFault, refusal: &Refusal) -> FaultResponse {
     let worded = CallerRefusal::from(refusal);
     let should_retry = worded.should_retry.to_string();
     let mut headers = vec![Header::new(SHOULD_RETRY_HEADER, should_retry)];
     headers.extend(retry_after_header(worded.retry_after_seconds));
-    FaultAnswer {
+    FaultResponse {
         status: fault.status(),
         headers,
         body: to_json(&worded.body),
@@ -57,7 +57,11 @@
 }
 
 // The Connect protocol ties the status to the code.
-fn operator_answer(fault: RequestFault, refusal: Refusal, settings: &EdgeSettings) -> FaultAnswer {
+fn operator_answer(
+    fault: RequestFault,
+    refusal: Refusal,
+    settings: &EdgeSettings,
+) -> FaultResponse {
     let error = match fault {
         RequestFault::BodyTooLong => ConnectError::BodyTooLarge {
             limit_bytes: settings.max_body_bytes as u64,
@@ -65,7 +69,7 @@
         _ => ConnectError::Refused(refusal),
     };
     let answer = encode_error(&error);
-    FaultAnswer {
+    FaultResponse {
         status: answer.status,
         headers: retry_after_header(answer.retry_after_seconds).collect(),
         body: answer.body,
--- a/crates/node/src/inbound/open_request.rs
+++ b/crates/node/src/inbound/open_request.rs
@@ -2,7 +2,7 @@
 
 use std::time::Instant;
 
-use ridgeworks_domain::weakening::{Weakening, is_off};
+use ridgeworks_domain::safeguard::{Safeguard, is_disabled};
 use ridgeworks_domain::{NodeId, Refusal, RefusalReason};
 
 use crate::message::OwnerCommand;
@@ -53,7 +53,7 @@
     /// Keeps what of a chunk is new, and notes it. `None` where the chunk leaves a gap or brings
     /// nothing new: the whole answer at the end fills it in.
     pub fn new_part(&mut self, offset: u64, mut text: Vec<u8>) -> Option<Vec<u8>> {
-        if is_off(Weakening::TextOffset) {
+        if is_disabled(Safeguard::TextOffset) {
             self.passed_on += text.len() as u64;
             return Some(text);
         }
--- a/crates/node/src/inbound/streamed_text.rs
+++ b/crates/node/src/inbound/streamed_text.rs
@@ -3,7 +3,7 @@
 //! An attempt that ends without an answer is followed by another one, whose text may differ. What was
 //! passed on by then cannot be taken back, so the end of the stream tells whether it still holds.
 
-use ridgeworks_domain::weakening::{Weakening, is_off};
+use ridgeworks_domain::safeguard::{Safeguard, is_disabled};
 
 /// Text that was passed on.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
@@ -21,7 +21,7 @@
     /// what was passed on.
     pub fn rest_of<'a>(&self, answer: &'a [u8]) -> Option<&'a [u8]> {
         let rest = answer.strip_prefix(self.text.as_slice());
-        if is_off(Weakening::WholeAnswer) {
+        if is_disabled(Safeguard::WholeAnswer) {
             return rest.or(Some(&[]));
         }
         rest
--- a/crates/node/src/metrics/readings.rs
+++ b/crates/node/src/metrics/readings.rs
@@ -153,7 +153,7 @@
         counter(
             "edge_clients_gone",
             "Answers that the client did not take",
-            counters.clients_gone,
+            counters.client_disconnects,
         ),
         counter(
             "edge_unanswered",
--- a/crates/node/src/operator/method.rs
+++ b/crates/node/src/operator/method.rs
@@ -4,7 +4,7 @@
 
 use crossbeam_channel::bounded;
 use ridgeworks_api::caller::{AUTHORIZATION_HEADER, RETRY_AFTER_HEADER, bearer_token};
-use ridgeworks_api::connect::{HttpAnswer, PROTOCOL_VERSION_HEADER, RequestHead, encode_error};
+use ridgeworks_api::connect::{HttpResponse, PROTOCOL_VERSION_HEADER, RequestHead, encode_error};
 use ridgeworks_api::{ConnectError, OperatorMethod, OperatorRequest, OperatorResponse};
 use ridgeworks_domain::{Refusal, RefusalReason};
 use ridgeworks_http_edge::{EdgeRequest, Header, Method, Responder};
@@ -132,13 +132,13 @@
     }
 }
 
-fn respond(responder: Responder, answer: &HttpAnswer) {
+fn respond(responder: Responder, answer: &HttpResponse) {
     let mut headers = Vec::new();
     if let Some(seconds) = answer.retry_after_seconds {
         headers.push(Header::new(RETRY_AFTER_HEADER, seconds.to_string()));
     }
     // An operator that left is told nothing.
-    let _ = responder.whole(answer.status, answer.content_type, &headers, &answer.body);
+    let _ = responder.respond_with(answer.status, answer.content_type, &headers, &answer.body);
 }
 
 /// A refusal in the operators' words.
--- a/crates/node/src/outbound/client.rs
+++ b/crates/node/src/outbound/client.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use ridgeworks_domain::RunId;
-use ridgeworks_domain::weakening::{Weakening, is_off};
+use ridgeworks_domain::safeguard::{Safeguard, is_disabled};
 use ridgeworks_worker_pool::WorkerPool;
 use ureq::Agent;
 
@@ -82,7 +82,7 @@
         let metrics = self.metrics.clone();
         // Without a thread no answer comes, and the owner asks again.
         let _ = self.pool.run(move || {
-            let resolution = if is_off(Weakening::Fence) {
+            let resolution = if is_disabled(Safeguard::Fence) {
                 AttemptResolution::NeverStarted
             } else {
                 fence::fence(&agent, &id, to.address, FENCE_TIMEOUT)
@@ -114,7 +114,7 @@
 
     /// Tells an engine to drop the context of a run. Its failure is left to the sweep.
     pub fn release_context(&self, run: RunId, address: SocketAddr) {
-        if is_off(Weakening::ContextRelease) {
+        if is_disabled(Safeguard::ContextRelease) {
             return;
         }
         let agent = self.agent.clone();
--- a/crates/node/src/shutdown.rs
+++ b/crates/node/src/shutdown.rs
@@ -5,7 +5,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use ridgeworks_domain::weakening::{Weakening, is_off};
+use ridgeworks_domain::safeguard::{Safeguard, is_disabled};
 use ridgeworks_http_edge::EdgeServer;
 use signal_hook::consts::signal::{SIGINT, SIGTERM};
 use signal_hook::iterator::Signals;
@@ -87,7 +87,7 @@
             return;
         }
         log::info!("stopping=planned phase=draining");
-        edge.stop_accepting();
+        edge.refuse_new_requests();
         call!([actors.membership], leave());
         call!([actors.owner], stop());
         let since = Instant::now();
@@ -105,13 +105,13 @@
                 let drained = self.busy.load(Ordering::Relaxed) == 0
                     && edge.wait_until_idle(Duration::ZERO)
                     && elapsed >= LEAVE_TIME;
-                if drained || elapsed >= self.timeout || is_off(Weakening::Drain) {
+                if drained || elapsed >= self.timeout || is_disabled(Safeguard::Drain) {
                     let elapsed_ms = elapsed.as_millis();
                     log::info!(
                         "stopping=planned phase=flushing drained={drained} elapsed_ms={elapsed_ms}"
                     );
                     call!([actors.membership], left());
-                    edge.close_listener();
+                    edge.stop_accepting_connections();
                     let until = now + FLUSH_TIME;
                     self.phase = Phase::Flushing { until };
                 }
--- a/crates/run-log/src/budget.rs
+++ b/crates/run-log/src/budget.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use ridgeworks_domain::weakening::{Weakening, is_off};
+use ridgeworks_domain::safeguard::{Safeguard, is_disabled};
 use ridgeworks_domain::{Cost, RunId};
 
 /// A reserve that does not fit.
@@ -49,7 +49,7 @@
     /// Whether `amount` could be reserved.
     pub fn check(&self, amount: Cost) -> Result<(), BudgetExceeded> {
         let remaining = self.remaining();
-        if amount > remaining && !is_off(Weakening::Reserve) {
+        if amount > remaining && !is_disabled(Safeguard::Reserve) {
             return Err(BudgetExceeded { remaining });
         }
         Ok(())
--- a/crates/run-log/src/replication/mod.rs
+++ b/crates/run-log/src/replication/mod.rs
@@ -9,7 +9,7 @@
 
 use std::collections::BTreeMap;
 
-use ridgeworks_domain::weakening::{Weakening, is_off};
+use ridgeworks_domain::safeguard::{Safeguard, is_disabled};
 use ridgeworks_domain::{Ballot, MonotonicTime, NodeId, RunId};
 
 use self::progress::Progress;
@@ -276,7 +276,7 @@
     fn reached_by_majority(&self, value: impl Fn(&Progress) -> u64) -> u64 {
         let mut values: Vec<u64> = self.progress.values().map(value).collect();
         values.sort_unstable();
-        if is_off(Weakening::Majority) {
+        if is_disabled(Safeguard::Majority) {
             return values.last().copied().unwrap_or(0);
         }
         let minority = values.len().saturating_sub(1) / 2;
--- a/crates/run-log/src/run_state/call_record.rs
+++ b/crates/run-log/src/run_state/call_record.rs
@@ -1,6 +1,6 @@
 //! One call of a run, as the log tells it.
 
-use ridgeworks_domain::weakening::{Weakening, is_off};
+use ridgeworks_domain::safeguard::{Safeguard, is_disabled};
 use ridgeworks_domain::{BackendAddress, BackendName, CallEnd, CallRequest, Cost, Sequence};
 
 use super::NextStep;
@@ -42,7 +42,7 @@
 
 impl CallRecord {
     pub(super) fn is_repeatable(&self) -> bool {
-        self.request.repeatable || is_off(Weakening::SingleAttempt)
+        self.request.repeatable || is_disabled(Safeguard::SingleAttempt)
     }
 
     pub(super) fn attempt_allowed(&self) -> bool {
--- a/crates/run-log/src/run_state/mod.rs
+++ b/crates/run-log/src/run_state/mod.rs
@@ -9,7 +9,7 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use ridgeworks_domain::weakening::{Weakening, is_off};
+use ridgeworks_domain::safeguard::{Safeguard, is_disabled};
 use ridgeworks_domain::{CallEnd, CallKey, CallRequest, Cost, Refusal, RefusalReason, Sequence};
 
 pub use self::apply::InvalidEntry;
@@ -105,9 +105,9 @@
         Sequence(self.calls.len() as u64 + 1)
     }
 
-    /// Gives a call whatever number is next, in a test build that leaves out [`Weakening::Sequence`].
+    /// Gives a call whatever number is next, in a test build that leaves out [`Safeguard::Sequence`].
     pub(crate) fn renumber_if_weakened(&self, request: &mut CallRequest) {
-        if is_off(Weakening::Sequence) {
+        if is_disabled(Safeguard::Sequence) {
             let known = self.keys.get(&request.key).copied();
             request.sequence = known.unwrap_or_else(|| self.next_new());
         }
@@ -116,7 +116,7 @@
     /// Lets a call come again when the one before it has ended, in the same test build.
     pub(crate) fn refusal_if_weakened(&self, refusal: Refusal) -> Refusal {
         let passed = matches!(refusal.reason, RefusalReason::SequencePassed { .. });
-        if passed && is_off(Weakening::Sequence) {
+        if passed && is_disabled(Safeguard::Sequence) {
             return Refusal::retry_after(refusal.reason, Duration::from_millis(20));
         }
         refusal
