--- a/crates/api/src/caller.rs
+++ b/crates/api/src/caller.rs
@@ -1,4 +1,4 @@
-//! The callers' HTTP interface: routes, headers and bodies that node, testbed and documents share.
+//! The callers' HTTP interface: routes, headers and bodies.
 
 use ridgeworks_domain::{CallKey, Cost, InvalidRequest, ProgramName, RunId, Sequence, ServiceName};
 use serde::{Deserialize, Serialize};
@@ -6,19 +6,19 @@
 
 /// Header with the run that a chat completion belongs to.
 pub const RUN_HEADER: &str = "x-ridgeworks-run";
-/// Header with the call's key; a repeated request carries the same one.
+/// Header with the call's idempotency key; a retry carries the same key.
 pub const CALL_HEADER: &str = "x-ridgeworks-call";
-/// Header with the call's position in its run, from 1.
+/// Header with the call's sequence number in its run, counted from 1.
 pub const SEQUENCE_HEADER: &str = "x-ridgeworks-sequence";
-/// Header with the time left until the caller stops waiting, in milliseconds.
+/// Header with the time until the caller stops waiting, in milliseconds.
 pub const DEADLINE_HEADER: &str = "x-ridgeworks-deadline-ms";
-/// Header that says whether a second execution does no harm: `true` or `false`.
+/// Header that states whether the call may be executed more than once: `true` or `false`.
 pub const REPEATABLE_HEADER: &str = "x-ridgeworks-repeatable";
 /// Header with the partner's token, as `Bearer TOKEN`.
 pub const AUTHORIZATION_HEADER: &str = "authorization";
-/// Header of a refusal with the time after which coming back helps, in seconds.
+/// Header of a refusal with the retry delay, in seconds.
 pub const RETRY_AFTER_HEADER: &str = "retry-after";
-/// Header of a refusal by which clients of OpenAI's interface decide whether to retry by themselves.
+/// Header of a refusal that tells OpenAI client libraries whether to retry automatically.
 pub const SHOULD_RETRY_HEADER: &str = "x-should-retry";
 
 const BEARER_SCHEME: &str = "bearer";
@@ -41,11 +41,11 @@
 }
 
 impl CallerRoute {
-    /// The route of a request, with the path up to the query string.
+    /// Returns the route of a request; `path` excludes the query.
     ///
     /// # Errors
-    /// [`InvalidRequest::UnknownRoute`] for a path or method that is not served, and
-    /// [`InvalidRequest::InvalidField`] for a run or service that cannot be read.
+    /// Returns [`InvalidRequest::UnknownRoute`] for an unknown path or method, and
+    /// [`InvalidRequest::InvalidField`] for a malformed run or service.
     pub fn from_request(method: &str, path: &str) -> Result<Self, InvalidRequest> {
         let segments: Vec<&str> = path.split('/').skip(1).collect();
         match (method, segments.as_slice()) {
@@ -60,7 +60,7 @@
         }
     }
 
-    /// The HTTP method.
+    /// Returns the HTTP method of the route.
     pub fn method(&self) -> &'static str {
         match self {
             Self::RunHistory(_) => GET,
@@ -68,7 +68,7 @@
         }
     }
 
-    /// The path.
+    /// Returns the path of the route.
     pub fn path(&self) -> String {
         match self {
             Self::OpenRun => "/v1/runs".to_owned(),
@@ -86,7 +86,7 @@
     })
 }
 
-/// The token of an `Authorization` header, or `None` if it holds no bearer token.
+/// Returns the token of an `Authorization` header, or `None` if it contains no bearer token.
 pub fn bearer_token(authorization: &str) -> Option<&str> {
     let (scheme, token) = authorization.split_once(' ')?;
     let token = token.trim();
@@ -94,26 +94,26 @@
     (is_bearer && !token.is_empty()).then_some(token)
 }
 
-/// What the headers of a chat completion say about its call.
+/// Properties of a call, from the headers of a chat completion request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CallHeaders {
     /// The run.
     pub run: RunId,
-    /// The call's key.
+    /// Idempotency key of the call.
     pub call: CallKey,
-    /// Its position in the run.
+    /// Sequence number of the call in its run.
     pub sequence: Sequence,
-    /// Time left until the caller stops waiting, in milliseconds.
+    /// Time until the caller stops waiting, in milliseconds; `None` without a deadline.
     pub deadline_ms: Option<u64>,
-    /// Whether a second execution does no harm; a caller who says nothing gets one at most.
+    /// Whether the call may be executed more than once; false by default.
     pub repeatable: bool,
 }
 
 impl CallHeaders {
-    /// Reads the headers with `lookup`, which gives the value of a header by its lower-case name.
+    /// Parses the headers. `lookup` returns the value of a header for its lower-case name.
     ///
     /// # Errors
-    /// The first header that is missing or cannot be read.
+    /// Returns the first header that is missing or malformed.
     pub fn read<'a>(
         lookup: impl Fn(&'static str) -> Option<&'a str>,
     ) -> Result<Self, InvalidRequest> {
@@ -130,10 +130,10 @@
     }
 }
 
-/// Refuses the number zero, which no call of a run has; `field` names where it came from.
+/// Checks that a sequence number is not zero, because sequence numbers start at 1.
 ///
 /// # Errors
-/// [`InvalidRequest::InvalidField`] for zero.
+/// Returns [`InvalidRequest::InvalidField`] with the name `field` for zero.
 pub fn checked_sequence(sequence: Sequence, field: &str) -> Result<Sequence, InvalidRequest> {
     if sequence.0 == 0 {
         let field = field.to_owned();
@@ -166,26 +166,26 @@
 pub struct OpenRunRequest {
     /// Program that the run is opened from.
     pub program: ProgramName,
-    /// Run that opens this one for a sub-agent; its budget is carved from that run's.
+    /// Parent run, if the new run is for a sub-agent; the new run's budget is taken from the parent's.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub parent: Option<RunId>,
 }
 
-/// Answer of `POST /v1/runs`.
+/// Response of `POST /v1/runs`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OpenRunResponse {
     /// The run.
     pub run: RunId,
-    /// Its budget.
+    /// Budget of the run.
     pub budget: Cost,
 }
 
-/// Answer of `POST /v1/runs/{run}/close`, which takes no body.
+/// Response of `POST /v1/runs/{run}/close`, whose request has no body.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CloseRunResponse {
     /// The run.
     pub run: RunId,
-    /// What it spent.
+    /// Total cost of the run.
     pub spent: Cost,
 }
 
@@ -195,92 +195,92 @@
 pub struct ServiceCallRequest {
     /// The run.
     pub run: RunId,
-    /// The call's key; a repeated request carries the same one.
+    /// Idempotency key of the call; a retry carries the same key.
     pub call: CallKey,
-    /// Its position in the run.
+    /// Sequence number of the call in its run.
     pub sequence: Sequence,
-    /// Whether a second execution does no harm; a caller who says nothing gets one at most.
+    /// Whether the call may be executed more than once; false by default.
     #[serde(default)]
     pub repeatable: bool,
-    /// Time left until the caller stops waiting, in milliseconds.
+    /// Time until the caller stops waiting, in milliseconds; `None` without a deadline.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub deadline_ms: Option<u64>,
-    /// Arguments of the tool or notice, byte for byte as the back end gets them.
+    /// Arguments of the tool or notice, passed to the back end byte for byte.
     pub arguments: Box<RawValue>,
 }
 
-/// Answer of `POST /v1/services/{service}/calls`.
+/// Response of `POST /v1/services/{service}/calls`.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ServiceCallResponse {
-    /// The back end's answer, byte for byte.
+    /// Response body of the back end, byte for byte.
     pub result: Box<RawValue>,
 }
 
-/// Where a run stands.
+/// State of a run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RunState {
-    /// Takes calls.
+    /// The run accepts calls.
     Open,
-    /// Takes no more calls.
+    /// The run accepts no more calls.
     Closed,
 }
 
-/// How a call ended, or that it has not ended.
+/// Outcome or progress of a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum CallOutcome {
-    /// Accepted; no attempt has been sent.
+    /// The call was accepted; no attempt was sent yet.
     Accepted,
-    /// An attempt was sent; its end is not recorded yet.
+    /// An attempt was sent; its outcome is not recorded yet.
     Dispatched,
     /// The back end answered.
     Finished,
-    /// The call did not run and can no longer run.
+    /// The call did not run and cannot run later.
     NotRun,
-    /// The call may have run; its answer is not to be had.
+    /// The call may have run; its answer cannot be obtained.
     Unknown,
 }
 
-/// Answer of `GET /v1/runs/{run}/history`.
+/// Response of `GET /v1/runs/{run}/history`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunHistoryResponse {
     /// The run.
     pub run: RunId,
-    /// Program that it was opened from.
+    /// Program that the run was opened from.
     pub program: ProgramName,
-    /// Where it stands.
+    /// Whether the run accepts calls.
     pub state: RunState,
-    /// Its budget.
+    /// Budget of the run.
     pub budget: Cost,
-    /// What its ended calls cost; a call of unknown outcome counts with its whole reserve.
+    /// Total cost of the ended calls; a call with unknown outcome counts with its whole reserve.
     pub spent: Cost,
-    /// Its calls in order of their sequence numbers, without gaps.
+    /// Calls in the order of their sequence numbers, without gaps.
     pub calls: Vec<HistoryCall>,
 }
 
 /// One call in a run's history.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HistoryCall {
-    /// Position in the run.
+    /// Sequence number of the call.
     pub sequence: Sequence,
-    /// The caller's key.
+    /// Idempotency key chosen by the caller.
     pub call: CallKey,
-    /// Service that it went to.
+    /// Service that the call was sent to.
     pub service: ServiceName,
-    /// How it ended.
+    /// Outcome, or progress if the call has not ended.
     pub outcome: CallOutcome,
-    /// What it cost; zero until it ended.
+    /// Cost of the call; zero until it has ended.
     pub cost: Cost,
     /// Digest of the request body, in lower-case hexadecimal.
     pub request_digest: String,
     /// Digest of the answer, in lower-case hexadecimal.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub answer_digest: Option<String>,
-    /// Request body.
+    /// Request body, if included in the history.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub request: Option<String>,
-    /// Whole answer.
+    /// Complete answer, if included in the history.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub answer: Option<String>,
 }
--- a/crates/api/src/caller_error.rs
+++ b/crates/api/src/caller_error.rs
@@ -1,4 +1,4 @@
-//! Errors of the callers' HTTP interface, in OpenAI's form.
+//! Errors of the callers' HTTP interface, in the format of OpenAI's API.
 
 use ridgeworks_domain::{Cost, InvalidRequest, Refusal, RefusalReason, Sequence};
 use serde::{Deserialize, Serialize};
@@ -10,27 +10,27 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ErrorType {
-    /// The request is wrong.
+    /// The request is invalid.
     InvalidRequestError,
     /// The token is missing or matches no partner.
     AuthenticationError,
     /// The object belongs to the other partner.
     PermissionError,
-    /// What the request names does not exist.
+    /// The requested object does not exist.
     NotFoundError,
-    /// The request does not fit the state of the run.
+    /// The request conflicts with the state of the run.
     ConflictError,
-    /// The budget is used up.
+    /// The remaining budget is too small.
     InsufficientQuota,
-    /// A limit was reached.
+    /// A queue or concurrency limit was reached.
     RateLimitError,
-    /// The system cannot serve the request now.
+    /// The system is temporarily unable to serve the request.
     ServiceUnavailableError,
-    /// The end of the call could not be learned.
+    /// The outcome of the call could not be determined.
     OutcomeUnknownError,
 }
 
-/// What failed.
+/// Machine-readable cause of an error.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ErrorCode {
@@ -88,24 +88,24 @@
     OutcomeUnknown,
 }
 
-/// What is known about the call of a refused request.
+/// Whether the call of a refused request may have run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outcome {
-    /// It did not run and can no longer run on behalf of this request.
+    /// The call did not run and cannot run on behalf of this request later.
     NotRun,
-    /// It may have run.
+    /// The call may have run.
     Unknown,
 }
 
-/// HTTP status, type and code of one reason.
+/// HTTP status, error type and error code of a refusal reason.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ErrorMapping {
     /// HTTP status.
     pub status: u16,
     /// Class of the error.
     pub error_type: ErrorType,
-    /// What failed.
+    /// Machine-readable cause.
     pub code: ErrorCode,
 }
 
@@ -118,7 +118,7 @@
         }
     }
 
-    /// The mapping of a reason. This is the only place that decides on it.
+    /// Returns the mapping of a reason.
     pub fn of(reason: &RefusalReason) -> Self {
         use ErrorType::{
             AuthenticationError, ConflictError, InsufficientQuota, NotFoundError,
@@ -178,10 +178,10 @@
     }
 }
 
-/// Body of a refusal.
+/// JSON body of a refusal.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallerErrorBody {
-    /// The error.
+    /// Error object, nested as in OpenAI's API.
     pub error: CallerError,
 }
 
@@ -191,20 +191,20 @@
     /// Class of the error.
     #[serde(rename = "type")]
     pub error_type: ErrorType,
-    /// What failed.
+    /// Machine-readable cause.
     pub code: ErrorCode,
-    /// Explanation for a human reader; programs use the code.
+    /// Human-readable message; programs should use the code.
     pub message: String,
-    /// Field or header that is wrong.
+    /// Field or header that is missing or invalid.
     pub param: Option<String>,
-    /// What is known about the call.
+    /// Whether the call may have run.
     pub outcome: Outcome,
-    /// When coming back helps: after this many milliseconds.
+    /// Retry delay in milliseconds; `None` if retrying does not help.
     pub retry_after_ms: Option<u64>,
-    /// The sequence number that the run expects next.
+    /// Sequence number that the run expects next.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub expected_sequence: Option<Sequence>,
-    /// What is left of the budget.
+    /// Remaining budget of the run.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub remaining_budget: Option<Cost>,
 }
@@ -216,9 +216,9 @@
     pub status: u16,
     /// Value of the `Retry-After` header, in seconds, rounded up.
     pub retry_after_seconds: Option<u64>,
-    /// Value of the `x-should-retry` header: whether the same request can succeed later.
+    /// Value of the `x-should-retry` header: whether the same request may succeed later.
     pub should_retry: bool,
-    /// The body.
+    /// Body to send as JSON.
     pub body: CallerErrorBody,
 }
 
--- a/crates/api/src/client.rs
+++ b/crates/api/src/client.rs
@@ -1,7 +1,7 @@
-//! The operators' side of the Connect unary form, over several servers.
+//! Client of the operators' interface, with failover between several servers.
 //!
-//! A request goes to the servers in turn until one answers. Every method may be sent again: reads
-//! change nothing, and changes carry an operation identifier under which a repetition has one effect.
+//! A request is sent to the servers in turn until one responds. Every method can be retried: reads
+//! change nothing, and changes carry an operation identifier, which makes them idempotent.
 
 use std::thread;
 use std::time::Duration;
@@ -26,25 +26,25 @@
 const DEFAULT_ROUNDS: u32 = 3;
 const DEFAULT_PAUSE: Duration = Duration::from_millis(200);
 
-/// Where and how to send requests.
+/// Servers, credentials and timeouts of a client.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ClientSettings {
-    /// Base addresses such as `http://10.0.0.1:7000`, asked in this order.
+    /// Base addresses such as `http://10.0.0.1:7000`, tried in this order.
     pub servers: Vec<String>,
     /// The partner's token.
     pub token: String,
-    /// Longest time to wait for a connection.
+    /// Maximum time to establish a connection.
     pub connect_timeout: Duration,
-    /// Longest time to wait for an answer; a long poll waits its own time on top.
+    /// Maximum time to wait for a response; the waiting time of a long poll is added to it.
     pub answer_timeout: Duration,
-    /// How often the whole list of servers is gone through.
+    /// Maximum number of passes over the list of servers.
     pub rounds: u32,
-    /// Pause between two rounds.
+    /// Delay between two passes.
     pub pause: Duration,
 }
 
 impl ClientSettings {
-    /// Settings with the default times.
+    /// Creates settings with the default timeouts and retries.
     pub fn new(servers: Vec<String>, token: String) -> Self {
         Self {
             servers,
@@ -89,15 +89,15 @@
     list: List(ListRequest) -> ListResponse;
     /// Deletes an object.
     delete: Delete(DeleteRequest) -> DeleteResponse;
-    /// Proposes a split of the pool.
+    /// Proposes a new pool split.
     propose_shares: ProposeShares(ProposeSharesRequest) -> ProposeSharesResponse;
     /// Consents to the open proposal.
     consent_shares: ConsentShares(ConsentSharesRequest) -> ConsentSharesResponse;
     /// Reads the state of the system.
     status: Status(StatusRequest) -> StatusResponse;
-    /// Reads the asked node's own state.
+    /// Reads the state of the node that receives the request.
     node_status: NodeStatus(NodeStatusRequest) -> NodeStatusResponse;
-    /// Tells a node to stop as planned.
+    /// Starts the planned stop of a node.
     drain: Drain(DrainRequest) -> DrainResponse;
     /// Reads a run and its calls.
     get_run: GetRun(GetRunRequest) -> GetRunResponse;
@@ -106,7 +106,7 @@
 }
 
 impl OperatorClient {
-    /// A client that opens connections when it needs them.
+    /// Creates a client; it opens connections on demand.
     pub fn new(settings: ClientSettings) -> Self {
         let configuration = Agent::config_builder()
             .http_status_as_error(false)
@@ -120,25 +120,25 @@
         }
     }
 
-    /// Waits for changes of the configuration, up to the time that the request names.
+    /// Waits for changes of the configuration, up to the timeout in the request.
     pub fn watch_changes(
         &self,
         request: &v1::WatchChangesRequest,
     ) -> Result<v1::WatchChangesResponse, ClientError> {
-        let patience = Duration::from_millis(request.timeout_ms);
-        let timeout = self.settings.answer_timeout.saturating_add(patience);
+        let poll_timeout = Duration::from_millis(request.timeout_ms);
+        let timeout = self.settings.answer_timeout.saturating_add(poll_timeout);
         self.call(OperatorMethod::WatchChanges, request, timeout)
     }
 
-    fn call<Request, Answer>(
+    fn call<Request, Reply>(
         &self,
         method: OperatorMethod,
         request: &Request,
         timeout: Duration,
-    ) -> Result<Answer, ClientError>
+    ) -> Result<Reply, ClientError>
     where
         Request: Message,
-        Answer: Message + Default,
+        Reply: Message + Default,
     {
         let body = request.encode_to_vec();
         let mut failure = ClientError::NoServer;
@@ -149,7 +149,7 @@
             }
             for server in &self.settings.servers {
                 match self.attempt(server, method, &body, timeout) {
-                    Ok(answer) => return read_answer(answer),
+                    Ok(response) => return decode_response(response),
                     Err(last) => {
                         may_have_arrived |= last.may_have_arrived();
                         failure = last.into_client_error(may_have_arrived);
@@ -166,7 +166,7 @@
         method: OperatorMethod,
         body: &[u8],
         timeout: Duration,
-    ) -> Result<RawAnswer, AttemptError> {
+    ) -> Result<RawResponse, AttemptError> {
         let url = format!("{}{}", server.trim_end_matches('/'), method.path());
         let response = self
             .agent
@@ -183,18 +183,18 @@
             .build()
             .send(body)
             .map_err(|error| AttemptError::Transport(error.into()))?;
-        let answer = RawAnswer::read(response).map_err(AttemptError::Transport)?;
-        answer.pass_unless_unavailable()
+        let response = RawResponse::read(response).map_err(AttemptError::Transport)?;
+        response.into_result()
     }
 }
 
-/// An HTTP answer of a server.
-struct RawAnswer {
+/// The HTTP response of a server.
+struct RawResponse {
     status: u16,
     body: Vec<u8>,
 }
 
-impl RawAnswer {
+impl RawResponse {
     fn read(mut response: Response<Body>) -> Result<Self, TransportError> {
         let status = response.status().as_u16();
         let body = response
@@ -205,8 +205,8 @@
         Ok(Self { status, body })
     }
 
-    /// A node that cannot answer now is passed over; another one may.
-    fn pass_unless_unavailable(self) -> Result<Self, AttemptError> {
+    /// Turns the code `unavailable` into an error, after which the next server is tried.
+    fn into_result(self) -> Result<Self, AttemptError> {
         if self.is_success() {
             return Ok(self);
         }
@@ -224,21 +224,21 @@
     fn error_body(&self) -> ErrorBody {
         serde_json::from_slice(&self.body).unwrap_or_else(|_| ErrorBody {
             code: ConnectCode::from_http_status(self.status),
-            message: format!("the server answered with HTTP status {}", self.status),
+            message: format!("the server responded with HTTP status {}", self.status),
             details: Vec::new(),
         })
     }
 }
 
-fn read_answer<Answer: Message + Default>(answer: RawAnswer) -> Result<Answer, ClientError> {
-    if answer.is_success() {
-        Answer::decode(answer.body.as_slice()).map_err(|_| ClientError::MalformedAnswer)
+fn decode_response<Reply: Message + Default>(response: RawResponse) -> Result<Reply, ClientError> {
+    if response.is_success() {
+        Reply::decode(response.body.as_slice()).map_err(|_| ClientError::MalformedAnswer)
     } else {
-        Err(ClientError::Refused(answer.error_body()))
+        Err(ClientError::Refused(response.error_body()))
     }
 }
 
-/// Why the next server is asked.
+/// Failure of one server, after which the next server is tried.
 enum AttemptError {
     Transport(TransportError),
     Unavailable(ErrorBody),
--- a/crates/api/src/client_error.rs
+++ b/crates/api/src/client_error.rs
@@ -1,27 +1,27 @@
-//! Why a request of the operators' client has no result.
+//! Errors of the operators' client.
 
 use std::fmt;
 use std::io;
 
 use crate::error_body::ErrorBody;
 
-/// Why no answer came from one server.
+/// Why a server sent no usable response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TransportError {
-    /// The address or the token cannot stand in an HTTP request.
+    /// The address or the token is not valid in an HTTP request.
     InvalidRequest,
-    /// No connection came about; the request was not sent.
+    /// No connection was established; the request was not sent.
     NotConnected,
-    /// The time ran out after the connection stood.
+    /// The timeout expired after the connection was established.
     TimedOut,
-    /// The connection broke, or the answer is not HTTP.
+    /// The connection was lost, or the response is not valid HTTP.
     Broken,
-    /// The answer is longer than the client takes.
+    /// The response exceeds the size limit of the client.
     AnswerTooLong,
 }
 
 impl TransportError {
-    /// Whether the server may have taken the request.
+    /// Returns whether the server may have received the request.
     pub(crate) fn may_have_arrived(self) -> bool {
         !matches!(self, Self::InvalidRequest | Self::NotConnected)
     }
@@ -46,33 +46,33 @@
     }
 }
 
-/// Why a request has no result.
+/// Why a request of the client failed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ClientError {
     /// No server is configured.
     NoServer,
-    /// A server answered with an error.
+    /// A server responded with an error other than [`ConnectCode::Unavailable`](crate::ConnectCode).
     Refused(ErrorBody),
     /// No server could serve the request in any round.
     Unavailable {
         /// The last error of the last server.
         body: ErrorBody,
-        /// Whether some server may have taken the request.
+        /// Whether any server may have received the request.
         may_have_arrived: bool,
     },
-    /// A server's answer is not the message of the method.
+    /// The response cannot be decoded as the message of the method.
     MalformedAnswer,
-    /// No server answered in any round.
+    /// No server responded in any round.
     Unreachable {
         /// The last failure of the last server.
         last: TransportError,
-        /// Whether some server may have taken the request.
+        /// Whether any server may have received the request.
         may_have_arrived: bool,
     },
 }
 
 impl ClientError {
-    /// Whether a change may have taken effect although the request failed.
+    /// Returns whether a change may have taken effect although the request failed.
     pub fn is_outcome_unknown(&self) -> bool {
         match self {
             Self::NoServer => false,
@@ -95,12 +95,9 @@
             Self::Refused(body) | Self::Unavailable { body, .. } => {
                 write!(formatter, "{}", body.message)
             }
-            Self::MalformedAnswer => write!(formatter, "the server's answer cannot be read"),
+            Self::MalformedAnswer => write!(formatter, "the server's response cannot be decoded"),
             Self::Unreachable { last, .. } => {
-                write!(
-                    formatter,
-                    "no server answered, the last failure is {last:?}"
-                )
+                write!(formatter, "no server responded; last failure: {last:?}")
             }
         }
     }
--- a/crates/api/src/connect.rs
+++ b/crates/api/src/connect.rs
@@ -1,8 +1,8 @@
-//! The unary form of the Connect protocol, apart from the transport.
+//! Unary calls of the Connect protocol, independent of the transport.
 //!
 //! A request is a POST to `/ridgeworks.v1.Operator/METHOD`. Its body is one message in
-//! `application/json` or `application/proto`, and the answer has the same format. An error is a JSON
-//! body of [`crate::ErrorBody`] with the HTTP status of its code.
+//! `application/json` or `application/proto`, and the response has the same format. An error is a JSON
+//! [`crate::ErrorBody`] with the HTTP status of its code.
 
 use std::borrow::Cow;
 use std::fmt;
@@ -15,13 +15,13 @@
 
 use crate::connect_error::ConnectError;
 
-/// Header that names the version of the Connect protocol.
+/// Header with the version of the Connect protocol.
 pub const PROTOCOL_VERSION_HEADER: &str = "connect-protocol-version";
-/// The version of the Connect protocol that is spoken.
+/// The supported version of the Connect protocol.
 pub const PROTOCOL_VERSION: &str = "1";
-/// Header with the time that the client waits for the answer, in milliseconds.
+/// Header with the time that the client waits for the response, in milliseconds.
 pub const TIMEOUT_HEADER: &str = "connect-timeout-ms";
-/// Most bytes of a request's body, after unpacking as well.
+/// Maximum size of a request's body, in bytes, both before and after decompression.
 pub const MAX_REQUEST_BYTES: u64 = 1 << 20;
 
 const JSON_MEDIA_TYPE: &str = "application/json";
@@ -40,8 +40,8 @@
 }
 
 impl BodyFormat {
-    /// The format that a `Content-Type` header names; parameters such as the character set are
-    /// ignored.
+    /// Returns the format for the value of a `Content-Type` header, ignoring parameters such as the
+    /// character set.
     pub fn from_content_type(content_type: &str) -> Result<Self, ConnectError> {
         let media_type = content_type.split(';').next().unwrap_or_default().trim();
         if media_type.eq_ignore_ascii_case(JSON_MEDIA_TYPE) {
@@ -53,7 +53,7 @@
         }
     }
 
-    /// The media type.
+    /// Returns the media type, as sent in the `Content-Type` header.
     pub fn media_type(self) -> &'static str {
         match self {
             Self::Json => JSON_MEDIA_TYPE,
@@ -68,20 +68,20 @@
     }
 }
 
-/// An answer for the HTTP edge to send.
+/// A response for the HTTP edge to send.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct HttpResponse {
     /// HTTP status.
     pub status: u16,
     /// Value of the `Content-Type` header.
     pub content_type: &'static str,
-    /// Value of the `Retry-After` header, in seconds.
+    /// Value of the `Retry-After` header, in seconds; `None` omits the header.
     pub retry_after_seconds: Option<u64>,
-    /// The whole body.
+    /// Complete body.
     pub body: Vec<u8>,
 }
 
-/// The headers of a request that say how to read its body; an absent one is `None`.
+/// The headers of a request that determine how its body is decoded; an absent header is `None`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct RequestHead<'a> {
     /// Value of the `Content-Type` header.
@@ -93,7 +93,7 @@
 }
 
 impl RequestHead<'_> {
-    /// Reads the message of a request: checks the protocol's version, unpacks the body and decodes it.
+    /// Checks the protocol version, then decompresses and decodes the body.
     pub fn decode<M>(&self, body: &[u8]) -> Result<M, ConnectError>
     where
         M: Message + Default + DeserializeOwned,
@@ -106,14 +106,14 @@
         }
         let content_type = self.content_type.unwrap_or_default();
         let format = BodyFormat::from_content_type(content_type)?;
-        let body = unpack(self.content_encoding, format, body)?;
+        let body = decompress(self.content_encoding, format, body)?;
         decode_message(format, &body)
     }
 }
 
-/// Unpacks a body, at most to the length that [`decode_message`] refuses. Some generated clients pack
-/// every request with gzip unless they are told otherwise.
-fn unpack<'a>(
+/// Decompresses a body, up to one byte more than [`decode_message`] accepts. Some generated clients
+/// compress every request with gzip by default.
+fn decompress<'a>(
     content_encoding: Option<&str>,
     format: BodyFormat,
     body: &'a [u8],
@@ -125,17 +125,17 @@
     if !encoding.eq_ignore_ascii_case(GZIP_ENCODING) {
         return Err(ConnectError::UnsupportedEncoding);
     }
-    // One byte above the limit tells a body that is too long from one that just fits.
-    let mut unpacked = Vec::new();
+    // The additional byte distinguishes a body that is too long from one of the maximum size.
+    let mut decompressed = Vec::new();
     GzDecoder::new(body)
         .take(MAX_REQUEST_BYTES + 1)
-        .read_to_end(&mut unpacked)
+        .read_to_end(&mut decompressed)
         .map_err(|_| ConnectError::MalformedBody(format))?;
-    Ok(Cow::Owned(unpacked))
+    Ok(Cow::Owned(decompressed))
 }
 
-/// Reads the message of a request. A JSON body with unknown fields is refused, so that a misspelt
-/// field does not pass for an absent one.
+/// Decodes the message of a request. A JSON body with unknown fields is refused, so that a misspelt
+/// field is not mistaken for an absent one.
 pub fn decode_request<M>(content_type: &str, body: &[u8]) -> Result<M, ConnectError>
 where
     M: Message + Default + DeserializeOwned,
@@ -144,7 +144,7 @@
     decode_message(format, body)
 }
 
-/// Reads a message in a known format.
+/// Decodes a message in a known format.
 pub fn decode_message<M>(format: BodyFormat, body: &[u8]) -> Result<M, ConnectError>
 where
     M: Message + Default + DeserializeOwned,
@@ -161,7 +161,7 @@
     }
 }
 
-/// Writes the answer in the format of the request.
+/// Encodes a successful response in the format of the request.
 pub fn encode_response<M>(content_type: &str, message: &M) -> Result<HttpResponse, ConnectError>
 where
     M: Message + Serialize,
@@ -181,9 +181,9 @@
     })
 }
 
-/// Writes an error.
+/// Encodes an error as JSON.
 pub fn encode_error(error: &ConnectError) -> HttpResponse {
-    // The body holds only strings, so that encoding it cannot fail.
+    // The body contains only strings, so encoding it cannot fail.
     let body = serde_json::to_vec(&error.to_body()).unwrap_or_default();
     HttpResponse {
         status: error.http_status(),
@@ -193,7 +193,7 @@
     }
 }
 
-/// Milliseconds as whole seconds, rounded up so that nobody comes back too early.
+/// Converts milliseconds to seconds, rounded up so that clients do not retry too early.
 pub fn whole_seconds(milliseconds: u64) -> u64 {
     milliseconds.div_ceil(1000)
 }
--- a/crates/api/src/connect_code.rs
+++ b/crates/api/src/connect_code.rs
@@ -4,46 +4,46 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Why a request failed, in the terms of the Connect protocol.
+/// Error code of the Connect protocol.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ConnectCode {
-    /// The caller gave up.
+    /// The caller canceled the request.
     Canceled,
-    /// The failure has no better code.
+    /// No other code describes the failure.
     Unknown,
-    /// The request is wrong, whatever the state of the system.
+    /// The request is invalid regardless of the state of the system.
     InvalidArgument,
     /// The deadline passed.
     DeadlineExceeded,
-    /// What the request names does not exist.
+    /// The requested object does not exist.
     NotFound,
-    /// What the request creates exists already.
+    /// The object to create already exists.
     AlreadyExists,
-    /// The caller is known and may not do this.
+    /// The caller is authenticated but not authorized.
     PermissionDenied,
-    /// A limit was reached.
+    /// A limit or quota is exhausted.
     ResourceExhausted,
     /// The state of the system does not allow the request.
     FailedPrecondition,
-    /// Another change came first.
+    /// The operation conflicted with a concurrent change.
     Aborted,
-    /// A position lies outside of what exists.
+    /// A position lies outside the valid range.
     OutOfRange,
-    /// No such method.
+    /// The method does not exist or is not supported.
     Unimplemented,
-    /// A rule inside the system was broken.
+    /// An internal invariant was violated.
     Internal,
-    /// The service cannot answer now; coming back helps.
+    /// The service is temporarily unavailable; a retry may succeed.
     Unavailable,
-    /// Data was lost for good.
+    /// Data was lost or corrupted unrecoverably.
     DataLoss,
     /// The token is missing or matches no partner.
     Unauthenticated,
 }
 
 impl ConnectCode {
-    /// Every code.
+    /// All codes, in the order of the protocol's reference.
     pub const ALL: [Self; 16] = [
         Self::Canceled,
         Self::Unknown,
@@ -63,7 +63,7 @@
         Self::Unauthenticated,
     ];
 
-    /// HTTP status that goes with the code.
+    /// Returns the HTTP status that the protocol assigns to the code.
     pub fn http_status(self) -> u16 {
         match self {
             Self::Canceled => 499,
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Code of an answer whose body is not a Connect error, as an intermediary may send it.
+    /// Returns the code for a response whose body is not a Connect error, such as one from a proxy.
     pub fn from_http_status(status: u16) -> Self {
         match status {
             400 => Self::Internal,
--- a/crates/api/src/connect_error.rs
+++ b/crates/api/src/connect_error.rs
@@ -1,4 +1,4 @@
-//! Errors of the operators' interface, as the node knows them.
+//! Errors of the operators' interface, before they are encoded.
 
 use std::fmt;
 
@@ -12,72 +12,72 @@
 
 const HTTP_UNSUPPORTED_MEDIA_TYPE: u16 = 415;
 
-/// Why a request of an operator failed, as the node knows it.
+/// Why a request of an operator failed.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ConnectError {
-    /// The path names no method of the service.
+    /// The path does not name a method of the service.
     UnknownMethod,
     /// The body's media type is neither JSON nor protobuf.
     UnsupportedMediaType,
-    /// The body is packed in another way than gzip.
+    /// The content encoding is neither gzip nor identity.
     UnsupportedEncoding,
-    /// The request asks for another version of the Connect protocol.
+    /// The request uses an unsupported version of the Connect protocol.
     UnsupportedProtocolVersion,
-    /// The body is longer than allowed.
+    /// The body exceeds the size limit.
     BodyTooLarge {
-        /// Most bytes allowed.
+        /// Maximum size of the body, in bytes.
         limit_bytes: u64,
     },
-    /// The body is not the message of the method in this format.
+    /// The body cannot be decoded as the method's message in this format.
     MalformedBody(BodyFormat),
-    /// A field holds what is not allowed.
+    /// A field is missing or has an invalid value.
     InvalidField(FieldError),
     /// The token is missing or matches no partner.
     Unauthenticated,
     /// The object belongs to the other partner.
     Forbidden,
-    /// No such object.
+    /// The object does not exist.
     ObjectNotFound {
-        /// Kind that was asked for.
+        /// Requested kind.
         kind: v1::ObjectKind,
-        /// Name that was asked for.
+        /// Requested name.
         name: String,
     },
-    /// No such run, or none of this partner.
+    /// The run does not exist or belongs to another partner.
     RunNotFound,
-    /// No such node.
+    /// The node does not exist.
     NodeNotFound,
-    /// The object has another version than the request expected.
+    /// The version of the object differs from the expected one.
     VersionConflict(v1::VersionConflict),
-    /// The operation identifier was used before for a different change.
+    /// The operation identifier was already used for a different change.
     OperationIdReused,
-    /// No proposal for the pool's split is open.
+    /// There is no open proposal for the pool split.
     NoProposal,
-    /// The object cannot be deleted, because other objects name it.
+    /// The object cannot be deleted because other objects reference it.
     StillReferenced,
-    /// The platform's store or the configuration's majority does not answer; nothing was changed.
+    /// The platform's store or a majority of the configuration's voters does not respond; nothing changed.
     StoreUnavailable {
-        /// When to come back, in milliseconds.
+        /// Retry delay, in milliseconds.
         retry_after_ms: u64,
     },
-    /// The change may have taken effect; the same request resolves it.
+    /// The change may have taken effect; retrying the same request determines the outcome.
     ChangeOutcomeUnknown {
-        /// When to come back, in milliseconds.
+        /// Retry delay, in milliseconds.
         retry_after_ms: u64,
     },
-    /// The node cannot answer yet.
+    /// The node is not ready to serve the request.
     NotReady {
-        /// When to come back, in milliseconds.
+        /// Retry delay, in milliseconds.
         retry_after_ms: u64,
     },
-    /// A refusal that callers get as well.
+    /// A refusal that the callers' interface uses too.
     Refused(Refusal),
-    /// The answer could not be encoded.
+    /// The response could not be encoded.
     UnencodableAnswer,
 }
 
 impl ConnectError {
-    /// The Connect code.
+    /// Returns the Connect code.
     pub fn code(&self) -> ConnectCode {
         match self {
             Self::UnknownMethod | Self::UnsupportedEncoding => ConnectCode::Unimplemented,
@@ -102,7 +102,7 @@
         }
     }
 
-    /// The HTTP status of the answer.
+    /// Returns the HTTP status of the response.
     pub fn http_status(&self) -> u16 {
         match self {
             Self::UnsupportedMediaType => HTTP_UNSUPPORTED_MEDIA_TYPE,
@@ -110,7 +110,7 @@
         }
     }
 
-    /// When coming back helps: after this many milliseconds.
+    /// Returns the retry delay in milliseconds, or `None` if retrying does not help.
     pub fn retry_after_ms(&self) -> Option<u64> {
         match self {
             Self::StoreUnavailable { retry_after_ms }
@@ -121,7 +121,7 @@
         }
     }
 
-    /// The body on the wire.
+    /// Converts the error to its body on the wire.
     pub fn to_body(&self) -> ErrorBody {
         ErrorBody {
             code: self.code(),
@@ -227,7 +227,7 @@
 
 impl std::error::Error for ConnectError {}
 
-/// The Connect code of a refusal.
+/// Returns the Connect code of a refusal.
 pub fn refusal_code(reason: &RefusalReason) -> ConnectCode {
     match reason {
         RefusalReason::InvalidRequest(InvalidRequest::BodyTooLarge { .. })
--- a/crates/api/src/conversion.rs
+++ b/crates/api/src/conversion.rs
@@ -1,4 +1,4 @@
-//! Conversion between the domain's configuration objects and the messages of the schema.
+//! Conversion between configuration objects of the domain and messages of the schema.
 
 mod reading;
 
@@ -17,9 +17,9 @@
     missing, read_backend, read_class, read_partner, read_program, read_service, read_split,
 };
 
-/// Name of the one pool split.
+/// Name of the pool split, of which there is only one.
 pub const POOL_SPLIT_NAME: &str = "pool";
-/// Sum of all parts of a split.
+/// Sum of all shares of a split, in thousandths.
 pub const WHOLE_POOL_PERMILLE: u32 = 1000;
 
 /// A configuration object of any kind.
@@ -39,7 +39,7 @@
     Backend(Backend),
 }
 
-/// Versions that the store gave to an object.
+/// Versions that the store assigned to an object.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct ObjectVersions {
     /// Version of the object.
@@ -49,7 +49,7 @@
 }
 
 impl DomainObject {
-    /// The object's kind.
+    /// Returns the kind of the object.
     pub fn kind(&self) -> ObjectKind {
         match self {
             Self::Partner(_) => ObjectKind::Partner,
@@ -61,7 +61,7 @@
         }
     }
 
-    /// The object's name.
+    /// Returns the name of the object; [`POOL_SPLIT_NAME`] for the pool split.
     pub fn name(&self) -> &str {
         match self {
             Self::Partner(partner) => partner.name.as_str(),
@@ -73,7 +73,7 @@
         }
     }
 
-    /// The partner that owns the object, if it names one.
+    /// Returns the partner that owns the object; `None` for the pool split and for back ends.
     pub fn partner(&self) -> Option<&PartnerName> {
         match self {
             Self::Partner(partner) => Some(&partner.name),
@@ -84,7 +84,7 @@
         }
     }
 
-    /// The object as `viewer` may see it: a token's hash is shown to its own partner only.
+    /// Converts the object to a message for `viewer`. A token's hash is included only for its own partner.
     pub fn to_message(&self, versions: ObjectVersions, viewer: &PartnerName) -> v1::Object {
         let metadata = v1::Metadata {
             kind: self.kind().into(),
@@ -136,10 +136,10 @@
         }
     }
 
-    /// Reads an object out of an [`v1::ApplyRequest`] or an answer.
+    /// Converts an object from a [`v1::ApplyRequest`] or a response.
     ///
     /// # Errors
-    /// The first field that is missing or holds what is not allowed.
+    /// Returns the first field that is missing or has an invalid value.
     pub fn from_message(object: &v1::Object) -> Result<Self, FieldError> {
         let metadata = object.metadata.as_ref().ok_or(missing("object.metadata"))?;
         let specification = object
--- a/crates/api/src/conversion/reading.rs
+++ b/crates/api/src/conversion/reading.rs
@@ -1,4 +1,4 @@
-//! Reads the domain's configuration objects out of messages and checks every field.
+//! Converts messages to configuration objects of the domain and validates every field.
 
 use std::collections::BTreeSet;
 
@@ -43,7 +43,7 @@
     identifier("object.metadata.partner", &metadata.partner)
 }
 
-fn no_owner(metadata: &v1::Metadata) -> Result<(), FieldError> {
+fn check_no_owner(metadata: &v1::Metadata) -> Result<(), FieldError> {
     if metadata.partner.is_empty() {
         Ok(())
     } else {
@@ -54,7 +54,7 @@
     }
 }
 
-fn above_zero<N: PartialEq + Default>(field: &'static str, number: N) -> Result<N, FieldError> {
+fn non_zero<N: PartialEq + Default>(field: &'static str, number: N) -> Result<N, FieldError> {
     if number == N::default() {
         Err(FieldError::new(field, FieldProblem::OutOfRange))
     } else {
@@ -122,11 +122,11 @@
         partner: owner(metadata)?,
         kind,
         price: Cost(service.price),
-        attempt_timeout_ms: above_zero(
+        attempt_timeout_ms: non_zero(
             "object.service.attempt_timeout_ms",
             service.attempt_timeout_ms,
         )?,
-        max_attempts: above_zero("object.service.max_attempts", service.max_attempts)?,
+        max_attempts: non_zero("object.service.max_attempts", service.max_attempts)?,
     })
 }
 
@@ -145,15 +145,15 @@
         class: identifier("object.program.class", &program.class)?,
         services,
         budget: Cost(program.budget),
-        max_calls: above_zero("object.program.max_calls", program.max_calls)?,
+        max_calls: non_zero("object.program.max_calls", program.max_calls)?,
     })
 }
 
-/// Reads the parts of a split, as [`v1::ProposeSharesRequest`] carries them: each partner once, and
-/// the whole pool in sum.
+/// Converts the shares of a split, as in [`v1::ProposeSharesRequest`]. Each partner must occur once, and
+/// the shares must sum to the whole pool.
 ///
 /// # Errors
-/// `field` with what is wrong in it.
+/// Returns an error for `field` if a share is invalid.
 pub fn read_shares(field: &'static str, shares: &[v1::Share]) -> Result<Vec<Share>, FieldError> {
     let mut partners = BTreeSet::new();
     let mut sum = 0_u32;
@@ -174,7 +174,7 @@
     Ok(read)
 }
 
-fn read_open_shares(
+fn read_optional_shares(
     field: &'static str,
     shares: &[v1::Share],
 ) -> Result<Option<Vec<Share>>, FieldError> {
@@ -194,10 +194,10 @@
             FieldProblem::OutOfRange,
         ));
     }
-    no_owner(metadata)?;
-    // Before the first proposal is in force there are no parts.
-    let shares = read_open_shares("object.pool_split.shares", &split.shares)?;
-    let proposed = read_open_shares("object.pool_split.proposed", &split.proposed)?;
+    check_no_owner(metadata)?;
+    // No shares are in force until the first proposal takes effect.
+    let shares = read_optional_shares("object.pool_split.shares", &split.shares)?;
+    let proposed = read_optional_shares("object.pool_split.proposed", &split.proposed)?;
     let consents = split
         .consents
         .iter()
@@ -214,7 +214,7 @@
     metadata: &v1::Metadata,
     backend: &v1::Backend,
 ) -> Result<Backend, FieldError> {
-    no_owner(metadata)?;
+    check_no_owner(metadata)?;
     let address = backend
         .address
         .parse()
@@ -224,6 +224,6 @@
         service: identifier("object.backend.service", &backend.service)?,
         address,
         zone: identifier("object.backend.zone", &backend.zone)?,
-        slots: above_zero("object.backend.slots", backend.slots)?,
+        slots: non_zero("object.backend.slots", backend.slots)?,
     })
 }
--- a/crates/api/src/error_body.rs
+++ b/crates/api/src/error_body.rs
@@ -1,4 +1,4 @@
-//! Errors of the operators' interface on the wire: a code, a message and typed details.
+//! Wire format of the errors of the operators' interface: a code, a message and typed details.
 
 use base64::Engine;
 use base64::engine::general_purpose::{STANDARD, STANDARD_NO_PAD};
@@ -11,13 +11,13 @@
 /// A typed detail of an error.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ErrorDetail {
-    /// The request expected another version.
+    /// The version of the object differs from the expected one.
     VersionConflict(v1::VersionConflict),
-    /// A field holds what is not allowed.
+    /// A field is missing or has an invalid value.
     FieldViolation(v1::FieldViolation),
-    /// When to come back.
+    /// Delay after which a retry may succeed.
     RetryAfter(v1::RetryAfter),
-    /// Whether the change may have taken effect.
+    /// Whether the outcome of the change is unknown.
     ChangeOutcome(v1::ChangeOutcome),
 }
 
@@ -26,7 +26,7 @@
 const RETRY_AFTER_TYPE: &str = "ridgeworks.v1.RetryAfter";
 const CHANGE_OUTCOME_TYPE: &str = "ridgeworks.v1.ChangeOutcome";
 
-/// A detail on the wire: the name of its message type and the encoded message in base64.
+/// Wire format of a detail.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WireDetail {
     /// Full name of the message type.
@@ -44,9 +44,9 @@
         }
     }
 
-    /// The typed detail, or `None` for a type that this version does not know or a broken value.
+    /// Decodes the detail; returns `None` for an unknown type or a malformed value.
     pub fn decode(&self) -> Option<ErrorDetail> {
-        // Some clients pad and some do not; the protocol asks to accept both.
+        // The protocol requires accepting base64 both with and without padding.
         let bytes = STANDARD_NO_PAD
             .decode(&self.value)
             .or_else(|_| STANDARD.decode(&self.value))
@@ -81,26 +81,26 @@
     }
 }
 
-/// Body of an error: always JSON, whatever the format of the request.
+/// Body of an error, encoded as JSON regardless of the format of the request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ErrorBody {
-    /// The code.
+    /// Connect code of the error.
     pub code: ConnectCode,
-    /// Explanation for a human reader; programs use the code and the details.
+    /// Human-readable message; programs should use the code and the details.
     #[serde(default)]
     pub message: String,
-    /// Typed details.
+    /// Details in their wire format.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub details: Vec<WireDetail>,
 }
 
 impl ErrorBody {
-    /// The details whose types are known.
+    /// Returns the decoded details, without those of unknown types.
     pub fn typed_details(&self) -> impl Iterator<Item = ErrorDetail> {
         self.details.iter().filter_map(WireDetail::decode)
     }
 
-    /// When to come back, in milliseconds.
+    /// Returns the retry delay in milliseconds, if the error has one.
     pub fn retry_after_ms(&self) -> Option<u64> {
         self.typed_details().find_map(|detail| match detail {
             ErrorDetail::RetryAfter(retry) => Some(retry.retry_after_ms),
@@ -108,7 +108,7 @@
         })
     }
 
-    /// Whether a change may have taken effect although it failed.
+    /// Returns whether a change may have taken effect despite the error.
     pub fn is_outcome_unknown(&self) -> bool {
         self.typed_details().any(|detail| match detail {
             ErrorDetail::ChangeOutcome(outcome) => outcome.unknown,
--- a/crates/api/src/field_error.rs
+++ b/crates/api/src/field_error.rs
@@ -1,26 +1,26 @@
-//! Errors of single fields of a request.
+//! Validation errors of single fields of a request.
 
 use std::fmt;
 
 use crate::v1;
 use crate::v1::FieldProblem;
 
-/// A field of a message that holds what is not allowed.
+/// A field of a message that is missing or has an invalid value.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FieldError {
-    /// Path of the field from the request's message.
+    /// Path of the field, starting at the request's message.
     pub field: &'static str,
-    /// What is wrong.
+    /// Kind of the error.
     pub problem: FieldProblem,
 }
 
 impl FieldError {
-    /// An error of one field.
+    /// Creates an error for the field with this path.
     pub fn new(field: &'static str, problem: FieldProblem) -> Self {
         Self { field, problem }
     }
 
-    /// The error as a message of the schema.
+    /// Converts the error to its message on the wire.
     pub fn to_violation(self) -> v1::FieldViolation {
         v1::FieldViolation {
             field: self.field.to_owned(),
--- a/crates/api/src/lib.rs
+++ b/crates/api/src/lib.rs
@@ -1,8 +1,8 @@
-//! Messages generated from the published schema and their Connect unary mapping, and the bodies of
-//! the callers' HTTP interface.
+//! The operators' interface (messages generated from the published schema, and their mapping to Connect
+//! unary calls) and the callers' HTTP interface.
 //!
-//! Nothing in this crate opens a listening socket: the node's HTTP edge calls [`connect`] and
-//! [`caller`] with what it read. [`client`] is the operators' side.
+//! This crate opens no listening socket: the node's HTTP edge reads requests and decodes them with
+//! [`connect`] and [`caller`]. [`client`] is the client of the operators' interface.
 
 pub mod caller;
 pub mod caller_error;
--- a/crates/api/src/operator.rs
+++ b/crates/api/src/operator.rs
@@ -1,4 +1,4 @@
-//! Methods of the service `ridgeworks.v1.Operator`, their requests and their answers.
+//! Methods of the service `ridgeworks.v1.Operator`, with their requests and responses.
 
 use crate::connect::{self, HttpResponse, RequestHead};
 use crate::connect_error::ConnectError;
@@ -16,10 +16,10 @@
         }
 
         impl OperatorMethod {
-            /// Every method.
+            /// All methods.
             pub const ALL: &'static [Self] = &[$(Self::$method),*];
 
-            /// The method's name in the schema.
+            /// Returns the method's name in the schema.
             pub fn name(self) -> &'static str {
                 match self {
                     $(Self::$method => stringify!($method),)*
@@ -34,7 +34,7 @@
         }
 
         impl OperatorRequest {
-            /// Reads the request of a method.
+            /// Decodes the request of a method.
             pub fn decode(
                 method: OperatorMethod,
                 head: &RequestHead<'_>,
@@ -45,7 +45,7 @@
                 }
             }
 
-            /// The method that it belongs to.
+            /// Returns the method of the request.
             pub fn method(&self) -> OperatorMethod {
                 match self {
                     $(Self::$method(_) => OperatorMethod::$method,)*
@@ -53,14 +53,14 @@
             }
         }
 
-        /// An answer of any method.
+        /// A response of any method.
         #[derive(Debug, Clone, PartialEq)]
         pub enum OperatorResponse {
             $($(#[$documentation])* $method(v1::$response),)*
         }
 
         impl OperatorResponse {
-            /// Writes the answer in the format of the request.
+            /// Encodes the response in the format of the request.
             pub fn encode(&self, content_type: &str) -> Result<HttpResponse, ConnectError> {
                 match self {
                     $(Self::$method(message) => connect::encode_response(content_type, message),)*
@@ -79,7 +79,7 @@
     List: ListRequest => ListResponse;
     /// Deletes an object.
     Delete: DeleteRequest => DeleteResponse;
-    /// Proposes a split of the pool.
+    /// Proposes a new pool split.
     ProposeShares: ProposeSharesRequest => ProposeSharesResponse;
     /// Consents to the open proposal.
     ConsentShares: ConsentSharesRequest => ConsentSharesResponse;
@@ -87,9 +87,9 @@
     WatchChanges: WatchChangesRequest => WatchChangesResponse;
     /// Reads the state of the system.
     Status: StatusRequest => StatusResponse;
-    /// Reads the asked node's own state.
+    /// Reads the state of the node that receives the request.
     NodeStatus: NodeStatusRequest => NodeStatusResponse;
-    /// Tells a node to stop as planned.
+    /// Starts the planned stop of a node.
     Drain: DrainRequest => DrainResponse;
     /// Reads a run and its calls.
     GetRun: GetRunRequest => GetRunResponse;
@@ -98,7 +98,7 @@
 }
 
 impl OperatorMethod {
-    /// The method that a request's path names; a query string is no part of the path.
+    /// Returns the method for the path of a request, given without the query.
     pub fn from_path(path: &str) -> Result<Self, ConnectError> {
         let name = path
             .strip_prefix(SERVICE_PATH)
@@ -110,7 +110,7 @@
             .ok_or(ConnectError::UnknownMethod)
     }
 
-    /// The method's path.
+    /// Returns the path of the method.
     pub fn path(self) -> String {
         format!("{SERVICE_PATH}{}", self.name())
     }
--- a/crates/api/src/refusal_message.rs
+++ b/crates/api/src/refusal_message.rs
@@ -1,8 +1,8 @@
-//! The explanations in the bodies of refusals.
+//! Human-readable messages of refusals.
 
 use ridgeworks_domain::{InvalidRequest, RefusalReason};
 
-/// What a refusal says to a human reader.
+/// Returns the message for the body of a refusal.
 pub fn refusal_message(reason: &RefusalReason) -> String {
     match reason {
         RefusalReason::InvalidRequest(invalid) => invalid_message(invalid),
--- a/crates/api/tests/caller_interface.rs
+++ b/crates/api/tests/caller_interface.rs
@@ -13,7 +13,7 @@
     Cost, InvalidRequest, Refusal, RefusalReason, RunId, Sequence, ServiceName,
 };
 
-/// Every reason with its status, type and code.
+/// All refusal reasons with their status, error type and error code.
 fn expected_mapping() -> Vec<(RefusalReason, u16, &'static str, &'static str)> {
     use RefusalReason::{
         BackendRefused, BudgetExceeded, CallKeyConflict, ConfigurationStale, DeadlineCannotBeMet,
@@ -21,41 +21,41 @@
         QueueFull, RunClosed, SequenceGap, SequencePassed, TooManyRequests, Unauthenticated,
         Unknown, UnknownProgram, UnknownRun, UnknownService,
     };
-    use ridgeworks_domain::InvalidRequest as Wrong;
+    use ridgeworks_domain::InvalidRequest as Cause;
     let field = || "f".to_owned();
     let expected = Sequence(4);
-    let wrong = "invalid_request_error";
-    let busy = "service_unavailable_error";
+    let invalid = "invalid_request_error";
+    let unavailable = "service_unavailable_error";
     let limit_bytes = 9;
     let remaining = Cost(7);
     vec![
         (
-            Invalid(Wrong::BodyTooLarge { limit_bytes }),
+            Invalid(Cause::BodyTooLarge { limit_bytes }),
             413,
-            wrong,
+            invalid,
             "body_too_large",
         ),
         (
-            Invalid(Wrong::BodyIncomplete),
+            Invalid(Cause::BodyIncomplete),
             400,
-            wrong,
+            invalid,
             "body_incomplete",
         ),
-        (Invalid(Wrong::Malformed), 400, wrong, "malformed_body"),
+        (Invalid(Cause::Malformed), 400, invalid, "malformed_body"),
         (
-            Invalid(Wrong::MissingField { field: field() }),
+            Invalid(Cause::MissingField { field: field() }),
             400,
-            wrong,
+            invalid,
             "missing_field",
         ),
         (
-            Invalid(Wrong::InvalidField { field: field() }),
+            Invalid(Cause::InvalidField { field: field() }),
             400,
-            wrong,
+            invalid,
             "invalid_field",
         ),
         (
-            Invalid(Wrong::UnknownRoute),
+            Invalid(Cause::UnknownRoute),
             404,
             "not_found_error",
             "unknown_route",
@@ -90,14 +90,19 @@
             "insufficient_quota",
             "budget_exceeded",
         ),
-        (DeadlineCannotBeMet, 503, busy, "deadline_cannot_be_met"),
+        (
+            DeadlineCannotBeMet,
+            503,
+            unavailable,
+            "deadline_cannot_be_met",
+        ),
         (QueueFull, 429, "rate_limit_error", "queue_full"),
-        (NoBackend, 503, busy, "no_backend"),
-        (BackendRefused, 502, busy, "backend_refused"),
-        (NodeStopping, 503, busy, "node_stopping"),
-        (ConfigurationStale, 503, busy, "configuration_stale"),
-        (NoQuorum, 503, busy, "no_quorum"),
-        (NotOwner, 503, busy, "not_owner"),
+        (NoBackend, 503, unavailable, "no_backend"),
+        (BackendRefused, 502, unavailable, "backend_refused"),
+        (NodeStopping, 503, unavailable, "node_stopping"),
+        (ConfigurationStale, 503, unavailable, "configuration_stale"),
+        (NoQuorum, 503, unavailable, "no_quorum"),
+        (NotOwner, 503, unavailable, "not_owner"),
         (
             TooManyRequests,
             429,
@@ -109,7 +114,7 @@
 }
 
 #[test]
-fn every_reason_has_its_own_code() {
+fn each_refusal_reason_has_its_own_status_type_code_and_outcome() {
     let mut codes = BTreeSet::new();
     for (reason, status, error_type, code) in expected_mapping() {
         let answer = CallerRefusal::from(&Refusal::permanent(reason.clone()));
@@ -125,12 +130,12 @@
         assert_eq!(answer.body.error.outcome, outcome, "{reason:?}");
         assert!(!answer.should_retry);
         assert!(refusal_code(&reason).http_status() >= 400);
-        assert!(codes.insert(code), "{code} stands twice");
+        assert!(codes.insert(code), "{code} is used twice");
     }
 }
 
 #[test]
-fn a_refusal_says_when_to_come_back_and_what_is_wrong() {
+fn a_refusal_contains_the_retry_delay_the_parameter_and_the_expected_sequence() {
     let delay = Duration::from_millis(2001);
     let busy = Refusal::retry_after(RefusalReason::QueueFull, delay);
     let answer = CallerRefusal::from(&busy);
@@ -152,7 +157,7 @@
 }
 
 #[test]
-fn routes_are_read_as_they_are_written() {
+fn routes_round_trip_through_method_and_path() {
     let routes = [
         CallerRoute::OpenRun,
         CallerRoute::CloseRun(RunId(7)),
@@ -177,7 +182,7 @@
 }
 
 #[test]
-fn headers_are_read_or_named() {
+fn missing_and_invalid_headers_are_reported_by_name() {
     let run = RunId(5).to_string();
     let read = |headers: &[(&str, &str)]| {
         CallHeaders::read(|name| {
@@ -192,7 +197,7 @@
     ];
     let headers = read(&least).unwrap();
     assert_eq!((headers.run, headers.sequence), (RunId(5), Sequence(1)));
-    assert!(!headers.repeatable, "unsaid means at most once");
+    assert!(!headers.repeatable, "at most one execution by default");
     assert_eq!(headers.deadline_ms, None);
     for missing in 0..least.len() {
         let mut fewer = least.to_vec();
@@ -211,7 +216,7 @@
 }
 
 #[test]
-fn only_bearer_tokens_are_tokens() {
+fn only_the_bearer_scheme_yields_a_token() {
     assert_eq!(bearer_token("Bearer abc"), Some("abc"));
     assert_eq!(bearer_token("bearer  abc "), Some("abc"));
     for wrong in ["", "abc", "Basic abc", "Bearer", "Bearer "] {
@@ -220,7 +225,7 @@
 }
 
 #[test]
-fn bodies_keep_what_passes_through() {
+fn bodies_preserve_pass_through_fields_and_reject_misspelt_ones() {
     let run = RunId(1).to_string();
     let text =
         format!(r#"{{"run":"{run}","call":"k","sequence":2,"arguments":{{"b": 1,  "a":1.50}}}}"#);
--- a/crates/api/tests/client.rs
+++ b/crates/api/tests/client.rs
@@ -1,4 +1,4 @@
-//! The operators' client against stub servers: failover, lost answers and errors.
+//! The operators' client against stub servers: failover, lost responses and errors.
 
 use std::io::Write;
 use std::net::{TcpListener, TcpStream};
@@ -12,14 +12,14 @@
 
 const PROTOBUF: &str = "application/proto";
 
-/// What a stub does with one request.
+/// How a stub handles one request.
 enum Reaction {
-    Answer(HttpResponse),
-    /// Takes the request and sends what is no HTTP answer.
-    LoseAnswer,
+    Respond(HttpResponse),
+    /// Reads the request and sends an invalid HTTP response.
+    LoseResponse,
 }
 
-/// A server that reacts to one request after the other and reports what it read.
+/// Starts a server that handles one request per reaction and reports the decoded requests.
 fn stub(reactions: Vec<Reaction>) -> (String, mpsc::Receiver<OperatorRequest>) {
     let server = tiny_http::Server::http("127.0.0.1:0").expect("binds");
     let address = format!("http://{}", server.server_addr());
@@ -37,12 +37,12 @@
             let read = OperatorRequest::decode(method, &head, &body).expect("decodes");
             report.send(read).expect("is awaited");
             match reaction {
-                Reaction::Answer(answer) => {
+                Reaction::Respond(answer) => {
                     let response =
                         tiny_http::Response::from_data(answer.body).with_status_code(answer.status);
                     request.respond(response).expect("responds");
                 }
-                Reaction::LoseAnswer => {
+                Reaction::LoseResponse => {
                     let mut writer = request.into_writer();
                     writer.write_all(b"broken\r\n\r\n").unwrap();
                     writer.flush().unwrap();
@@ -53,7 +53,7 @@
     (address, reported)
 }
 
-/// An address that refuses connections.
+/// Returns an address that refuses connections.
 fn closed_address() -> String {
     let listener = TcpListener::bind("127.0.0.1:0").expect("binds");
     let address = listener.local_addr().expect("is bound");
@@ -74,7 +74,7 @@
         version: 2,
         revision: 3,
     };
-    Reaction::Answer(encode_response(PROTOBUF, &response).expect("encodes"))
+    Reaction::Respond(encode_response(PROTOBUF, &response).expect("encodes"))
 }
 
 fn change() -> v1::ApplyRequest {
@@ -85,24 +85,24 @@
 }
 
 #[test]
-fn the_next_server_is_asked_when_one_is_down() {
+fn the_next_server_is_tried_when_one_is_down() {
     let (address, _reported) = stub(vec![applied()]);
     let answer = client(vec![closed_address(), address]).apply(&change());
     assert_eq!(answer.map(|answer| answer.version), Ok(2));
 }
 
 #[test]
-fn the_next_server_is_asked_when_one_cannot_serve() {
+fn the_next_server_is_tried_when_one_is_unavailable() {
     let not_ready = ConnectError::NotReady { retry_after_ms: 1 };
-    let (first, _reported_first) = stub(vec![Reaction::Answer(encode_error(&not_ready))]);
+    let (first, _reported_first) = stub(vec![Reaction::Respond(encode_error(&not_ready))]);
     let (second, _reported) = stub(vec![applied()]);
     let answer = client(vec![first, second]).apply(&change());
     assert_eq!(answer.map(|answer| answer.revision), Ok(3));
 }
 
 #[test]
-fn a_lost_answer_is_resolved_under_the_same_operation() {
-    let (address, reported) = stub(vec![Reaction::LoseAnswer, applied()]);
+fn a_request_whose_response_is_lost_is_retried_with_the_same_operation_identifier() {
+    let (address, reported) = stub(vec![Reaction::LoseResponse, applied()]);
     let answer = client(vec![address]).apply(&change());
     assert_eq!(answer.map(|answer| answer.version), Ok(2));
     let requests: Vec<OperatorRequest> = reported.iter().collect();
@@ -111,10 +111,10 @@
 }
 
 #[test]
-fn a_change_that_may_have_arrived_is_never_called_unsent() {
-    let (lost, _reported) = stub(vec![Reaction::LoseAnswer]);
+fn the_outcome_is_unknown_when_any_server_may_have_received_the_change() {
+    let (lost, _reported) = stub(vec![Reaction::LoseResponse]);
     let down = ConnectError::StoreUnavailable { retry_after_ms: 1 };
-    let (refusing, _reported_too) = stub(vec![Reaction::Answer(encode_error(&down))]);
+    let (refusing, _reported_too) = stub(vec![Reaction::Respond(encode_error(&down))]);
     let mut settings = ClientSettings::new(vec![lost, refusing], "secret".to_owned());
     settings.rounds = 1;
     let error = OperatorClient::new(settings).apply(&change()).unwrap_err();
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn a_change_that_no_server_took_is_known_to_be_without_effect() {
+fn the_outcome_is_known_when_no_server_received_the_change() {
     let error = client(vec![closed_address()]).apply(&change()).unwrap_err();
     assert!(
         matches!(error, ClientError::Unreachable { .. }),
@@ -137,8 +137,8 @@
 }
 
 #[test]
-fn errors_of_the_service_end_the_search() {
-    let (address, _reported) = stub(vec![Reaction::Answer(encode_error(
+fn an_error_other_than_unavailable_is_returned_without_trying_the_next_server() {
+    let (address, _reported) = stub(vec![Reaction::Respond(encode_error(
         &ConnectError::Forbidden,
     ))]);
     let error = client(vec![address, closed_address()])
@@ -151,14 +151,14 @@
 }
 
 #[test]
-fn an_answer_that_is_no_connect_error_gets_the_code_of_its_status() {
+fn a_response_without_a_connect_error_gets_the_code_of_its_status() {
     let page = HttpResponse {
         status: 404,
         content_type: "text/html",
         retry_after_seconds: None,
         body: b"<html>".to_vec(),
     };
-    let (address, _reported) = stub(vec![Reaction::Answer(page)]);
+    let (address, _reported) = stub(vec![Reaction::Respond(page)]);
     match client(vec![address]).status(&v1::StatusRequest {}) {
         Err(ClientError::Refused(body)) => assert_eq!(body.code, ConnectCode::Unimplemented),
         other => panic!("{other:?}"),
--- a/crates/api/tests/connect_messages.rs
+++ b/crates/api/tests/connect_messages.rs
@@ -1,4 +1,4 @@
-//! The unary form of Connect: both formats for every method, headers, and errors on the wire.
+//! Connect unary calls: both formats for every method, headers, and the wire format of errors.
 
 use std::io::Write;
 
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn every_request_survives_both_formats() {
+fn every_request_round_trips_through_both_formats() {
     let requests = requests();
     let methods: Vec<OperatorMethod> = requests.iter().map(OperatorRequest::method).collect();
     assert_eq!(methods, OperatorMethod::ALL);
@@ -139,7 +139,7 @@
     }
 }
 
-fn decode_answer(method: OperatorMethod, content_type: &str, body: &[u8]) -> OperatorResponse {
+fn decode_response(method: OperatorMethod, content_type: &str, body: &[u8]) -> OperatorResponse {
     macro_rules! decode {
         ($($method:ident),*) => {
             match method {
@@ -247,12 +247,12 @@
 }
 
 #[test]
-fn every_answer_survives_both_formats() {
+fn every_response_round_trips_through_both_formats() {
     for (method, answer) in OperatorMethod::ALL.iter().zip(responses()) {
         for content_type in [JSON, PROTOBUF] {
             let encoded = answer.encode(content_type).expect("encodes");
             assert_eq!((encoded.status, encoded.content_type), (200, content_type));
-            let decoded = decode_answer(*method, content_type, &encoded.body);
+            let decoded = decode_response(*method, content_type, &encoded.body);
             assert_eq!(decoded, answer, "{content_type}");
         }
     }
@@ -283,7 +283,7 @@
 }
 
 #[test]
-fn paths_name_methods_exactly() {
+fn a_path_must_match_a_method_exactly() {
     for method in OperatorMethod::ALL {
         assert_eq!(OperatorMethod::from_path(&method.path()), Ok(*method));
     }
@@ -303,7 +303,7 @@
 }
 
 #[test]
-fn bad_bodies_are_typed_errors() {
+fn invalid_bodies_are_refused_with_typed_errors() {
     let get = |content_type: &str, body: &[u8]| {
         OperatorRequest::decode(OperatorMethod::Get, &head_of(content_type), body)
     };
@@ -338,8 +338,8 @@
     );
 }
 
-/// Reads `Get` of the object "p" with this body.
-fn read_packed(encoding: &str, body: &[u8]) -> Result<OperatorRequest, ConnectError> {
+/// Decodes a `Get` request whose body has this content encoding.
+fn decode_encoded(encoding: &str, body: &[u8]) -> Result<OperatorRequest, ConnectError> {
     let head = RequestHead {
         content_encoding: Some(encoding),
         ..head_of(JSON)
@@ -349,37 +349,40 @@
 
 fn gzip(body: &[u8]) -> Vec<u8> {
     let mut encoder = GzEncoder::new(Vec::new(), Compression::best());
-    encoder.write_all(body).expect("packs");
-    encoder.finish().expect("packs")
+    encoder.write_all(body).expect("compresses");
+    encoder.finish().expect("compresses")
 }
 
 #[test]
-fn packed_bodies_are_read_within_the_limit() {
+fn compressed_bodies_are_decoded_within_the_size_limit() {
     let body = br#"{"name":"p"}"#;
-    let plain = read_packed("identity", body);
+    let plain = decode_encoded("identity", body);
     assert!(plain.is_ok());
-    let packed = gzip(body);
-    assert_eq!(read_packed("gzip", &packed), plain);
-    assert_eq!(read_packed("GZIP", &packed), plain);
+    let compressed = gzip(body);
+    assert_eq!(decode_encoded("gzip", &compressed), plain);
+    assert_eq!(decode_encoded("GZIP", &compressed), plain);
     let malformed = Err(ConnectError::MalformedBody(BodyFormat::Json));
-    assert_eq!(read_packed("gzip", body), malformed);
-    assert_eq!(read_packed("gzip", &packed[..packed.len() - 9]), malformed);
+    assert_eq!(decode_encoded("gzip", body), malformed);
     assert_eq!(
-        read_packed("br", &packed),
+        decode_encoded("gzip", &compressed[..compressed.len() - 9]),
+        malformed
+    );
+    assert_eq!(
+        decode_encoded("br", &compressed),
         Err(ConnectError::UnsupportedEncoding)
     );
     let limit_bytes = MAX_REQUEST_BYTES;
-    // Its end is cut off, which shows that reading stops at the limit.
+    // The truncated end would be malformed, so this error shows that decompression stops at the limit.
     let bomb = gzip(&vec![b' '; 8 << 20]);
     assert!(bomb.len() < MAX_REQUEST_BYTES as usize);
     assert_eq!(
-        read_packed("gzip", &bomb[..bomb.len() - 9]),
+        decode_encoded("gzip", &bomb[..bomb.len() - 9]),
         Err(ConnectError::BodyTooLarge { limit_bytes })
     );
 }
 
 #[test]
-fn another_version_of_the_protocol_is_refused() {
+fn an_unsupported_protocol_version_is_refused() {
     let read = |protocol_version| {
         let head = RequestHead {
             protocol_version,
@@ -396,7 +399,7 @@
 }
 
 #[test]
-fn codes_have_the_statuses_and_names_of_the_protocol() {
+fn codes_have_the_names_and_http_statuses_of_the_protocol() {
     let expected = [
         ("canceled", 499),
         ("unknown", 500),
@@ -422,7 +425,7 @@
 }
 
 #[test]
-fn a_conflict_carries_both_versions() {
+fn a_version_conflict_contains_both_versions() {
     let conflict = v1::VersionConflict {
         kind: ObjectKind::Program.into(),
         name: "planner".to_owned(),
@@ -439,7 +442,7 @@
 }
 
 #[test]
-fn a_field_error_names_its_field() {
+fn a_field_error_is_sent_as_a_field_violation() {
     let error = FieldError::new("object.program.budget", FieldProblem::OutOfRange);
     let body = ConnectError::from(error).to_body();
     assert_eq!(body.code, ConnectCode::InvalidArgument);
@@ -448,7 +451,7 @@
 }
 
 #[test]
-fn only_an_unknown_outcome_says_so() {
+fn only_errors_with_unknown_outcome_are_marked_as_such() {
     let unknown = ConnectError::ChangeOutcomeUnknown {
         retry_after_ms: 1500,
     };
@@ -464,7 +467,7 @@
 }
 
 #[test]
-fn details_with_padding_and_of_unknown_types_are_read() {
+fn padded_details_are_decoded_and_unknown_types_are_skipped() {
     let json = br#"{"code":"unavailable","details":[
         {"type":"some.Other","value":"AA"},
         {"type":"ridgeworks.v1.RetryAfter","value":"CAE="}]}"#;
--- a/crates/api/tests/conversion.rs
+++ b/crates/api/tests/conversion.rs
@@ -1,4 +1,4 @@
-//! Domain objects survive the way over the wire, and broken messages are refused by field.
+//! Round trips of configuration objects through messages, and field errors of invalid messages.
 
 use quickcheck::{Arbitrary, Gen, quickcheck};
 use ridgeworks_api::FieldError;
@@ -93,7 +93,7 @@
     object.partner().cloned().unwrap_or_else(nobody)
 }
 
-/// An address without what its text form cannot carry, the flow label of IPv6.
+/// Clears the IPv6 flow label of an address, which its text form does not contain.
 fn without_flow_label(object: DomainObject) -> DomainObject {
     match object {
         DomainObject::Backend(mut backend) => {
@@ -107,7 +107,7 @@
 }
 
 quickcheck! {
-    fn objects_survive_json(object: AnyObject, version: u64, revision: u64) -> bool {
+    fn objects_round_trip_through_json(object: AnyObject, version: u64, revision: u64) -> bool {
         let object = without_flow_label(object.0);
         let versions = ObjectVersions { version, revision };
         let message = object.to_message(versions, &owner_of(&object));
@@ -116,7 +116,7 @@
         read == message && DomainObject::from_message(&read) == Ok(object)
     }
 
-    fn reading_any_message_gives_no_panic(name: String, partner: String, permille: u32) -> bool {
+    fn converting_an_invalid_split_returns_an_error(name: String, partner: String, permille: u32) -> bool {
         let metadata = v1::Metadata { name, partner: partner.clone(), ..v1::Metadata::default() };
         let shares = vec![v1::Share { partner, permille }];
         let split = v1::PoolSplit { shares, ..v1::PoolSplit::default() };
@@ -137,7 +137,7 @@
 }
 
 #[test]
-fn a_token_hash_is_shown_to_its_own_partner_only() {
+fn a_token_hash_is_included_only_for_its_own_partner() {
     let object = partner_object();
     let own = object.to_message(ObjectVersions::default(), &owner_of(&object));
     let other = object.to_message(
@@ -152,7 +152,7 @@
     assert_eq!(hash(other), None);
 }
 
-/// A partner's message after one change, and what reading it says.
+/// Applies a change to the message of a partner and converts the message back.
 fn read_changed(
     change: impl FnOnce(&mut v1::Metadata, &mut v1::Partner),
 ) -> Result<DomainObject, FieldError> {
@@ -167,7 +167,7 @@
 }
 
 #[test]
-fn broken_fields_are_named() {
+fn an_invalid_field_is_reported_with_its_path_and_problem() {
     let error = |field, problem| Err(FieldError::new(field, problem));
     assert_eq!(read_changed(|_, _| ()), Ok(partner_object()));
     assert_eq!(
@@ -207,7 +207,7 @@
 }
 
 #[test]
-fn shares_are_the_whole_pool_with_each_partner_once() {
+fn shares_must_sum_to_the_whole_pool_with_each_partner_once() {
     let read = |parts: &[(&str, u32)]| {
         let shares: Vec<v1::Share> = parts
             .iter()
--- a/crates/domain/src/ballot.rs
+++ b/crates/domain/src/ballot.rs
@@ -1,4 +1,4 @@
-//! Ballots: the ordered claims by which nodes compete for a run or for the configuration.
+//! Ballot numbers, which order the attempts of nodes to own a run or lead the configuration.
 
 use std::fmt;
 
@@ -6,27 +6,27 @@
 
 use crate::identifiers::NodeId;
 
-/// A claim of one node; a higher ballot supersedes a lower one. Ties of `round` are broken by node,
-/// so two nodes never hold the same ballot.
+/// Ballot number of one node; a higher ballot supersedes a lower one. Equal rounds are ordered by node,
+/// so two nodes never use the same ballot.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Archive, Serialize, Deserialize,
 )]
 #[rkyv(derive(Debug, PartialEq, Eq, PartialOrd, Ord, Hash))]
 pub struct Ballot {
-    /// Counter raised above every round the claimant has seen.
+    /// Counter, chosen above every round that the node has seen.
     pub round: u64,
-    /// The claimant.
+    /// Node that uses the ballot.
     pub node: NodeId,
 }
 
 impl Ballot {
-    /// The ballot below every claim.
+    /// The ballot below that of any node.
     pub const ZERO: Self = Self {
         round: 0,
         node: NodeId(0),
     };
 
-    /// The lowest ballot of `node` above this one.
+    /// Returns a ballot of `node` that is higher than this one.
     pub fn next_for(self, node: NodeId) -> Self {
         Self {
             round: self.round + 1,
--- a/crates/domain/src/call.rs
+++ b/crates/domain/src/call.rs
@@ -1,4 +1,4 @@
-//! A call of a run as it travels between the gateway, the run owner and the dispatcher.
+//! A call of a run, as exchanged between the gateway, the run owner and the dispatcher.
 #![allow(
     missing_docs,
     reason = "the resolvers that rkyv derives carry undocumented fields"
@@ -11,7 +11,7 @@
 use crate::identifiers::{CallKey, Sequence, ServiceName};
 use crate::units::Cost;
 
-/// What kind of back end serves a service.
+/// Kind of back end that serves a service.
 #[derive(
     Debug,
     Clone,
@@ -32,26 +32,27 @@
     Model,
     /// Tool services that speak plain HTTP with JSON bodies.
     Tool,
-    /// Notice services: as tools, with an effect outside (an offer, an alert).
+    /// Notice services: like tools, with an external effect such as an offer or an alert.
     Notice,
 }
 
-/// One call as its caller sent it.
+/// A call as received from the caller.
 #[derive(Debug, Clone, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct CallRequest {
-    /// The caller's key; a repeated request carries the same one.
+    /// Idempotency key chosen by the caller; a retry carries the same key.
     pub key: CallKey,
     /// Position in the run.
     pub sequence: Sequence,
-    /// Where the call goes.
+    /// Service that the call is sent to.
     pub service: ServiceName,
-    /// Whether a second execution does no harm.
+    /// Whether the call may be executed more than once.
     pub repeatable: bool,
-    /// Upper bound of what the call may cost.
+    /// Upper bound of the cost of the call.
     pub reserve: Cost,
-    /// Time left until the caller stops waiting, in milliseconds from when the message was sent.
+    /// Time until the caller stops waiting, in milliseconds from the sending of the message; `None`
+    /// without a deadline.
     pub deadline_ms: Option<u64>,
-    /// Whether the caller wants the answer as a stream.
+    /// Whether the caller requested a streamed answer.
     pub stream: bool,
     /// Request body: for a model service the JSON array of the new chat messages and the sampling
     /// parameters; for a tool the JSON arguments.
@@ -61,28 +62,28 @@
 /// How a call ended.
 #[derive(Debug, Clone, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub enum CallEnd {
-    /// The back end answered; `answer` is its whole body and `spent` what it counted.
+    /// The back end answered.
     Finished {
-        /// The back end's whole answer.
+        /// Complete response body of the back end.
         answer: Vec<u8>,
-        /// What the back end counted, never above the reserve.
+        /// Cost reported by the back end, at most the reserve.
         spent: Cost,
     },
-    /// The call did not run and can no longer run.
+    /// The call did not run and cannot run later.
     NotRun,
-    /// The call may have run; its answer is not to be had.
+    /// The call may have run; its answer cannot be obtained.
     Unknown,
 }
 
-/// Where an attempt was dispatched to: an address, and which start of the back end answered there.
+/// Destination of an attempt: the address of a back end and the instance that ran there.
 ///
-/// A back end that was started anew has forgotten what its predecessor ran: its word that an attempt
-/// never started holds only for an attempt that was dispatched to this same start.
+/// A restarted back end does not know the attempts of earlier instances. Its statement that an attempt
+/// never started is valid only for an attempt that was dispatched to the same instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Archive, Serialize, Deserialize)]
 pub struct BackendAddress {
-    /// Socket address.
+    /// IP address and port of the back end.
     pub socket: SocketAddr,
-    /// Number of the start, as the back end publishes it; `None` while it is not known.
+    /// Instance number that the back end publishes, new at each start; `None` while unknown.
     pub instance: Option<u64>,
 }
 
--- a/crates/domain/src/identifiers.rs
+++ b/crates/domain/src/identifiers.rs
@@ -5,19 +5,19 @@
 
 use rkyv::{Archive, Deserialize, Serialize};
 
-/// Longest accepted text identifier, in bytes.
+/// Maximum length of a text identifier, in bytes.
 pub const MAX_IDENTIFIER_BYTES: usize = 128;
 
-/// Why a text was refused as an identifier.
+/// Why a text is not a valid identifier.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum IdentifierError {
     /// The text is empty.
     Empty,
-    /// The text is longer than [`MAX_IDENTIFIER_BYTES`]; holds its length in bytes.
+    /// The text is longer than [`MAX_IDENTIFIER_BYTES`]; contains its length in bytes.
     TooLong(usize),
-    /// The text holds a character outside `[A-Za-z0-9._:-]`; holds that character.
+    /// The text contains this character, which is not in `[A-Za-z0-9._:-]`.
     InvalidCharacter(char),
-    /// The text is not the hexadecimal form of a number.
+    /// The text is not a hexadecimal number.
     NotHexadecimal,
 }
 
@@ -68,14 +68,14 @@
         pub struct $name(String);
 
         impl $name {
-            /// Checks the text and wraps it.
+            /// Validates the length and the characters of `text`.
             pub fn new(text: impl Into<String>) -> Result<Self, IdentifierError> {
                 let text = text.into();
                 check_text(&text)?;
                 Ok(Self(text))
             }
 
-            /// The identifier as text.
+            /// Returns the identifier as text.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -110,39 +110,40 @@
 }
 
 text_identifier!(
-    /// A partner that owns programs and draws from the shared pool.
+    /// Name of a partner, which owns programs and has a share of the pool.
     PartnerName
 );
 text_identifier!(
-    /// A program as an operator defined it.
+    /// Name of a program.
     ProgramName
 );
 text_identifier!(
-    /// A service that calls go to: a model, a tool or a notice service.
+    /// Name of a model, tool or notice service.
     ServiceName
 );
 text_identifier!(
-    /// A priority class.
+    /// Name of a priority class.
     ClassName
 );
 text_identifier!(
-    /// One back end: an engine or one instance of a tool or notice service.
+    /// Name of a back end: an engine or an instance of a tool or notice service.
     BackendName
 );
 text_identifier!(
-    /// A zone of the deployment.
+    /// Name of a zone of the deployment.
     ZoneName
 );
 text_identifier!(
-    /// A region of the deployment, which holds one or more zones.
+    /// Name of a region of the deployment, which contains one or more zones.
     RegionName
 );
 text_identifier!(
-    /// The caller's key of one call, unique within its run; repeats of a request carry the same key.
+    /// Idempotency key of a call, chosen by the caller and unique within its run; retries carry the
+    /// same key.
     CallKey
 );
 
-/// A node of the system, derived from its configured name, so that it survives a restart.
+/// Identifies a node. It is derived from the configured name, so that a restart keeps it.
 #[derive(
     Debug,
     Clone,
@@ -162,7 +163,7 @@
 pub struct NodeId(pub u64);
 
 impl NodeId {
-    /// The identifier of the node with this configured name.
+    /// Returns the identifier of the node with this configured name.
     pub fn from_name(name: &str) -> Self {
         Self(xxhash_rust::xxh3::xxh3_64(name.as_bytes()))
     }
@@ -174,7 +175,7 @@
     }
 }
 
-/// Position of a call in its run; the first call has number 1 and there are no gaps.
+/// Sequence number of a call in its run, counted from 1 without gaps.
 #[derive(
     Debug,
     Clone,
@@ -195,10 +196,10 @@
 pub struct Sequence(pub u64);
 
 impl Sequence {
-    /// Number of a run's first call.
+    /// Sequence number of a run's first call.
     pub const FIRST: Self = Self(1);
 
-    /// The number after this one.
+    /// Returns the following sequence number.
     pub fn next(self) -> Self {
         Self(self.0 + 1)
     }
--- a/crates/domain/src/lib.rs
+++ b/crates/domain/src/lib.rs
@@ -1,4 +1,4 @@
-//! Identifiers, units, errors and configuration objects that every role shares.
+//! Identifiers, units, errors and configuration objects shared by all roles of a node.
 //!
 //! Nothing in this crate performs I/O or reads a clock. Types that travel between nodes derive
 //! `rkyv`; types that appear in settings, HTTP bodies or the platform's store derive `serde`.
--- a/crates/domain/src/objects.rs
+++ b/crates/domain/src/objects.rs
@@ -1,6 +1,6 @@
-//! Configuration objects as operators define them.
+//! Configuration objects, which operators define.
 //!
-//! The platform's store keeps them as JSON; nodes hold the newest accepted revision of all of them.
+//! The platform's store keeps them as JSON; each node holds all objects at its newest accepted revision.
 
 use rkyv::{Archive, Deserialize, Serialize};
 
@@ -21,7 +21,7 @@
     serde::Deserialize,
 )]
 pub struct Partner {
-    /// Its name.
+    /// Name, which identifies the object among those of its kind.
     pub name: PartnerName,
     /// SHA-256 of the token, in lower-case hexadecimal.
     pub token_sha256: String,
@@ -42,13 +42,13 @@
     serde::Deserialize,
 )]
 pub struct PriorityClass {
-    /// Its name.
+    /// Name, which identifies the object among those of its kind.
     pub name: ClassName,
-    /// The partner that owns it.
+    /// Partner that owns the object.
     pub partner: PartnerName,
-    /// Urgent classes go strictly before all others.
+    /// Whether calls of the class are scheduled strictly before those of all non-urgent classes.
     pub urgent: bool,
-    /// Order among the partner's non-urgent classes; higher first.
+    /// Priority among the partner's non-urgent classes; higher ranks go first.
     pub rank: u8,
 }
 
@@ -65,21 +65,21 @@
     serde::Deserialize,
 )]
 pub struct Service {
-    /// Its name.
+    /// Name, which identifies the object among those of its kind.
     pub name: ServiceName,
-    /// The partner that owns it.
+    /// Partner that owns the object.
     pub partner: PartnerName,
-    /// What serves it.
+    /// Kind of back end that serves the calls.
     pub kind: ServiceKind,
-    /// Price of one call of a tool or notice service; for a model, each token costs one.
+    /// Price of one call to a tool or notice service; a model charges one unit per token.
     pub price: Cost,
-    /// Longest time one attempt may take, in milliseconds.
+    /// Timeout of one attempt, in milliseconds.
     pub attempt_timeout_ms: u64,
-    /// Most attempts of one repeatable call.
+    /// Maximum number of attempts of one repeatable call.
     pub max_attempts: u32,
 }
 
-/// A program: what runs are opened from.
+/// A program, from which runs are opened.
 #[derive(
     Debug,
     Clone,
@@ -92,9 +92,9 @@
     serde::Deserialize,
 )]
 pub struct Program {
-    /// Its name.
+    /// Name, which identifies the object among those of its kind.
     pub name: ProgramName,
-    /// The partner that owns it.
+    /// Partner that owns the object.
     pub partner: PartnerName,
     /// Priority class of its calls.
     pub class: ClassName,
@@ -102,7 +102,7 @@
     pub services: Vec<ServiceName>,
     /// Budget of one run.
     pub budget: Cost,
-    /// Most calls of one run; a run that loops without end stops here.
+    /// Maximum number of calls of one run, which ends a run stuck in an endless loop.
     pub max_calls: u64,
 }
 
@@ -119,13 +119,13 @@
     serde::Deserialize,
 )]
 pub struct Share {
-    /// The partner.
+    /// Partner that receives the share.
     pub partner: PartnerName,
-    /// Its part of the pool, in thousandths; all parts sum to 1000.
+    /// Share of the pool, in thousandths; all shares sum to 1000.
     pub permille: u16,
 }
 
-/// The split of the shared pool. A change takes the consent of every partner in it.
+/// The split of the shared pool. A change requires the consent of every partner in it.
 #[derive(
     Debug,
     Clone,
@@ -138,15 +138,15 @@
     serde::Deserialize,
 )]
 pub struct PoolSplit {
-    /// Parts in force.
+    /// Shares in force.
     pub shares: Vec<Share>,
-    /// A proposed split, if one is open.
+    /// The open proposal; `None` if there is none.
     pub proposed: Option<Vec<Share>>,
-    /// Partners that consented to the proposal.
+    /// Partners that consented to the open proposal.
     pub consents: Vec<PartnerName>,
 }
 
-/// A back end as the configuration or the platform's machine list names it.
+/// A back end from the configuration or from the platform's machine list.
 #[derive(
     Debug,
     Clone,
@@ -159,14 +159,14 @@
     serde::Deserialize,
 )]
 pub struct Backend {
-    /// Its name, unique for one start of the machine.
+    /// Name, which differs for each start of the machine.
     pub name: BackendName,
-    /// The service that it serves.
+    /// Service whose calls it handles.
     pub service: ServiceName,
-    /// Socket address, an IP number and a port.
+    /// IP address and port.
     pub address: std::net::SocketAddr,
-    /// Its zone.
+    /// Zone that the machine runs in.
     pub zone: ZoneName,
-    /// Most calls it takes at a time.
+    /// Maximum number of concurrent calls.
     pub slots: u32,
 }
--- a/crates/domain/src/refusal.rs
+++ b/crates/domain/src/refusal.rs
@@ -1,4 +1,4 @@
-//! Refusals: requests that were given up on, with the reason and when to come back.
+//! Refusals: why a request was rejected, and when to retry it.
 #![allow(
     missing_docs,
     reason = "the resolvers that rkyv derives carry undocumented fields"
@@ -15,97 +15,97 @@
 /// What is wrong with a request.
 #[derive(Debug, Clone, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub enum InvalidRequest {
-    /// The body is larger than allowed.
+    /// The body exceeds the size limit.
     BodyTooLarge {
-        /// Most bytes allowed.
+        /// Maximum size of the body, in bytes.
         limit_bytes: u64,
     },
-    /// The body ended early or took too long to arrive.
+    /// The connection closed or timed out before the whole body arrived.
     BodyIncomplete,
-    /// The body is not the JSON that the call takes.
+    /// The body is not valid JSON of the expected structure.
     Malformed,
     /// A field or header is missing.
     MissingField {
-        /// Its name.
+        /// Name of the field or header.
         field: String,
     },
-    /// A field or header holds a value that is not allowed.
+    /// A field or header has an invalid value.
     InvalidField {
-        /// Its name.
+        /// Name of the field or header.
         field: String,
     },
     /// No such path or method.
     UnknownRoute,
 }
 
-/// Why a request was refused. Every reason except [`RefusalReason::Unknown`] means that the call
-/// did not run and can no longer run on behalf of this request.
+/// Why a request was refused. Every reason except [`RefusalReason::Unknown`] guarantees that the call
+/// did not run and cannot run on behalf of this request later.
 #[derive(Debug, Clone, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub enum RefusalReason {
-    /// The request could not be read.
+    /// The request is malformed or incomplete.
     InvalidRequest(InvalidRequest),
     /// The token is missing or matches no partner.
     Unauthenticated,
     /// The object belongs to the other partner.
     Forbidden,
-    /// No such program in the configuration in force.
+    /// The program is not in the current configuration.
     UnknownProgram,
-    /// No such service in the configuration in force.
+    /// The service is not in the current configuration.
     UnknownService,
-    /// No such run.
+    /// The run does not exist.
     UnknownRun,
     /// The run is closed.
     RunClosed,
-    /// The same key came before with another body, service or sequence number.
+    /// The call key was used before with a different body, service or sequence number.
     CallKeyConflict,
-    /// Calls before this one are missing.
+    /// The sequence number is higher than the next expected one.
     SequenceGap {
-        /// The number the run expects next.
+        /// Sequence number that the run expects next.
         expected: Sequence,
     },
-    /// A later call of the run has gone out already.
+    /// A later call of the run was already dispatched.
     SequencePassed {
-        /// The number the run expects next.
+        /// Sequence number that the run expects next.
         expected: Sequence,
     },
-    /// The reserve does not fit in what is left of the budget.
+    /// The reserve exceeds the remaining budget.
     BudgetExceeded {
-        /// What is left.
+        /// Remaining budget of the run.
         remaining: Cost,
     },
     /// The call cannot be answered before its deadline.
     DeadlineCannotBeMet,
     /// The queue of the service is full.
     QueueFull,
-    /// No back end serves the service now.
+    /// No back end of the service is available.
     NoBackend,
     /// The back end refused the call before running it.
     BackendRefused,
     /// The node is stopping.
     NodeStopping,
-    /// The node cannot prove that its configuration is the newest one.
+    /// The node cannot prove that its configuration is current.
     ConfigurationStale,
     /// No majority of the run's replicas answered in time.
     NoQuorum,
-    /// Another node owns the run now.
+    /// Another node owns the run.
     NotOwner,
-    /// Too many requests are open on this node.
+    /// The node has reached its limit of in-flight requests.
     TooManyRequests,
-    /// The call may have run; its end could not be learned.
+    /// The call may have run; its outcome could not be determined.
     Unknown,
 }
 
-/// A typed refusal.
+/// A refused request, with the reason and the retry delay.
 #[derive(Debug, Clone, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct Refusal {
-    /// Why.
+    /// Why the request was refused.
     pub reason: RefusalReason,
-    /// When coming back helps: after this many milliseconds.
+    /// Delay after which a retry may succeed, in milliseconds; `None` if retrying does not help.
     pub retry_after_ms: Option<u64>,
 }
 
 impl Refusal {
-    /// A refusal for which coming back does not help.
+    /// Creates a refusal that a retry cannot resolve.
     pub fn permanent(reason: RefusalReason) -> Self {
         Self {
             reason,
@@ -113,7 +113,7 @@
         }
     }
 
-    /// A refusal after which the caller may come back.
+    /// Creates a refusal that may be retried after `delay`.
     pub fn retry_after(reason: RefusalReason, delay: Duration) -> Self {
         let delay = u64::try_from(delay.as_millis()).unwrap_or(u64::MAX);
         Self {
@@ -122,7 +122,7 @@
         }
     }
 
-    /// Whether the call is known not to have run.
+    /// Returns whether the call is known not to have run.
     pub fn is_not_run(&self) -> bool {
         self.reason != RefusalReason::Unknown
     }
--- a/crates/domain/src/run_id.rs
+++ b/crates/domain/src/run_id.rs
@@ -1,7 +1,7 @@
-//! Run identifiers, which name the replicas that a run was opened on.
+//! Run identifiers, which encode the replicas that a run was opened on.
 //!
-//! Any node can so find a run's replicas from the identifier alone, also after members came and
-//! went. A later change of the replica set is recorded in the run's log, and the replicas redirect.
+//! Any node can locate a run's replicas from the identifier alone, even after membership changes. A
+//! later change of the replica set is recorded in the run's log, and the initial replicas redirect.
 
 use std::fmt;
 use std::str::FromStr;
@@ -10,21 +10,21 @@
 
 use crate::identifiers::{IdentifierError, NodeId};
 
-/// Replicas of one run.
+/// Number of replicas of each run.
 pub const REPLICAS_PER_RUN: usize = 3;
-/// Replicas that form a majority of a run's first ones.
+/// Quorum size among a run's initial replicas.
 pub const MAJORITY_OF_REPLICAS: usize = REPLICAS_PER_RUN / 2 + 1;
 
 const HINT_BITS: u32 = 24;
 const HINT_MASK: u128 = (1 << HINT_BITS) - 1;
 const UNIQUE_BITS: u32 = 128 - HINT_BITS * REPLICAS_PER_RUN as u32;
 
-/// The low bits of a replica's [`NodeId`], as a run identifier carries them.
+/// The low 24 bits of a replica's [`NodeId`], as stored in a run identifier.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct ReplicaHint(u32);
 
 impl ReplicaHint {
-    /// Whether `node` is the replica that is meant.
+    /// Returns whether the low bits of `node` equal this hint; distinct nodes may share a hint.
     pub fn matches(self, node: NodeId) -> bool {
         Self::of(node) == self
     }
@@ -34,8 +34,8 @@
     }
 }
 
-/// One execution of a program. Written as 32 hexadecimal digits: 56 unique bits, then a hint of 24
-/// bits for each of its first replicas.
+/// Identifies one execution of a program. The text form is 32 hexadecimal digits: 56 unique bits, then
+/// a 24-bit hint for each of the initial replicas.
 #[derive(
     Debug,
     Clone,
@@ -56,7 +56,8 @@
 pub struct RunId(pub u128);
 
 impl RunId {
-    /// Joins a number that was never used before (its low 56 bits count) with the run's replicas.
+    /// Builds an identifier from the low 56 bits of `unique`, which must not have been used before, and
+    /// the run's initial replicas.
     pub fn from_parts(unique: u64, replicas: [NodeId; REPLICAS_PER_RUN]) -> Self {
         let unique = u128::from(unique) & ((1 << UNIQUE_BITS) - 1);
         let joined = replicas.iter().fold(unique, |joined, replica| {
@@ -65,7 +66,7 @@
         Self(joined)
     }
 
-    /// Hints of the first replicas, in the order given to [`RunId::from_parts`].
+    /// Returns the hints of the initial replicas, in the order given to [`RunId::from_parts`].
     pub fn replica_hints(self) -> [ReplicaHint; REPLICAS_PER_RUN] {
         std::array::from_fn(|index| {
             let shift = HINT_BITS * (REPLICAS_PER_RUN - 1 - index) as u32;
--- a/crates/domain/src/safeguard.rs
+++ b/crates/domain/src/safeguard.rs
@@ -1,67 +1,70 @@
-//! Mechanisms that a test build can leave out, to show that the check of each promise can fail.
+//! Safeguards that a test build can disable, to verify that the tests detect their absence.
 //!
-//! Only the feature `weakened` compiles the switch in: it reads [`VARIABLE`] once, a list of names separated by
-//! commas. Without the feature [`is_disabled`] is a constant `false`, and the compiler drops every hook.
+//! The switch is compiled in only with the feature `weakened`: it reads the environment variable
+//! `RIDGEWORKS_WEAKENED` once, as a comma-separated list of names. Without the feature [`is_disabled`] is a
+//! constant `false`, and the compiler removes every check.
 
-/// A mechanism that can be left out.
+/// A safeguard that a test build can disable.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Safeguard {
-    /// A run's owner takes calls by their numbers; without it a call gets whatever number is next.
+    /// A run's owner orders calls by their sequence numbers; without it a call gets the next number.
     Sequence,
-    /// An entry counts once a majority of the replicas has it; without it one replica is enough.
+    /// An entry is committed once a majority of the replicas has stored it; without it one replica is enough.
     Majority,
-    /// A reserve must fit the budget.
+    /// A call is refused if its reserve exceeds the remaining budget.
     Reserve,
     /// Contexts of ended runs are released.
     ContextRelease,
-    /// Of a chunk of text a caller is given what it does not have yet.
+    /// A caller receives only the part of a text chunk that it has not received yet.
     TextOffset,
-    /// A stream ends as whole only if the recorded answer goes on from its text.
+    /// A stream is completed only if the recorded answer starts with the text already sent.
     WholeAnswer,
-    /// A back end is asked about an attempt in doubt; without it the attempt counts as never started.
+    /// A back end is asked whether an unresolved attempt started; without it the attempt counts as never started.
     Fence,
-    /// A call that may not be repeated has one attempt.
+    /// A non-repeatable call gets a single attempt.
     SingleAttempt,
-    /// Leaving back ends are told from live ones.
+    /// Back ends that are leaving are distinguished from live ones.
     Leaving,
-    /// A planned stop waits for what is in progress.
+    /// A planned stop waits for in-flight requests.
     Drain,
-    /// A configuration lease ends.
+    /// A configuration lease expires.
     Lease,
 }
 
-/// Environment variable that names what is left out.
+/// Environment variable that lists the disabled safeguards.
 #[cfg(feature = "weakened")]
 pub const VARIABLE: &str = "RIDGEWORKS_WEAKENED";
 
-/// Whether a mechanism is left out.
+/// Returns whether a safeguard is disabled; always false without the feature `weakened`.
 #[cfg(not(feature = "weakened"))]
 pub const fn is_disabled(_: Safeguard) -> bool {
     false
 }
 
-/// Whether a mechanism is left out.
+/// Returns whether a safeguard is disabled.
 ///
 /// # Panics
-/// Panics when [`VARIABLE`] names no mechanism: a run that weakened nothing would prove nothing.
+/// Panics when [`VARIABLE`] contains an unknown name, because a misspelt name would disable nothing.
 #[cfg(feature = "weakened")]
 pub fn is_disabled(safeguard: Safeguard) -> bool {
     use std::sync::OnceLock;
-    static OFF: OnceLock<Vec<Safeguard>> = OnceLock::new();
-    OFF.get_or_init(read).contains(&safeguard)
+    static DISABLED: OnceLock<Vec<Safeguard>> = OnceLock::new();
+    DISABLED.get_or_init(read_disabled).contains(&safeguard)
 }
 
 #[cfg(feature = "weakened")]
-fn read() -> Vec<Safeguard> {
+fn read_disabled() -> Vec<Safeguard> {
     let names = std::env::var(VARIABLE).unwrap_or_default();
     let names = names.split(',').filter(|name| !name.is_empty());
     names
-        .map(|name| named(name).unwrap_or_else(|| panic!("{VARIABLE}: no mechanism {name:?}")))
+        .map(|name| {
+            from_name(name).unwrap_or_else(|| panic!("{VARIABLE}: unknown safeguard {name:?}"))
+        })
         .collect()
 }
 
 #[cfg(feature = "weakened")]
-fn named(name: &str) -> Option<Safeguard> {
+fn from_name(name: &str) -> Option<Safeguard> {
     Some(match name {
         "sequence" => Safeguard::Sequence,
         "majority" => Safeguard::Majority,
--- a/crates/domain/src/time.rs
+++ b/crates/domain/src/time.rs
@@ -1,11 +1,12 @@
-//! Time as the decision logic sees it: always passed in, never read from a clock.
+//! Time for the decision logic, which receives it as an argument and never reads a clock.
 
 use std::ops::Add;
 use std::time::Duration;
 
 use rkyv::{Archive, Deserialize, Serialize};
 
-/// Microseconds on one process's monotonic clock. Values of different processes are unrelated.
+/// A point in time on the monotonic clock of one process. Values of different processes are not
+/// comparable.
 #[derive(
     Debug,
     Clone,
@@ -21,20 +22,20 @@
     Deserialize,
 )]
 pub struct MonotonicTime {
-    /// Microseconds since the process's own start of time.
+    /// Microseconds since the origin of the process's clock.
     pub micros: u64,
 }
 
 impl MonotonicTime {
-    /// The process's start of time.
+    /// The origin of the process's clock.
     pub const ZERO: Self = Self { micros: 0 };
 
-    /// A time this many microseconds after the start.
+    /// Creates a time that lies `micros` microseconds after the origin.
     pub fn from_micros(micros: u64) -> Self {
         Self { micros }
     }
 
-    /// Time since `earlier`, zero when `earlier` lies ahead.
+    /// Returns the time elapsed since `earlier`, or zero if `earlier` is later than `self`.
     pub fn since(self, earlier: Self) -> Duration {
         Duration::from_micros(self.micros.saturating_sub(earlier.micros))
     }
--- a/crates/domain/src/units.rs
+++ b/crates/domain/src/units.rs
@@ -4,7 +4,7 @@
 
 use rkyv::{Archive, Deserialize, Serialize};
 
-/// Amount in the budget's unit: one generated or prompt token, or the price of a tool call.
+/// Amount in budget units. One generated or prompt token costs one unit; a tool call costs its price.
 #[derive(
     Debug,
     Clone,
@@ -26,15 +26,15 @@
 pub struct Cost(pub u64);
 
 impl Cost {
-    /// Nothing spent.
+    /// The zero amount.
     pub const ZERO: Self = Self(0);
 
-    /// Sum that stays at the largest value instead of wrapping.
+    /// Returns the sum, capped at the largest value.
     pub fn saturating_add(self, other: Self) -> Self {
         Self(self.0.saturating_add(other.0))
     }
 
-    /// Difference that stays at zero instead of wrapping.
+    /// Returns the difference, or zero if `other` is larger.
     pub fn saturating_sub(self, other: Self) -> Self {
         Self(self.0.saturating_sub(other.0))
     }
--- a/crates/domain/tests/safeguard.rs
+++ b/crates/domain/tests/safeguard.rs
@@ -1,13 +1,13 @@
-//! The switches of a test build are not in any other.
+//! Guards against safeguards that could be disabled in a build without the feature `weakened`.
 
 #![cfg(not(feature = "weakened"))]
 
 use ridgeworks_domain::safeguard::{Safeguard, is_disabled};
 
-/// Evaluated by the compiler, so that no environment can change it.
-const LEASE_IS_OFF: bool = is_disabled(Safeguard::Lease);
+/// Evaluated at compile time, so that the environment cannot change it.
+const LEASE_IS_DISABLED: bool = is_disabled(Safeguard::Lease);
 
 #[test]
-fn no_mechanism_is_left_out_without_the_feature() {
-    assert!(!std::hint::black_box(LEASE_IS_OFF));
+fn no_safeguard_is_disabled_without_the_feature() {
+    assert!(!std::hint::black_box(LEASE_IS_DISABLED));
 }
--- a/crates/domain/tests/token_count.rs
+++ b/crates/domain/tests/token_count.rs
@@ -1,10 +1,10 @@
-//! Tokens are counted the same way however a prompt is split into messages.
+//! Token counts of texts, and of prompts split into messages.
 
 use quickcheck::quickcheck;
 use ridgeworks_domain::token_count::{count_prompt_tokens, count_tokens};
 
 #[test]
-fn words_count_a_token_for_each_started_four_bytes() {
+fn each_word_counts_its_length_in_tokens_of_four_bytes_rounded_up() {
     for (text, tokens) in [
         ("", 0),
         ("  \n", 0),
@@ -17,7 +17,7 @@
 }
 
 quickcheck! {
-    fn prompt_counts_as_its_joined_contents(contents: Vec<String>) -> bool {
+    fn a_prompt_counts_as_many_tokens_as_its_joined_contents(contents: Vec<String>) -> bool {
         let texts = || contents.iter().map(String::as_str);
         count_prompt_tokens(texts()) == count_tokens(&texts().collect::<Vec<_>>().join(" "))
     }
--- a/crates/http-edge/examples/open_streams.rs
+++ b/crates/http-edge/examples/open_streams.rs
@@ -1,7 +1,7 @@
-//! Measures resident memory and threads of one edge: open streams, then a flood of half requests.
+//! Measures the resident memory and threads of one edge with open streams or with incomplete requests.
 //!
-//! `open_streams streams|half-requests COUNT`; the clients live in the same process and have no
-//! threads, their sockets count in the kernel and not in resident memory.
+//! Usage: `open_streams streams|half-requests COUNT`. The clients run in the same process without threads
+//! of their own; their socket buffers are kernel memory and do not count as resident memory.
 
 use std::fs;
 use std::io::{Read, Write};
@@ -16,23 +16,23 @@
 
 const READ_TIMEOUT: Duration = Duration::from_secs(5);
 const STREAM_LIMIT: usize = 20_000;
-const POLL: Duration = Duration::from_millis(20);
-const PATIENCE: Duration = Duration::from_secs(60);
-/// `tiny_http` keeps an idle thread for 5 s.
-const SETTLE: Duration = Duration::from_secs(8);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+const TIMEOUT: Duration = Duration::from_secs(60);
+/// Longer than the 5 s for which `tiny_http` keeps an idle thread.
+const SETTLE_TIME: Duration = Duration::from_secs(8);
 
-/// Sends one chunk, then holds the stream open until the gate opens.
+/// Sends one chunk, then keeps the stream open until [`HoldingHandler::release`] is called.
 #[derive(Default)]
 struct HoldingHandler {
-    held: AtomicU64,
-    open: Mutex<bool>,
-    opened: Condvar,
+    open_streams: AtomicU64,
+    is_released: Mutex<bool>,
+    released: Condvar,
 }
 
 impl HoldingHandler {
-    fn open_gate(&self) {
-        *self.open.lock().expect("lock") = true;
-        self.opened.notify_all();
+    fn release(&self) {
+        *self.is_released.lock().expect("lock") = true;
+        self.released.notify_all();
     }
 }
 
@@ -40,9 +40,13 @@
     fn handle(&self, _request: EdgeRequest, responder: Responder) {
         let mut stream = responder.start_stream(200, &[]).expect("head");
         stream.send(b"token").expect("client reads");
-        self.held.fetch_add(1, Ordering::Relaxed);
-        let open = self.open.lock().expect("lock");
-        drop(self.opened.wait_while(open, |open| !*open).expect("lock"));
+        self.open_streams.fetch_add(1, Ordering::Relaxed);
+        let is_released = self.is_released.lock().expect("lock");
+        drop(
+            self.released
+                .wait_while(is_released, |is_released| !*is_released)
+                .expect("lock"),
+        );
         stream.finish().expect("client reads");
     }
 }
@@ -72,8 +76,11 @@
 fn wait_until(condition: impl Fn() -> bool) -> Duration {
     let started = Instant::now();
     while !condition() {
-        assert!(started.elapsed() < PATIENCE, "waited in vain");
-        thread::sleep(POLL);
+        assert!(
+            started.elapsed() < TIMEOUT,
+            "timed out waiting for the condition"
+        );
+        thread::sleep(POLL_INTERVAL);
     }
     started.elapsed()
 }
@@ -91,13 +98,13 @@
     let streams: Vec<TcpStream> = (0..count)
         .map(|_| connect(edge.address(), b"GET / HTTP/1.1\r\n\r\n"))
         .collect();
-    let waited = wait_until(|| handler.held.load(Ordering::Relaxed) == count);
+    let waited = wait_until(|| handler.open_streams.load(Ordering::Relaxed) == count);
     report("open-streams", count, waited);
-    handler.open_gate();
-    assert!(edge.wait_until_idle(PATIENCE));
+    handler.release();
+    assert!(edge.wait_until_idle(TIMEOUT));
     drop(streams);
-    thread::sleep(SETTLE);
-    report("after", count, SETTLE);
+    thread::sleep(SETTLE_TIME);
+    report("after", count, SETTLE_TIME);
 }
 
 fn measure_half_requests(count: u64) {
@@ -112,8 +119,8 @@
         let _ = stream.read_to_end(&mut Vec::new());
     }
     report("all-dropped", count, started.elapsed());
-    thread::sleep(SETTLE);
-    report("after", count, SETTLE);
+    thread::sleep(SETTLE_TIME);
+    report("after", count, SETTLE_TIME);
 }
 
 fn main() {
--- a/crates/http-edge/src/acceptor.rs
+++ b/crates/http-edge/src/acceptor.rs
@@ -1,11 +1,11 @@
-//! Keeps `tiny_http` accepting.
+//! Supervisor that keeps `tiny_http` accepting connections.
 //!
-//! Three of its habits need a hand. Its accept thread ends on any error of `accept` (a pause of the
-//! process longer than the read time-out, no file descriptor left), and on a panic where a thread
-//! cannot be started. And its task pool queues a new connection behind an idle thread that another
-//! connection of the same burst has already taken; the connection then waits until some other
-//! connection comes or ends. So a supervisor makes short connections to the listener, which free
-//! what is queued, and starts a second server on the same listener when the first stopped.
+//! It works around three limitations of `tiny_http`. The accept thread ends on any error of `accept` (the
+//! process was paused for longer than the read timeout, or no file descriptor is free). It panics if a
+//! thread cannot be started. And the task pool may assign a new connection to an idle thread that another
+//! connection of the same burst already occupies; the connection then waits until another connection
+//! arrives or ends. The supervisor therefore opens short connections to the listener, which release the
+//! queued ones, and starts another server on the same listener when the previous one has stopped.
 
 use std::io;
 use std::net::{SocketAddr, TcpListener};
@@ -26,25 +26,25 @@
 pub(crate) const SERVICE_STACK_BYTES: usize = 128 * 1024;
 
 const WAKE_INTERVAL: Duration = Duration::from_millis(25);
-/// Connections an interval while requests come.
+/// Wake-up connections per interval while requests arrive.
 const WAKES_WHEN_BUSY: usize = 4;
-/// Intervals for which the edge counts as busy after a request. A connection that was freed brings its
-/// request within this time, so that the edge stays busy until all of a burst are freed.
+/// Number of intervals for which the edge counts as busy after a request. The request of a released
+/// connection arrives within this time, so the edge stays busy until a whole burst is released.
 const BUSY_INTERVALS: u32 = 8;
-/// When quiet, one connection in so many intervals: each keeps an idle thread of `tiny_http` alive.
-const INTERVALS_PER_QUIET_WAKE: u32 = 8;
+/// Intervals between wake-up connections while idle; each keeps an idle thread of `tiny_http` alive.
+const INTERVALS_PER_IDLE_WAKE: u32 = 8;
 const PROBES_PER_READ_TIMEOUT: u32 = 4;
-const PROBE_PATIENCE: Duration = Duration::from_secs(5);
+const PROBE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// What the supervisor is told.
+/// Events that the supervisor handles.
 pub(crate) enum SupervisorEvent {
-    /// A server stopped accepting, with this error.
+    /// A server stopped accepting connections because of this error.
     AcceptFailed(io::Error),
     /// The edge is being closed.
     Closed,
 }
 
-/// Keeps a listener served until the edge is closed.
+/// Restarts the server of a listener until the edge is closed.
 pub(crate) struct Supervisor {
     pub shared: Arc<Shared>,
     pub listener: TcpListener,
@@ -54,7 +54,7 @@
 }
 
 impl Supervisor {
-    /// Starts one `tiny_http` server on the listener, with a thread that receives its requests.
+    /// Starts a `tiny_http` server on the listener and a thread that receives its requests.
     pub(crate) fn start_server(&self) -> Result<(), EdgeError> {
         let listener = self.listener.try_clone().map_err(EdgeError::Listen)?;
         let server = Server::from_listener(listener, None).map_err(EdgeError::Server)?;
@@ -71,13 +71,13 @@
     /// Runs until the edge is closed.
     pub(crate) fn run(self) {
         let probe_interval = self.shared.settings.read_timeout / PROBES_PER_READ_TIMEOUT;
-        let mut pace = WakePace::default();
+        let mut schedule = WakeSchedule::default();
         let mut last_probe = Instant::now();
         loop {
             match self.events.recv_timeout(WAKE_INTERVAL) {
                 Ok(SupervisorEvent::Closed) | Err(RecvTimeoutError::Disconnected) => return,
                 Ok(SupervisorEvent::AcceptFailed(cause)) => self.restart(&cause.to_string()),
-                Err(RecvTimeoutError::Timeout) => self.wake(&mut pace),
+                Err(RecvTimeoutError::Timeout) => self.wake(&mut schedule),
             }
             if self.shared.listener_closed.load(Ordering::SeqCst) {
                 continue;
@@ -89,16 +89,16 @@
         }
     }
 
-    fn wake(&self, pace: &mut WakePace) {
+    fn wake(&self, schedule: &mut WakeSchedule) {
         let received = self.shared.counters.received.load(Ordering::Relaxed);
-        for _ in 0..pace.next_wakes(received) {
+        for _ in 0..schedule.next_wakes(received) {
             listener::wake(self.address);
         }
     }
 
     fn check_accepting(&self) {
-        if !listener::is_accepting(self.address, PROBE_PATIENCE) {
-            self.restart("a probe was not accepted");
+        if !listener::is_accepting(self.address, PROBE_TIMEOUT) {
+            self.restart("a probe connection was not accepted");
         }
     }
 
@@ -107,7 +107,7 @@
             return;
         }
         increment(&self.shared.counters.acceptor_restarts);
-        log::warn!("accepting connections stopped ({cause}), starting anew");
+        log::warn!("HTTP server stopped accepting connections ({cause}); restarting it");
         while !self.shared.closed.load(Ordering::SeqCst) {
             match self.start_server() {
                 Ok(()) => return,
@@ -117,33 +117,30 @@
     }
 }
 
-/// How many connections of our own an interval takes.
+/// Decides how many wake-up connections to open in each interval.
 #[derive(Debug, Default)]
-struct WakePace {
-    received_before: u64,
-    quiet_intervals: u32,
+struct WakeSchedule {
+    last_received: u64,
+    idle_intervals: u32,
 }
 
-impl WakePace {
+impl WakeSchedule {
     fn next_wakes(&mut self, received: u64) -> usize {
-        if received != self.received_before {
-            self.received_before = received;
-            self.quiet_intervals = 0;
+        if received != self.last_received {
+            self.last_received = received;
+            self.idle_intervals = 0;
         }
-        self.quiet_intervals = self.quiet_intervals.wrapping_add(1);
-        if self.quiet_intervals <= BUSY_INTERVALS {
+        self.idle_intervals = self.idle_intervals.wrapping_add(1);
+        if self.idle_intervals <= BUSY_INTERVALS {
             WAKES_WHEN_BUSY
         } else {
-            usize::from(
-                self.quiet_intervals
-                    .is_multiple_of(INTERVALS_PER_QUIET_WAKE),
-            )
+            usize::from(self.idle_intervals.is_multiple_of(INTERVALS_PER_IDLE_WAKE))
         }
     }
 }
 
-/// Receives until the edge is closed, also after its server stopped accepting: connections that the
-/// server has accepted still bring requests.
+/// Receives requests until the edge is closed, even after the server stopped accepting: requests may
+/// still arrive on connections that it accepted before.
 fn receive(shared: &Arc<Shared>, server: &Server, events: &Sender<SupervisorEvent>) {
     loop {
         let received = server.recv();
--- a/crates/http-edge/src/admission.rs
+++ b/crates/http-edge/src/admission.rs
@@ -1,20 +1,20 @@
-//! Bounds on the requests and refusals in progress.
+//! Limits the number of in-flight requests and refusals.
 
 use std::sync::{Condvar, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
 #[derive(Debug, Default)]
-struct InProgress {
+struct InFlight {
     requests: usize,
     refusals: usize,
 }
 
-/// Counts what is in progress, against two bounds.
+/// Counts in-flight requests and refusals against their limits.
 #[derive(Debug)]
 pub(crate) struct Admission {
     max_requests: usize,
     max_refusals: usize,
-    in_progress: Mutex<InProgress>,
+    in_flight: Mutex<InFlight>,
     changed: Condvar,
 }
 
@@ -23,61 +23,61 @@
         Self {
             max_requests,
             max_refusals: max_refusals.max(1),
-            in_progress: Mutex::default(),
+            in_flight: Mutex::default(),
             changed: Condvar::new(),
         }
     }
 
-    /// Takes a place for a request, if one is free.
-    pub(crate) fn try_enter_request(&self) -> bool {
-        let mut in_progress = self.lock();
-        let free = in_progress.requests < self.max_requests;
-        if free {
-            in_progress.requests += 1;
+    /// Acquires a permit for a request; returns false if none is available.
+    pub(crate) fn try_acquire_request(&self) -> bool {
+        let mut in_flight = self.lock();
+        let available = in_flight.requests < self.max_requests;
+        if available {
+            in_flight.requests += 1;
         }
-        free
+        available
     }
 
-    /// Takes a place for a refusal, waiting for one.
-    pub(crate) fn enter_refusal(&self) {
-        let full = |in_progress: &mut InProgress| in_progress.refusals >= self.max_refusals;
-        let mut in_progress = self
+    /// Acquires a permit for a refusal; blocks until one is available.
+    pub(crate) fn acquire_refusal(&self) {
+        let full = |in_flight: &mut InFlight| in_flight.refusals >= self.max_refusals;
+        let mut in_flight = self
             .changed
             .wait_while(self.lock(), full)
             .unwrap_or_else(PoisonError::into_inner);
-        in_progress.refusals += 1;
+        in_flight.refusals += 1;
     }
 
-    pub(crate) fn leave_request(&self) {
+    pub(crate) fn release_request(&self) {
         self.lock().requests -= 1;
         self.changed.notify_all();
     }
 
-    pub(crate) fn leave_refusal(&self) {
+    pub(crate) fn release_refusal(&self) {
         self.lock().refusals -= 1;
         self.changed.notify_all();
     }
 
-    /// Waits until nothing is in progress; false when the time is over before.
+    /// Waits until nothing is in flight; returns false after `timeout`.
     pub(crate) fn wait_until_idle(&self, timeout: Duration) -> bool {
         let deadline = Instant::now() + timeout;
-        let mut in_progress = self.lock();
-        while in_progress.requests + in_progress.refusals > 0 {
+        let mut in_flight = self.lock();
+        while in_flight.requests + in_flight.refusals > 0 {
             let left = deadline.saturating_duration_since(Instant::now());
             if left.is_zero() {
                 return false;
             }
-            in_progress = self
+            in_flight = self
                 .changed
-                .wait_timeout(in_progress, left)
+                .wait_timeout(in_flight, left)
                 .unwrap_or_else(PoisonError::into_inner)
                 .0;
         }
         true
     }
 
-    fn lock(&self) -> MutexGuard<'_, InProgress> {
-        self.in_progress
+    fn lock(&self) -> MutexGuard<'_, InFlight> {
+        self.in_flight
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
     }
--- a/crates/http-edge/src/body.rs
+++ b/crates/http-edge/src/body.rs
@@ -1,4 +1,4 @@
-//! Reading a request's body under a limit of size and of time.
+//! Reads request bodies within a size limit and a deadline.
 
 use std::io::{self, ErrorKind};
 use std::sync::Arc;
@@ -14,23 +14,24 @@
 
 const READ_BUFFER_BYTES: usize = 16 * 1024;
 
-/// When `tiny_http` drops a request it allocates the unread rest of the announced length and reads
-/// it. A longer rest than this is never dropped: the allocation could end the process.
+/// When a request is dropped, `tiny_http` allocates a buffer for the unread rest of the declared length.
+/// Requests with a longer body are leaked instead of dropped, because the allocation could abort the
+/// process.
 const MAX_DISCARDED_BODY_BYTES: usize = 64 * 1024 * 1024;
 
-/// A request that can be dropped without harm, whatever length it announces.
-pub(crate) struct HeldRequest {
+/// A request that can be dropped safely, whatever `Content-Length` it declares.
+pub(crate) struct GuardedRequest {
     request: Option<Request>,
     counters: Arc<EdgeCounters>,
 }
 
-impl HeldRequest {
+impl GuardedRequest {
     pub(crate) fn new(request: Request, counters: Arc<EdgeCounters>) -> Self {
         let request = Some(request);
         Self { request, counters }
     }
 
-    /// The path without its query.
+    /// Returns the path without the query.
     pub(crate) fn path(&self) -> &str {
         self.request.as_ref().map_or("", path_of)
     }
@@ -43,7 +44,7 @@
         self.request.take()
     }
 
-    /// Writes a refusal.
+    /// Responds with `answer` without reading the body.
     pub(crate) fn refuse(mut self, answer: FaultResponse) -> io::Result<()> {
         match self.request.take() {
             Some(request) if is_discardable(&request) => fault_response::respond(request, answer),
@@ -56,13 +57,13 @@
     }
 }
 
-impl Drop for HeldRequest {
+impl Drop for GuardedRequest {
     fn drop(&mut self) {
-        let undroppable = self
+        let leaked = self
             .request
             .take()
             .filter(|request| !is_discardable(request));
-        if let Some(request) = undroppable {
+        if let Some(request) = leaked {
             increment(&self.counters.abandoned_connections);
             std::mem::forget(request);
         }
@@ -73,25 +74,25 @@
     request.body_length().unwrap_or(0) <= MAX_DISCARDED_BODY_BYTES
 }
 
-/// Reads the whole body.
+/// Reads the whole body and checks it against the declared length.
 pub(crate) fn read_body(
     request: &mut Request,
     settings: &EdgeSettings,
 ) -> Result<Vec<u8>, RequestFault> {
     check_length_headers(request)?;
-    let announced = request.body_length();
-    if announced.is_some_and(|length| length > settings.max_body_bytes) {
+    let declared = request.body_length();
+    if declared.is_some_and(|length| length > settings.max_body_bytes) {
         return Err(RequestFault::BodyTooLong);
     }
     let body = read_until_end(request, settings)?;
-    match announced {
+    match declared {
         Some(length) if length != body.len() => Err(RequestFault::BodyCutOff),
         _ => Ok(body),
     }
 }
 
-/// `tiny_http` takes a length that it cannot parse for "no body", which would make the body the next
-/// request.
+/// Rejects ambiguous lengths. `tiny_http` treats a length that it cannot parse as "no body", and would
+/// then parse the body as the next request.
 fn check_length_headers(request: &Request) -> Result<(), RequestFault> {
     let values = |name: &'static str| {
         let headers = request.headers().iter();
--- a/crates/http-edge/src/counters.rs
+++ b/crates/http-edge/src/counters.rs
@@ -1,23 +1,23 @@
-//! Counters of the HTTP edge, read by the node's metrics.
+//! Counters of the HTTP edge, exported by the node's metrics.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
 macro_rules! counters {
     ($($(#[$documentation:meta])* $name:ident),+ $(,)?) => {
-        /// Counters since the start of the edge. All only grow, except `open_requests`.
+        /// Counters since the start of the edge. All are monotonic except the gauge `open_requests`.
         #[derive(Debug, Default)]
         pub struct EdgeCounters {
             $($(#[$documentation])* pub $name: AtomicU64,)+
         }
 
-        /// A copy of [`EdgeCounters`] at one moment.
+        /// A copy of the values of [`EdgeCounters`].
         #[derive(Debug, Clone, Copy, PartialEq, Eq)]
         pub struct CountersSnapshot {
             $($(#[$documentation])* pub $name: u64,)+
         }
 
         impl EdgeCounters {
-            /// Copies all counters; they are read one after another, not at one instant.
+            /// Copies all counters; the copy is not atomic.
             pub fn snapshot(&self) -> CountersSnapshot {
                 CountersSnapshot { $($name: self.$name.load(Ordering::Relaxed),)+ }
             }
@@ -28,31 +28,31 @@
 counters!(
     /// Requests whose head was read.
     received,
-    /// Requests whose handler is at work now.
+    /// Requests whose handler is currently running.
     open_requests,
-    /// Requests handed to the handler.
+    /// Requests passed to the handler.
     handled,
-    /// Requests refused because `max_concurrent_requests` were in progress.
+    /// Requests refused because `max_concurrent_requests` were in flight.
     refused_overload,
     /// Requests refused because the edge is stopping.
     refused_stopping,
     /// Requests refused because their body is too long.
     refused_body_too_long,
-    /// Requests refused because their length or a header is malformed.
+    /// Requests refused because the length of their body is malformed or ambiguous.
     refused_malformed,
     /// Requests whose body did not arrive in time.
     timed_out,
-    /// Requests whose connection broke before the body was whole.
+    /// Requests whose connection ended before the body was complete.
     broken_requests,
-    /// Answers that could not be written because the client left or stopped reading.
+    /// Responses that could not be written because the client disconnected or stopped reading.
     client_disconnects,
-    /// Handlers that ended without an answer; the client got 500.
+    /// Requests answered with 500 because the handler sent no response or no thread could be started.
     unanswered,
     /// Handlers that panicked.
     handler_panics,
-    /// Connections left open for good because `tiny_http` would allocate their announced length.
+    /// Connections leaked because `tiny_http` would allocate their declared body length.
     abandoned_connections,
-    /// Times that `tiny_http` stopped accepting and was started anew on the same listener.
+    /// Restarts of `tiny_http` on the same listener after it stopped accepting connections.
     acceptor_restarts,
 );
 
--- a/crates/http-edge/src/error.rs
+++ b/crates/http-edge/src/error.rs
@@ -11,9 +11,9 @@
 /// Why the edge could not start.
 #[derive(Debug)]
 pub enum EdgeError {
-    /// The listening socket could not be opened or set up.
+    /// The listening socket could not be opened or configured.
     Listen(io::Error),
-    /// `tiny_http` refused the listener.
+    /// `tiny_http` could not start on the listener.
     Server(Box<dyn std::error::Error + Send + Sync>),
     /// A thread could not be started.
     Thread(io::Error),
@@ -31,40 +31,40 @@
 
 impl std::error::Error for EdgeError {}
 
-/// Why the edge answered a request itself. Except for [`RequestFault::Unanswered`] no handler saw it,
-/// so that it did not run.
+/// Why the edge responded to a request itself. Except for [`RequestFault::Unanswered`], the request did
+/// not reach the handler and therefore did not run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestFault {
-    /// As many requests as allowed are in progress.
+    /// The limit of in-flight requests is reached.
     Overloaded,
-    /// The node is stopping.
+    /// The node is shutting down.
     Stopping,
-    /// The body is longer than allowed.
+    /// The body exceeds the size limit.
     BodyTooLong,
-    /// The announced length of the body is malformed or contradicts another header.
+    /// The declared length of the body is malformed or conflicts with another header.
     MalformedLength,
-    /// The body did not arrive in time.
+    /// The body did not arrive before its deadline or the read timeout.
     BodyTimedOut,
-    /// The connection ended before the body was whole.
+    /// The connection ended before the body was complete.
     BodyCutOff,
-    /// The handler ended without an answer; what it did is not known.
+    /// The handler ended without a response; whether the request took effect is unknown.
     Unanswered,
 }
 
-/// The answer to a request that no handler answered.
+/// The response to a request that the handler did not answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct FaultResponse {
     /// HTTP status.
     pub status: u16,
-    /// Headers besides the length and the content type, which is JSON.
+    /// Headers other than `Content-Length` and `Content-Type`, which is JSON.
     pub headers: Vec<Header>,
     /// The JSON body.
     pub body: Vec<u8>,
 }
 
 impl FaultResponse {
-    /// The answer of an edge whose handler has no form of its own, with a code of the Connect
-    /// protocol. A fault that passes carries when to come back, in whole seconds.
+    /// Creates the default response, with a code of the Connect protocol. A temporary fault gets a
+    /// `Retry-After` header in seconds, rounded up.
     pub fn plain(fault: RequestFault, retry_after: Duration) -> Self {
         let mut headers = Vec::new();
         if fault.is_temporary() {
@@ -79,7 +79,7 @@
     }
 }
 
-/// Body of a refusal.
+/// JSON body of a refusal.
 #[derive(Debug, Serialize)]
 struct RefusalBody {
     code: &'static str,
@@ -87,7 +87,7 @@
 }
 
 impl RequestFault {
-    /// HTTP status of the refusal.
+    /// Returns the HTTP status of the response.
     pub fn status(self) -> u16 {
         match self {
             Self::Overloaded | Self::Stopping => 503,
@@ -98,12 +98,12 @@
         }
     }
 
-    /// Whether the same request may succeed later.
+    /// Returns whether the same request may succeed later.
     pub fn is_temporary(self) -> bool {
         matches!(self, Self::Overloaded | Self::Stopping)
     }
 
-    /// JSON body of the refusal, with a code of the Connect protocol.
+    /// Returns the JSON body of the response, with a code of the Connect protocol.
     pub fn json_body(self) -> Vec<u8> {
         let body = RefusalBody {
             code: self.code(),
@@ -135,12 +135,12 @@
     }
 }
 
-/// Why an answer was not written.
+/// Why a response was not written.
 #[derive(Debug)]
 pub enum ResponseError {
-    /// A header holds a character that HTTP does not allow there.
+    /// A header contains a character that HTTP does not allow there.
     InvalidHeader,
-    /// The client left or stopped reading.
+    /// The client disconnected or stopped reading; contains the kind of the failed write.
     ClientDisconnected(io::ErrorKind),
 }
 
@@ -148,7 +148,7 @@
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::InvalidHeader => write!(formatter, "a response header is malformed"),
-            Self::ClientDisconnected(kind) => write!(formatter, "the client is gone: {kind}"),
+            Self::ClientDisconnected(kind) => write!(formatter, "the client disconnected: {kind}"),
         }
     }
 }
--- a/crates/http-edge/src/fault_response.rs
+++ b/crates/http-edge/src/fault_response.rs
@@ -1,4 +1,4 @@
-//! Faults as answers of `tiny_http`.
+//! Writes fault responses through `tiny_http`.
 
 use std::io::{self, Cursor, Write};
 
@@ -8,10 +8,10 @@
 
 const JSON: &str = "application/json";
 
-/// Value of the `Upgrade` header on the one path where `tiny_http` gives no other access.
+/// Value of the `Upgrade` header of responses that need direct access to the socket.
 const NO_PROTOCOL: &str = "none";
 
-/// Answers a request, whose body is then read away.
+/// Responds to a request. `tiny_http` then reads and discards the rest of the body.
 pub(crate) fn respond(request: Request, answer: FaultResponse) -> io::Result<()> {
     let response = Response::from_data(answer.body).with_status_code(answer.status);
     let mut response = with_header(response, "Content-Type", JSON);
@@ -21,14 +21,15 @@
     request.respond(response)
 }
 
-/// Answers a request whose body must never be read away; its connection stays open for good.
+/// Responds to a request whose body must not be discarded; the connection is leaked and stays open.
 ///
-/// `tiny_http` gives the socket up to an upgrade only, whose head has no length. The length
-/// therefore goes into the head behind another header's value, and the body follows by hand.
+/// `tiny_http` gives access to the socket only for a protocol upgrade, whose response has no
+/// `Content-Length`. The length is therefore appended to the value of another header, and the body is
+/// written directly.
 pub(crate) fn respond_and_abandon(request: Request, answer: FaultResponse) -> io::Result<()> {
-    let kind_and_length = format!("{JSON}\r\nContent-Length: {}", answer.body.len());
+    let type_and_length = format!("{JSON}\r\nContent-Length: {}", answer.body.len());
     let response = Response::from_data(Vec::new()).with_status_code(answer.status);
-    let mut response = with_header(response, "Content-Type", &kind_and_length);
+    let mut response = with_header(response, "Content-Type", &type_and_length);
     for header in answer.headers {
         response = with_header(response, &header.name, &header.value);
     }
--- a/crates/http-edge/src/head.rs
+++ b/crates/http-edge/src/head.rs
@@ -1,4 +1,4 @@
-//! Writing the head of an answer.
+//! Formats the head of a response.
 
 use std::fmt::Write as _;
 
@@ -7,41 +7,41 @@
 use crate::error::ResponseError;
 use crate::request::Header;
 
-/// How the end of an answer's body is known.
+/// How the client recognizes the end of a response's body.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum BodyFraming {
     /// By its length in bytes.
     Length(usize),
-    /// By a last chunk.
+    /// By the last chunk.
     Chunked,
-    /// By the end of the connection (HTTP/1.0 clients know no chunks).
+    /// By the end of the connection, for HTTP/1.0 clients, which do not support chunked encoding.
     UntilClose,
 }
 
-/// What of the request decides the form of the answer.
+/// Properties of the request that determine the format of the response.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct RequestTraits {
     pub is_head: bool,
-    pub knows_chunks: bool,
+    pub supports_chunked: bool,
 }
 
 impl RequestTraits {
     pub(crate) fn of(request: &Request) -> Self {
         Self {
             is_head: *request.method() == tiny_http::Method::Head,
-            knows_chunks: *request.http_version() >= HTTPVersion(1, 1),
+            supports_chunked: *request.http_version() >= HTTPVersion(1, 1),
         }
     }
 }
 
-/// Whether the connection stays open for the next request.
+/// Whether the connection stays open after the response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum ConnectionUse {
     Keep,
     Close,
 }
 
-/// Text of the head, up to and with the empty line.
+/// Formats the head, including the empty line at its end.
 pub(crate) fn head_text(
     status: u16,
     headers: &[Header],
--- a/crates/http-edge/src/lib.rs
+++ b/crates/http-edge/src/lib.rs
@@ -1,11 +1,11 @@
-//! HTTP server edge of a node, over `tiny_http`.
+//! HTTP server edge of a node, based on `tiny_http`.
 //!
-//! Each request in progress has a thread of its own, their number is bounded, and a request above
-//! the bound is refused at once with a typed body. Bodies are read under a size and a time limit.
-//! Streamed answers leave chunk by chunk.
+//! Each in-flight request has its own thread. Their number is limited, and requests beyond the limit are
+//! refused immediately with a JSON error. Request bodies are read within a size limit and a deadline.
+//! Streamed responses are flushed after each chunk.
 //!
-//! Limits that `tiny_http` 0.12 does not let us set (connections, size of a request's head, total
-//! time of a head that arrives byte by byte) are named in `docs/design/stream-threads.md`.
+//! `docs/design/stream-threads.md` lists the limits that `tiny_http` 0.12 cannot enforce: the number of
+//! connections, the size of a request's head, and the total time of a head that arrives byte by byte.
 
 mod acceptor;
 mod admission;
@@ -25,7 +25,7 @@
 pub use counters::{CountersSnapshot, EdgeCounters};
 pub use error::{EdgeError, FaultResponse, RequestFault, ResponseError};
 pub use request::{EdgeRequest, Header, Method};
-pub use responder::{AnswerStatus, Responder};
+pub use responder::{Responder, ResponseStatus};
 pub use server::{EdgeServer, Handler};
 pub use settings::EdgeSettings;
 pub use stream::{ClientDisconnected, StreamWriter};
--- a/crates/http-edge/src/listener.rs
+++ b/crates/http-edge/src/listener.rs
@@ -1,9 +1,9 @@
-//! The listening socket, and connections of our own to it.
+//! The listening socket, and the connections that the edge opens to it.
 //!
-//! `tiny_http` sets no time-outs. On Linux an accepted socket copies the receive and send time-outs
-//! of the socket that it came from, so they are set on the listener. The receive time-out then bounds
-//! `accept` too, and `tiny_http` stops accepting on any error; a connection of our own, well within
-//! the time-out, keeps `accept` from running into it.
+//! `tiny_http` sets no timeouts. On Linux an accepted socket inherits the receive and send timeouts of
+//! the listening socket, so they are set there. The receive timeout then also applies to `accept`, and
+//! `tiny_http` stops accepting on any error. The edge therefore connects to its own listener more often
+//! than the timeout, which prevents `accept` from timing out.
 
 use std::io::{self, Read};
 use std::net::{Ipv4Addr, Ipv6Addr, Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -28,19 +28,19 @@
     Ok(socket.into())
 }
 
-/// Connects to the listener and leaves at once, so that `accept` returns.
+/// Connects to the listener and disconnects immediately, so that `accept` returns.
 pub(crate) fn wake(address: SocketAddr) {
     let _ = connect(address);
 }
 
-/// Whether a connection without a request is accepted and closed within `patience`.
-pub(crate) fn is_accepting(address: SocketAddr, patience: Duration) -> bool {
-    probe(address, patience).is_ok_and(|length| length == 0)
+/// Returns whether a connection without a request is accepted and closed within `timeout`.
+pub(crate) fn is_accepting(address: SocketAddr, timeout: Duration) -> bool {
+    probe(address, timeout).is_ok_and(|length| length == 0)
 }
 
-fn probe(address: SocketAddr, patience: Duration) -> io::Result<usize> {
+fn probe(address: SocketAddr, timeout: Duration) -> io::Result<usize> {
     let mut stream = connect(address)?;
-    stream.set_read_timeout(Some(patience))?;
+    stream.set_read_timeout(Some(timeout))?;
     stream.shutdown(Shutdown::Write)?;
     stream.read(&mut [0])
 }
--- a/crates/http-edge/src/request.rs
+++ b/crates/http-edge/src/request.rs
@@ -1,4 +1,4 @@
-//! A request as handlers see it: wholly read, within the limits.
+//! A complete request, as passed to handlers.
 
 use std::net::SocketAddr;
 
@@ -15,7 +15,7 @@
     Put,
     /// DELETE
     Delete,
-    /// Any other method, by its name.
+    /// Name of any other method.
     Other(String),
 }
 
@@ -32,17 +32,17 @@
     }
 }
 
-/// One header of a request or of an answer.
+/// One header of a request or of a response.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Header {
-    /// Name of the header; compared without regard to case.
+    /// Name, which is case-insensitive.
     pub name: String,
-    /// Value of the header.
+    /// Value; in a response only visible ASCII characters, spaces and tabs are allowed.
     pub value: String,
 }
 
 impl Header {
-    /// A header with this name and value.
+    /// Creates a header; the characters are checked when a response is sent.
     pub fn new(name: impl Into<String>, value: impl Into<String>) -> Self {
         Self {
             name: name.into(),
@@ -51,25 +51,25 @@
     }
 }
 
-/// A whole request.
+/// A request whose body was read completely.
 #[derive(Debug, Clone)]
 pub struct EdgeRequest {
     /// Method of the request.
     pub method: Method,
-    /// Path without the query, as sent (percent encoding is kept).
+    /// Path without the query, still percent-encoded.
     pub path: String,
-    /// Text after the question mark, empty when there is none.
+    /// Query without the question mark; empty if there is none.
     pub query: String,
-    /// Headers in the order sent.
+    /// Headers in the order received.
     pub headers: Vec<Header>,
-    /// The whole body.
+    /// Complete body.
     pub body: Vec<u8>,
-    /// Address of the client.
+    /// Address of the client, if known.
     pub remote: Option<SocketAddr>,
 }
 
 impl EdgeRequest {
-    /// Value of the first header with this name.
+    /// Returns the value of the first header with this name, ignoring case.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers
             .iter()
@@ -96,7 +96,7 @@
     }
 }
 
-/// The path without its query.
+/// Returns the path without the query.
 pub(crate) fn path_of(request: &tiny_http::Request) -> &str {
     let url = request.url();
     url.split_once('?').map_or(url, |(path, _)| path)
--- a/crates/http-edge/src/responder.rs
+++ b/crates/http-edge/src/responder.rs
@@ -1,4 +1,4 @@
-//! The answer to one request.
+//! The response to one request.
 
 use std::io::Write;
 use std::sync::Arc;
@@ -14,12 +14,12 @@
 use crate::serving::Shared;
 use crate::stream::StreamWriter;
 
-/// The status of an answer, readable after its [`Responder`] is used up.
+/// The status of a response, readable after its [`Responder`] was consumed.
 #[derive(Debug, Clone, Default)]
-pub struct AnswerStatus(Arc<AtomicU16>);
+pub struct ResponseStatus(Arc<AtomicU16>);
 
-impl AnswerStatus {
-    /// The HTTP status that was sent, `None` before that.
+impl ResponseStatus {
+    /// Returns the HTTP status of the response, or `None` if none was sent yet.
     pub fn get(&self) -> Option<u16> {
         match self.0.load(Ordering::Relaxed) {
             0 => None,
@@ -32,14 +32,14 @@
     }
 }
 
-/// Answers one request, once. Dropped without an answer it sends the handler's words for
-/// [`RequestFault::Unanswered`].
+/// Sends the response to one request. If dropped without a response, it sends the handler's response
+/// for [`RequestFault::Unanswered`].
 pub struct Responder {
     writer: Option<Box<dyn Write + Send>>,
     traits: RequestTraits,
     started: Instant,
     path: String,
-    status: AnswerStatus,
+    status: ResponseStatus,
     shared: Arc<Shared>,
 }
 
@@ -52,22 +52,22 @@
             traits,
             started: Instant::now(),
             path,
-            status: AnswerStatus::default(),
+            status: ResponseStatus::default(),
             shared,
         }
     }
 
-    /// Where the status of the answer can be read later.
-    pub fn status(&self) -> AnswerStatus {
+    /// Returns a handle that reads the status of the response later.
+    pub fn status(&self) -> ResponseStatus {
         self.status.clone()
     }
 
-    /// Sends a whole JSON answer.
+    /// Sends a complete JSON response.
     pub fn json(self, status: u16, headers: &[Header], body: &[u8]) -> Result<(), ResponseError> {
         self.respond_with(status, "application/json", headers, body)
     }
 
-    /// Sends a whole answer of any content type.
+    /// Sends a complete response of any content type.
     pub fn respond_with(
         mut self,
         status: u16,
@@ -75,16 +75,16 @@
         headers: &[Header],
         body: &[u8],
     ) -> Result<(), ResponseError> {
-        self.write_whole(status, content_type, headers, body)
+        self.write_complete(status, content_type, headers, body)
     }
 
-    /// Sends the head of a streamed answer. The connection is not used again after it.
+    /// Sends the head of a streamed response. The connection is closed after the response.
     pub fn start_stream(
         mut self,
         status: u16,
         headers: &[Header],
     ) -> Result<StreamWriter, ResponseError> {
-        let framing = if self.traits.knows_chunks {
+        let framing = if self.traits.supports_chunked {
             BodyFraming::Chunked
         } else {
             BodyFraming::UntilClose
@@ -101,7 +101,7 @@
         ))
     }
 
-    fn write_whole(
+    fn write_complete(
         &mut self,
         status: u16,
         content_type: &str,
@@ -117,8 +117,8 @@
         self.send_parts(&[head.as_bytes(), sent_body]).map(drop)
     }
 
-    /// `tiny_http` reads on while the handler works, and gives the connection up once that read times
-    /// out; the client must then not send its next request on it.
+    /// `tiny_http` reads from the connection while the handler runs, and closes it when that read times
+    /// out. A response that may come after the timeout tells the client not to reuse the connection.
     fn connection_use(&self) -> ConnectionUse {
         if self.started.elapsed() * 2 >= self.shared.settings.read_timeout {
             ConnectionUse::Close
@@ -153,12 +153,17 @@
             increment(&self.shared.counters.unanswered);
             let fault = RequestFault::Unanswered;
             let settings = &self.shared.settings;
-            let answer = self
+            let response = self
                 .shared
                 .handler
                 .fault_response(fault, &self.path, settings);
             let content_type = "application/json";
-            let _ = self.write_whole(answer.status, content_type, &answer.headers, &answer.body);
+            let _ = self.write_complete(
+                response.status,
+                content_type,
+                &response.headers,
+                &response.body,
+            );
         }
     }
 }
--- a/crates/http-edge/src/server.rs
+++ b/crates/http-edge/src/server.rs
@@ -1,4 +1,4 @@
-//! A running edge: start, planned stop, end.
+//! Start, planned stop and shutdown of an edge.
 
 use std::net::{Shutdown, SocketAddr, TcpListener};
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -19,13 +19,13 @@
 use crate::serving::Shared;
 use crate::settings::EdgeSettings;
 
-/// What a node does with a request. Called on a thread of its own; it may block.
+/// Handles the requests of an edge. Each call has its own thread and may block.
 pub trait Handler: Send + Sync {
-    /// Answers one request through `responder`.
+    /// Handles one request and responds through `responder`.
     fn handle(&self, request: EdgeRequest, responder: Responder);
 
-    /// Words the answer to a request for `path` that this handler did not answer, so that all
-    /// answers of one interface have one form.
+    /// Returns the response to a request for `path` that the edge answers itself. Handlers override it
+    /// so that all responses of an interface have the same format.
     fn fault_response(
         &self,
         fault: RequestFault,
@@ -43,7 +43,7 @@
     }
 }
 
-/// A running HTTP edge. Dropping it closes the listener and cuts nothing off that is in progress.
+/// A running HTTP edge. Dropping it closes the listener; in-flight requests continue.
 pub struct EdgeServer {
     shared: Arc<Shared>,
     address: SocketAddr,
@@ -52,7 +52,7 @@
 }
 
 impl EdgeServer {
-    /// Listens and serves until the value is dropped.
+    /// Opens the listener and serves requests until the value is dropped.
     pub fn start(settings: EdgeSettings, handler: Arc<dyn Handler>) -> Result<Self, EdgeError> {
         let listener = listener::open(&settings).map_err(EdgeError::Listen)?;
         let address = listener.local_addr().map_err(EdgeError::Listen)?;
@@ -78,34 +78,34 @@
         Ok(edge)
     }
 
-    /// The address that the edge listens on.
+    /// Returns the address that the edge listens on, with the port that was chosen for port 0.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Counters of the edge.
+    /// Returns the counters of the edge, which remain readable after it is dropped.
     pub fn counters(&self) -> Arc<EdgeCounters> {
         Arc::clone(&self.shared.counters)
     }
 
-    /// Refuses every further request with a typed 503, also on open connections. The listener stays
-    /// open until the edge is dropped, so that callers learn at once that their request did not run.
+    /// Refuses every further request with status 503, also on open connections. The listener stays open,
+    /// so that callers learn immediately that their request did not run.
     pub fn refuse_new_requests(&self) {
         self.shared.stopping.store(true, Ordering::SeqCst);
     }
 
-    /// Takes no further connection: who comes now learns that nothing was sent. Requests of
-    /// connections that were taken before are still answered.
+    /// Rejects further connections, so that clients know that no request was sent. Requests on
+    /// connections accepted before are still answered.
     ///
-    /// A process that ends with an open listener cuts off whoever connected at the last moment.
+    /// If the process ended with a listening socket, clients that had just connected would be reset.
     pub fn stop_accepting_connections(&self) {
         self.shared.listener_closed.store(true, Ordering::SeqCst);
-        // Fails only where it is closed already.
+        // Fails only if the listener was shut down before.
         let _ = SockRef::from(&self.listener).shutdown(Shutdown::Read);
     }
 
-    /// Waits until neither a request nor a refusal is in progress; false when `timeout` is over
-    /// before. Without [`EdgeServer::refuse_new_requests`] a new request may follow at once.
+    /// Waits until no request and no refusal is in flight; returns false after `timeout`. Unless
+    /// [`EdgeServer::refuse_new_requests`] was called, a new request may arrive immediately afterwards.
     pub fn wait_until_idle(&self, timeout: Duration) -> bool {
         self.shared.admission.wait_until_idle(timeout)
     }
--- a/crates/http-edge/src/serving.rs
+++ b/crates/http-edge/src/serving.rs
@@ -1,4 +1,4 @@
-//! From a received request to its handler, or to its refusal.
+//! Passes received requests to the handler, or refuses them.
 
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -9,7 +9,7 @@
 
 use crate::acceptor::SERVICE_STACK_BYTES;
 use crate::admission::Admission;
-use crate::body::{HeldRequest, read_body};
+use crate::body::{GuardedRequest, read_body};
 use crate::counters::{EdgeCounters, decrement, increment};
 use crate::error::RequestFault;
 use crate::request::EdgeRequest;
@@ -17,7 +17,7 @@
 use crate::server::Handler;
 use crate::settings::EdgeSettings;
 
-/// What all threads of one edge share.
+/// State shared by all threads of one edge.
 pub(crate) struct Shared {
     pub settings: EdgeSettings,
     pub handler: Arc<dyn Handler>,
@@ -30,64 +30,64 @@
     pub servers: Mutex<Vec<Arc<Server>>>,
 }
 
-/// Decides between a handler's thread and a refusal. Never reads or writes on this thread: a slow
-/// client would hold up all others.
+/// Runs the handler on a thread of the pool, or refuses the request on another thread. The calling thread
+/// does no socket I/O, because a slow client would block all others.
 pub(crate) fn admit(shared: &Arc<Shared>, request: Request) {
     increment(&shared.counters.received);
-    let request = HeldRequest::new(request, Arc::clone(&shared.counters));
+    let request = GuardedRequest::new(request, Arc::clone(&shared.counters));
     if shared.stopping.load(Ordering::SeqCst) {
         increment(&shared.counters.refused_stopping);
         return refuse_on_thread(shared, request, RequestFault::Stopping);
     }
-    if !shared.admission.try_enter_request() {
+    if !shared.admission.try_acquire_request() {
         increment(&shared.counters.refused_overload);
         return refuse_on_thread(shared, request, RequestFault::Overloaded);
     }
-    let place = RequestPlace(Arc::clone(shared));
-    let started = shared.handlers.run(move || serve(place, request));
+    let permit = RequestPermit(Arc::clone(shared));
+    let started = shared.handlers.run(move || serve(permit, request));
     if started.is_err() {
-        // The request was dropped with the closure, and a dropped request answers 500.
+        // The closure dropped the request, which makes `tiny_http` respond with status 500.
         increment(&shared.counters.unanswered);
     }
 }
 
-/// The place of one request in the bound; given back when dropped.
-struct RequestPlace(Arc<Shared>);
+/// Permit of one in-flight request; released when dropped.
+struct RequestPermit(Arc<Shared>);
 
-impl Drop for RequestPlace {
+impl Drop for RequestPermit {
     fn drop(&mut self) {
-        self.0.admission.leave_request();
+        self.0.admission.release_request();
     }
 }
 
-/// The place of one refusal in the bound; given back when dropped.
-struct RefusalPlace(Arc<Shared>);
+/// Permit of one in-flight refusal; released when dropped.
+struct RefusalPermit(Arc<Shared>);
 
-impl RefusalPlace {
-    fn enter(shared: &Arc<Shared>) -> Self {
-        shared.admission.enter_refusal();
+impl RefusalPermit {
+    fn acquire(shared: &Arc<Shared>) -> Self {
+        shared.admission.acquire_refusal();
         Self(Arc::clone(shared))
     }
 }
 
-impl Drop for RefusalPlace {
+impl Drop for RefusalPermit {
     fn drop(&mut self) {
-        self.0.admission.leave_refusal();
+        self.0.admission.release_refusal();
     }
 }
 
-fn refuse_on_thread(shared: &Arc<Shared>, request: HeldRequest, fault: RequestFault) {
-    let place = RefusalPlace::enter(shared);
+fn refuse_on_thread(shared: &Arc<Shared>, request: GuardedRequest, fault: RequestFault) {
+    let permit = RefusalPermit::acquire(shared);
     let started = spawn_detached("edge-refuse", SERVICE_STACK_BYTES, move || {
-        refuse(&place.0, request, fault);
+        refuse(&permit.0, request, fault);
     });
     if started.is_err() {
         increment(&shared.counters.unanswered);
     }
 }
 
-fn serve(place: RequestPlace, mut request: HeldRequest) {
-    let shared = Arc::clone(&place.0);
+fn serve(permit: RequestPermit, mut request: GuardedRequest) {
+    let shared = Arc::clone(&permit.0);
     let Some(received) = request.get_mut() else {
         return;
     };
@@ -95,14 +95,14 @@
         Ok(body) => run_handler(&shared, request, body),
         Err(fault) => {
             count_fault(&shared.counters, fault);
-            drop(place);
-            let _place = RefusalPlace::enter(&shared);
+            drop(permit);
+            let _permit = RefusalPermit::acquire(&shared);
             refuse(&shared, request, fault);
         }
     }
 }
 
-fn run_handler(shared: &Arc<Shared>, request: HeldRequest, body: Vec<u8>) {
+fn run_handler(shared: &Arc<Shared>, request: GuardedRequest, body: Vec<u8>) {
     let Some(request) = request.into_request() else {
         return;
     };
@@ -129,12 +129,12 @@
     }
 }
 
-/// Writes the refusal first; then `tiny_http` reads the rest of the body away.
-fn refuse(shared: &Shared, request: HeldRequest, fault: RequestFault) {
-    let answer = shared
+/// Writes the refusal before `tiny_http` discards the rest of the body.
+fn refuse(shared: &Shared, request: GuardedRequest, fault: RequestFault) {
+    let response = shared
         .handler
         .fault_response(fault, request.path(), &shared.settings);
-    if request.refuse(answer).is_err() {
+    if request.refuse(response).is_err() {
         increment(&shared.counters.client_disconnects);
     }
 }
--- a/crates/http-edge/src/settings.rs
+++ b/crates/http-edge/src/settings.rs
@@ -13,35 +13,35 @@
 const DEFAULT_HANDLER_STACK_BYTES: usize = 256 * 1024;
 const DEFAULT_LISTEN_BACKLOG: i32 = 1_024;
 
-/// Bounds of one HTTP edge.
+/// Settings of one HTTP edge.
 #[derive(Debug, Clone)]
 pub struct EdgeSettings {
-    /// Address to listen on; port 0 takes a free one.
+    /// Address to listen on; port 0 selects a free port.
     pub listen: SocketAddr,
-    /// Requests in progress at once, each with its thread; one more is refused with 503.
+    /// Maximum number of in-flight requests, each with its own thread; further ones are refused with 503.
     pub max_concurrent_requests: usize,
-    /// Refusals being written at once; above it the edge takes no new request until one is done.
+    /// Maximum number of refusals written concurrently; the edge receives no new request beyond it.
     pub max_concurrent_refusals: usize,
-    /// Longest accepted request body, in bytes; a longer one is refused with 413.
+    /// Maximum size of a request body, in bytes; a larger one is refused with 413.
     pub max_body_bytes: usize,
-    /// Longest silence of a connection, inside a request and between requests. `tiny_http` leaves
-    /// room for only one value, the receive time-out of the socket, so this is the idle time-out too.
-    /// Below 250 ms the edge would have to start its acceptor anew time and again.
+    /// Maximum time without data from the client, both within a request and between requests:
+    /// `tiny_http` supports only the receive timeout of the socket. Below 250 ms the edge would have to
+    /// restart its server repeatedly.
     pub read_timeout: Duration,
-    /// Longest time that one write to a client that does not read may take.
+    /// Maximum time that one write may block because the client does not read.
     pub write_timeout: Duration,
-    /// Longest time from the end of a request's head to the end of its body.
+    /// Maximum time from the end of a request's head to the end of its body.
     pub body_deadline: Duration,
-    /// Time to come back that a refusal carries; sent in whole seconds, rounded up.
+    /// Retry delay stated in a temporary refusal; sent in seconds, rounded up.
     pub retry_after: Duration,
-    /// Stack of a handler's thread, in bytes.
+    /// Stack size of a handler's thread, in bytes.
     pub handler_stack_bytes: usize,
-    /// Connections that the kernel holds before they are accepted.
+    /// Maximum number of connections that the kernel queues for `accept`.
     pub listen_backlog: i32,
 }
 
 impl EdgeSettings {
-    /// The default bounds on this address.
+    /// Returns the default settings for this address.
     pub fn with_defaults(listen: SocketAddr) -> Self {
         Self {
             listen,
@@ -57,7 +57,7 @@
         }
     }
 
-    /// The default bounds on a free loopback port.
+    /// Returns the default settings for a free port of the loopback interface.
     pub fn on_free_loopback_port() -> Self {
         Self::with_defaults(SocketAddr::from((Ipv4Addr::LOCALHOST, 0)))
     }
--- a/crates/http-edge/src/stream.rs
+++ b/crates/http-edge/src/stream.rs
@@ -1,4 +1,4 @@
-//! Streamed answers: each chunk leaves before the next one is produced.
+//! Streamed responses, flushed to the client after each chunk.
 
 use std::fmt;
 use std::io::{self, Write};
@@ -9,17 +9,18 @@
 
 const LAST_CHUNK: &[u8] = b"0\r\n\r\n";
 
-/// No chunk size, so that the client's decoder fails. `tiny_http` gives no access to the socket, so a
-/// broken answer cannot be told by closing it.
-const BROKEN_CHUNK: &[u8] = b"broken\r\n";
+/// An invalid chunk size, which makes the client's decoder fail. `tiny_http` gives no access to the
+/// socket, so an incomplete response cannot be signalled by closing the connection.
+const INVALID_CHUNK: &[u8] = b"broken\r\n";
 
-/// The client left or did not read within the write time-out; holds the kind of the failed write.
+/// The client disconnected or did not read within the write timeout; contains the kind of the failed
+/// write.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ClientDisconnected(pub io::ErrorKind);
 
 impl fmt::Display for ClientDisconnected {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(formatter, "the client is gone: {}", self.0)
+        write!(formatter, "the client disconnected: {}", self.0)
     }
 }
 
@@ -29,11 +30,11 @@
 enum StreamState {
     Open,
     Finished,
-    Gone(io::ErrorKind),
+    Disconnected(io::ErrorKind),
 }
 
-/// The body of a streamed answer. Dropped without [`StreamWriter::finish`] it breaks the answer off,
-/// so that the client cannot take it for whole.
+/// The body of a streamed response. If dropped without [`StreamWriter::finish`], it ends a chunked
+/// response with an invalid chunk, so that the client detects that the response is incomplete.
 pub struct StreamWriter {
     writer: Box<dyn Write + Send>,
     framing: BodyFraming,
@@ -58,26 +59,26 @@
         }
     }
 
-    /// Sends one chunk and flushes it to the socket. An empty chunk sends nothing. A client that
-    /// closed its socket is noticed on the first or second send after that.
+    /// Sends one chunk and flushes it to the socket; an empty chunk sends nothing. The first or second
+    /// call after the client closed its socket returns an error.
     pub fn send(&mut self, chunk: &[u8]) -> Result<(), ClientDisconnected> {
-        if let StreamState::Gone(kind) = self.state {
+        if let StreamState::Disconnected(kind) = self.state {
             return Err(ClientDisconnected(kind));
         }
         if chunk.is_empty() || self.discards_body {
             return Ok(());
         }
         let written = self.write_chunk(chunk);
-        self.note(written)
+        self.check_written(written)
     }
 
-    /// Ends the answer as whole.
+    /// Completes the response.
     pub fn finish(mut self) -> Result<(), ClientDisconnected> {
-        if let StreamState::Gone(kind) = self.state {
+        if let StreamState::Disconnected(kind) = self.state {
             return Err(ClientDisconnected(kind));
         }
         let written = self.write_last_chunk();
-        self.note(written)?;
+        self.check_written(written)?;
         self.state = StreamState::Finished;
         Ok(())
     }
@@ -100,9 +101,9 @@
         self.writer.flush()
     }
 
-    fn note(&mut self, written: io::Result<()>) -> Result<(), ClientDisconnected> {
+    fn check_written(&mut self, written: io::Result<()>) -> Result<(), ClientDisconnected> {
         written.map_err(|error| {
-            self.state = StreamState::Gone(error.kind());
+            self.state = StreamState::Disconnected(error.kind());
             increment(&self.counters.client_disconnects);
             ClientDisconnected(error.kind())
         })
@@ -111,9 +112,9 @@
 
 impl Drop for StreamWriter {
     fn drop(&mut self) {
-        let is_broken_off = self.state == StreamState::Open && !self.discards_body;
-        if is_broken_off && self.framing == BodyFraming::Chunked {
-            let _ = self.writer.write_all(BROKEN_CHUNK);
+        let is_incomplete = self.state == StreamState::Open && !self.discards_body;
+        if is_incomplete && self.framing == BodyFraming::Chunked {
+            let _ = self.writer.write_all(INVALID_CHUNK);
             let _ = self.writer.flush();
         }
     }
--- a/crates/http-edge/tests/answers.rs
+++ b/crates/http-edge/tests/answers.rs
@@ -1,4 +1,4 @@
-//! Whole and streamed answers over loopback.
+//! Complete and streamed responses over a loopback connection.
 
 mod support;
 
@@ -9,25 +9,25 @@
 use ridgeworks_http_edge::{
     ClientDisconnected, EdgeRequest, EdgeSettings, Header, Method, Responder, ResponseError,
 };
-use support::{Client, PATIENCE, echo, small_settings, start, wait_until};
+use support::{Client, TIMEOUT, echo, small_settings, start, wait_until};
 
 fn settings() -> EdgeSettings {
     EdgeSettings::on_free_loopback_port()
 }
 
 #[test]
-fn a_kept_connection_carries_several_requests() {
+fn a_persistent_connection_carries_several_requests() {
     let edge = start(settings(), echo);
     let mut client = Client::connect(edge.address());
     for body in [&b"one"[..], &[7; 5_000], b""] {
         client.post("/echo", body);
-        let answer = client.read_answer();
-        assert_eq!((answer.status, answer.body.as_slice()), (200, body));
+        let response = client.read_response();
+        assert_eq!((response.status, response.body.as_slice()), (200, body));
     }
 }
 
 #[test]
-fn the_handler_sees_the_request_as_sent() {
+fn the_handler_receives_the_request_as_sent() {
     let (seen, requests) = unbounded();
     let edge = start(
         settings(),
@@ -39,10 +39,10 @@
     let mut client = Client::connect(edge.address());
     client.send(b"PUT /a/b?c=d&e HTTP/1.1\r\nX-Key: v\r\nTransfer-Encoding: chunked\r\n\r\n");
     client.send(b"3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n");
-    let answer = client.read_answer();
-    let request = requests.recv_timeout(PATIENCE).expect("request");
-    assert_eq!(answer.status, 201);
-    assert!(answer.head.contains("X-Run: 7\r\n"), "{}", answer.head);
+    let response = client.read_response();
+    let request = requests.recv_timeout(TIMEOUT).expect("request");
+    assert_eq!(response.status, 201);
+    assert!(response.head.contains("X-Run: 7\r\n"), "{}", response.head);
     assert_eq!(
         (request.method, request.path.as_str()),
         (Method::Put, "/a/b")
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn the_first_chunk_arrives_before_the_second_is_produced() {
+fn each_chunk_arrives_before_the_next_one_is_produced() {
     let (produce, produced): (Sender<Vec<u8>>, Receiver<Vec<u8>>) = bounded(0);
     let edge = start(settings(), move |_, responder: Responder| {
         let mut stream = responder.start_stream(200, &[]).expect("head");
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn a_stream_that_was_not_finished_is_not_taken_for_whole() {
+fn an_unfinished_stream_ends_with_an_invalid_chunk() {
     let edge = start(settings(), |_, responder: Responder| {
         let mut stream = responder.start_stream(200, &[]).expect("head");
         stream.send(b"half").expect("client reads");
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn a_client_that_left_is_noticed() {
+fn sending_to_a_disconnected_client_fails() {
     let (ended, end) = bounded(1);
     let edge = start(settings(), move |_, responder: Responder| {
         let mut stream = responder.start_stream(200, &[]).expect("head");
@@ -99,12 +99,14 @@
     client.send(b"GET / HTTP/1.1\r\n\r\n");
     client.read_head();
     drop(client);
-    let ClientDisconnected(_) = end.recv_timeout(PATIENCE).expect("noticed");
+    let ClientDisconnected(_) = end
+        .recv_timeout(TIMEOUT)
+        .expect("the disconnect is detected");
     assert_eq!(edge.counters().snapshot().client_disconnects, 1);
 }
 
 #[test]
-fn a_client_that_does_not_read_is_given_up_after_the_write_timeout() {
+fn sending_to_a_client_that_does_not_read_fails_after_the_write_timeout() {
     let (ended, end) = bounded(1);
     let edge = start(small_settings(), move |_, responder: Responder| {
         let mut stream = responder.start_stream(200, &[]).expect("head");
@@ -114,7 +116,7 @@
     });
     let mut client = Client::connect(edge.address());
     client.send(b"GET / HTTP/1.1\r\n\r\n");
-    let gone = end.recv_timeout(PATIENCE).expect("given up");
+    let gone = end.recv_timeout(TIMEOUT).expect("the send fails");
     assert_eq!(
         gone,
         Some(ClientDisconnected(std::io::ErrorKind::WouldBlock))
@@ -122,14 +124,14 @@
 }
 
 #[test]
-fn a_handler_that_panics_or_gives_no_answer_is_answered_500() {
+fn a_handler_that_panics_or_does_not_respond_yields_status_500() {
     let edge = start(settings(), |request: EdgeRequest, _responder: Responder| {
-        assert_ne!(request.path, "/panic", "wanted by the test");
+        assert_ne!(request.path, "/panic", "intentional panic");
     });
     for path in ["/panic", "/silent"] {
         let mut client = Client::connect(edge.address());
         client.post(path, b"");
-        assert_eq!(client.read_answer().status, 500);
+        assert_eq!(client.read_response().status, 500);
     }
     let counters = edge.counters();
     assert_eq!(counters.snapshot().unanswered, 2);
@@ -137,7 +139,7 @@
 }
 
 #[test]
-fn a_malformed_response_header_is_an_error_and_reaches_no_client() {
+fn a_malformed_response_header_is_an_error_and_is_not_sent() {
     let (results, result) = bounded(1);
     let edge = start(settings(), move |_, responder: Responder| {
         let injected = Header::new("X-A", "b\r\nX-Injected: c");
@@ -147,10 +149,10 @@
     });
     let mut client = Client::connect(edge.address());
     client.post("/", b"");
-    let answer = client.read_answer();
-    assert_eq!(answer.status, 500);
-    assert!(!answer.head.contains("X-Injected"));
-    let result = result.recv_timeout(PATIENCE).expect("result");
+    let response = client.read_response();
+    assert_eq!(response.status, 500);
+    assert!(!response.head.contains("X-Injected"));
+    let result = result.recv_timeout(TIMEOUT).expect("result");
     assert!(matches!(result, Err(ResponseError::InvalidHeader)));
 }
 
@@ -164,7 +166,7 @@
 }
 
 #[test]
-fn an_http_1_0_client_gets_a_stream_without_chunks() {
+fn an_http_1_0_client_gets_a_stream_without_chunked_encoding() {
     let edge = start(settings(), |_, responder: Responder| {
         let mut stream = responder.start_stream(200, &[]).expect("head");
         stream.send(b"one").expect("client reads");
@@ -178,10 +180,10 @@
 }
 
 #[test]
-fn many_streams_are_open_at_once_and_each_gets_its_own_answer() {
+fn many_concurrent_streams_each_get_their_own_response() {
     const STREAMS: usize = 100;
-    // Well below the read time-out, which freed the connections stuck in tiny_http's task pool.
-    const BURST_PATIENCE: Duration = Duration::from_secs(5);
+    // Well below the read timeout, after which connections stuck in the task pool of `tiny_http` are freed.
+    const BURST_TIMEOUT: Duration = Duration::from_secs(5);
     let (open, opened) = unbounded::<()>();
     let (go, gate) = bounded::<()>(0);
     let open = Mutex::new(open);
@@ -202,7 +204,7 @@
     for (index, client) in clients.iter_mut().enumerate() {
         client.post(&format!("/{index}"), format!("body {index}").as_bytes());
     }
-    let all_open_by = Instant::now() + BURST_PATIENCE;
+    let all_open_by = Instant::now() + BURST_TIMEOUT;
     for _ in 0..STREAMS {
         opened.recv_deadline(all_open_by).expect("all open at once");
     }
--- a/crates/http-edge/tests/closing.rs
+++ b/crates/http-edge/tests/closing.rs
@@ -1,4 +1,4 @@
-//! The end of a planned stop: nobody who connected is cut off, and nobody connects any more.
+//! Planned stop: accepted connections are still served, and new connections are rejected.
 
 mod support;
 
@@ -8,36 +8,36 @@
 use std::sync::mpsc::channel;
 
 use ridgeworks_http_edge::{EdgeRequest, Responder};
-use support::{Client, PATIENCE, small_settings, start};
+use support::{Client, TIMEOUT, small_settings, start};
 
 #[test]
-fn a_closed_listener_answers_what_came_and_takes_nobody_else() {
-    let (go_on, waiting) = channel::<()>();
+fn after_the_listener_stops_open_connections_are_answered_and_new_ones_rejected() {
+    let (resume, waiting) = channel::<()>();
     let (arrived, arrivals) = channel::<()>();
     let waiting = Arc::new(Mutex::new(waiting));
     let handler = move |request: EdgeRequest, responder: Responder| {
         if request.body == b"wait" {
             arrived.send(()).expect("the test waits");
-            let waited = waiting.lock().expect("lock").recv_timeout(PATIENCE);
-            waited.expect("the test goes on");
+            let waited = waiting.lock().expect("lock").recv_timeout(TIMEOUT);
+            waited.expect("the test resumes the handler");
         }
         support::echo(request, responder);
     };
     let edge = start(small_settings(), handler);
-    let mut under_way = Client::connect(edge.address());
-    under_way.post("/", b"wait");
-    arrivals.recv_timeout(PATIENCE).expect("it arrives");
+    let mut in_flight = Client::connect(edge.address());
+    in_flight.post("/", b"wait");
+    arrivals.recv_timeout(TIMEOUT).expect("the request arrives");
     let mut connected = Client::connect(edge.address());
     connected.post("/", b"x");
-    assert_eq!(connected.read_answer().status, 200);
+    assert_eq!(connected.read_response().status, 200);
 
     edge.refuse_new_requests();
     edge.stop_accepting_connections();
-    TcpStream::connect(edge.address()).expect_err("nobody connects any more");
+    TcpStream::connect(edge.address()).expect_err("new connections are rejected");
 
     connected.post("/", b"x");
-    assert_eq!(connected.read_answer().status, 503);
-    go_on.send(()).expect("the handler waits");
-    assert_eq!(under_way.read_answer().status, 200);
-    assert!(edge.wait_until_idle(PATIENCE));
+    assert_eq!(connected.read_response().status, 503);
+    resume.send(()).expect("the handler waits");
+    assert_eq!(in_flight.read_response().status, 200);
+    assert!(edge.wait_until_idle(TIMEOUT));
 }
--- a/crates/http-edge/tests/limits.rs
+++ b/crates/http-edge/tests/limits.rs
@@ -1,4 +1,4 @@
-//! Requests beyond the limits, broken requests, overload and planned stop.
+//! Requests beyond the limits, incomplete requests, overload and planned stop.
 
 mod support;
 
@@ -6,28 +6,28 @@
 
 use crossbeam_channel::{bounded, unbounded};
 use ridgeworks_http_edge::{EdgeSettings, Responder};
-use support::{Client, PATIENCE, echo, small_settings, start, wait_until};
+use support::{Client, TIMEOUT, echo, small_settings, start, wait_until};
 
 #[test]
-fn a_body_over_the_limit_is_refused_and_the_edge_serves_on() {
+fn a_body_over_the_limit_is_refused_and_later_requests_are_served() {
     let edge = start(small_settings(), echo);
     let mut client = Client::connect(edge.address());
     client.post("/", &[0; 10_001]);
-    assert_eq!(client.read_answer().status, 413);
+    assert_eq!(client.read_response().status, 413);
     let mut chunked = Client::connect(edge.address());
     chunked.send(b"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n4e20\r\n");
     chunked.send(&[0; 20_000]);
-    assert_eq!(chunked.read_answer().status, 413);
+    assert_eq!(chunked.read_response().status, 413);
     let mut next = Client::connect(edge.address());
     next.post("/", &[1; 10_000]);
-    assert_eq!(next.read_answer().status, 200);
+    assert_eq!(next.read_response().status, 200);
     let counters = edge.counters().snapshot();
     assert_eq!((counters.refused_body_too_long, counters.handled), (2, 1));
 }
 
-/// Dropping such a request makes `tiny_http` allocate the length; the process ends with it.
+/// Dropping such a request would make `tiny_http` allocate the declared length and abort the process.
 #[test]
-fn an_absurd_announced_length_does_not_end_the_process() {
+fn an_excessive_declared_length_does_not_abort_the_process() {
     let edge = start(small_settings(), echo);
     for length in [
         "1000000000000000",
@@ -36,16 +36,16 @@
     ] {
         let mut client = Client::connect(edge.address());
         client.send(format!("POST / HTTP/1.1\r\nContent-Length: {length}\r\n\r\n").as_bytes());
-        assert_eq!(client.read_answer().status, 413, "{length}");
+        assert_eq!(client.read_response().status, 413, "{length}");
     }
     let mut next = Client::connect(edge.address());
     next.post("/", b"x");
-    assert_eq!(next.read_answer().status, 200);
+    assert_eq!(next.read_response().status, 200);
     assert_eq!(edge.counters().snapshot().abandoned_connections, 3);
 }
 
 #[test]
-fn a_malformed_length_is_refused() {
+fn a_malformed_or_ambiguous_length_is_refused() {
     let edge = start(small_settings(), echo);
     for headers in [
         "Content-Length: abc",
@@ -57,41 +57,41 @@
     ] {
         let mut client = Client::connect(edge.address());
         client.send(format!("POST / HTTP/1.1\r\n{headers}\r\n\r\n0\r\n\r\n").as_bytes());
-        assert_eq!(client.read_answer().status, 400, "{headers}");
+        assert_eq!(client.read_response().status, 400, "{headers}");
     }
     assert_eq!(edge.counters().snapshot().handled, 0);
 }
 
 #[test]
-fn half_requests_and_idle_connections_are_dropped_after_the_read_timeout() {
+fn incomplete_requests_and_idle_connections_are_dropped_after_the_read_timeout() {
     let edge = start(small_settings(), echo);
     let mut idle = Client::connect(edge.address());
-    let mut half_head = Client::connect(edge.address());
-    half_head.send(b"POST / HTTP/1.1\r\nX-");
-    let mut half_small_body = Client::connect(edge.address());
-    half_small_body.send(b"POST / HTTP/1.1\r\nContent-Length: 10\r\n\r\nab");
-    let mut kept = Client::connect(edge.address());
-    kept.post("/", b"x");
-    assert_eq!(kept.read_answer().status, 200);
-    for client in [&mut idle, &mut half_head, &mut half_small_body, &mut kept] {
+    let mut partial_head = Client::connect(edge.address());
+    partial_head.send(b"POST / HTTP/1.1\r\nX-");
+    let mut partial_body = Client::connect(edge.address());
+    partial_body.send(b"POST / HTTP/1.1\r\nContent-Length: 10\r\n\r\nab");
+    let mut served = Client::connect(edge.address());
+    served.post("/", b"x");
+    assert_eq!(served.read_response().status, 200);
+    for client in [&mut idle, &mut partial_head, &mut partial_body, &mut served] {
         assert_eq!(client.read_rest(), b"");
     }
     assert_eq!(edge.counters().snapshot().handled, 1);
 }
 
 #[test]
-fn a_large_body_that_stops_halfway_is_answered_408() {
+fn a_body_that_stalls_is_refused_with_408() {
     let edge = start(small_settings(), echo);
     let mut client = Client::connect(edge.address());
     client.send(b"POST / HTTP/1.1\r\nContent-Length: 5000\r\n\r\nhalf");
-    assert_eq!(client.read_answer().status, 408);
+    assert_eq!(client.read_response().status, 408);
     assert_eq!(client.read_rest(), b"");
     let counters = edge.counters().snapshot();
     assert_eq!((counters.timed_out, counters.handled), (1, 0));
 }
 
 #[test]
-fn a_body_that_arrives_byte_by_byte_is_given_up_at_the_deadline() {
+fn a_body_that_arrives_byte_by_byte_is_refused_at_the_deadline() {
     let settings = small_settings();
     let pause = settings.read_timeout / 20;
     let edge = start(settings, echo);
@@ -101,29 +101,28 @@
     let counters = edge.counters();
     let started = Instant::now();
     while counters.snapshot().timed_out == 0 {
-        assert!(
-            started.elapsed() < PATIENCE,
-            "the slow body was not given up"
-        );
+        assert!(started.elapsed() < TIMEOUT, "the slow body was not refused");
         client.send(b"x");
         let _ = never.recv_timeout(pause);
     }
-    assert_eq!(client.read_answer().status, 408);
+    assert_eq!(client.read_response().status, 408);
 }
 
 #[test]
-fn a_body_that_is_cut_off_reaches_no_handler() {
+fn a_truncated_body_does_not_reach_the_handler() {
     let edge = start(small_settings(), echo);
     let mut client = Client::connect(edge.address());
     client.send(b"POST / HTTP/1.1\r\nContent-Length: 5000\r\n\r\nhalf");
     drop(client);
     let counters = edge.counters();
-    wait_until("cut off", || counters.snapshot().broken_requests == 1);
+    wait_until("the truncated body is counted", || {
+        counters.snapshot().broken_requests == 1
+    });
     assert_eq!(counters.snapshot().handled, 0);
 }
 
 #[test]
-fn above_the_bound_a_request_is_refused_at_once() {
+fn a_request_over_the_concurrency_limit_is_refused_immediately() {
     let settings = EdgeSettings {
         max_concurrent_requests: 2,
         ..EdgeSettings::on_free_loopback_port()
@@ -141,32 +140,32 @@
     ];
     for client in &mut clients {
         client.post("/", b"");
-        entries.recv_timeout(PATIENCE).expect("in progress");
+        entries.recv_timeout(TIMEOUT).expect("in progress");
     }
     let mut refused = Client::connect(edge.address());
     for _ in 0..3 {
         refused.post("/", &[0; 3_000]);
-        let answer = refused.read_answer();
-        assert_eq!(answer.status, 503);
+        let response = refused.read_response();
+        assert_eq!(response.status, 503);
         assert!(
-            answer.head.contains("Retry-After: 1\r\n"),
+            response.head.contains("Retry-After: 1\r\n"),
             "{}",
-            answer.head
+            response.head
         );
-        assert!(answer.body.starts_with(br#"{"code":"unavailable""#));
+        assert!(response.body.starts_with(br#"{"code":"unavailable""#));
     }
     drop(go);
     for client in &mut clients {
-        assert_eq!(client.read_answer().status, 200);
+        assert_eq!(client.read_response().status, 200);
     }
-    assert!(edge.wait_until_idle(PATIENCE));
+    assert!(edge.wait_until_idle(TIMEOUT));
     refused.post("/", b"");
-    assert_eq!(refused.read_answer().status, 200);
+    assert_eq!(refused.read_response().status, 200);
     assert_eq!(edge.counters().snapshot().refused_overload, 3);
 }
 
 #[test]
-fn a_planned_stop_ends_what_is_in_progress_and_refuses_the_rest() {
+fn a_planned_stop_completes_in_flight_requests_and_refuses_new_ones() {
     let (entered, entries) = unbounded();
     let (go, gate) = bounded::<()>(0);
     let edge = start(
@@ -183,14 +182,14 @@
     let address = edge.address();
     let mut client = Client::connect(address);
     client.post("/", b"");
-    entries.recv_timeout(PATIENCE).expect("in progress");
+    entries.recv_timeout(TIMEOUT).expect("in progress");
     edge.refuse_new_requests();
     assert!(!edge.wait_until_idle(std::time::Duration::ZERO));
     let mut late = Client::connect(address);
     late.post("/", b"");
-    assert_eq!(late.read_answer().status, 503);
+    assert_eq!(late.read_response().status, 503);
     drop(go);
-    assert!(edge.wait_until_idle(PATIENCE));
+    assert!(edge.wait_until_idle(TIMEOUT));
     drop(edge);
     client.read_head();
     assert_eq!(client.read_chunk().expect("chunk"), b"one");
@@ -202,7 +201,7 @@
 }
 
 #[test]
-fn a_quiet_listener_still_accepts_after_several_read_timeouts() {
+fn an_idle_listener_accepts_after_several_read_timeouts_without_a_restart() {
     let settings = small_settings();
     let quiet = settings.read_timeout * 3;
     let edge = start(settings, echo);
@@ -210,6 +209,6 @@
     let _ = never.recv_timeout(quiet);
     let mut client = Client::connect(edge.address());
     client.post("/", b"x");
-    assert_eq!(client.read_answer().status, 200);
+    assert_eq!(client.read_response().status, 200);
     assert_eq!(edge.counters().snapshot().acceptor_restarts, 0);
 }
--- a/crates/http-edge/tests/pause.rs
+++ b/crates/http-edge/tests/pause.rs
@@ -1,4 +1,4 @@
-//! A process that is stopped for longer than the read time-out and then goes on.
+//! Guards against a server that stops accepting after its process was paused beyond the read timeout.
 
 mod support;
 
@@ -9,20 +9,20 @@
 
 use support::{Client, echo, small_settings, start};
 
-const TEST_NAME: &str = "a_process_that_was_paused_accepts_again";
+const TEST_NAME: &str = "a_process_accepts_connections_after_a_pause_longer_than_the_read_timeout";
 const CHILD_VARIABLE: &str = "RIDGEWORKS_PAUSED_EDGE";
-const ADDRESS_MARK: &str = "edge at ";
+const ADDRESS_PREFIX: &str = "edge at ";
 
-/// Serves until the parent closes the pipe.
+/// Serves until the parent process closes the pipe.
 fn serve_for_parent() {
     let edge = start(small_settings(), echo);
-    println!("\n{ADDRESS_MARK}{}", edge.address());
+    println!("\n{ADDRESS_PREFIX}{}", edge.address());
     let _ = std::io::stdin().read_to_end(&mut Vec::new());
 }
 
 type Lines = std::io::Lines<BufReader<ChildStdout>>;
 
-/// The lines are kept, so that the child can go on printing.
+/// Returns the output lines too, because the child could not print after its pipe is closed.
 fn start_child() -> (Child, SocketAddr, Lines) {
     let mut child = Command::new(std::env::current_exe().expect("test binary"))
         .args(["--exact", TEST_NAME, "--nocapture"])
@@ -33,7 +33,7 @@
         .expect("child");
     let stdout = BufReader::new(child.stdout.take().expect("pipe"));
     let mut lines = stdout.lines();
-    let address = lines.find_map(|line| line.ok()?.strip_prefix(ADDRESS_MARK)?.parse().ok());
+    let address = lines.find_map(|line| line.ok()?.strip_prefix(ADDRESS_PREFIX)?.parse().ok());
     (child, address.expect("address"), lines)
 }
 
@@ -44,21 +44,21 @@
 }
 
 #[test]
-fn a_process_that_was_paused_accepts_again() {
+fn a_process_accepts_connections_after_a_pause_longer_than_the_read_timeout() {
     if std::env::var_os(CHILD_VARIABLE).is_some() {
         return serve_for_parent();
     }
     let (mut child, address, _lines) = start_child();
     let mut before = Client::connect(address);
     before.post("/", b"x");
-    assert_eq!(before.read_answer().status, 200);
+    assert_eq!(before.read_response().status, 200);
     for _ in 0..2 {
         signal(&child, "-STOP");
         std::thread::sleep(small_settings().read_timeout + Duration::from_millis(300));
         signal(&child, "-CONT");
         let mut after = Client::connect(address);
         after.post("/", b"x");
-        assert_eq!(after.read_answer().status, 200);
+        assert_eq!(after.read_response().status, 200);
     }
     drop(child.stdin.take());
     assert!(child.wait().expect("child ends").success());
--- a/crates/http-edge/tests/support/mod.rs
+++ b/crates/http-edge/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! A raw client, so that tests can send what a proper client would not.
-#![allow(dead_code, reason = "each test file uses a part of it")]
+//! A raw HTTP client, with which tests can send malformed requests.
+#![allow(dead_code, reason = "each test file uses only some of the items")]
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -8,10 +8,10 @@
 
 use ridgeworks_http_edge::{EdgeRequest, EdgeServer, EdgeSettings, Handler, Responder};
 
-/// Far above anything that a passing test takes.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+/// Timeout of each wait, far longer than a passing test takes.
+pub const TIMEOUT: Duration = Duration::from_secs(20);
 
-pub struct Answer {
+pub struct Response {
     pub status: u16,
     pub head: String,
     pub body: Vec<u8>,
@@ -24,7 +24,9 @@
 impl Client {
     pub fn connect(address: SocketAddr) -> Self {
         let stream = TcpStream::connect(address).expect("connect");
-        stream.set_read_timeout(Some(PATIENCE)).expect("time-out");
+        stream
+            .set_read_timeout(Some(TIMEOUT))
+            .expect("set the read timeout");
         Self {
             stream: BufReader::new(stream),
         }
@@ -57,7 +59,7 @@
         (status.parse().expect("number"), head)
     }
 
-    pub fn read_answer(&mut self) -> Answer {
+    pub fn read_response(&mut self) -> Response {
         let (status, head) = self.read_head();
         let length = head.lines().find_map(|line| {
             let (name, value) = line.split_once(':')?;
@@ -66,10 +68,10 @@
         });
         let mut body = vec![0; length.unwrap_or(0)];
         self.stream.read_exact(&mut body).expect("body");
-        Answer { status, head, body }
+        Response { status, head, body }
     }
 
-    /// The next chunk; `None` for the last one.
+    /// Reads the next chunk; `None` for the last one or an invalid chunk size.
     pub fn read_chunk(&mut self) -> Option<Vec<u8>> {
         let mut size = String::new();
         self.stream.read_line(&mut size).expect("chunk size");
@@ -80,7 +82,7 @@
         (size > 0).then_some(chunk)
     }
 
-    /// Everything up to the end of the connection; a reset counts as the end.
+    /// Reads up to the end of the connection; a reset counts as the end.
     pub fn read_rest(&mut self) -> Vec<u8> {
         let mut rest = Vec::new();
         if let Err(error) = self.stream.read_to_end(&mut rest) {
@@ -104,13 +106,13 @@
     EdgeServer::start(settings, Arc::new(handler)).expect("start")
 }
 
-/// Answers with the request's own body.
+/// Responds with the request's own body.
 pub fn echo(request: EdgeRequest, responder: Responder) {
     let _ = responder.json(200, &[], &request.body);
 }
 
 pub fn wait_until(what: &str, condition: impl Fn() -> bool) {
-    let deadline = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + TIMEOUT;
     while !condition() {
         assert!(Instant::now() < deadline, "waited in vain until {what}");
         std::thread::yield_now();
--- a/crates/link/src/counters.rs
+++ b/crates/link/src/counters.rs
@@ -2,22 +2,22 @@
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Counts since the start of the process; shared with the thread that serves `/metrics`.
+/// Counts since the start of the process, shared with the thread that serves `/metrics`.
 #[derive(Debug, Default)]
 pub struct LinkCounters {
-    /// Messages handed to a connection.
+    /// Messages queued on a connection.
     pub sent_messages: AtomicU64,
-    /// Bytes of these, with their frame headers.
+    /// Bytes of the sent messages, including frame headers.
     pub sent_bytes: AtomicU64,
-    /// Messages received.
+    /// Messages received, including hello frames.
     pub received_messages: AtomicU64,
-    /// Bytes received.
+    /// Bytes of the received messages, including frame headers.
     pub received_bytes: AtomicU64,
-    /// Messages dropped because the queue of their connection was full.
+    /// Messages dropped because the queue was full or a reconnection was not due yet.
     pub dropped_messages: AtomicU64,
-    /// Connections dialled.
+    /// Outbound connection attempts.
     pub dialled: AtomicU64,
-    /// Connections that broke.
+    /// Outbound connections that failed or could not be established.
     pub broken: AtomicU64,
 }
 
--- a/crates/link/src/frame.rs
+++ b/crates/link/src/frame.rs
@@ -1,4 +1,4 @@
-//! Frames: a length of four bytes, little end first, then as many bytes.
+//! Framing: each body is preceded by its length, a 32-bit little-endian integer.
 
 use std::fmt;
 
@@ -6,40 +6,40 @@
 use rkyv::rancor;
 use rkyv::{Archive, Deserialize, Serialize};
 
-/// Largest frame; a longer one breaks the connection.
+/// Maximum length of a frame's body, in bytes; a longer frame closes the connection.
 pub const MAX_FRAME_BYTES: usize = 32 * 1024 * 1024;
 
 pub(crate) const HEADER_BYTES: usize = 4;
 
-/// First frame of each connection: who dialled.
+/// First frame of each connection, which identifies the connecting node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct Hello {
-    /// The node that dialled.
+    /// Connecting node.
     pub node: NodeId,
-    /// Its incarnation.
+    /// Number that increases with each start of the node.
     pub incarnation: u64,
 }
 
 impl Hello {
-    /// The bytes of the frame's body.
+    /// Encodes the frame's body.
     pub fn encode(&self) -> Vec<u8> {
         rkyv::to_bytes::<rancor::Error>(self)
             .expect("a hello of two numbers always fits in memory")
             .to_vec()
     }
 
-    /// Reads the body of a first frame.
+    /// Decodes the body of the first frame.
     pub fn decode(bytes: &[u8]) -> Result<Self, FrameError> {
         rkyv::from_bytes::<Self, rancor::Error>(bytes).map_err(|_| FrameError::BadHello)
     }
 }
 
-/// Why a connection's bytes were refused.
+/// Why the received bytes are not valid frames.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FrameError {
-    /// A frame announces more than [`MAX_FRAME_BYTES`]; holds the announced length.
+    /// The length of a frame exceeds [`MAX_FRAME_BYTES`]; contains that length.
     TooLong(usize),
-    /// The first frame is no hello.
+    /// The first frame is not a [`Hello`].
     BadHello,
 }
 
@@ -62,7 +62,7 @@
     out.extend_from_slice(body);
 }
 
-/// Length of the body of the frame at the start of `bytes`, if its header is there.
+/// Returns the body length of the frame at the start of `bytes`, or `None` if the header is incomplete.
 pub(crate) fn body_length(bytes: &[u8]) -> Result<Option<usize>, FrameError> {
     let Some(header) = bytes.first_chunk::<HEADER_BYTES>() else {
         return Ok(None);
