--- a/crates/link/src/inbound.rs
+++ b/crates/link/src/inbound.rs
@@ -1,4 +1,4 @@
-//! A connection that another node dialled: reads frames from it.
+//! A connection opened by another node: reads frames from it.
 
 use std::sync::Arc;
 
@@ -14,13 +14,14 @@
 
 const POLL_PRIORITY: u32 = 10;
 const READ_BYTES: usize = 8 * 1024;
-/// A larger buffer is released once it is empty: every other node has a connection to this one.
+/// An empty buffer with a larger capacity is freed, because every other node has a connection to this one.
 const RETAINED_BYTES: usize = 2 * READ_BYTES;
 
 /// Actor of one accepted connection.
 pub(crate) struct Inbound {
     stream: TcpStreamBuf,
-    dialler: Option<NodeId>,
+    // `None` until the hello frame has arrived.
+    sender: Option<NodeId>,
     deliver: Fwd<Delivery>,
     counters: Arc<LinkCounters>,
 }
@@ -45,7 +46,7 @@
         stream.init(source);
         Some(Self {
             stream,
-            dialler: None,
+            sender: None,
             deliver,
             counters,
         })
@@ -55,7 +56,7 @@
         loop {
             match self.stream.read(READ_BYTES) {
                 ReadStatus::NewData => {
-                    if let Err(error) = self.take_frames() {
+                    if let Err(error) = self.process_frames() {
                         fail!(cx, error);
                         return;
                     }
@@ -85,7 +86,7 @@
         }
     }
 
-    fn take_frames(&mut self) -> Result<(), FrameError> {
+    fn process_frames(&mut self) -> Result<(), FrameError> {
         loop {
             let available = &self.stream.inp[self.stream.rd..self.stream.wr];
             let Some(length) = body_length(available)? else {
@@ -97,15 +98,15 @@
             }
             let body = available[HEADER_BYTES..frame_end].to_vec();
             self.stream.rd += frame_end;
-            self.take_frame(body)?;
+            self.process_frame(body)?;
         }
     }
 
-    fn take_frame(&mut self, body: Vec<u8>) -> Result<(), FrameError> {
+    fn process_frame(&mut self, body: Vec<u8>) -> Result<(), FrameError> {
         LinkCounters::add(&self.counters.received_messages, 1);
         LinkCounters::add(&self.counters.received_bytes, HEADER_BYTES + body.len());
-        match self.dialler {
-            None => self.dialler = Some(Hello::decode(&body)?.node),
+        match self.sender {
+            None => self.sender = Some(Hello::decode(&body)?.node),
             Some(from) => self.deliver.fwd(Delivery { from, body }),
         }
         Ok(())
--- a/crates/link/src/lib.rs
+++ b/crates/link/src/lib.rs
@@ -1,11 +1,11 @@
 //! Framed TCP links between the nodes of the system.
 //!
-//! A node dials one connection to each node that it sends to; that connection carries messages in
-//! this one direction. Messages are opaque bytes here. Delivery is at most once and in order as
-//! long as a connection lasts; a message may be lost when a connection breaks or its queue is full,
-//! so every protocol above repeats what it needs answered.
+//! A node opens one connection to each node that it sends to; the connection carries messages in this
+//! direction only. Messages are opaque bytes. Delivery is at most once, and in order within one
+//! connection. Messages are lost when a connection fails or its queue is full, so the protocols on top
+//! retry requests that need a response.
 //!
-//! All of it runs on the node's one actor thread.
+//! All links run on the node's single actor thread.
 
 mod counters;
 mod frame;
--- a/crates/link/src/links.rs
+++ b/crates/link/src/links.rs
@@ -1,5 +1,5 @@
-//! All links of a node: accepts connections, dials on the first message to a node and again after
-//! a break.
+//! All links of a node: accepts connections, and connects to a node on the first message to it and
+//! again after a failure.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -22,19 +22,19 @@
 const POLL_PRIORITY: u32 = 10;
 const REDIAL_DELAY: Duration = Duration::from_millis(50);
 
-/// A message that arrived.
+/// A received message.
 #[derive(Debug)]
 pub struct Delivery {
-    /// The node that sent it, by its own word.
+    /// Sender, as stated in its hello frame; not authenticated.
     pub from: NodeId,
-    /// The message.
+    /// Body of the frame.
     pub body: Vec<u8>,
 }
 
-/// A dialled connection broke or could not be made. Its queued messages are lost.
+/// An outbound connection failed or could not be established. Its queued messages are lost.
 #[derive(Debug, Clone, Copy)]
 pub struct LinkClosed {
-    /// The node at its other end.
+    /// Node that the connection led to.
     pub peer: Peer,
 }
 
@@ -53,13 +53,13 @@
 struct Dialled {
     peer: Peer,
     generation: u64,
-    // Absent between a break and the next dial.
+    // `None` between a failure and the next connection attempt.
     connection: Option<ActorOwn<Outbound>>,
     redial_at: std::time::Instant,
 }
 
 impl Links {
-    /// Binds the listener; the process fails to start when it cannot.
+    /// Binds the listener. Called before the actor starts, so that an error can end the process.
     pub fn bind(settings: &LinkSettings) -> Result<TcpListener, LinkError> {
         TcpListener::bind(settings.listen).map_err(|source| LinkError::Bind {
             address: settings.listen,
@@ -67,7 +67,8 @@
         })
     }
 
-    /// Starts the actor on a bound listener. Messages go to `deliver`, breaks to `closed`.
+    /// Starts the actor on a bound listener. It passes received messages to `deliver` and failed
+    /// outbound connections to `closed`.
     pub fn init(
         cx: CX![],
         settings: LinkSettings,
@@ -97,7 +98,8 @@
         })
     }
 
-    /// Sends a message, dialling first where there is no connection.
+    /// Sends a message, connecting first if necessary. The message is dropped if a connection to the
+    /// node failed just before and the reconnection delay has not passed.
     pub fn send(&mut self, cx: CX![], to: Peer, body: Vec<u8>) {
         let now = cx.now();
         let dialled = self.outbound.entry(to.node).or_insert(Dialled {
@@ -127,7 +129,7 @@
         }
     }
 
-    /// Drops the connection to a node that is gone for good.
+    /// Closes the connection to a node that was removed permanently.
     pub fn forget(&mut self, _cx: CX![], node: NodeId) {
         self.outbound.remove(&node);
     }
@@ -182,7 +184,7 @@
             match self.listener.accept() {
                 Ok((stream, _)) => self.add_inbound(cx, stream),
                 Err(error) if error.kind() == std::io::ErrorKind::Interrupted => {}
-                // Would block, or the process has no descriptor left: the next readiness tries again.
+                // No pending connection, or no free file descriptor: retried at the next readiness event.
                 Err(_) => return,
             }
         }
--- a/crates/link/src/outbound.rs
+++ b/crates/link/src/outbound.rs
@@ -1,4 +1,4 @@
-//! A connection that this node dialled: queues and writes frames.
+//! A connection opened by this node: queues and writes frames.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,10 +13,10 @@
 
 const POLL_PRIORITY: u32 = 10;
 const READ_BYTES: usize = 64;
-/// A larger queue is released once it is empty: this node has a connection to every other one.
+/// An empty queue with a larger capacity is freed, because a node has a connection to every other node.
 const RETAINED_BYTES: usize = 16 * 1024;
 
-/// Actor of one dialled connection. It fails when the connection breaks.
+/// Actor of one outbound connection. It fails when the connection is lost.
 pub(crate) struct Outbound {
     stream: TcpStreamBuf,
     connected: bool,
@@ -62,7 +62,7 @@
         })
     }
 
-    /// Queues one message; drops it when the queue is full.
+    /// Queues one message, or drops it if the queue is full.
     pub(crate) fn send(&mut self, cx: CX![], body: Vec<u8>) {
         if self.stream.out.len() + body.len() > self.max_queued_bytes {
             LinkCounters::add(&self.counters.dropped_messages, 1);
@@ -82,7 +82,7 @@
             self.flush(cx);
         }
         if ready.is_readable() {
-            self.notice_end(cx);
+            self.detect_close(cx);
         }
     }
 
@@ -95,8 +95,8 @@
         }
     }
 
-    // The other side never writes on this connection: anything readable is its end.
-    fn notice_end(&mut self, cx: CX![]) {
+    // The peer never writes to this connection, so it becomes readable only when it is closed.
+    fn detect_close(&mut self, cx: CX![]) {
         loop {
             match self.stream.read(READ_BYTES) {
                 ReadStatus::NewData => self.stream.rd = self.stream.wr,
--- a/crates/link/src/settings.rs
+++ b/crates/link/src/settings.rs
@@ -5,12 +5,12 @@
 
 use ridgeworks_domain::NodeId;
 
-/// Dials another address than the advertised one, where a port is forwarded between two networks.
+/// Replaces an advertised address, for nodes behind port forwarding between two networks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct DialOverride {
-    /// The address that the other node advertises.
+    /// Address that the other node advertises.
     pub advertised: SocketAddr,
-    /// The address to dial from here.
+    /// Address to connect to instead.
     pub dial: SocketAddr,
 }
 
@@ -19,33 +19,33 @@
 pub struct LinkSettings {
     /// Address to listen on.
     pub listen: SocketAddr,
-    /// This node, as its hello frame names it.
+    /// This node, sent in the hello frame.
     pub node: NodeId,
-    /// Raised at each start of the node.
+    /// Number that increases with each start of the node.
     pub incarnation: u64,
-    /// Where to dial instead of the advertised address.
+    /// Addresses to connect to instead of the advertised ones.
     pub dial_overrides: Vec<DialOverride>,
-    /// Most bytes that wait for one connection; above it new messages to that node are dropped.
+    /// Maximum number of bytes queued per connection; a message that would exceed it is dropped.
     pub max_queued_bytes: usize,
 }
 
-/// Where a message goes.
+/// Destination of a message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Peer {
-    /// The node.
+    /// Receiving node.
     pub node: NodeId,
-    /// The address that it advertises.
+    /// Address that the node advertises.
     pub address: SocketAddr,
 }
 
-/// Why links could not start.
+/// Why the links could not start.
 #[derive(Debug)]
 pub enum LinkError {
     /// The listening address could not be bound.
     Bind {
-        /// The address.
+        /// Address from the settings.
         address: SocketAddr,
-        /// What the system answered.
+        /// Error of the operating system.
         source: std::io::Error,
     },
     /// The listener could not be registered with the poll.
--- a/crates/worker-pool/src/lib.rs
+++ b/crates/worker-pool/src/lib.rs
@@ -1,8 +1,7 @@
-//! Threads for work that blocks: idle ones are used again, and one more is started when all are
-//! busy.
+//! Thread pool for blocking work: reuses idle threads, and starts another one when all are busy.
 //!
-//! A machine under load lets a new thread wait for its first turn much longer than one that sleeps:
-//! about 4 ms against well under 1 ms where it was measured (`docs/design/stream-threads.md`).
+//! Reuse reduces latency: on a loaded machine, a new thread waits for about 4 ms until it is scheduled, a
+//! sleeping one for well under 1 ms (`docs/design/stream-threads.md`).
 
 use std::io;
 use std::thread;
@@ -10,12 +9,12 @@
 
 use crossbeam_channel::{Receiver, Sender, TrySendError, bounded};
 
-/// An idle thread ends after this time.
+/// Time after which an idle thread ends.
 pub const IDLE_THREAD_LIFETIME: Duration = Duration::from_secs(30);
 
 type Job = Box<dyn FnOnce() + Send>;
 
-/// The pool. It does not bound the number of threads: its users bound the work.
+/// A pool of threads. It does not limit the number of threads; callers must limit the number of jobs.
 #[derive(Debug, Clone)]
 pub struct WorkerPool {
     name: &'static str,
@@ -25,7 +24,7 @@
 }
 
 impl WorkerPool {
-    /// An empty pool whose threads have this name and stacks of this size.
+    /// Creates a pool without threads; `name` and `stack_bytes` apply to each thread that it starts.
     pub fn new(name: &'static str, stack_bytes: usize) -> Self {
         let (sender, receiver) = bounded(0);
         Self {
@@ -39,15 +38,17 @@
     /// Runs a job on a thread of the pool.
     ///
     /// # Errors
-    /// The system's error when a thread is needed and cannot be started; the job is dropped then.
+    /// Returns the system's error if a new thread is needed and cannot be started; the job is dropped.
     pub fn run(&self, job: impl FnOnce() + Send + 'static) -> io::Result<()> {
         match self.sender.try_send(Box::new(job)) {
             Ok(()) => Ok(()),
-            Err(TrySendError::Full(job) | TrySendError::Disconnected(job)) => self.grow(job),
+            Err(TrySendError::Full(job) | TrySendError::Disconnected(job)) => {
+                self.start_thread(job)
+            }
         }
     }
 
-    fn grow(&self, first: Job) -> io::Result<()> {
+    fn start_thread(&self, first: Job) -> io::Result<()> {
         let receiver = self.receiver.clone();
         let work = move || {
             first();
@@ -59,10 +60,10 @@
     }
 }
 
-/// Starts a thread that nobody joins, for work that goes on for long.
+/// Starts a thread that is never joined, for long-running work.
 ///
 /// # Errors
-/// The system's error when the thread cannot be started; the work is dropped then.
+/// Returns the system's error if the thread cannot be started; the work is dropped.
 pub fn spawn_detached(
     name: &str,
     stack_bytes: usize,
--- a/crates/worker-pool/tests/reuse.rs
+++ b/crates/worker-pool/tests/reuse.rs
@@ -1,4 +1,4 @@
-//! The pool uses idle threads again and grows when all are busy.
+//! Guards against jobs that wait for a busy thread, and against a pool that never reuses threads.
 
 use std::thread;
 use std::time::Duration;
@@ -7,10 +7,10 @@
 use ridgeworks_worker_pool::WorkerPool;
 
 const STACK_BYTES: usize = 64 * 1024;
-const PATIENCE: Duration = Duration::from_secs(10);
+const TIMEOUT: Duration = Duration::from_secs(10);
 
 #[test]
-fn a_busy_thread_does_not_hold_up_the_next_job() {
+fn a_job_runs_while_another_one_blocks() {
     let pool = WorkerPool::new("pool", STACK_BYTES);
     let (release, released) = bounded::<()>(0);
     let (report, reports) = unbounded();
@@ -24,17 +24,17 @@
         let _ = report.send("second");
     })
     .expect("a thread starts");
-    assert_eq!(reports.recv_timeout(PATIENCE), Ok("second"));
+    assert_eq!(reports.recv_timeout(TIMEOUT), Ok("second"));
     drop(release);
-    assert_eq!(reports.recv_timeout(PATIENCE), Ok("first"));
+    assert_eq!(reports.recv_timeout(TIMEOUT), Ok("first"));
 }
 
 #[test]
-fn an_idle_thread_is_used_again() {
+fn an_idle_thread_is_reused() {
     let pool = WorkerPool::new("pool", STACK_BYTES);
     let (report, reports) = unbounded();
     let mut seen = Vec::new();
-    // A thread takes the next job only once it waits for one again, so some jobs may start threads.
+    // The previous thread may not be idle yet when the next job starts, so some jobs start new threads.
     while seen
         .iter()
         .all(|thread| seen.iter().filter(|other| *other == thread).count() < 2)
@@ -44,6 +44,6 @@
             let _ = report.send(thread::current().id());
         })
         .expect("a thread starts");
-        seen.push(reports.recv_timeout(PATIENCE).expect("the job runs"));
+        seen.push(reports.recv_timeout(TIMEOUT).expect("the job runs"));
     }
 }
