--- a/crates/run-log/src/acceptor.rs
+++ b/crates/run-log/src/acceptor.rs
@@ -1,12 +1,12 @@
-//! The acceptor of one run: promises, and the log that follows the newest owner.
+//! The acceptor of one run: its promise, and the log that it replicates from the current owner.
 //!
-//! Survives a crash: everything in [`RunHead`] except a commit index that moved alone, and all entries. The rules are
+//! [`RunHead`] and all entries survive a crash, except for an advance of the commit index alone. The rules are
 //! those of Raft's followers, for the reasons given in `docs/design/run-log.md`:
 //!
-//! - a lower ballot than the promised one is refused, and a ballot is granted to one proposer instance;
-//! - entries are taken only where the log before them agrees (same index, same ballot);
-//! - a vote belongs to one store. A node that comes back without its disk has another [`StoreId`](crate::entry::StoreId)
-//!   and refuses what was meant for the old one, so it can't contradict a vote that it no longer knows of.
+//! - a ballot below the promised one is refused, and a ballot is granted to only one proposer instance;
+//! - entries are appended only where the preceding entry matches (same index, same ballot);
+//! - a vote belongs to one store. A node that restarts without its disk has another [`StoreId`](crate::entry::StoreId)
+//!   and refuses messages addressed to the old one, so it can't contradict a vote that it has lost.
 
 use ridgeworks_domain::{Ballot, RunId};
 
@@ -14,14 +14,14 @@
 use crate::message::{Rejection, Reply};
 use crate::storage::{LogStorage, RunHead, Write};
 
-/// Most bytes of entries in one answer to a fetch.
+/// Limit on the entries in one reply to a fetch; a single larger entry is still sent.
 pub const FETCH_BYTES: usize = 256 * 1024;
 
-/// Sweeps after which a store may have forgotten a run that was opened before them.
-pub(crate) const FORGET_GENERATIONS: u32 = 2;
+/// Number of generations for which a store keeps a closed run, counted from the one that the run's log names.
+pub(crate) const RETAINED_GENERATIONS: u32 = 2;
 
-/// Entries handed out as writes whose flush has not been reported yet. They stand for the whole log from
-/// `first` on, whatever storage still holds there.
+/// Entries whose writes have not been reported as flushed. They replace whatever the storage still holds
+/// from `first` on.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct UnflushedTail {
     pub first: LogIndex,
@@ -29,20 +29,20 @@
     pub write_number: u64,
 }
 
-/// One run as a replica holds it in memory.
+/// In-memory state of one run.
 #[derive(Debug, Clone)]
 pub(crate) struct HeldRun {
     pub head: RunHead,
     pub tail: Option<Box<UnflushedTail>>,
 }
 
-/// The acceptor's answer, with the writes that must be durable before it leaves.
+/// A reply, and the writes that must be durable before it is sent.
 pub(crate) struct Answer {
     pub writes: Vec<Write>,
     pub reply: Reply,
 }
 
-/// One request's view of a run: what is held, and where to read entries.
+/// Access to one run while a request is handled.
 pub(crate) struct Acceptor<'a> {
     pub run: RunId,
     pub identity: ReplicaId,
@@ -51,8 +51,8 @@
     pub write_number: u64,
 }
 
-/// The parts of an append that concern the log.
-pub(crate) struct Appending {
+/// The fields of [`Request::Append`](crate::message::Request::Append) that concern the log.
+pub(crate) struct AppendRequest {
     pub ballot: Ballot,
     pub previous: LogPosition,
     pub entries: Vec<LogEntry>,
@@ -61,7 +61,7 @@
 }
 
 impl RunHead {
-    /// The head of a run of which nothing is known yet.
+    /// The head of a run without a promise or entries.
     pub(crate) fn new(generation: u32) -> Self {
         Self {
             promised: Ballot::ZERO,
@@ -75,20 +75,20 @@
         }
     }
 
-    /// Whether the run is known to be closed for good.
+    /// Whether the `Closed` entry is known to be committed.
     pub fn is_closed(&self) -> bool {
         self.closed_index != LogIndex::NONE && self.closed_index <= self.commit_index
     }
 
-    /// Whether an owner has something left to do: a call to end, or the end of the run to commit.
-    pub fn is_unsettled(&self) -> bool {
+    /// Whether an owner must still end a call or commit the end of the run.
+    pub fn has_pending_work(&self) -> bool {
         let ending = self.closed_index != LogIndex::NONE && !self.is_closed();
         self.call_open || ending
     }
 }
 
 impl Acceptor<'_> {
-    /// Grants the ballot unless a higher one, or the same to another instance, was granted.
+    /// Promises the ballot unless a higher one was promised, or the same one to another instance.
     pub fn prepare(&mut self, ballot: Ballot, instance: u64) -> Answer {
         let head = &mut self.held.head;
         let repeated = ballot == head.promised && instance == head.instance && instance != 0;
@@ -111,7 +111,7 @@
         }
     }
 
-    /// Reads a page of the log for the proposer that holds the promise.
+    /// Returns a page of the log to the proposer that holds the promise.
     pub fn fetch(&mut self, ballot: Ballot, first: LogIndex) -> Answer {
         if ballot != self.held.head.promised {
             return self.reject_lower(ballot);
@@ -128,25 +128,25 @@
         }
     }
 
-    /// Takes entries of the owner that holds the highest ballot seen.
-    pub fn append(&mut self, appending: Appending) -> Answer {
-        if appending.ballot < self.held.head.promised {
-            return self.reject_lower(appending.ballot);
+    /// Appends entries of an owner whose ballot is at least the promised one.
+    pub fn append(&mut self, append_request: AppendRequest) -> Answer {
+        if append_request.ballot < self.held.head.promised {
+            return self.reject_lower(append_request.ballot);
         }
         let before = self.held.head;
-        if appending.ballot > before.promised {
-            self.held.head.promised = appending.ballot;
+        if append_request.ballot > before.promised {
+            self.held.head.promised = append_request.ballot;
             self.held.head.instance = 0;
         }
         let mut writes = Vec::new();
-        let reply = match self.gap(appending.previous) {
+        let reply = match self.gap(append_request.previous) {
             Some(next_index) => Reply::Rejected {
                 run: self.run,
-                ballot: appending.ballot,
+                ballot: append_request.ballot,
                 replica: self.identity,
                 reason: Rejection::Gap { next_index },
             },
-            None => self.take(appending, &mut writes),
+            None => self.append_entries(append_request, &mut writes),
         };
         if self.must_write_head(&before) {
             writes.push(self.write_head());
@@ -154,31 +154,31 @@
         Answer { writes, reply }
     }
 
-    fn take(&mut self, appending: Appending, writes: &mut Vec<Write>) -> Reply {
-        let count = appending.entries.len() as u64;
-        let matched = LogIndex(appending.previous.index.0 + count);
-        for entry in appending.entries {
-            self.take_entry(entry, writes);
+    fn append_entries(&mut self, append_request: AppendRequest, writes: &mut Vec<Write>) -> Reply {
+        let count = append_request.entries.len() as u64;
+        let matched = LogIndex(append_request.previous.index.0 + count);
+        for entry in append_request.entries {
+            self.append_entry(entry, writes);
         }
-        let committed = appending.commit_index.min(matched);
+        let committed = append_request.commit_index.min(matched);
         self.held.head.commit_index = self.held.head.commit_index.max(committed);
         Reply::Appended {
             run: self.run,
-            ballot: appending.ballot,
+            ballot: append_request.ballot,
             replica: self.identity,
             last_index: matched,
-            round: appending.round,
+            round: append_request.round,
         }
     }
 
-    fn take_entry(&mut self, entry: LogEntry, writes: &mut Vec<Write>) {
+    fn append_entry(&mut self, entry: LogEntry, writes: &mut Vec<Write>) {
         let index = entry.index;
         if index <= self.held.head.last.index {
             if self.agrees_at(entry.position()) {
                 return;
             }
             self.truncate_from(index);
-            self.look_back_from(index);
+            self.recompute_head_before(index);
             let run = self.run;
             writes.push(Write::TruncateFrom { run, index });
         }
@@ -192,18 +192,18 @@
             self.held.head.members_index = index;
         }
         self.held.head.last = entry.position();
-        self.remember(entry.clone());
+        self.push_unflushed(entry.clone());
         let run = self.run;
         writes.push(Write::Entry { run, entry });
     }
 
-    /// Where the owner must go on from, if its entries don't follow on from this log.
+    /// Index from which the owner must resume sending, if its entries don't follow this log.
     fn gap(&self, previous: LogPosition) -> Option<LogIndex> {
         let head = &self.held.head;
         if previous.index > head.last.index {
             return Some(head.last.index.next());
         }
-        // Everything committed agrees with every later owner, so it is a safe place to go on from.
+        // Every later owner's log contains all committed entries, so sending can resume after them.
         let agrees = self.agrees_at(previous);
         (!agrees).then(|| head.commit_index.next())
     }
@@ -252,8 +252,8 @@
         }
     }
 
-    /// Sets what the head says of the entries before `index`.
-    fn look_back_from(&mut self, index: LogIndex) {
+    /// Recomputes the fields of the head that depend on the entries before `index`.
+    fn recompute_head_before(&mut self, index: LogIndex) {
         let mut call_open = None;
         let mut members_index = None;
         let mut at = index.previous();
@@ -261,8 +261,8 @@
             let found = self.entries(at, 1);
             if let Some(found) = found.first().filter(|found| found.index == at) {
                 call_open = call_open.or(found.entry.leaves_call_open());
-                let names_set = found.entry.replicas().is_some();
-                members_index = members_index.or(names_set.then_some(at));
+                let defines_members = found.entry.replicas().is_some();
+                members_index = members_index.or(defines_members.then_some(at));
             }
             at = at.previous();
         }
@@ -270,7 +270,7 @@
         self.held.head.members_index = members_index.unwrap_or(LogIndex::NONE);
     }
 
-    fn remember(&mut self, entry: LogEntry) {
+    fn push_unflushed(&mut self, entry: LogEntry) {
         let write_number = self.write_number;
         let first = entry.index;
         let tail = self.held.tail.get_or_insert_with(|| {
@@ -284,8 +284,8 @@
         tail.write_number = write_number;
     }
 
-    /// A commit index that moved alone is not worth a flush: the owner tells it again. It is written when it
-    /// closes the run, because a closed run hears of no owner any more.
+    /// An advance of the commit index alone is not written, because the owner sends it again. It is written when it
+    /// closes the run, because no owner contacts a closed run any more.
     fn must_write_head(&self, before: &RunHead) -> bool {
         let now = self.held.head;
         let unchanged = RunHead {
--- a/crates/run-log/src/budget.rs
+++ b/crates/run-log/src/budget.rs
@@ -1,18 +1,18 @@
-//! A run's budget: reserve before, settle after.
+//! Budget of a run: cost is reserved before a call and settled after it.
 
 use std::collections::BTreeMap;
 
 use ridgeworks_domain::safeguard::{Safeguard, is_disabled};
 use ridgeworks_domain::{Cost, RunId};
 
-/// A reserve that does not fit.
+/// The requested reserve exceeds the remaining budget.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct BudgetExceeded {
-    /// What is left.
+    /// Amount that could be reserved.
     pub remaining: Cost,
 }
 
-/// What a run may spend, holds in reserve and has spent. The last two together never pass the first.
+/// Limit, reserved cost and spent cost of a run. Reserved plus spent cost never exceeds the limit.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Budget {
     limit: Cost,
@@ -22,7 +22,7 @@
 }
 
 impl Budget {
-    /// Nothing spent of `limit`.
+    /// A budget of which nothing is reserved or spent.
     pub fn new(limit: Cost) -> Self {
         Self {
             limit,
@@ -30,23 +30,23 @@
         }
     }
 
-    /// What was spent, attempts of unknown end at their full reserve.
+    /// Total cost spent. Attempts with an unknown end count with their full reserve.
     pub fn spent(&self) -> Cost {
         self.spent
     }
 
-    /// What is held for calls and children under way.
+    /// Total cost reserved for open calls and child runs.
     pub fn reserved(&self) -> Cost {
         self.reserved
     }
 
-    /// What may still be reserved.
+    /// Cost that may still be reserved.
     pub fn remaining(&self) -> Cost {
         let bound = self.spent.saturating_add(self.reserved);
         self.limit.saturating_sub(bound)
     }
 
-    /// Whether `amount` could be reserved.
+    /// Fails if `amount` exceeds the remaining budget; reserves nothing.
     pub fn check(&self, amount: Cost) -> Result<(), BudgetExceeded> {
         let remaining = self.remaining();
         if amount > remaining && !is_disabled(Safeguard::Reserve) {
@@ -55,21 +55,21 @@
         Ok(())
     }
 
-    /// Holds `amount`.
+    /// Reserves `amount`; fails if it exceeds the remaining budget.
     pub fn reserve(&mut self, amount: Cost) -> Result<(), BudgetExceeded> {
         self.check(amount)?;
         self.reserved = self.reserved.saturating_add(amount);
         Ok(())
     }
 
-    /// Lets go of `reserve`, of which `spent` was used. More than the reserve can't have been used.
+    /// Releases `reserve` and counts `spent` as spent, at most the released amount.
     pub fn settle(&mut self, reserve: Cost, spent: Cost) {
         let held = reserve.min(self.reserved);
         self.reserved = self.reserved.saturating_sub(held);
         self.spent = self.spent.saturating_add(spent.min(held));
     }
 
-    /// Holds `amount` for a child run. Repeating it for one child changes nothing.
+    /// Reserves `amount` for a child run. Idempotent per child run.
     pub fn open_child(&mut self, child: RunId, amount: Cost) -> Result<(), BudgetExceeded> {
         if self.children.contains_key(&child) {
             return Ok(());
@@ -79,19 +79,19 @@
         Ok(())
     }
 
-    /// Settles a child run. Repeating it for one child changes nothing.
+    /// Settles the reserve of a child run. Idempotent per child run.
     pub fn close_child(&mut self, child: RunId, spent: Cost) {
         if let Some(reserve) = self.children.remove(&child) {
             self.settle(reserve, spent);
         }
     }
 
-    /// Whether the child's budget is held.
+    /// Whether a reserve is held for the child run.
     pub fn holds_child(&self, child: RunId) -> bool {
         self.children.contains_key(&child)
     }
 
-    /// Counts what is held for children as spent: nobody will tell any more.
+    /// Counts the reserves of all child runs as spent, because their actual cost can no longer be reported.
     pub fn settle_all_children(&mut self) {
         for (_, reserve) in std::mem::take(&mut self.children) {
             self.settle(reserve, reserve);
--- a/crates/run-log/src/election.rs
+++ b/crates/run-log/src/election.rs
@@ -1,6 +1,7 @@
-//! How a node becomes the owner of a run: promises from a majority, then a copy of the newest log among them.
+//! Election of a run's owner: promises from a majority, then a copy of the most recent log among them.
 //!
-//! Nothing here is durable. A claim that is lost with its node leaves promises behind, which a later claim overbids.
+//! Nothing here is durable. If the node fails, its promises remain with the acceptors until a later claim
+//! supersedes them with a higher ballot.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,25 +11,26 @@
 use crate::entry::{LogEntry, LogIndex, LogPosition, ReplicaId};
 use crate::message::{Rejection, Reply, Request};
 
-/// Lowest round of a claim after the opening one.
+/// Lowest ballot round of a claim; the opening of the run uses the round before it.
 const FIRST_CLAIM_ROUND: u64 = 2;
-/// Times that a claim is raised over ones not known before; one more higher ballot means a live competitor.
-const MAX_RAISES: u32 = 3;
-/// Unanswered fetches after which another acceptor's copy is taken.
-const MAX_FETCHES: u32 = 3;
-/// Acceptors of a run whose log is not known yet of which a majority is sought.
-const LEAST_ANSWERS: usize = 2;
+/// Number of times that a claim is repeated with a higher ballot; a further rejection means that another node is
+/// active.
+const MAX_BALLOT_RAISES: u32 = 3;
+/// Number of retries of a fetch before the log is copied from another acceptor.
+const MAX_FETCH_RETRIES: u32 = 3;
+/// Replies required before the log is copied. The replica set is not known before that.
+const MIN_ANSWERS: usize = 2;
 
-/// Where the election stands.
+/// State of an election.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum ElectionState {
-    /// Under way.
+    /// In progress.
     Open,
-    /// Won, with the log to go on from.
+    /// Won, with the adopted log.
     Won { log: Vec<LogEntry> },
     /// Another node claims the run.
     Lost { higher: Ballot },
-    /// Every acceptor asked holds nothing of the run.
+    /// No acceptor that was asked holds any state of the run.
     RunUnknown,
 }
 
@@ -41,20 +43,20 @@
 #[derive(Debug, Clone, Default)]
 struct Candidate {
     vote: Option<Vote>,
-    /// The replica as it answered that it can't vote.
+    /// Identity of the replica that replied that it can't vote.
     without_vote: Option<ReplicaId>,
-    /// The replica as the log names it.
+    /// Identity of the replica in the log.
     member: Option<ReplicaId>,
 }
 
 #[derive(Debug, Clone)]
-struct Copying {
-    donor: Vote,
+struct LogCopy {
+    source: Vote,
     log: Vec<LogEntry>,
-    fetches: u32,
+    fetch_retries: u32,
 }
 
-/// One node's attempt to own one run.
+/// A node's claim to one run.
 #[derive(Debug, Clone)]
 pub(crate) struct Election {
     run: RunId,
@@ -62,14 +64,14 @@
     pub ballot: Ballot,
     raises: u32,
     candidates: BTreeMap<NodeId, Candidate>,
-    copying: Option<Copying>,
+    log_copy: Option<LogCopy>,
     state: ElectionState,
     last_sent: MonotonicTime,
     outgoing: Vec<(NodeId, Request)>,
 }
 
 impl Election {
-    /// Claims `run` above `known`, asking `contacts`. `instance` is a random number other than 0.
+    /// Claims `run` with a ballot above `known` and asks `contacts`. `instance` is a nonzero random number.
     pub fn start(
         run: RunId,
         node: NodeId,
@@ -91,7 +93,7 @@
             ballot: known.max(floor).next_for(node),
             raises: 0,
             candidates: candidates.collect(),
-            copying: None,
+            log_copy: None,
             state: ElectionState::Open,
             last_sent: now,
             outgoing: Vec::new(),
@@ -100,24 +102,23 @@
         election
     }
 
-    /// The same claim from the start, at a higher ballot so that earlier answers don't count.
-    pub fn again(&self, now: MonotonicTime) -> Self {
+    /// Restarts the claim with a higher ballot, so that replies to the earlier one are ignored.
+    pub fn restart(&self, now: MonotonicTime) -> Self {
         let contacts: Vec<NodeId> = self.candidates.keys().copied().collect();
         let node = self.ballot.node;
         Self::start(self.run, node, self.instance, self.ballot, &contacts, now)
     }
 
-    /// What became of it.
     pub fn state(&self) -> &ElectionState {
         &self.state
     }
 
-    /// Requests to send.
+    /// Removes and returns the requests to send, each with its destination.
     pub fn take_outgoing(&mut self) -> Vec<(NodeId, Request)> {
         std::mem::take(&mut self.outgoing)
     }
 
-    /// Replicas that answered without a vote: they may be taken into the set again.
+    /// Replicas that replied without a vote; they may join the replica set.
     pub fn without_vote(&self) -> Vec<ReplicaId> {
         let answers = self.candidates.values();
         answers
@@ -125,7 +126,7 @@
             .collect()
     }
 
-    /// Takes a reply.
+    /// Handles a reply of `from`.
     pub fn handle(&mut self, from: NodeId, reply: &Reply, now: MonotonicTime) {
         match reply {
             Reply::Promise {
@@ -146,41 +147,41 @@
                 replica,
                 entries,
                 ..
-            } if *ballot == self.ballot => self.take_page(*replica, entries, now),
+            } if *ballot == self.ballot => self.handle_fetched(*replica, entries, now),
             Reply::Rejected {
                 replica,
                 reason,
                 ballot,
                 ..
-            } => self.take_rejection(from, *ballot, *replica, *reason, now),
+            } => self.handle_rejection(from, *ballot, *replica, *reason, now),
             _ => return,
         }
         self.advance(now);
     }
 
-    /// Repeats what was not answered within `retry_after`.
+    /// Repeats requests that were not answered within `retry_after`.
     pub fn tick(&mut self, now: MonotonicTime, retry_after: Duration) {
         if self.state != ElectionState::Open || now.since(self.last_sent) < retry_after {
             return;
         }
         self.send_prepares(now);
-        let Some(copying) = self.copying.as_mut() else {
+        let Some(log_copy) = self.log_copy.as_mut() else {
             return;
         };
-        copying.fetches += 1;
-        if copying.fetches <= MAX_FETCHES {
+        log_copy.fetch_retries += 1;
+        if log_copy.fetch_retries <= MAX_FETCH_RETRIES {
             self.send_fetch();
             return;
         }
-        let silent = copying.donor.replica.node;
-        self.copying = None;
-        if let Some(candidate) = self.candidates.get_mut(&silent) {
+        let unresponsive = log_copy.source.replica.node;
+        self.log_copy = None;
+        if let Some(candidate) = self.candidates.get_mut(&unresponsive) {
             candidate.vote = None;
         }
         self.advance(now);
     }
 
-    fn take_rejection(
+    fn handle_rejection(
         &mut self,
         from: NodeId,
         ballot: Ballot,
@@ -190,7 +191,7 @@
     ) {
         match reason {
             Rejection::HigherBallot { promised } if promised >= self.ballot => {
-                self.raise(promised, now);
+                self.raise_ballot(promised, now);
             }
             Rejection::UnknownRun | Rejection::Recovering if ballot == self.ballot => {
                 let candidate = self.candidates.entry(from).or_default();
@@ -200,14 +201,14 @@
         }
     }
 
-    fn raise(&mut self, promised: Ballot, now: MonotonicTime) {
-        if self.raises == MAX_RAISES {
+    fn raise_ballot(&mut self, promised: Ballot, now: MonotonicTime) {
+        if self.raises == MAX_BALLOT_RAISES {
             self.state = ElectionState::Lost { higher: promised };
             return;
         }
         self.raises += 1;
         self.ballot = promised.next_for(self.ballot.node);
-        self.copying = None;
+        self.log_copy = None;
         for candidate in self.candidates.values_mut() {
             candidate.vote = None;
             candidate.without_vote = None;
@@ -220,15 +221,15 @@
             return;
         }
         let Some(newest) = self.newest_vote() else {
-            self.notice_unknown_run();
+            self.detect_unknown_run();
             return;
         };
-        match &self.copying {
-            Some(copying) if copying.donor.last >= newest.last => {}
-            _ if self.answers() < LEAST_ANSWERS => return,
+        match &self.log_copy {
+            Some(log_copy) if log_copy.source.last >= newest.last => {}
+            _ if self.answers() < MIN_ANSWERS => return,
             _ => return self.copy_from(newest, now),
         }
-        self.conclude(now);
+        self.check_majority(now);
     }
 
     fn newest_vote(&self) -> Option<Vote> {
@@ -247,7 +248,7 @@
         self.candidates.values().filter(answered).count()
     }
 
-    fn notice_unknown_run(&mut self) {
+    fn detect_unknown_run(&mut self) {
         let unknown = self
             .candidates
             .values()
@@ -257,46 +258,50 @@
         }
     }
 
-    fn copy_from(&mut self, donor: Vote, now: MonotonicTime) {
-        self.copying = Some(Copying {
-            donor,
+    fn copy_from(&mut self, source: Vote, now: MonotonicTime) {
+        self.log_copy = Some(LogCopy {
+            source,
             log: Vec::new(),
-            fetches: 0,
+            fetch_retries: 0,
         });
         self.last_sent = now;
         self.send_fetch();
     }
 
-    fn take_page(&mut self, replica: ReplicaId, entries: &[LogEntry], now: MonotonicTime) {
-        let Some(copying) = self.copying.as_mut() else {
+    fn handle_fetched(&mut self, replica: ReplicaId, entries: &[LogEntry], now: MonotonicTime) {
+        let Some(log_copy) = self.log_copy.as_mut() else {
             return;
         };
-        let next = LogIndex(copying.log.len() as u64).next();
+        let next = LogIndex(log_copy.log.len() as u64).next();
         let follows = entries.first().is_some_and(|entry| entry.index == next);
-        if !follows || !replica.same_acceptor(copying.donor.replica) {
+        if !follows || !replica.same_acceptor(log_copy.source.replica) {
             return;
         }
-        copying.log.extend_from_slice(entries);
-        copying.fetches = 0;
+        log_copy.log.extend_from_slice(entries);
+        log_copy.fetch_retries = 0;
         self.last_sent = now;
-        if !copying.is_whole() {
+        if !log_copy.is_complete() {
             self.send_fetch();
         }
     }
 
-    /// Checks whether the copied log's own replica set voted for this claim with a majority.
-    fn conclude(&mut self, now: MonotonicTime) {
-        let Some(copying) = self.copying.as_ref().filter(|copying| copying.is_whole()) else {
+    /// Wins the election if a majority of the replica set named in the copied log promised this ballot.
+    fn check_majority(&mut self, now: MonotonicTime) {
+        let Some(log_copy) = self
+            .log_copy
+            .as_ref()
+            .filter(|log_copy| log_copy.is_complete())
+        else {
             return;
         };
-        let members = replica_set(&copying.log);
+        let members = replica_set(&log_copy.log);
         let voted = |member: &&ReplicaId| {
             let candidate = self.candidates.get(&member.node);
             let vote = candidate.and_then(|candidate| candidate.vote);
             vote.is_some_and(|vote| vote.replica.same_acceptor(**member))
         };
         if members.iter().filter(voted).count() > members.len() / 2 {
-            let log = copying.log.clone();
+            let log = log_copy.log.clone();
             self.state = ElectionState::Won { log };
             return;
         }
@@ -304,13 +309,13 @@
     }
 
     fn ask_members(&mut self, members: &[ReplicaId], now: MonotonicTime) {
-        let mut news = false;
+        let mut changed = false;
         for member in members {
             let candidate = self.candidates.entry(member.node).or_default();
-            news |= candidate.member != Some(*member);
+            changed |= candidate.member != Some(*member);
             candidate.member = Some(*member);
         }
-        if news {
+        if changed {
             self.send_prepares(now);
         }
     }
@@ -332,29 +337,29 @@
     }
 
     fn send_fetch(&mut self) {
-        let Some(copying) = &self.copying else {
+        let Some(log_copy) = &self.log_copy else {
             return;
         };
-        if copying.is_whole() {
+        if log_copy.is_complete() {
             return;
         }
         let fetch = Request::Fetch {
             run: self.run,
             ballot: self.ballot,
-            first_index: LogIndex(copying.log.len() as u64).next(),
+            first_index: LogIndex(log_copy.log.len() as u64).next(),
         };
-        self.outgoing.push((copying.donor.replica.node, fetch));
+        self.outgoing.push((log_copy.source.replica.node, fetch));
     }
 }
 
-impl Copying {
-    fn is_whole(&self) -> bool {
+impl LogCopy {
+    fn is_complete(&self) -> bool {
         let last = self.log.last().map(LogEntry::position);
-        last == Some(self.donor.last)
+        last == Some(self.source.last)
     }
 }
 
-/// The replica set that the newest entry naming one sets.
+/// Replica set defined by the latest entry that defines one; empty if there is none.
 pub(crate) fn replica_set(log: &[LogEntry]) -> Vec<ReplicaId> {
     let newest = log.iter().rev().find_map(|entry| entry.entry.replicas());
     newest.map(<[ReplicaId]>::to_vec).unwrap_or_default()
--- a/crates/run-log/src/entry.rs
+++ b/crates/run-log/src/entry.rs
@@ -1,6 +1,6 @@
-//! Entries of a run's log, and who keeps them.
+//! Entries of a run's log, and the identity of the replicas that store them.
 //!
-//! Everything here is durable on a majority of the run's replicas once committed, and survives the
+//! A committed entry is durable on a majority of the run's replicas and survives the
 //! loss of any node and of one replica's disk.
 #![allow(
     missing_docs,
@@ -14,7 +14,7 @@
     ProgramName, RunId, Sequence,
 };
 
-/// Index of an entry in a run's log. The first entry has index 1; 0 means "none".
+/// Index of an entry in a run's log. The first entry has index 1; 0 means no entry.
 #[derive(
     Debug,
     Clone,
@@ -32,181 +32,164 @@
 pub struct LogIndex(pub u64);
 
 impl LogIndex {
-    /// Before the first entry.
+    /// Position before the first entry.
     pub const NONE: Self = Self(0);
-    /// The first entry.
     pub const FIRST: Self = Self(1);
 
-    /// The index after this one.
     pub fn next(self) -> Self {
         Self(self.0 + 1)
     }
 
-    /// The index before this one; [`LogIndex::NONE`] stays.
+    /// Saturates at [`LogIndex::NONE`].
     pub fn previous(self) -> Self {
         Self(self.0.saturating_sub(1))
     }
 }
 
-/// An index with the ballot under which the entry there was first proposed. Two logs that agree at a
-/// position agree in everything before it.
+/// Index of an entry and the ballot under which it was first proposed. Two logs that hold the same
+/// position are identical up to it.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Archive, Serialize, Deserialize,
 )]
 pub struct LogPosition {
-    /// Ballot of the entry; compared first, so that the greatest position is the newest log.
+    /// Compared before the index, so that the greatest position belongs to the most recent log.
     pub ballot: Ballot,
-    /// Index of the entry.
     pub index: LogIndex,
 }
 
 impl LogPosition {
-    /// Before the first entry.
+    /// Position before the first entry.
     pub const NONE: Self = Self {
         ballot: Ballot::ZERO,
         index: LogIndex::NONE,
     };
 }
 
-/// Random identity of one data folder, drawn when the folder is first used.
+/// Random identity of a data folder, generated when the folder is first used.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Archive, Serialize, Deserialize,
 )]
 pub struct StoreId(pub u64);
 
-/// One acceptor: a node together with the identity of its disk. A node that lost its disk comes
-/// back with another [`StoreId`] and is therefore another acceptor, which holds none of the old votes.
+/// Identity of an acceptor: a node and its data folder. A node that lost its disk restarts
+/// with another [`StoreId`] and is therefore a different acceptor, which holds none of the old votes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Archive, Serialize, Deserialize)]
 pub struct ReplicaId {
-    /// The node.
     pub node: NodeId,
-    /// Its data folder.
     pub store: StoreId,
-    /// Count of the store's forgetting sweeps when this identity was read; see
+    /// Generation of the store when this identity was read; see
     /// [`crate::replica::Replica::sweep`].
     pub generation: u32,
 }
 
 impl ReplicaId {
-    /// Whether both name the same acceptor, whatever generation they were read at.
+    /// Whether both name the same acceptor, regardless of generation.
     pub fn same_acceptor(self, other: Self) -> bool {
         self.node == other.node && self.store == other.store
     }
 }
 
-/// How one attempt of a repeatable call ended without an answer.
+/// How an attempt of a repeatable call ended without an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub enum AttemptEnd {
-    /// The back end did not run it and never will.
+    /// The back end did not execute it and never will.
     NotRun,
-    /// It may have run; its full reserve counts as spent.
+    /// It may have been executed; its full reserve counts as spent.
     Unknown,
-    /// The back end stopped it, and told what it had cost.
+    /// The back end stopped it and reported its cost.
     Cancelled {
-        /// That cost, at most the reserve.
+        /// At most the call's reserve.
         spent: Cost,
     },
 }
 
-/// What a run opens with.
+/// Parameters of a run, fixed when it is opened.
 #[derive(Debug, Clone, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct Opening {
     /// Owner of the program.
     pub partner: PartnerName,
-    /// The program.
     pub program: ProgramName,
-    /// Priority class of its calls.
+    /// Priority class of the run's calls.
     pub class: ClassName,
-    /// Upper bound of what the run and its children may spend.
+    /// Upper bound on the total cost of the run and its child runs.
     pub budget: Cost,
-    /// Most calls of the run.
     pub max_calls: u64,
-    /// The run that it is a sub-agent of.
+    /// Parent run, if this run is a sub-agent.
     pub parent: Option<RunId>,
-    /// Its first replicas, with the identities that their stores had before the run existed.
+    /// Initial replica set, with the store identities read before the run existed.
     pub replicas: Vec<ReplicaId>,
 }
 
 /// One entry of a run's log.
 #[derive(Debug, Clone, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub enum Entry {
-    /// Always the first entry.
+    /// The first entry of every log, and only the first.
     Opened(Opening),
-    /// A new owner won the run; everything before this entry is committed with it.
+    /// A new owner was elected. Committing this entry commits everything before it.
     OwnerChanged {
-        /// The new owner.
+        /// Node of the new owner.
         owner: NodeId,
     },
-    /// A call was admitted; its reserve is held.
+    /// A call was admitted and its reserve is held.
     Accepted {
-        /// The whole request.
         request: CallRequest,
-        /// xxh3-64 of the body.
+        /// xxh3-64 of the request body.
         request_digest: u64,
-        /// Most attempts of a repeatable call.
+        /// Applies to repeatable calls only; other calls have one attempt.
         max_attempts: u32,
     },
-    /// An attempt may leave for this back end once this entry is committed.
+    /// The attempt may be sent to this back end once this entry is committed.
     Dispatched {
-        /// The call.
         call: Sequence,
-        /// Number of the attempt, from 1.
+        /// Starts at 1.
         attempt: u32,
-        /// The back end.
         backend: BackendName,
-        /// Its address.
         address: BackendAddress,
     },
-    /// An attempt of a repeatable call ended without an answer; the call goes on.
+    /// An attempt of a repeatable call ended without an answer; the call stays in progress.
     AttemptEnded {
-        /// The call.
         call: Sequence,
-        /// The attempt.
         attempt: u32,
-        /// How.
         end: AttemptEnd,
     },
     /// The call was answered.
     Finished {
-        /// The call.
         call: Sequence,
         /// The attempt that was answered.
         attempt: u32,
-        /// The back end's whole answer.
+        /// The back end's complete answer.
         answer: Vec<u8>,
-        /// What the back end counted.
+        /// Cost reported by the back end, at most the call's reserve.
         spent: Cost,
     },
-    /// The call did not run and no attempt of it can run any more.
+    /// The call was not executed and no attempt of it can be executed any more.
     NotRun {
-        /// The call.
+        /// The call that ended.
         call: Sequence,
     },
-    /// The call may have run and its answer is not to be had.
+    /// The call may have been executed and its answer cannot be obtained.
     Unknown {
-        /// The call.
+        /// The call that ended.
         call: Sequence,
     },
-    /// Part of the budget was set aside for a child run.
+    /// Part of the budget was reserved for a child run.
     ChildOpened {
-        /// The child.
+        /// The child run.
         run: RunId,
-        /// Its budget.
         budget: Cost,
     },
-    /// The child ended; what it left of its budget comes back.
+    /// The child run ended; the unspent part of its budget is released.
     ChildClosed {
-        /// The child.
+        /// The child run.
         run: RunId,
-        /// What it spent.
         spent: Cost,
     },
-    /// The replica set from this entry on. Differs from the set before by one acceptor only.
+    /// The replica set from this entry on. Differs from the previous set by exactly one acceptor.
     ReplicasChanged {
-        /// The whole new set.
+        /// The complete new set.
         replicas: Vec<ReplicaId>,
     },
-    /// The run ended; nothing follows but changes of owner and replicas.
+    /// The run ended; only changes of owner and replicas may follow.
     Closed,
 }
 
@@ -222,7 +205,7 @@
         FIXED_BYTES + variable
     }
 
-    /// Whether a call is under way after this entry; `None` when it is as before.
+    /// Whether a call is in progress after this entry; `None` if the entry doesn't change that.
     pub fn leaves_call_open(&self) -> Option<bool> {
         match self {
             Self::Accepted { .. } | Self::Dispatched { .. } | Self::AttemptEnded { .. } => {
@@ -240,7 +223,7 @@
         }
     }
 
-    /// The replica set that the entry sets, if it sets one.
+    /// The replica set that this entry defines, if any.
     pub fn replicas(&self) -> Option<&[ReplicaId]> {
         match self {
             Self::Opened(opening) => Some(&opening.replicas),
@@ -250,19 +233,16 @@
     }
 }
 
-/// An entry as the log keeps it.
+/// An entry as stored in the log.
 #[derive(Debug, Clone, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct LogEntry {
-    /// Its index.
     pub index: LogIndex,
-    /// The ballot under which it was first proposed.
+    /// Ballot under which the entry was first proposed.
     pub ballot: Ballot,
-    /// Its content.
     pub entry: Entry,
 }
 
 impl LogEntry {
-    /// Its position.
     pub fn position(&self) -> LogPosition {
         LogPosition {
             ballot: self.ballot,
@@ -271,7 +251,7 @@
     }
 }
 
-/// Digest of a request body by which a repeated call is told from a conflicting one.
+/// Digest of a request body; distinguishes a repeated call from a conflicting one.
 pub fn request_digest(body: &[u8]) -> u64 {
     xxhash_rust::xxh3::xxh3_64(body)
 }
--- a/crates/run-log/src/event.rs
+++ b/crates/run-log/src/event.rs
@@ -1,4 +1,4 @@
-//! What the owner of a run is told, and what it asks for.
+//! Events that a run's owner handles, and the effects that it requests.
 
 use ridgeworks_domain::{
     BackendAddress, BackendName, Ballot, CallEnd, CallKey, CallRequest, Cost, NodeId, Refusal,
@@ -9,271 +9,271 @@
 use crate::message::{Reply, Request};
 use crate::run_state::InvalidEntry;
 
-/// Number by which the node knows one waiting request; chosen by the node, unique within one owner.
+/// Identifies a waiting request. Assigned by the node and unique within one owner.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallerId(pub u64);
 
-/// How an attempt ended, as the dispatcher that sent it saw it.
+/// Result of an attempt, as observed by the sender.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// The whole answer came.
+    /// The complete answer was received.
     Finished {
-        /// The answer.
+        /// The back end's complete answer.
         answer: Vec<u8>,
-        /// What the back end counted.
+        /// Cost reported by the back end.
         spent: Cost,
     },
-    /// Nothing was sent and nothing will be, or the back end refused this attempt for good before running it.
+    /// The attempt was not sent and never will be, or the back end permanently refused it before executing it.
     NotRun,
-    /// Anything else: broken connection, time-out, half an answer. The owner fences the attempt.
+    /// Any other failure: broken connection, timeout, incomplete answer. The owner fences the attempt.
     Lost,
 }
 
-/// What a back end said when it was asked to fence an attempt.
+/// Result of fencing an attempt.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum AttemptResolution {
-    /// It ran; here is the answer.
+    /// The attempt was executed to its end.
     Finished {
-        /// The answer.
+        /// The back end's complete answer.
         answer: Vec<u8>,
-        /// What the back end counted.
+        /// Cost reported by the back end.
         spent: Cost,
     },
-    /// It had not come and is now refused for ever.
+    /// The back end had not received the attempt and refuses it permanently from now on.
     NeverStarted,
-    /// It was running and was stopped; it can have no further effect. What it cost isn't known.
+    /// The attempt was stopped while running and has no further effect. Its cost is unknown.
     Cancelled,
-    /// The same, and the back end says what it cost.
+    /// The attempt was stopped while running and has no further effect. Its cost is known.
     Stopped {
-        /// What it cost until then.
+        /// Cost reported by the back end until it stopped the attempt.
         spent: Cost,
     },
-    /// The back end is gone. To be reported only when it can start nothing any more (machine listed as
-    /// gone, or its fencing token superseded); until then the node asks it again.
+    /// The back end is lost. Reported only when it can start nothing any more (its machine is listed as
+    /// gone, or its fencing token is superseded); until then the node repeats the fencing request.
     Unreachable,
 }
 
-/// A finished call, as a reader of the history gets it.
+/// A finished call in the history of a run.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct HistoryTurn {
-    /// Position in the run.
+    /// Position of the call in the run.
     pub sequence: Sequence,
-    /// The caller's key.
+    /// Key chosen by the caller.
     pub key: CallKey,
-    /// Request body.
+    /// Body of the request.
     pub request: Vec<u8>,
-    /// The back end's whole answer.
+    /// The back end's complete answer.
     pub answer: Vec<u8>,
 }
 
-/// What the node tells the owner.
+/// An input of the owner.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum OwnerEvent {
-    /// A replica answered.
+    /// A replica replied.
     Reply {
-        /// Which node.
+        /// Node of the replica.
         from: NodeId,
-        /// What it said.
+        /// The replica's message.
         reply: Reply,
     },
-    /// A caller sent a call; repeats of a call may come with other callers.
+    /// A caller sent a call. A repeated call may come from a different caller.
     Call {
-        /// Who waits.
+        /// Receives the answer.
         caller: CallerId,
-        /// The call.
+        /// The call as sent by the caller.
         request: CallRequest,
-        /// Most attempts, if it is repeatable.
+        /// Applies to repeatable calls only.
         max_attempts: u32,
     },
-    /// A caller no longer waits. The call goes on.
+    /// A caller no longer waits for its answer. Its call continues.
     CallerLeft {
-        /// Who.
+        /// The caller to drop.
         caller: CallerId,
     },
     /// The dispatcher granted a slot.
     Granted {
-        /// The call.
+        /// The call that requested the slot.
         call: Sequence,
-        /// The attempt that was asked for.
+        /// The attempt that requested the slot.
         attempt: u32,
-        /// The back end.
+        /// Back end that holds the slot.
         backend: BackendName,
-        /// Its address.
+        /// Address of the back end.
         address: BackendAddress,
     },
-    /// The dispatcher gives no slot.
+    /// The dispatcher refused to grant a slot.
     GrantRefused {
-        /// The call.
+        /// The call that requested the slot.
         call: Sequence,
-        /// The attempt that was asked for.
+        /// The attempt that requested the slot.
         attempt: u32,
-        /// Why.
+        /// Passed on to the caller if nothing of the call is in the log.
         refusal: Refusal,
     },
-    /// An attempt that was started ended.
+    /// A started attempt ended.
     AttemptFinished {
-        /// The call.
+        /// The call of the attempt.
         call: Sequence,
-        /// The attempt.
+        /// Number of the attempt.
         attempt: u32,
-        /// How.
+        /// Result observed by the sender.
         outcome: AttemptOutcome,
     },
-    /// A back end answered a fence.
+    /// A back end fenced an attempt.
     Fenced {
-        /// The call.
+        /// The call of the attempt.
         call: Sequence,
-        /// The attempt.
+        /// Number of the attempt.
         attempt: u32,
-        /// Its fate.
+        /// Final state of the attempt.
         resolution: AttemptResolution,
     },
-    /// A caller wants the history.
+    /// A caller reads the history.
     ReadHistory {
-        /// Who waits.
+        /// Receives the history.
         caller: CallerId,
     },
-    /// A child run wants part of the budget.
+    /// A child run requests part of the budget.
     OpenChild {
-        /// Who waits.
+        /// Receives the answer.
         caller: CallerId,
-        /// The child.
+        /// The child run.
         run: RunId,
-        /// Its budget.
+        /// Amount to reserve for the child run.
         budget: Cost,
     },
-    /// A child run is closed.
+    /// A child run was closed.
     ChildClosed {
-        /// The child.
+        /// The child run.
         run: RunId,
-        /// What it spent.
+        /// Total cost of the child run.
         spent: Cost,
     },
-    /// A caller ends the run. The call in progress is waited for.
+    /// A caller closes the run, once the call in progress has ended.
     Close {
-        /// Who waits.
+        /// Receives the answer.
         caller: CallerId,
     },
-    /// Another node shall replace a replica for good.
+    /// Another node replaces a replica permanently.
     ReplaceReplica {
-        /// The one that goes.
+        /// The replica to remove.
         old: ReplicaId,
-        /// The one that comes.
+        /// The replica to add.
         new: ReplicaId,
     },
-    /// Ask all replicas whether they are still those that the log names. One with another store is replaced.
+    /// Check that all replicas are still those named in the log. A replica with another store is replaced.
     CheckReplicas,
-    /// Time passed.
+    /// Time has advanced; requests without an answer may be due for a retry.
     Tick,
 }
 
-/// What a waiting request is told.
+/// Answer to a waiting request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CallerAnswer {
-    /// The call ended, durably.
+    /// The end of the call is committed.
     Ended(CallEnd),
-    /// The request was refused. Nothing was or will be run on its behalf.
+    /// The request was refused. Nothing was or will be executed on its behalf.
     Refused(Refusal),
-    /// This node no longer owns the run. The same request is to be sent to the next owner, under the same
-    /// key; whether it ran is not known here.
+    /// This node no longer owns the run and doesn't know whether the request was executed. Send the same
+    /// request to the next owner, under the same key.
     OwnerChanged,
     /// The finished calls in order.
     History(Vec<HistoryTurn>),
-    /// The budget of the child is set aside; the child may be opened.
+    /// The child's budget is reserved; the child may be opened.
     ChildOpened,
     /// The run is closed.
     Closed {
-        /// What it spent.
+        /// Total cost of the run.
         spent: Cost,
     },
 }
 
-/// What the owner asks of the node.
+/// An action that the owner requests from the node.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum OwnerEffect {
-    /// Send to a replica.
+    /// Send a request to a replica.
     SendToReplica {
-        /// Which node.
+        /// Node of the replica.
         to: NodeId,
-        /// What.
+        /// The message to send.
         request: Request,
     },
-    /// The run can take calls. Emitted once, after the opening or takeover is committed and every doubtful
-    /// attempt is resolved.
+    /// The run accepts calls. Emitted once, after the opening or takeover is committed and every
+    /// attempt in doubt is resolved.
     Ready {
-        /// What the run was opened with.
+        /// Parameters of the run.
         opening: Opening,
-        /// What it has spent.
+        /// Cost of the run so far.
         spent: Cost,
     },
-    /// Ask the dispatcher for a slot.
+    /// Request a slot from the dispatcher.
     RequestGrant {
-        /// The call.
+        /// The call that needs the slot.
         call: Sequence,
         /// Number of the attempt.
         attempt: u32,
-        /// The whole request.
+        /// The complete request of the call.
         request: CallRequest,
     },
-    /// Send the attempt to the back end. `Dispatched` is committed.
+    /// Send the attempt to the back end. Emitted after its `Dispatched` entry is committed.
     StartAttempt {
-        /// The call.
+        /// The call of the attempt.
         call: Sequence,
         /// Number of the attempt.
         attempt: u32,
-        /// The back end.
+        /// Back end to send it to.
         backend: BackendName,
-        /// Its address.
+        /// Address of the back end.
         address: BackendAddress,
-        /// The whole request.
+        /// The complete request of the call.
         request: CallRequest,
     },
-    /// Ask the back end for the fate of an attempt, so that it refuses it from now on. Idempotent.
+    /// Ask the back end for the state of an attempt and to refuse the attempt from now on. Idempotent.
     FenceAttempt {
-        /// The call.
+        /// The call of the attempt.
         call: Sequence,
         /// Number of the attempt.
         attempt: u32,
-        /// The back end.
+        /// Back end that the attempt was dispatched to.
         backend: BackendName,
-        /// Its address.
+        /// Address of the back end.
         address: BackendAddress,
-        /// The caller's key, by which back ends know the call.
+        /// Key chosen by the caller, which identifies the call to back ends.
         key: CallKey,
     },
-    /// Give back a slot that came too late to be used.
+    /// Return a slot that is no longer needed.
     ReturnGrant {
-        /// The call.
+        /// The call that the slot was granted to.
         call: Sequence,
         /// Number of the attempt.
         attempt: u32,
-        /// The back end.
+        /// Back end that holds the slot.
         backend: BackendName,
     },
-    /// Tell a waiting request.
+    /// Answer a waiting request.
     AnswerCaller {
-        /// Who.
+        /// The waiting request.
         caller: CallerId,
-        /// What.
+        /// The answer to pass on.
         answer: CallerAnswer,
     },
     /// The run is closed: engines may drop its cached context.
     ReleaseContext {
-        /// The run.
+        /// The closed run.
         run: RunId,
     },
-    /// Another node owns the run; this owner does nothing any more.
+    /// Another node owns the run; this owner has stopped.
     SteppedDown {
-        /// Its claim, as far as known.
+        /// The highest ballot known.
         higher: Ballot,
     },
-    /// The log holds an entry that it can't hold at its place: a fault of this software. The owner does nothing any more.
+    /// The log holds an entry that is invalid at its position, which only a bug can cause. The owner has stopped.
     InvalidLog {
-        /// Where.
+        /// Position of the invalid entry.
         index: LogIndex,
-        /// What is wrong with it.
+        /// The rule that the entry breaks.
         error: InvalidEntry,
     },
-    /// No replica that can vote holds the run; it does not exist or was forgotten.
+    /// No replica that can vote holds the run: it doesn't exist or was deleted. The owner has stopped.
     RunUnknown,
 }
--- a/crates/run-log/src/lib.rs
+++ b/crates/run-log/src/lib.rs
@@ -1,8 +1,8 @@
 //! Replicated log of each run, without I/O: ballots, acceptors, proposers, recovery, budget.
 //!
-//! Where to start: [`owner::RunOwner`] is what a node runs for each run that it owns, [`replica::Replica`] what a
-//! node with a disk runs for all runs that it keeps. Both take typed events and the time, and hand back what is to be done.
-//! `docs/design/run-log.md` gives the reasons.
+//! A node runs one [`owner::RunOwner`] for each run that it owns, and a node with a disk runs one [`replica::Replica`]
+//! for all runs that it stores. Both are state machines: they take typed events and the current time, and return the
+//! effects to carry out. `docs/design/run-log.md` gives the design rationale.
 
 mod acceptor;
 pub mod budget;
--- a/crates/run-log/src/message.rs
+++ b/crates/run-log/src/message.rs
@@ -1,6 +1,6 @@
 //! Messages between the proposer of a run and its acceptors.
 //!
-//! Any message may be lost, doubled, delayed for any time or overtaken.
+//! Any message may be lost, duplicated, reordered or delayed without bound.
 #![allow(
     missing_docs,
     reason = "the resolvers that rkyv derives carry undocumented fields"
@@ -12,168 +12,149 @@
 
 use crate::entry::{LogEntry, LogIndex, LogPosition, ReplicaId};
 
-/// Why an acceptor did not do what a proposer asked.
+/// Why an acceptor refused a proposer's request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub enum Rejection {
-    /// It promised another claim.
+    /// The acceptor has promised another ballot.
     HigherBallot {
-        /// What it promised.
+        /// The acceptor refuses every lower ballot.
         promised: Ballot,
     },
-    /// The appended entries do not follow on from its log.
+    /// The appended entries do not follow the acceptor's log.
     Gap {
-        /// Where to go on from.
+        /// Index from which the owner must resume sending.
         next_index: LogIndex,
     },
-    /// The message was meant for a store that this node no longer has, or names the store at a
-    /// generation before which it may have forgotten the run.
+    /// The message is addressed to a store that this node no longer has, or names a generation of the
+    /// store so old that the store may have deleted the run since.
     Recovering,
-    /// It holds nothing of the run.
+    /// The acceptor holds no state of the run.
     UnknownRun,
 }
 
-/// An open run that no owner was heard of for a time.
+/// An open run whose replica has received no append from an owner for some time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct SilentRun {
-    /// The run.
     pub run: RunId,
-    /// Who owned it last.
+    /// The promised ballot; names the last known owner.
     pub promised: Ballot,
     /// Time since the last append, in milliseconds.
     pub silent_ms: u64,
 }
 
-/// What a proposer or a sweeping node asks of a replica.
+/// A request to a replica, from a proposer or from a node that looks for runs without an owner.
 #[derive(Debug, Clone, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub enum Request {
-    /// Asks for the promise to refuse every lower ballot.
+    /// Asks the acceptor to promise that it refuses every lower ballot.
     Prepare {
-        /// The run.
         run: RunId,
-        /// The claim.
         ballot: Ballot,
-        /// Random number of this proposer instance. A node without a disk may draw the same ballot
+        /// Random number of this proposer instance. A node without a disk may choose the same ballot
         /// again after a restart; an acceptor grants a ballot to one instance only.
         instance: u64,
-        /// The acceptor as the run's log names it, once known. Without it a replica that holds nothing
-        /// of the run writes nothing.
+        /// The acceptor as named in the run's log, once known. Without it, a replica that holds no state
+        /// of the run doesn't create any.
         replica: Option<ReplicaId>,
     },
-    /// Asks for a part of the log from an acceptor that promised `ballot`.
+    /// Reads part of the log from an acceptor that promised `ballot`.
     Fetch {
-        /// The run.
         run: RunId,
-        /// The promised claim.
         ballot: Ballot,
-        /// The first index wanted.
         first_index: LogIndex,
     },
-    /// Adds entries, or nothing (as a heartbeat).
+    /// Appends entries; without entries it is a heartbeat.
     Append {
-        /// The run.
         run: RunId,
-        /// The owner's claim.
+        /// The owner's ballot.
         ballot: Ballot,
-        /// The acceptor that is meant, as the run's log names it.
+        /// The addressed acceptor, as named in the run's log.
         replica: ReplicaId,
-        /// Position just before `entries`.
+        /// Position immediately before `entries`.
         previous: LogPosition,
         /// Entries at consecutive indices.
         entries: Vec<LogEntry>,
-        /// Everything up to here is committed.
+        /// All entries up to this index are committed.
         commit_index: LogIndex,
-        /// Number that the answer repeats, by which the owner confirms that it still owns the run.
+        /// Confirmation round, echoed in the reply. A majority of replies proves that the sender still
+        /// owns the run.
         round: u64,
     },
-    /// Asks for the store's identity, which the opener of a run must know.
+    /// Asks for the store's identity, which the node that opens a run must know.
     Identify,
-    /// Asks for open runs without a sign of their owner.
+    /// Lists open runs that have received no append for some time.
     ListSilentRuns {
-        /// Least time since the last append, in milliseconds.
+        /// Minimum time since the last append, in milliseconds.
         silent_ms: u64,
-        /// Only runs above this one, to page through.
+        /// Lists only runs with a greater identifier; the last run of the previous page.
         after: Option<RunId>,
-        /// Most runs wanted.
         limit: u32,
     },
 }
 
-/// What a replica answers.
+/// A replica's reply to a [`Request`].
 #[derive(Debug, Clone, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub enum Reply {
-    /// It refuses every lower ballot from now on.
+    /// The acceptor refuses every lower ballot from now on.
     Promise {
-        /// The run.
         run: RunId,
-        /// The claim.
         ballot: Ballot,
-        /// The instance that it was granted to.
+        /// The proposer instance that received the promise.
         instance: u64,
-        /// Who promises.
         replica: ReplicaId,
-        /// End of its log.
+        /// End of the acceptor's log.
         last: LogPosition,
-        /// Everything up to here is committed, as far as it knows.
+        /// All entries up to this index are committed, as far as the acceptor knows.
         commit_index: LogIndex,
     },
-    /// Part of its log.
+    /// Part of the acceptor's log.
     Fetched {
-        /// The run.
         run: RunId,
-        /// The claim under which it was asked.
+        /// Ballot of the request.
         ballot: Ballot,
-        /// Who answers.
         replica: ReplicaId,
-        /// Consecutive entries from the asked index on; fewer than there are when they are large.
+        /// Consecutive entries from the requested index; limited in size.
         entries: Vec<LogEntry>,
     },
-    /// Its log agrees with the owner's up to an index, on disk.
+    /// The acceptor's durable log agrees with the owner's up to `last_index`.
     Appended {
-        /// The run.
         run: RunId,
-        /// The owner's claim.
+        /// The owner's ballot.
         ballot: Ballot,
-        /// Who answers.
         replica: ReplicaId,
-        /// The index.
         last_index: LogIndex,
-        /// The number of the request.
+        /// Confirmation round of the request.
         round: u64,
     },
-    /// It did not do it.
+    /// The request was refused.
     Rejected {
-        /// The run.
         run: RunId,
-        /// The claim of the request.
+        /// Ballot of the request.
         ballot: Ballot,
-        /// Who answers, as it is now.
+        /// Current identity of the replica.
         replica: ReplicaId,
-        /// Why.
         reason: Rejection,
     },
-    /// Its identity.
+    /// Current identity of the replica.
     Identity {
         /// Node, store and generation.
         replica: ReplicaId,
     },
-    /// Open runs without a sign of their owner, ascending.
+    /// Open runs without recent appends, in ascending order.
     SilentRuns {
-        /// The runs.
+        /// At most as many as the request's limit.
         runs: Vec<SilentRun>,
     },
 }
 
-/// One message between nodes.
+/// A message between nodes.
 #[derive(Debug, Clone, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub enum Message {
-    /// To a replica.
     Request(Request),
-    /// From a replica.
     Reply(Reply),
 }
 
 impl Request {
-    /// The run it is about, if any.
+    /// The run that the message concerns, if any.
     pub fn run(&self) -> Option<RunId> {
         match self {
             Self::Prepare { run, .. } | Self::Fetch { run, .. } | Self::Append { run, .. } => {
@@ -185,7 +166,7 @@
 }
 
 impl Reply {
-    /// The run it is about, if any.
+    /// The run that the message concerns, if any.
     pub fn run(&self) -> Option<RunId> {
         match self {
             Self::Promise { run, .. }
--- a/crates/run-log/src/owner/calls.rs
+++ b/crates/run-log/src/owner/calls.rs
@@ -1,4 +1,4 @@
-//! The way of a call through its owner: admission, slot, attempt, end.
+//! Life cycle of calls: admission, slot, attempt, end; and reserves for child runs and the close of the run.
 
 use ridgeworks_domain::{
     CallRequest, Cost, MonotonicTime, Refusal, RefusalReason, RunId, Sequence,
@@ -23,7 +23,7 @@
         match self.state.admit(&request) {
             Admission::New => self.admit_new(caller, request, max_attempts, now),
             Admission::Join(call) => self.waiting.calls.entry(call).or_default().push(caller),
-            Admission::Recorded(index, end) if index <= self.acted => {
+            Admission::Recorded(index, end) if index <= self.executed => {
                 self.answer(caller, CallerAnswer::Ended(end));
             }
             Admission::Recorded(..) => {
@@ -89,7 +89,7 @@
         let Some(pending) = self.waiting.pending.take() else {
             return;
         };
-        // A child may have taken of the budget since the call was admitted.
+        // A child run may have reserved part of the budget since the call was admitted.
         if let Admission::Refused(reason) = self.state.admit(&pending.request) {
             self.return_grant(granted);
             self.refuse_all(pending.callers, Refusal::permanent(reason), now);
@@ -198,13 +198,13 @@
         self.fence = Some(Fence { attempt, last_sent });
     }
 
-    /// Goes on with the call under way when it has no live attempt, and with the end of the run.
-    pub(super) fn go_on(&mut self, now: MonotonicTime) {
+    /// Advances the call in progress if it has no live attempt. Without a call in progress, closes the run if requested.
+    pub(super) fn advance_call(&mut self, now: MonotonicTime) {
         if !self.ready || self.stopped {
             return;
         }
-        let Some(call) = self.state.call_under_way() else {
-            return self.close_when_quiet(now);
+        let Some(call) = self.state.call_in_progress() else {
+            return self.close_when_idle(now);
         };
         match self.state.next_step(call) {
             Some(NextStep::Attempt(attempt)) if self.grant != Some((call, attempt)) => {
@@ -237,9 +237,9 @@
     ) {
         if self.state.budget().holds_child(run) {
             let committed = self
-                .children_at
+                .child_opened_at
                 .get(&run)
-                .is_some_and(|at| *at <= self.acted);
+                .is_some_and(|at| *at <= self.executed);
             if committed {
                 return self.answer(caller, CallerAnswer::ChildOpened);
             }
@@ -260,7 +260,7 @@
     }
 
     fn child_refusal(&self, run: RunId, budget: Cost) -> Option<RefusalReason> {
-        let was_closed = self.children_at.contains_key(&run);
+        let was_closed = self.child_opened_at.contains_key(&run);
         if self.state.is_closed() || !self.waiting.closing.is_empty() || was_closed {
             return Some(RefusalReason::RunClosed);
         }
@@ -283,13 +283,13 @@
         }
     }
 
-    fn close_when_quiet(&mut self, now: MonotonicTime) {
+    fn close_when_idle(&mut self, now: MonotonicTime) {
         if !self.waiting.closing.is_empty() && !self.state.is_closed() {
             self.append(vec![Entry::Closed], now);
         }
     }
 
-    pub(super) fn closed(&mut self) {
+    pub(super) fn on_closed(&mut self) {
         let run = self.run;
         self.effects.push(OwnerEffect::ReleaseContext { run });
         let spent = self.state.budget().spent();
--- a/crates/run-log/src/owner/mod.rs
+++ b/crates/run-log/src/owner/mod.rs
@@ -1,8 +1,8 @@
-//! The owner of one run: orders its calls, holds its budget, writes its log.
+//! The owner of one run: orders its calls, manages its budget and writes its log.
 //!
-//! Has no disk; what must survive is in the log. A node makes one [`RunOwner`] for each run that it opens or takes over,
-//! feeds it [`OwnerEvent`]s and carries out the [`OwnerEffect`]s that it hands back, in order. After
-//! [`OwnerEffect::SteppedDown`], [`OwnerEffect::RunUnknown`] or [`OwnerEffect::InvalidLog`] it is of no further use.
+//! It has no durable state apart from the log. A node creates one [`RunOwner`] for each run that it opens or takes over,
+//! passes [`OwnerEvent`]s to it and carries out the returned [`OwnerEffect`]s in order. After
+//! [`OwnerEffect::SteppedDown`], [`OwnerEffect::RunUnknown`] or [`OwnerEffect::InvalidLog`] the owner has stopped.
 
 mod calls;
 mod waiting;
@@ -20,12 +20,12 @@
 
 use waiting::{Deferred, Waiting, caller_of};
 
-/// Limits of an owner.
+/// Timeouts and limits of an owner.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct OwnerSettings {
-    /// Limits of replication.
+    /// Timeouts and limits of replication.
     pub replication: ReplicationSettings,
-    /// Time after which a back end that has not answered a fence is asked again.
+    /// Time after which an unanswered fencing request is repeated.
     pub fence_interval: Duration,
 }
 
@@ -38,35 +38,36 @@
     }
 }
 
-/// An attempt whose back end was asked to fence it.
+/// An attempt that is being fenced.
 #[derive(Debug, Clone)]
 struct Fence {
     attempt: LiveAttempt,
     last_sent: MonotonicTime,
 }
 
-/// The owner of one run.
+/// State machine of the node that owns a run.
 pub struct RunOwner {
     run: RunId,
     settings: OwnerSettings,
     proposer: Proposer,
     state: RunState,
-    /// Entries up to here are in `state`.
+    /// Entries up to this index are applied to `state`.
     applied: LogIndex,
-    /// Committed entries up to here had their effects.
-    acted: LogIndex,
+    /// The effects of committed entries up to this index were emitted.
+    executed: LogIndex,
     ready: bool,
     stopped: bool,
     waiting: Waiting,
-    /// The slot that the dispatcher was asked for.
+    /// The slot requested from the dispatcher: call and attempt.
     grant: Option<(Sequence, u32)>,
     fence: Option<Fence>,
-    children_at: BTreeMap<RunId, LogIndex>,
+    child_opened_at: BTreeMap<RunId, LogIndex>,
     effects: Vec<OwnerEffect>,
 }
 
 impl RunOwner {
-    /// Opens a run whose number was drawn just now, after the identities in `opening.replicas` were read from the replicas.
+    /// Opens a run. Its identifier must have been generated after the identities in `opening.replicas` were read from the
+    /// replicas.
     pub fn open(
         run: RunId,
         node: NodeId,
@@ -80,8 +81,8 @@
 
     /// Takes over a run.
     ///
-    /// `instance` is a random number other than 0, new for every takeover of any node. `known` is the highest ballot heard
-    /// of, or [`Ballot::ZERO`]. `contacts` are the nodes that the run's number or a redirect names.
+    /// `instance` is a nonzero random number, new for every takeover of any node. `known` is the highest ballot known,
+    /// or [`Ballot::ZERO`]. `contacts` are the nodes named by the run's identifier or by a redirect.
     pub fn take_over(
         run: RunId,
         node: NodeId,
@@ -96,31 +97,35 @@
         Self::start(run, proposer, settings, now)
     }
 
-    /// The run's state, proposals that are not committed yet included.
+    /// State of the run, including uncommitted entries.
     pub fn state(&self) -> &RunState {
         &self.state
     }
 
-    /// Whether the run takes calls.
+    /// Whether the run accepts calls.
     pub fn is_ready(&self) -> bool {
         self.ready && !self.stopped
     }
 
-    /// Whether it is of no further use.
+    /// Whether the owner has stopped. It then answers every caller with [`CallerAnswer::OwnerChanged`].
     pub fn is_stopped(&self) -> bool {
         self.stopped
     }
 
-    /// Whether nothing is under way: no call, no waiting caller, nothing uncommitted, and no end that some replica was
-    /// not told of. Replicas forget only runs whose end they know to be committed.
+    /// Whether no call is in progress, no caller waits, every entry is committed and, if the run is closed, every replica
+    /// was told so. Replicas delete only runs whose end they know to be committed.
     pub fn is_idle(&self) -> bool {
-        let quiet = self.waiting.pending.is_none() && self.waiting.deferred.is_empty();
+        let no_waiters = self.waiting.pending.is_none() && self.waiting.deferred.is_empty();
         let committed = self.proposer.commit_index() == self.applied;
-        let end_told = !self.state.is_closed() || self.proposer.has_told_commit();
-        self.is_ready() && quiet && committed && end_told && self.state.call_under_way().is_none()
+        let end_sent = !self.state.is_closed() || self.proposer.has_sent_commit_index();
+        self.is_ready()
+            && no_waiters
+            && committed
+            && end_sent
+            && self.state.call_in_progress().is_none()
     }
 
-    /// Everything up to here is committed.
+    /// All entries up to this index are committed; [`LogIndex::NONE`] before the claim is won.
     pub fn commit_index(&self) -> LogIndex {
         self.proposer.commit_index()
     }
@@ -130,18 +135,18 @@
         self.proposer.entry(index)
     }
 
-    /// The replica set in use; empty before the claim is won.
+    /// Current replica set; empty before the claim is won.
     pub fn replicas(&self) -> &[ReplicaId] {
         self.proposer.members()
     }
 
-    /// Takes an event; hands back what is to be done, in order.
+    /// Handles an event. Returns the effects to carry out, in order.
     pub fn handle(&mut self, event: OwnerEvent, now: MonotonicTime) -> Vec<OwnerEffect> {
         if self.stopped {
             self.answer_stopped(event);
         } else {
-            self.take_event(event, now);
-            self.pump(now);
+            self.dispatch_event(event, now);
+            self.process_changes(now);
         }
         std::mem::take(&mut self.effects)
     }
@@ -158,25 +163,25 @@
             proposer,
             state: RunState::new(),
             applied: LogIndex::NONE,
-            acted: LogIndex::NONE,
+            executed: LogIndex::NONE,
             ready: false,
             stopped: false,
             waiting: Waiting::default(),
             grant: None,
             fence: None,
-            children_at: BTreeMap::new(),
+            child_opened_at: BTreeMap::new(),
             effects: Vec::new(),
         };
-        owner.pump(now);
+        owner.process_changes(now);
         let effects = std::mem::take(&mut owner.effects);
         (owner, effects)
     }
 
-    fn take_event(&mut self, event: OwnerEvent, now: MonotonicTime) {
+    fn dispatch_event(&mut self, event: OwnerEvent, now: MonotonicTime) {
         match event {
             OwnerEvent::Reply { from, reply } => self.proposer.handle(from, &reply, now),
             OwnerEvent::Tick => self.tick(now),
-            OwnerEvent::CallerLeft { caller } => self.waiting.forget(caller),
+            OwnerEvent::CallerLeft { caller } => self.waiting.remove_caller(caller),
             OwnerEvent::CheckReplicas => {
                 self.proposer.confirm(now);
             }
@@ -212,12 +217,12 @@
                 attempt,
                 refusal,
             } => self.grant_refused(call, attempt, refusal, now),
-            request if self.ready => self.take_request(request, now),
+            request if self.ready => self.handle_request(request, now),
             request => self.waiting.queued.push((now, request)),
         }
     }
 
-    fn take_request(&mut self, request: OwnerEvent, now: MonotonicTime) {
+    fn handle_request(&mut self, request: OwnerEvent, now: MonotonicTime) {
         match request {
             OwnerEvent::Call {
                 caller,
@@ -249,37 +254,37 @@
         }
     }
 
-    /// Follows up what changed, until nothing does.
-    fn pump(&mut self, now: MonotonicTime) {
+    /// Processes new and committed entries until the state no longer changes, then emits the resulting effects.
+    fn process_changes(&mut self, now: MonotonicTime) {
         loop {
-            self.apply_new();
-            let before = (self.applied, self.acted, self.ready);
-            self.act_on_committed();
+            self.apply_new_entries();
+            let before = (self.applied, self.executed, self.ready);
+            self.execute_committed();
             self.become_ready(now);
-            self.go_on(now);
-            if before == (self.applied, self.acted, self.ready) {
+            self.advance_call(now);
+            if before == (self.applied, self.executed, self.ready) {
                 break;
             }
         }
-        self.answer_confirmed();
-        self.notice_unknown_run(now);
+        self.send_confirmed_answers();
+        self.refuse_unknown_run(now);
         for (to, request) in self.proposer.take_requests() {
             self.effects
                 .push(OwnerEffect::SendToReplica { to, request });
         }
-        self.notice_end();
+        self.check_stopped();
     }
 
     fn append(&mut self, entries: Vec<Entry>, now: MonotonicTime) {
         self.proposer.append(entries, now);
-        self.apply_new();
+        self.apply_new_entries();
     }
 
-    fn apply_new(&mut self) {
+    fn apply_new_entries(&mut self) {
         while let Some(entry) = self.proposer.entry(self.applied.next()) {
             let index = entry.index;
             if let Entry::ChildOpened { run, .. } = &entry.entry {
-                self.children_at.insert(*run, index);
+                self.child_opened_at.insert(*run, index);
             }
             if let Err(error) = self.state.apply(entry) {
                 self.effects.push(OwnerEffect::InvalidLog { index, error });
@@ -290,14 +295,14 @@
         }
     }
 
-    fn act_on_committed(&mut self) {
-        while !self.stopped && self.acted < self.proposer.commit_index() {
-            self.acted = self.acted.next();
-            self.act(self.acted);
+    fn execute_committed(&mut self) {
+        while !self.stopped && self.executed < self.proposer.commit_index() {
+            self.executed = self.executed.next();
+            self.execute_entry(self.executed);
         }
     }
 
-    fn act(&mut self, index: LogIndex) {
+    fn execute_entry(&mut self, index: LogIndex) {
         let own = index > self.proposer.claim_index();
         let Some(entry) = self.proposer.entry(index) else {
             return;
@@ -317,15 +322,15 @@
                     self.answer(caller, CallerAnswer::ChildOpened);
                 }
             }
-            Entry::Closed => self.closed(),
+            Entry::Closed => self.on_closed(),
             _ => {}
         }
     }
 
-    /// A claim is complete once its entry is committed and every attempt of earlier owners is resolved.
+    /// Marks the run as ready once the claim's entry is committed and every attempt of earlier owners is resolved.
     fn become_ready(&mut self, now: MonotonicTime) {
         let claimed = self.proposer.state() == ProposerState::Leading
-            && self.acted >= self.proposer.claim_index();
+            && self.executed >= self.proposer.claim_index();
         if self.ready || self.stopped || !claimed {
             return;
         }
@@ -342,22 +347,22 @@
         let spent = self.state.budget().spent();
         self.effects.push(OwnerEffect::Ready { opening, spent });
         for (_, event) in std::mem::take(&mut self.waiting.queued) {
-            self.take_event(event, now);
+            self.dispatch_event(event, now);
         }
     }
 
-    fn answer_confirmed(&mut self) {
+    fn send_confirmed_answers(&mut self) {
         let round = self.proposer.confirmed_round();
         for (caller, deferred) in self.waiting.take_confirmed(round) {
             let answer = match deferred {
                 Deferred::Answer(answer) => answer,
-                Deferred::History => CallerAnswer::History(self.state.history(self.acted)),
+                Deferred::History => CallerAnswer::History(self.state.history(self.executed)),
             };
             self.answer(caller, answer);
         }
     }
 
-    fn notice_end(&mut self) {
+    fn check_stopped(&mut self) {
         if self.stopped {
             return;
         }
@@ -374,9 +379,9 @@
         }
     }
 
-    /// Tells those that the run is unknown who came before the replicas were asked. Between an answer and the coming
-    /// of a later request the run may have been opened, so for those the replicas are asked anew.
-    fn notice_unknown_run(&mut self, now: MonotonicTime) {
+    /// Refuses requests that arrived before the replicas were asked. The run may have been opened before a later request
+    /// arrived, so the replicas are asked again on behalf of the later ones.
+    fn refuse_unknown_run(&mut self, now: MonotonicTime) {
         if self.stopped || self.proposer.state() != ProposerState::RunUnknown {
             return;
         }
@@ -421,8 +426,8 @@
             .push(OwnerEffect::AnswerCaller { caller, answer });
     }
 
-    /// Answers once a majority proved that this node owns the run. A refusal needs this as much as a read: a call
-    /// that this node never saw may have run under another owner.
+    /// Answers once a majority has confirmed that this node owns the run. Refusals need this as much as reads do: a call
+    /// that this node never saw may have been executed under another owner.
     fn defer(&mut self, caller: CallerId, deferred: Deferred, now: MonotonicTime) {
         match self.proposer.confirm(now) {
             Some(round) => self.waiting.deferred.push((round, caller, deferred)),
--- a/crates/run-log/src/owner/waiting.rs
+++ b/crates/run-log/src/owner/waiting.rs
@@ -1,4 +1,4 @@
-//! Requests that wait for the owner of a run.
+//! Requests that wait for an answer of the owner.
 
 use std::collections::BTreeMap;
 
@@ -6,7 +6,7 @@
 
 use crate::event::{CallerAnswer, CallerId, OwnerEvent};
 
-/// A call that was admitted but holds no slot yet; nothing of it is in the log.
+/// An admitted call that waits for a slot; it has no entry in the log yet.
 #[derive(Debug, Clone)]
 pub(super) struct PendingCall {
     pub request: CallRequest,
@@ -14,37 +14,37 @@
     pub callers: Vec<CallerId>,
 }
 
-/// An answer that waits for the proof that this node still owns the run.
+/// An answer that is sent once a majority has confirmed that this node still owns the run.
 #[derive(Debug, Clone)]
 pub(super) enum Deferred {
     Answer(CallerAnswer),
     History,
 }
 
-/// Everyone who waits, by what they wait for.
+/// Waiting requests, by the condition that they wait for.
 #[derive(Debug, Default)]
 pub(super) struct Waiting {
-    /// For the claim and the doubtful attempts, with the time that each came.
+    /// Wait until the run is ready; with their times of arrival.
     pub queued: Vec<(MonotonicTime, OwnerEvent)>,
-    /// For a slot.
+    /// Waits for a slot.
     pub pending: Option<PendingCall>,
-    /// For the end of a call in the log.
+    /// Wait for the end of a call to be committed.
     pub calls: BTreeMap<Sequence, Vec<CallerId>>,
-    /// For a child's budget.
+    /// Wait for the reserve of a child's budget to be committed.
     pub children: Vec<(RunId, CallerId)>,
-    /// For the end of the run.
+    /// Wait for the end of the run to be committed.
     pub closing: Vec<CallerId>,
-    /// For a confirmation round.
+    /// Wait for a confirmation round.
     pub deferred: Vec<(u64, CallerId, Deferred)>,
 }
 
 impl Waiting {
-    /// Callers of `call`, who wait no more.
+    /// Removes and returns the callers of `call`.
     pub fn take_callers(&mut self, call: Sequence) -> Vec<CallerId> {
         self.calls.remove(&call).unwrap_or_default()
     }
 
-    /// Callers that wait for `child`, who wait no more.
+    /// Removes and returns the callers that wait for `child`.
     pub fn take_children(&mut self, child: RunId) -> Vec<CallerId> {
         let waiting = std::mem::take(&mut self.children);
         let (ready, rest) = waiting.into_iter().partition(|(run, _)| *run == child);
@@ -53,7 +53,7 @@
         ready.into_iter().map(|(_, caller)| caller).collect()
     }
 
-    /// Answers whose round is confirmed.
+    /// Removes and returns the answers that wait for a round up to `round`.
     pub fn take_confirmed(&mut self, round: u64) -> Vec<(CallerId, Deferred)> {
         let waiting = std::mem::take(&mut self.deferred);
         let (ready, rest) = waiting.into_iter().partition(|(at, _, _)| *at <= round);
@@ -65,7 +65,7 @@
             .collect()
     }
 
-    /// Callers that came up to `time` and still wait for the claim, who wait no more.
+    /// Removes the queued events that arrived up to `time` and returns their callers.
     pub fn take_queued_until(&mut self, time: MonotonicTime) -> Vec<CallerId> {
         let queued = std::mem::take(&mut self.queued);
         let (early, late) = queued.into_iter().partition(|(at, _)| *at <= time);
@@ -77,22 +77,22 @@
             .collect()
     }
 
-    /// Drops a caller that went away.
-    pub fn forget(&mut self, gone: CallerId) {
+    /// Removes a caller that no longer waits.
+    pub fn remove_caller(&mut self, caller_id: CallerId) {
         self.queued
-            .retain(|(_, event)| caller_of(event) != Some(gone));
+            .retain(|(_, event)| caller_of(event) != Some(caller_id));
         if let Some(pending) = self.pending.as_mut() {
-            pending.callers.retain(|caller| *caller != gone);
+            pending.callers.retain(|caller| *caller != caller_id);
         }
         for callers in self.calls.values_mut() {
-            callers.retain(|caller| *caller != gone);
+            callers.retain(|caller| *caller != caller_id);
         }
-        self.children.retain(|(_, caller)| *caller != gone);
-        self.closing.retain(|caller| *caller != gone);
-        self.deferred.retain(|(_, caller, _)| *caller != gone);
+        self.children.retain(|(_, caller)| *caller != caller_id);
+        self.closing.retain(|caller| *caller != caller_id);
+        self.deferred.retain(|(_, caller, _)| *caller != caller_id);
     }
 
-    /// Everyone, who wait no more.
+    /// Removes and returns all callers.
     pub fn take_all(&mut self) -> Vec<CallerId> {
         let waiting = std::mem::take(self);
         let queued = waiting.queued.iter();
@@ -111,7 +111,7 @@
     }
 }
 
-/// Who waits for an answer to `event`, if anyone.
+/// The caller that waits for an answer to `event`, if any.
 pub(super) fn caller_of(event: &OwnerEvent) -> Option<CallerId> {
     match event {
         OwnerEvent::Call { caller, .. }
--- a/crates/run-log/src/proposer.rs
+++ b/crates/run-log/src/proposer.rs
@@ -1,6 +1,6 @@
-//! The proposer of one run: opens it or claims it, then appends to its log.
+//! The proposer of one run: opens the run or wins an election for it, then appends to its log.
 //!
-//! Has no disk. A node that lost its memory claims the run anew.
+//! It has no durable state. After a restart, a node must win a new election.
 
 use ridgeworks_domain::{Ballot, MonotonicTime, NodeId, RunId};
 
@@ -9,7 +9,7 @@
 use crate::message::{Reply, Request};
 use crate::replication::{Replication, ReplicationSettings};
 
-/// Round of the ballot that only the node which drew a run's number uses, once, to open it.
+/// Ballot round for opening a run; used once, only by the node that generated the run's identifier.
 const OPENING_ROUND: u64 = 1;
 
 enum Phase {
@@ -19,20 +19,20 @@
     RunUnknown(Election),
 }
 
-/// Where the proposer stands.
+/// Phase of a proposer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ProposerState {
-    /// Asks for promises or copies the log.
+    /// Collecting promises or copying the log.
     Claiming,
-    /// Holds a majority's promise; entries may be appended.
+    /// Holds promises from a majority; entries may be appended.
     Leading,
     /// Another node claimed the run with this ballot. Final.
     SteppedDown(Ballot),
-    /// All replicas answered that they hold nothing of the run.
+    /// All replicas replied that they hold no state of the run.
     RunUnknown,
 }
 
-/// The proposer of one run.
+/// Claims a run and replicates its log.
 pub struct Proposer {
     run: RunId,
     node: NodeId,
@@ -44,7 +44,7 @@
 }
 
 impl Proposer {
-    /// Opens a run whose number was drawn just now, after the identities in `opening.replicas` were read.
+    /// Opens a run. Its identifier must have been generated after the identities in `opening.replicas` were read.
     pub fn open(
         run: RunId,
         node: NodeId,
@@ -71,8 +71,8 @@
 
     /// Claims a run that another node owned.
     ///
-    /// `instance` is a random number other than 0, new for every claim. `known` is the highest ballot heard of.
-    /// `contacts` are the nodes that the run's number or a redirect names.
+    /// `instance` is a nonzero random number, new for every claim. `known` is the highest ballot known.
+    /// `contacts` are the nodes named by the run's identifier or by a redirect.
     pub fn take_over(
         run: RunId,
         node: NodeId,
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Where it stands.
+    /// Current phase.
     pub fn state(&self) -> ProposerState {
         match &self.phase {
             Phase::Claiming(_) => ProposerState::Claiming,
@@ -104,27 +104,27 @@
         }
     }
 
-    /// When the replicas were first asked for the claim under way, or for the last one.
+    /// Start of the current claim, or of the last one if none is in progress.
     pub fn claimed_at(&self) -> MonotonicTime {
         self.claimed_at
     }
 
-    /// Claims anew a run that was unknown. Answers to the earlier claim don't count.
+    /// Restarts the claim of an unknown run. Replies to the earlier claim are ignored.
     pub fn claim_again(&mut self, now: MonotonicTime) {
         if let Phase::RunUnknown(election) = &mut self.phase {
-            let election = election.again(now);
+            let election = election.restart(now);
             self.phase = Phase::Claiming(election);
             self.claimed_at = now;
         }
     }
 
-    /// Index of the `Opened` or `OwnerChanged` entry of this proposer; once it is committed, so is everything
+    /// Index of this proposer's `Opened` or `OwnerChanged` entry. Committing it commits all entries
     /// adopted from earlier owners.
     pub fn claim_index(&self) -> LogIndex {
         self.claim_index
     }
 
-    /// Everything up to here is committed.
+    /// All entries up to this index are committed; [`LogIndex::NONE`] unless leading.
     pub fn commit_index(&self) -> LogIndex {
         match &self.phase {
             Phase::Leading(replication) => replication.commit_index(),
@@ -132,15 +132,15 @@
         }
     }
 
-    /// Whether every replica was sent the commit index.
-    pub fn has_told_commit(&self) -> bool {
+    /// Whether the current commit index was sent to every replica.
+    pub fn has_sent_commit_index(&self) -> bool {
         match &self.phase {
-            Phase::Leading(replication) => replication.has_told_commit(),
+            Phase::Leading(replication) => replication.has_sent_commit_index(),
             _ => false,
         }
     }
 
-    /// The entry at `index`, committed or not.
+    /// The entry at `index`, committed or not; `None` unless leading.
     pub fn entry(&self, index: LogIndex) -> Option<&LogEntry> {
         match &self.phase {
             Phase::Leading(replication) => replication.entry(index),
@@ -148,7 +148,7 @@
         }
     }
 
-    /// The replica set in use; empty before the claim is won.
+    /// Current replica set; empty unless leading.
     pub fn members(&self) -> &[ReplicaId] {
         match &self.phase {
             Phase::Leading(replication) => replication.members(),
@@ -156,7 +156,7 @@
         }
     }
 
-    /// Appends entries at consecutive indices in one request. Returns the index of the last one, or `None` when not leading.
+    /// Appends entries at consecutive indices in one request. Returns the index of the last one, or `None` unless leading.
     pub fn append(&mut self, entries: Vec<Entry>, now: MonotonicTime) -> Option<LogIndex> {
         match &mut self.phase {
             Phase::Leading(replication) => Some(replication.append(entries, now)),
@@ -164,8 +164,8 @@
         }
     }
 
-    /// Starts a round that, once [`Proposer::confirmed_round`] reaches it, proves that no other owner had won
-    /// before this call. `None` when not leading.
+    /// Starts a confirmation round. Once [`Proposer::confirmed_round`] reaches it, no other owner had won the run
+    /// before this call. `None` unless leading.
     pub fn confirm(&mut self, now: MonotonicTime) -> Option<u64> {
         match &mut self.phase {
             Phase::Leading(replication) => Some(replication.confirm(now)),
@@ -173,7 +173,7 @@
         }
     }
 
-    /// The highest round that a majority answered.
+    /// The highest confirmation round that a majority answered.
     pub fn confirmed_round(&self) -> u64 {
         match &self.phase {
             Phase::Leading(replication) => replication.confirmed_round(),
@@ -181,14 +181,14 @@
         }
     }
 
-    /// Asks for `new` in place of `old` in the replica set.
+    /// Starts to replace `old` by `new` in the replica set. Ignored unless leading.
     pub fn replace_replica(&mut self, old: ReplicaId, new: ReplicaId, now: MonotonicTime) {
         if let Phase::Leading(replication) = &mut self.phase {
             replication.replace(old, new, now);
         }
     }
 
-    /// Takes a reply of `from`.
+    /// Handles a reply of `from`. Replies about other runs are ignored.
     pub fn handle(&mut self, from: NodeId, reply: &Reply, now: MonotonicTime) {
         if reply.run() != Some(self.run) {
             return;
@@ -201,7 +201,7 @@
         self.change_phase(now);
     }
 
-    /// Sends again what was not answered in time.
+    /// Repeats requests that were not answered in time.
     pub fn tick(&mut self, now: MonotonicTime) {
         match &mut self.phase {
             Phase::Claiming(election) => election.tick(now, self.settings.retry_after),
@@ -211,19 +211,19 @@
         self.change_phase(now);
     }
 
-    /// Requests to send, with the node that each goes to.
+    /// Removes and returns the requests to send, each with its destination.
     pub fn take_requests(&mut self) -> Vec<(NodeId, Request)> {
         self.collect_outgoing();
         std::mem::take(&mut self.outgoing)
     }
 
     fn collect_outgoing(&mut self) {
-        let news = match &mut self.phase {
+        let requests = match &mut self.phase {
             Phase::Claiming(election) => election.take_outgoing(),
             Phase::Leading(replication) => replication.take_outgoing(),
             Phase::SteppedDown(_) | Phase::RunUnknown(_) => Vec::new(),
         };
-        self.outgoing.extend(news);
+        self.outgoing.extend(requests);
     }
 
     fn change_phase(&mut self, now: MonotonicTime) {
@@ -231,7 +231,7 @@
         let next = match &self.phase {
             Phase::Claiming(election) => match election.state() {
                 ElectionState::Open => return,
-                ElectionState::Won { log } => self.lead(election, log.clone(), now),
+                ElectionState::Won { log } => self.start_leading(election, log.clone(), now),
                 ElectionState::Lost { higher } => Phase::SteppedDown(*higher),
                 ElectionState::RunUnknown => Phase::RunUnknown(election.clone()),
             },
@@ -242,10 +242,10 @@
             Phase::SteppedDown(_) | Phase::RunUnknown(_) => return,
         };
         self.phase = next;
-        self.claim(now);
+        self.append_claim(now);
     }
 
-    fn lead(&self, election: &Election, log: Vec<LogEntry>, now: MonotonicTime) -> Phase {
+    fn start_leading(&self, election: &Election, log: Vec<LogEntry>, now: MonotonicTime) -> Phase {
         Phase::Leading(Replication::new(
             self.run,
             election.ballot,
@@ -256,7 +256,7 @@
         ))
     }
 
-    fn claim(&mut self, now: MonotonicTime) {
+    fn append_claim(&mut self, now: MonotonicTime) {
         let owner = self.node;
         if let Phase::Leading(replication) = &mut self.phase {
             self.claim_index = replication.append(vec![Entry::OwnerChanged { owner }], now);
--- a/crates/run-log/src/replica.rs
+++ b/crates/run-log/src/replica.rs
@@ -1,7 +1,7 @@
-//! All runs that one node with a disk keeps: the replica role.
+//! The replica role: the acceptors of all runs that a node with a disk stores.
 //!
-//! In memory: one [`RunHead`] a run and the entries that are not flushed yet. Survives a crash: what
-//! [`RestoredStore`] lists.
+//! Memory holds one [`RunHead`] per run and the entries that are not flushed yet. After a crash, the state is
+//! restored from [`RestoredStore`].
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Bound;
@@ -9,19 +9,19 @@
 
 use ridgeworks_domain::{Ballot, MonotonicTime, NodeId, RunId};
 
-use crate::acceptor::{Acceptor, Answer, Appending, FORGET_GENERATIONS, HeldRun};
+use crate::acceptor::{Acceptor, Answer, AppendRequest, HeldRun, RETAINED_GENERATIONS};
 use crate::entry::{Entry, LogEntry, LogPosition, ReplicaId};
 use crate::message::{Rejection, Reply, Request, SilentRun};
 use crate::storage::{LogStorage, RestoredStore, RunHead, Write};
 
-/// What follows from one request.
+/// Writes and replies that result from one request.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct ReplicaReady {
-    /// Durable changes, in order.
+    /// Changes to make durable, in order.
     pub writes: Vec<Write>,
-    /// Replies that may leave once these writes *and those of every earlier call* are durable.
+    /// Replies to send once these writes *and those of every earlier call* are durable.
     pub replies_after_flush: Vec<(NodeId, Reply)>,
-    /// Number to report to [`Replica::flushed`] once they are.
+    /// Number to pass to [`Replica::flushed`] once the writes are durable.
     pub write_number: u64,
 }
 
@@ -30,32 +30,32 @@
     last_append: MonotonicTime,
 }
 
-/// The replica role of one node.
+/// State of all runs that a node stores.
 pub struct Replica {
     identity: ReplicaId,
     runs: BTreeMap<RunId, TrackedRun>,
-    /// Runs in which an owner has something left to do.
-    unsettled: BTreeSet<RunId>,
+    /// Runs in which an owner must still end a call or commit the end of the run.
+    pending_work: BTreeSet<RunId>,
     unflushed: Vec<(u64, RunId)>,
     write_number: u64,
     generation_since: MonotonicTime,
 }
 
 impl Replica {
-    /// Takes up what a store held. `now` counts as the last sign of every run's owner.
+    /// Restores the replica from its store. `now` counts as the time of every run's last append.
     pub fn restore(node: NodeId, restored: RestoredStore, now: MonotonicTime) -> Self {
         let track = |(run, head)| {
             let held = HeldRun { head, tail: None };
             let last_append = now;
             (run, TrackedRun { held, last_append })
         };
-        let unsettled = restored
+        let pending_work = restored
             .heads
             .iter()
-            .filter(|(_, head)| head.is_unsettled());
-        let unsettled = unsettled.map(|(run, _)| *run).collect();
+            .filter(|(_, head)| head.has_pending_work());
+        let pending_work = pending_work.map(|(run, _)| *run).collect();
         Self {
-            unsettled,
+            pending_work,
             identity: ReplicaId {
                 node,
                 store: restored.store,
@@ -68,35 +68,35 @@
         }
     }
 
-    /// Who this replica is now. The opener of a run needs it of all three replicas before it draws the run's number.
+    /// Current identity. A node reads it from all three replicas before it generates the identifier of a new run.
     pub fn identity(&self) -> ReplicaId {
         self.identity
     }
 
-    /// Runs held, open or closed.
+    /// Number of runs stored, open or closed.
     pub fn run_count(&self) -> usize {
         self.runs.len()
     }
 
-    /// The head of a run, if it is held.
+    /// Head of a run, if this replica stores the run.
     pub fn head(&self, run: RunId) -> Option<RunHead> {
         self.runs.get(&run).map(|tracked| tracked.held.head)
     }
 
-    /// Runs in which an owner has something left to do and of which none was heard for `silent_for`.
+    /// Runs without an append for `silent_for` in which an owner must still end a call or commit the end of the run.
     pub fn runs_with_pending_work(
         &self,
         now: MonotonicTime,
         silent_for: Duration,
     ) -> impl Iterator<Item = (RunId, RunHead)> {
-        let tracked = self.unsettled.iter();
+        let tracked = self.pending_work.iter();
         let tracked = tracked.filter_map(|run| Some((*run, self.runs.get(run)?)));
         tracked
             .filter(move |(_, tracked)| now.since(tracked.last_append) >= silent_for)
             .map(|(run, tracked)| (run, tracked.held.head))
     }
 
-    /// Runs that are not closed, above `after`, ascending.
+    /// At most `limit` open runs with identifiers above `after`, in ascending order.
     pub fn open_runs(&self, after: Option<RunId>, limit: usize) -> Vec<RunId> {
         let lower = after.map_or(Bound::Unbounded, Bound::Excluded);
         let held = self.runs.range((lower, Bound::Unbounded));
@@ -104,20 +104,20 @@
         open.take(limit).map(|(run, _)| *run).collect()
     }
 
-    /// The replica set of a run as the log held here names it; empty if none is held.
+    /// Replica set of a run according to the durable log of this replica; empty if the log names none.
     pub fn members(&self, run: RunId, storage: &dyn LogStorage) -> Vec<ReplicaId> {
         let Some(tracked) = self.runs.get(&run) else {
             return Vec::new();
         };
         let index = tracked.held.head.members_index;
-        // What is not flushed yet was appended just now: its owner sees to its replicas.
+        // An entry that isn't flushed yet comes from an active owner, which maintains the replica set itself.
         let found = storage.entries(run, index, 1);
         let found = found.first().filter(|entry| entry.index == index);
         let members = found.and_then(|entry| entry.entry.replicas());
         members.map(<[ReplicaId]>::to_vec).unwrap_or_default()
     }
 
-    /// Answers one request.
+    /// Handles a request of `from`.
     pub fn handle(
         &mut self,
         from: NodeId,
@@ -134,7 +134,7 @@
         }
     }
 
-    /// All writes up to this number are durable and can be read back.
+    /// Reports that all writes up to this number are durable and can be read from the storage.
     pub fn flushed(&mut self, write_number: u64) {
         let flushed = self
             .unflushed
@@ -150,7 +150,7 @@
         }
     }
 
-    /// Open runs without an append for `silent_for`, above `after`, ascending.
+    /// At most `limit` open runs without an append for `silent_for`, with identifiers above `after`, in ascending order.
     pub fn silent_runs(
         &self,
         now: MonotonicTime,
@@ -171,11 +171,11 @@
             .collect()
     }
 
-    /// Forgets closed runs, at most `limit`, that were left alone for `retention`.
+    /// Deletes at most `limit` closed runs that had no append for `retention`.
     ///
-    /// Each sweep that comes `retention` after the last one raises the store's generation. A run is forgotten
-    /// two generations after the one that its log names, and a message that names a generation so old creates no
-    /// run: a late copy of an opening therefore can't bring a forgotten run back to life.
+    /// The first sweep at least `retention` after the last change of generation increments the store's generation. A run is
+    /// deleted two generations after the one that its log names, and a message that names a generation so old creates no
+    /// run. A delayed copy of an opening therefore can't recreate a deleted run.
     pub fn sweep(&mut self, now: MonotonicTime, retention: Duration, limit: usize) -> ReplicaReady {
         self.write_number += 1;
         let mut writes = Vec::new();
@@ -185,9 +185,9 @@
             let generation = self.identity.generation;
             writes.push(Write::Generation { generation });
         }
-        for run in self.forgettable(now, retention, limit) {
+        for run in self.deletable_runs(now, retention, limit) {
             self.runs.remove(&run);
-            self.unsettled.remove(&run);
+            self.pending_work.remove(&run);
             writes.push(Write::DeleteRun { run });
         }
         ReplicaReady {
@@ -197,21 +197,21 @@
         }
     }
 
-    fn forgettable(&self, now: MonotonicTime, retention: Duration, limit: usize) -> Vec<RunId> {
+    fn deletable_runs(&self, now: MonotonicTime, retention: Duration, limit: usize) -> Vec<RunId> {
         let old = |tracked: &TrackedRun| {
             let head = tracked.held.head;
             head.is_closed()
                 && tracked.held.tail.is_none()
                 && now.since(tracked.last_append) >= retention
-                && !self.remembers_since(head.generation)
+                && !self.retains_runs_since(head.generation)
         };
         let closed = self.runs.iter().filter(|(_, tracked)| old(tracked));
         closed.map(|(run, _)| *run).take(limit).collect()
     }
 
-    /// Whether this store can't have forgotten a run that names it at `generation`.
-    fn remembers_since(&self, generation: u32) -> bool {
-        self.identity.generation < generation.saturating_add(FORGET_GENERATIONS)
+    /// Whether a run whose log names this store at `generation` can't have been deleted yet.
+    fn retains_runs_since(&self, generation: u32) -> bool {
+        self.identity.generation < generation.saturating_add(RETAINED_GENERATIONS)
     }
 
     fn answer(&mut self, request: Request, now: MonotonicTime, storage: &dyn LogStorage) -> Answer {
@@ -242,14 +242,14 @@
                 commit_index,
                 round,
             } => {
-                let appending = Appending {
+                let append_request = AppendRequest {
                     ballot,
                     previous,
                     entries,
                     commit_index,
                     round,
                 };
-                self.append(run, replica, appending, now, storage)
+                self.append(run, replica, append_request, now, storage)
             }
             Request::Identify => reply_only(Reply::Identity {
                 replica: self.identity,
@@ -266,20 +266,20 @@
         }
     }
 
-    /// The acceptor of `run`, if this store is the one meant and holds the run, or may begin to.
+    /// The acceptor of `run`, if the message is addressed to this store and the run exists or may be created.
     fn acceptor<'a>(
         &'a mut self,
         run: RunId,
-        meant: Option<ReplicaId>,
+        addressed: Option<ReplicaId>,
         may_create: bool,
         now: MonotonicTime,
         storage: &'a dyn LogStorage,
     ) -> Result<Acceptor<'a>, Rejection> {
-        if meant.is_some_and(|meant| !meant.same_acceptor(self.identity)) {
+        if addressed.is_some_and(|addressed| !addressed.same_acceptor(self.identity)) {
             return Err(Rejection::Recovering);
         }
-        if let Some(meant) = meant.filter(|_| may_create) {
-            self.create(run, meant.generation, now)?;
+        if let Some(addressed) = addressed.filter(|_| may_create) {
+            self.create(run, addressed.generation, now)?;
         }
         let tracked = self.runs.get_mut(&run).ok_or(Rejection::UnknownRun)?;
         Ok(Acceptor {
@@ -291,12 +291,12 @@
         })
     }
 
-    /// Begins to hold `run`, which names this store at `generation`, unless it may have been forgotten since.
+    /// Creates the state of `run`, whose log names this store at `generation`, unless it may have been deleted since.
     fn create(&mut self, run: RunId, generation: u32, now: MonotonicTime) -> Result<(), Rejection> {
         if self.runs.contains_key(&run) {
             return Ok(());
         }
-        if !self.remembers_since(generation) {
+        if !self.retains_runs_since(generation) {
             return Err(Rejection::Recovering);
         }
         let held = HeldRun {
@@ -311,25 +311,25 @@
     fn append(
         &mut self,
         run: RunId,
-        meant: ReplicaId,
-        appending: Appending,
+        addressed: ReplicaId,
+        append_request: AppendRequest,
         now: MonotonicTime,
         storage: &dyn LogStorage,
     ) -> Answer {
-        let ballot = appending.ballot;
-        let opens = opens(appending.previous, &appending.entries);
-        let answer = match self.acceptor(run, Some(meant), opens, now, storage) {
-            Ok(mut acceptor) => acceptor.append(appending),
+        let ballot = append_request.ballot;
+        let starts_log = starts_log(append_request.previous, &append_request.entries);
+        let answer = match self.acceptor(run, Some(addressed), starts_log, now, storage) {
+            Ok(mut acceptor) => acceptor.append(append_request),
             Err(reason) => return self.reject(run, ballot, reason),
         };
         if let Some(tracked) = self.runs.get_mut(&run) {
             if tracked.held.head.promised == ballot {
                 tracked.last_append = now;
             }
-            if tracked.held.head.is_unsettled() {
-                self.unsettled.insert(run);
+            if tracked.held.head.has_pending_work() {
+                self.pending_work.insert(run);
             } else {
-                self.unsettled.remove(&run);
+                self.pending_work.remove(&run);
             }
             if tracked.held.tail.is_some() {
                 self.unflushed.push((self.write_number, run));
@@ -348,8 +348,8 @@
     }
 }
 
-/// Whether an append starts a log: only then may it create the run.
-fn opens(previous: LogPosition, entries: &[LogEntry]) -> bool {
+/// Whether an append starts a log. Only such an append may create a run.
+fn starts_log(previous: LogPosition, entries: &[LogEntry]) -> bool {
     let first = entries.first().map(|entry| &entry.entry);
     previous == LogPosition::NONE && matches!(first, Some(Entry::Opened(_)))
 }
--- a/crates/run-log/src/replication/mod.rs
+++ b/crates/run-log/src/replication/mod.rs
@@ -1,6 +1,6 @@
-//! How an owner keeps its replicas' logs equal to its own, and when an entry is committed.
+//! Replicates the owner's log to its replicas and determines which entries are committed.
 //!
-//! Nothing here is durable; the next owner reads it all back from a majority.
+//! Nothing here is durable; the next owner recovers the log from a majority.
 
 mod progress;
 mod replacement;
@@ -18,7 +18,7 @@
 use crate::entry::{Entry, LogEntry, LogIndex, LogPosition, ReplicaId};
 use crate::message::{Rejection, Reply, Request};
 
-/// The owner's copy of the log and its replicas' progress.
+/// The owner's copy of the log, and the progress of its replicas.
 #[derive(Debug)]
 pub(crate) struct Replication {
     run: RunId,
@@ -37,7 +37,7 @@
 }
 
 impl Replication {
-    /// Goes on from `log`. `spares` are replicas that may fill up a set that lost one.
+    /// Starts from an adopted `log`. `spares` are replicas that may complete a set with a missing replica.
     pub fn new(
         run: RunId,
         ballot: Ballot,
@@ -67,8 +67,9 @@
             outgoing: Vec::new(),
             higher: None,
         };
-        replication.follow_members(now);
-        // What was adopted is likely to be there already; a gap is answered with where to go on from.
+        replication.sync_progress(now);
+        // Replicas are likely to hold the adopted entries. One that doesn't rejects the append and names the index to
+        // resume from.
         let next = replication.last_index().next();
         for progress in replication.progress.values_mut() {
             progress.next = next;
@@ -76,7 +77,7 @@
         replication
     }
 
-    /// Appends entries at consecutive indices and sends them. Returns the index of the last.
+    /// Appends entries at consecutive indices and sends them. Returns the index of the last one.
     pub fn append(&mut self, entries: Vec<Entry>, now: MonotonicTime) -> LogIndex {
         for entry in entries {
             let index = self.last_index().next();
@@ -90,14 +91,14 @@
             if let Some(members) = replicas {
                 self.members = members;
                 self.members_index = index;
-                self.follow_members(now);
+                self.sync_progress(now);
             }
         }
         self.send_all(now);
         self.last_index()
     }
 
-    /// Starts a round that proves, once a majority answered it, that no other owner had won before now.
+    /// Starts a confirmation round. Once a majority has answered it, no other owner had won the run before this call.
     pub fn confirm(&mut self, now: MonotonicTime) -> u64 {
         self.round += 1;
         let nodes: Vec<NodeId> = self.progress.keys().copied().collect();
@@ -107,50 +108,50 @@
         self.round
     }
 
-    /// The highest round that a majority answered.
+    /// The highest confirmation round that a majority answered.
     pub fn confirmed_round(&self) -> u64 {
         self.reached_by_majority(|progress| progress.answered_round)
     }
 
-    /// Everything up to here is committed.
+    /// All entries up to this index are committed.
     pub fn commit_index(&self) -> LogIndex {
         self.commit_index
     }
 
-    /// Whether every replica was sent the commit index.
-    pub fn has_told_commit(&self) -> bool {
+    /// Whether the current commit index was sent to every replica.
+    pub fn has_sent_commit_index(&self) -> bool {
         let mut replicas = self.progress.values();
         replicas.all(|progress| progress.sent_commit >= self.commit_index)
     }
 
-    /// The ballot by which another owner took over, if one did.
+    /// The highest ballot reported by a replica, if it exceeds this owner's.
     pub fn higher(&self) -> Option<Ballot> {
         self.higher
     }
 
-    /// The entry at `index`.
+    /// The entry at `index`, committed or not.
     pub fn entry(&self, index: LogIndex) -> Option<&LogEntry> {
         let position = index.0.checked_sub(1)?;
         self.log.get(position as usize)
     }
 
-    /// The replica set in use.
+    /// Current replica set.
     pub fn members(&self) -> &[ReplicaId] {
         &self.members
     }
 
-    /// Requests to send.
+    /// Removes and returns the requests to send, each with its destination.
     pub fn take_outgoing(&mut self) -> Vec<(NodeId, Request)> {
         std::mem::take(&mut self.outgoing)
     }
 
-    /// Asks for `new` in place of `old`, in two changes of one acceptor each.
+    /// Starts to replace `old` by `new`, in two changes of one acceptor each.
     pub fn replace(&mut self, old: ReplicaId, new: ReplicaId, now: MonotonicTime) {
         self.replacement = Some((old, new));
-        self.drive_replacement(now);
+        self.advance_replacement(now);
     }
 
-    /// Takes a reply.
+    /// Handles a reply of `from`.
     pub fn handle(&mut self, from: NodeId, reply: &Reply, now: MonotonicTime) {
         match reply {
             Reply::Appended {
@@ -160,22 +161,22 @@
                 round,
                 ..
             } if *ballot == self.ballot => {
-                self.take_appended(from, *replica, *last_index, *round);
+                self.handle_appended(from, *replica, *last_index, *round);
             }
             Reply::Rejected {
                 ballot,
                 replica,
                 reason,
                 ..
-            } => self.take_rejection(from, *ballot, *replica, *reason, now),
+            } => self.handle_rejection(from, *ballot, *replica, *reason, now),
             _ => return,
         }
         self.advance_commit();
-        self.drive_replacement(now);
+        self.advance_replacement(now);
         self.send_all(now);
     }
 
-    /// Sends again what was not answered.
+    /// Repeats requests that were not answered in time.
     pub fn tick(&mut self, now: MonotonicTime) {
         let last = self.last_index();
         let round = self.round;
@@ -194,12 +195,12 @@
             .map(|(node, _)| *node)
             .collect();
         for node in nodes {
-            self.send_again(node, now);
+            self.resend(node, now);
         }
         self.send_all(now);
     }
 
-    fn take_appended(
+    fn handle_appended(
         &mut self,
         from: NodeId,
         replica: ReplicaId,
@@ -218,7 +219,7 @@
         progress.answered_round = progress.answered_round.max(round);
     }
 
-    fn take_rejection(
+    fn handle_rejection(
         &mut self,
         from: NodeId,
         ballot: Ballot,
@@ -237,7 +238,7 @@
         }
         let last = self.last_index();
         let Some(progress) = self.progress.get_mut(&from) else {
-            // A late answer to the claim, from a node that was asked but is no member (any more).
+            // A late reply to the claim, from a node that is not or no longer in the replica set.
             self.spares.push(replica);
             return;
         };
@@ -258,8 +259,8 @@
         }
     }
 
-    /// Commits what a majority has, up to an entry of this owner's own ballot: an older entry counts only
-    /// together with one of those after it, else a later owner could still overrule it.
+    /// Commits up to the last entry that a majority stores, if it has this owner's ballot. An entry of an older
+    /// ballot is committed only with a later entry of this ballot, because another owner could still overwrite it.
     fn advance_commit(&mut self) {
         let reached = LogIndex(self.reached_by_majority(|progress| progress.matched.0));
         if self.is_own(reached) && reached > self.commit_index {
--- a/crates/run-log/src/replication/progress.rs
+++ b/crates/run-log/src/replication/progress.rs
@@ -1,32 +1,30 @@
-//! How far one replica's log agrees with the owner's.
+//! Replication progress of one replica.
 
 use ridgeworks_domain::MonotonicTime;
 
 use crate::entry::{LogIndex, ReplicaId};
 
-/// What the owner knows of one replica.
+/// What the owner knows of a replica's log.
 #[derive(Debug, Clone)]
 pub(super) struct Progress {
-    /// The replica.
     pub replica: ReplicaId,
-    /// The replica's log is known to agree up to here, on its disk.
+    /// The replica's durable log is known to match the owner's up to this index.
     pub matched: LogIndex,
-    /// The next entry to send.
+    /// Index of the next entry to send.
     pub next: LogIndex,
-    /// Appends with entries under way.
+    /// Appends with entries in flight.
     pub inflight: u32,
-    /// Highest confirmation round that it answered.
+    /// Highest confirmation round that the replica answered.
     pub answered_round: u64,
-    /// Highest commit index that it was sent.
+    /// Commit index in the last append sent.
     pub sent_commit: LogIndex,
-    /// When it was last sent anything.
     pub last_sent: MonotonicTime,
     /// Earliest time of the next append of committed entries.
-    pub catch_up_from: MonotonicTime,
+    pub next_catch_up_at: MonotonicTime,
 }
 
 impl Progress {
-    /// Of a replica that was sent nothing yet.
+    /// Progress of a replica that was sent nothing yet.
     pub fn new(replica: ReplicaId, now: MonotonicTime) -> Self {
         Self {
             replica,
@@ -36,7 +34,7 @@
             answered_round: 0,
             sent_commit: LogIndex::NONE,
             last_sent: now,
-            catch_up_from: now,
+            next_catch_up_at: now,
         }
     }
 }
--- a/crates/run-log/src/replication/replacement.rs
+++ b/crates/run-log/src/replication/replacement.rs
@@ -1,4 +1,4 @@
-//! Replaces a replica in two changes of one acceptor each.
+//! Replaces a replica by two changes of the replica set: a removal, then an addition.
 
 use ridgeworks_domain::MonotonicTime;
 use ridgeworks_domain::run_id::REPLICAS_PER_RUN;
@@ -8,8 +8,8 @@
 use crate::entry::{Entry, ReplicaId};
 
 impl Replication {
-    /// Takes the next step of a replacement, one acceptor a change and one change at a time.
-    pub(super) fn drive_replacement(&mut self, now: MonotonicTime) {
+    /// Appends the next change of the replica set, once the previous one is committed.
+    pub(super) fn advance_replacement(&mut self, now: MonotonicTime) {
         let own_committed = self.is_own(self.commit_index);
         if !own_committed || self.members_index > self.commit_index || self.higher.is_some() {
             return;
@@ -47,7 +47,7 @@
         self.append(vec![Entry::ReplicasChanged { replicas }], now);
     }
 
-    pub(super) fn follow_members(&mut self, now: MonotonicTime) {
+    pub(super) fn sync_progress(&mut self, now: MonotonicTime) {
         let members = self.members.clone();
         self.progress
             .retain(|_, progress| members.contains(&progress.replica));
--- a/crates/run-log/src/replication/sending.rs
+++ b/crates/run-log/src/replication/sending.rs
@@ -1,4 +1,4 @@
-//! Which entries are sent to which replica, and when.
+//! Schedules the appends to each replica.
 
 use ridgeworks_domain::{MonotonicTime, NodeId};
 
@@ -7,7 +7,7 @@
 use crate::message::Request;
 
 impl Replication {
-    pub(super) fn send_again(&mut self, node: NodeId, now: MonotonicTime) {
+    pub(super) fn resend(&mut self, node: NodeId, now: MonotonicTime) {
         if let Some(progress) = self.progress.get_mut(&node) {
             progress.inflight = 0;
             if progress.matched != LogIndex::NONE {
@@ -34,12 +34,12 @@
             return false;
         }
         if progress.next <= self.commit_index {
-            return progress.inflight == 0 && now >= progress.catch_up_from;
+            return progress.inflight == 0 && now >= progress.next_catch_up_at;
         }
         progress.inflight < self.settings.max_inflight
     }
 
-    /// Sends the next entries, or none at all when `heartbeat` is all that is wanted.
+    /// Sends the next entries. With `heartbeat`, sends an append without entries if none may be sent now.
     pub(super) fn send_page(&mut self, node: NodeId, now: MonotonicTime, heartbeat: bool) {
         let with_entries = !heartbeat || self.may_send(node, now);
         let Some(progress) = self.progress.get(&node) else {
@@ -60,11 +60,11 @@
             commit_index: self.commit_index,
             round: self.round,
         };
-        self.note_sent(node, &append, now);
+        self.record_sent(node, &append, now);
         self.outgoing.push((node, append));
     }
 
-    fn note_sent(&mut self, node: NodeId, append: &Request, now: MonotonicTime) {
+    fn record_sent(&mut self, node: NodeId, append: &Request, now: MonotonicTime) {
         let (Some(progress), Request::Append { entries, .. }) =
             (self.progress.get_mut(&node), append)
         else {
@@ -77,7 +77,7 @@
         };
         progress.inflight += 1;
         if progress.next <= self.commit_index {
-            progress.catch_up_from = now + self.settings.catch_up_interval;
+            progress.next_catch_up_at = now + self.settings.catch_up_interval;
         }
         progress.next = last.index.next();
     }
--- a/crates/run-log/src/replication/settings.rs
+++ b/crates/run-log/src/replication/settings.rs
@@ -1,18 +1,18 @@
-//! Limits of replication.
+//! Settings of replication.
 
 use std::time::Duration;
 
-/// Limits of replication.
+/// Timeouts and limits of replication.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ReplicationSettings {
-    /// Time without an answer after which a message is sent again.
+    /// Time without a reply after which a request is repeated.
     pub retry_after: Duration,
-    /// Most bytes of entries in one append, unless one entry alone is larger.
+    /// Limit on the entries in one append; a single larger entry is still sent.
     pub max_append_bytes: usize,
-    /// Most appends under way to one replica.
+    /// Limit on appends with entries in flight to one replica.
     pub max_inflight: u32,
-    /// Least time between two appends to a replica that copies committed entries. Together with
-    /// `max_append_bytes` it bounds the rate of catching up.
+    /// Minimum time between two appends of committed entries to a replica that lags behind. Together with
+    /// `max_append_bytes` it bounds the catch-up rate.
     pub catch_up_interval: Duration,
 }
 
--- a/crates/run-log/src/run_state/apply.rs
+++ b/crates/run-log/src/run_state/apply.rs
@@ -1,4 +1,4 @@
-//! What each entry of the log does to the state of its run.
+//! Applies log entries to the state of a run.
 
 use ridgeworks_domain::{CallEnd, CallRequest, Cost, RunId, Sequence};
 
@@ -6,25 +6,25 @@
 use crate::budget::Budget;
 use crate::entry::{AttemptEnd, Entry, LogEntry, LogIndex, Opening};
 
-/// An entry that the log can't hold at its place. Seen only if a proposer is at fault.
+/// Why an entry is invalid at its position in the log. Only a bug in a proposer can cause this.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum InvalidEntry {
     /// The first entry is not `Opened`, or a later one is.
     Opening,
-    /// The run is closed, or would be closed with a call under way.
+    /// The run is closed, or a call is in progress when it is closed.
     Closed,
-    /// A call out of order, or with a key that was used.
+    /// The call is out of order, or its key was used before.
     Order,
-    /// A reserve that does not fit the budget.
+    /// The reserve exceeds the budget.
     Budget,
-    /// An attempt that is not the next one, that is under way already, or of a call that may not be repeated.
+    /// The attempt is not the next one, overlaps a live one, or exceeds the attempts that the call allows.
     Attempt,
-    /// No such call, attempt or child, or it has ended.
+    /// The call, attempt or child run to end doesn't exist or has ended.
     NothingToEnd,
 }
 
 impl RunState {
-    /// Takes the next entry of the log.
+    /// Applies the next entry of the log. Fails if the entry is invalid at its position.
     pub fn apply(&mut self, entry: &LogEntry) -> Result<(), InvalidEntry> {
         if let Entry::Opened(opening) = &entry.entry {
             return self.open(opening);
@@ -111,7 +111,7 @@
         digest: u64,
         max_attempts: u32,
     ) -> Result<(), InvalidEntry> {
-        let in_order = request.sequence == self.expected() && self.call_under_way().is_none();
+        let in_order = request.sequence == self.expected() && self.call_in_progress().is_none();
         if !in_order || self.keys.contains_key(&request.key) {
             return Err(InvalidEntry::Order);
         }
@@ -127,7 +127,7 @@
             end: None,
             digest,
             holds_reserve: true,
-            any_unknown: false,
+            may_have_run: false,
         });
         Ok(())
     }
@@ -171,7 +171,7 @@
             AttemptEnd::Unknown => reserve,
             AttemptEnd::Cancelled { spent } => spent,
         };
-        record.any_unknown = true;
+        record.may_have_run = true;
         record.holds_reserve = false;
         self.budget.settle(reserve, spent);
         Ok(())
@@ -212,7 +212,7 @@
     }
 
     fn close(&mut self) -> Result<(), InvalidEntry> {
-        if self.call_under_way().is_some() {
+        if self.call_in_progress().is_some() {
             return Err(InvalidEntry::Closed);
         }
         self.budget.settle_all_children();
--- a/crates/run-log/src/run_state/call_record.rs
+++ b/crates/run-log/src/run_state/call_record.rs
@@ -1,4 +1,4 @@
-//! One call of a run, as the log tells it.
+//! State of one call of a run.
 
 use ridgeworks_domain::safeguard::{Safeguard, is_disabled};
 use ridgeworks_domain::{BackendAddress, BackendName, CallEnd, CallRequest, Cost, Sequence};
@@ -7,37 +7,37 @@
 use crate::entry::{LogIndex, request_digest};
 use crate::event::HistoryTurn;
 
-/// An attempt that may be running.
+/// A dispatched attempt without a known end; it may be running.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LiveAttempt {
-    /// The call.
+    /// The call of the attempt.
     pub call: Sequence,
-    /// Number of the attempt.
+    /// Number of the attempt, from 1.
     pub attempt: u32,
-    /// Where it was sent.
+    /// Back end that the attempt was dispatched to.
     pub backend: BackendName,
-    /// The back end's address.
+    /// Address of the back end.
     pub address: BackendAddress,
 }
 
-/// One call as the log tells it.
+/// State of a call, built from the entries of the log.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CallRecord {
-    /// The whole request.
+    /// The complete request.
     pub request: CallRequest,
-    /// Most attempts.
+    /// Applies to repeatable calls only.
     pub max_attempts: u32,
-    /// Attempts dispatched so far.
+    /// Number of attempts dispatched so far.
     pub attempts: u32,
     /// The attempt that may be running.
     pub live: Option<LiveAttempt>,
-    /// Index of the entry that ended it, and how.
+    /// End of the call and index of the entry that ended it; `None` while the call is in progress.
     pub end: Option<(LogIndex, CallEnd)>,
     pub(super) digest: u64,
-    /// Whether its reserve is set aside in the budget.
+    /// Whether the call's reserve is held in the budget.
     pub(super) holds_reserve: bool,
-    /// Whether an attempt of it may have run.
-    pub(super) any_unknown: bool,
+    /// Whether an ended attempt may have been executed.
+    pub(super) may_have_run: bool,
 }
 
 impl CallRecord {
@@ -46,12 +46,12 @@
     }
 
     pub(super) fn attempt_allowed(&self) -> bool {
-        let most = if self.is_repeatable() {
+        let limit = if self.is_repeatable() {
             self.max_attempts
         } else {
             1
         };
-        self.attempts < most.max(1)
+        self.attempts < limit.max(1)
     }
 
     pub(super) fn cost_if_unknown(&self) -> Cost {
@@ -68,7 +68,7 @@
             && self.digest == request_digest(&request.body)
     }
 
-    pub(super) fn turn(&self, through: LogIndex) -> Option<HistoryTurn> {
+    pub(super) fn history_turn(&self, through: LogIndex) -> Option<HistoryTurn> {
         let (index, end) = self.end.as_ref()?;
         let CallEnd::Finished { answer, .. } = end else {
             return None;
@@ -81,9 +81,9 @@
         })
     }
 
-    /// How it ends where no further attempt can be had.
-    pub(super) fn last_step(&self) -> NextStep {
-        if self.any_unknown {
+    /// Step that ends the call without a further attempt.
+    pub(super) fn final_step(&self) -> NextStep {
+        if self.may_have_run {
             NextStep::EndUnknown
         } else {
             NextStep::EndNotRun
--- a/crates/run-log/src/run_state/mod.rs
+++ b/crates/run-log/src/run_state/mod.rs
@@ -1,7 +1,8 @@
-//! What a run's log means: order, duplicates, budget, attempts.
+//! State machine of a run: order of calls, duplicates, budget, attempts.
 //!
-//! A pure function of the entries in log order. The owner applies entries as it proposes them, so that admission counts what
-//! is not committed yet; a proposal that is lost takes its owner down with it, and the next owner starts from the log.
+//! The state is a pure function of the entries in log order. The owner applies entries when it proposes them, so that
+//! admission counts uncommitted entries. A proposal can be lost only if its owner loses the run; the next owner
+//! rebuilds the state from the log.
 
 mod apply;
 mod call_record;
@@ -18,31 +19,31 @@
 use crate::entry::{AttemptEnd, Entry, LogIndex, Opening};
 use crate::event::{AttemptResolution, HistoryTurn};
 
-/// What becomes of a call that a caller sent.
+/// Decision on a call that a caller sent.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Admission {
-    /// It is the next call and fits the budget.
+    /// The next call of the run; it fits the budget.
     New,
-    /// It is under way.
+    /// A repeat of the call in progress.
     Join(Sequence),
-    /// It ended; the end is in the log at this index.
+    /// A repeat of a call that ended, with the index of the entry that ended it.
     Recorded(LogIndex, CallEnd),
-    /// It is refused.
+    /// The call is refused.
     Refused(RefusalReason),
 }
 
-/// What is to be done about a call under way that has no live attempt.
+/// Next step of a call in progress that has no live attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NextStep {
-    /// Another attempt, with this number.
+    /// Start an attempt with this number.
     Attempt(u32),
-    /// No further attempt is allowed; end the call by `Unknown`.
+    /// No further attempt is allowed and one may have been executed; end the call with `Unknown`.
     EndUnknown,
-    /// No further attempt is allowed and none ran; end the call by `NotRun`.
+    /// No further attempt is allowed and none was executed; end the call with `NotRun`.
     EndNotRun,
 }
 
-/// The state of one run.
+/// State of one run, built from the entries of its log.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct RunState {
     opening: Option<Opening>,
@@ -53,67 +54,68 @@
 }
 
 impl RunState {
-    /// Before the first entry.
+    /// State before the first entry.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// What the run was opened with.
+    /// Parameters of the run; `None` before the first entry.
     pub fn opening(&self) -> Option<&Opening> {
         self.opening.as_ref()
     }
 
-    /// The budget.
+    /// Budget of the run, with the reserves of uncommitted entries.
     pub fn budget(&self) -> &Budget {
         &self.budget
     }
 
-    /// Whether the run is closed.
+    /// Whether a `Closed` entry was applied, committed or not.
     pub fn is_closed(&self) -> bool {
         self.closed
     }
 
-    /// The call with this number.
+    /// The call with this sequence number.
     pub fn call(&self, call: Sequence) -> Option<&CallRecord> {
         let position = call.0.checked_sub(1)?;
         self.calls.get(position as usize)
     }
 
-    /// All calls in order.
+    /// All calls in order of their sequence numbers.
     pub fn calls(&self) -> impl Iterator<Item = &CallRecord> {
         self.calls.iter()
     }
 
-    /// The call under way, if there is one.
-    pub fn call_under_way(&self) -> Option<Sequence> {
+    /// The call without an end, if there is one; at most one call is in progress.
+    pub fn call_in_progress(&self) -> Option<Sequence> {
         let last = self.calls.last()?;
         last.end.is_none().then_some(last.request.sequence)
     }
 
-    /// The attempt that may be running. After a takeover it is in doubt and must be fenced.
+    /// The attempt that may be running. After a takeover it must be fenced, because its state is unknown.
     pub fn live_attempt(&self) -> Option<&LiveAttempt> {
         self.calls.last()?.live.as_ref()
     }
 
-    /// The number that the next call must have: that of the call under way while there is one.
+    /// Sequence number of the call in progress, or else that of the next call.
     pub fn expected(&self) -> Sequence {
-        self.call_under_way().unwrap_or_else(|| self.next_new())
+        self.call_in_progress()
+            .unwrap_or_else(|| self.next_sequence())
     }
 
-    /// The number of the next call that is not in the log yet.
-    fn next_new(&self) -> Sequence {
+    /// Sequence number of the next call that is not in the log.
+    fn next_sequence(&self) -> Sequence {
         Sequence(self.calls.len() as u64 + 1)
     }
 
-    /// Gives a call whatever number is next, in a test build that leaves out [`Safeguard::Sequence`].
+    /// Assigns the expected sequence number to a call, in a test build that disables [`Safeguard::Sequence`].
     pub(crate) fn renumber_if_weakened(&self, request: &mut CallRequest) {
         if is_disabled(Safeguard::Sequence) {
             let known = self.keys.get(&request.key).copied();
-            request.sequence = known.unwrap_or_else(|| self.next_new());
+            request.sequence = known.unwrap_or_else(|| self.next_sequence());
         }
     }
 
-    /// Lets a call come again when the one before it has ended, in the same test build.
+    /// Makes a refusal for a passed sequence number retryable, in the same test build.
     pub(crate) fn refusal_if_weakened(&self, refusal: Refusal) -> Refusal {
         let passed = matches!(refusal.reason, RefusalReason::SequencePassed { .. });
         if passed && is_disabled(Safeguard::Sequence) {
@@ -122,10 +124,10 @@
         refusal
     }
 
-    /// Decides on a call that a caller sent.
+    /// Decides whether a call is admitted, joined to a known one or refused.
     pub fn admit(&self, request: &CallRequest) -> Admission {
         if let Some(call) = self.keys.get(&request.key) {
-            return self.admit_again(*call, request);
+            return self.admit_repeat(*call, request);
         }
         match self.refusal(request) {
             Some(reason) => Admission::Refused(reason),
@@ -133,8 +135,7 @@
         }
     }
 
-    /// Entries that a back end's answer to a fence, or the end of an attempt, leads to. Empty when the attempt
-    /// is not the live one.
+    /// Entries to append when an attempt ends or is fenced. Empty if the attempt is not the live one.
     pub fn resolve_attempt(
         &self,
         call: Sequence,
@@ -168,7 +169,7 @@
         vec![entry]
     }
 
-    /// How to go on with the call under way when none of its attempts is live.
+    /// Next step of a call; `None` if it has ended or has a live attempt.
     pub fn next_step(&self, call: Sequence) -> Option<NextStep> {
         let record = self.call(call)?;
         if record.end.is_some() || record.live.is_some() {
@@ -179,30 +180,30 @@
         if allowed && fits {
             return Some(NextStep::Attempt(record.attempts + 1));
         }
-        Some(record.last_step())
+        Some(record.final_step())
     }
 
-    /// How to end the call under way when no attempt of it is live and none can be had.
+    /// Entry that ends a call for which no further slot is granted; `None` if it has ended or has a live attempt.
     pub fn end_without_attempt(&self, call: Sequence) -> Option<Entry> {
         let record = self.call(call)?;
         if record.end.is_some() || record.live.is_some() {
             return None;
         }
-        Some(match record.last_step() {
+        Some(match record.final_step() {
             NextStep::EndNotRun => Entry::NotRun { call },
             _ => Entry::Unknown { call },
         })
     }
 
-    /// The calls that finished by an entry up to `through`, in order.
+    /// Calls that were finished by an entry up to `through`, in order.
     pub fn history(&self, through: LogIndex) -> Vec<HistoryTurn> {
         self.calls
             .iter()
-            .filter_map(|record| record.turn(through))
+            .filter_map(|record| record.history_turn(through))
             .collect()
     }
 
-    fn admit_again(&self, call: Sequence, request: &CallRequest) -> Admission {
+    fn admit_repeat(&self, call: Sequence, request: &CallRequest) -> Admission {
         let Some(record) = self.call(call) else {
             return Admission::Refused(RefusalReason::CallKeyConflict);
         };
@@ -224,8 +225,8 @@
         if request.sequence > expected {
             return Some(RefusalReason::SequenceGap { expected });
         }
-        if request.sequence < expected || self.call_under_way().is_some() {
-            let expected = self.next_new();
+        if request.sequence < expected || self.call_in_progress().is_some() {
+            let expected = self.next_sequence();
             return Some(RefusalReason::SequencePassed { expected });
         }
         if self.calls.len() as u64 >= opening.max_calls {
--- a/crates/run-log/src/storage.rs
+++ b/crates/run-log/src/storage.rs
@@ -1,83 +1,83 @@
-//! What a replica writes, and what it reads back.
+//! Storage interface of a replica: its writes and the state that it restores.
 //!
-//! A storage crate turns each [`Write`] into key/value writes and commits a batch of them with one
-//! fsync. The writes of one [`ReplicaReady`](crate::replica::ReplicaReady) are atomic: all of them survive a crash or none. After a
-//! crash it may have lost only writes whose replies were not sent yet, and always the last ones.
+//! The storage implementation turns each [`Write`] into key/value writes and commits a batch of them with one
+//! fsync. The writes of one [`ReplicaReady`](crate::replica::ReplicaReady) are atomic: all of them survive a crash or
+//! none. A crash may lose only a suffix of the writes, and only writes whose replies were not sent yet.
 
 use ridgeworks_domain::{Ballot, RunId};
 
 use crate::entry::{LogEntry, LogIndex, LogPosition, StoreId};
 
-/// What an acceptor keeps of one run apart from its entries; small and of fixed size, so that a replica can
-/// hold it in memory for every run.
+/// State of an acceptor for one run, without the entries. Of small, fixed size, because a replica
+/// holds it in memory for every run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 pub struct RunHead {
     /// Every lower ballot is refused.
     pub promised: Ballot,
-    /// The proposer instance that the promise was given to; 0 when it came with an append.
+    /// The proposer instance that received the promise; 0 if an append raised the ballot.
     pub instance: u64,
     /// End of the log.
     pub last: LogPosition,
-    /// Everything up to here is committed.
+    /// All entries up to this index are committed.
     pub commit_index: LogIndex,
-    /// Index of the `Closed` entry, [`LogIndex::NONE`] when there is none.
+    /// Index of the `Closed` entry, or [`LogIndex::NONE`].
     pub closed_index: LogIndex,
-    /// Index of the newest entry that names the replica set.
+    /// Index of the latest entry that defines the replica set.
     pub members_index: LogIndex,
-    /// Whether the log ends within a call.
+    /// Whether a call is in progress at the end of the log.
     pub call_open: bool,
-    /// The store's generation under which this acceptor was named a replica of the run.
+    /// Generation of the store when this acceptor became a replica of the run.
     pub generation: u32,
 }
 
-/// One durable change, to be applied in the order given.
+/// A durable change. Changes are applied in the order given.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Write {
-    /// Set the head of a run.
+    /// Sets the head of a run.
     Head {
-        /// The run.
+        /// Key of the head.
         run: RunId,
-        /// Its head.
+        /// Replaces any previous head.
         head: RunHead,
     },
-    /// Set the entry at (run, entry.index).
+    /// Sets the entry at (`run`, `entry.index`).
     Entry {
-        /// The run.
+        /// The run whose log is written.
         run: RunId,
-        /// The entry.
+        /// Replaces any previous entry at its index.
         entry: LogEntry,
     },
-    /// Remove all entries of the run from this index on.
+    /// Removes all entries of the run from an index on.
     TruncateFrom {
-        /// The run.
+        /// The run whose log is truncated.
         run: RunId,
-        /// The first index removed.
+        /// First index removed.
         index: LogIndex,
     },
-    /// Remove the run's head and entries.
+    /// Removes the run's head and entries.
     DeleteRun {
-        /// The run.
+        /// The run to delete.
         run: RunId,
     },
-    /// Set the store's generation.
+    /// Sets the store's generation.
     Generation {
-        /// Its new value.
+        /// The new generation.
         generation: u32,
     },
 }
 
-/// Reads entries back. Sees every write that was reported as flushed; a replica remembers the others itself.
+/// Reads stored entries. Must see every write that was reported as flushed; the replica holds the others in memory.
 pub trait LogStorage {
-    /// Consecutive entries from `first` on, at least one if there is one, at most about `max_bytes`.
+    /// Consecutive entries from `first` on: at least one if there is one, at most about `max_bytes` in total.
     fn entries(&self, run: RunId, first: LogIndex, max_bytes: usize) -> Vec<LogEntry>;
 }
 
-/// What a store held when it was opened.
+/// Contents of a store when it is opened.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RestoredStore {
-    /// Identity of the data folder, drawn at random and made durable before first use.
+    /// Random identity of the data folder, made durable before first use.
     pub store: StoreId,
-    /// The store's generation, 0 at first.
+    /// Generation of the store; 0 for a new store.
     pub generation: u32,
     /// Heads of all runs.
     pub heads: Vec<(RunId, RunHead)>,
--- a/crates/run-log/tests/budget.rs
+++ b/crates/run-log/tests/budget.rs
@@ -1,4 +1,4 @@
-//! Properties of the budget's arithmetic.
+//! Properties of budget arithmetic.
 
 use quickcheck::{Arbitrary, Gen, quickcheck};
 use ridgeworks_domain::{Cost, RunId};
@@ -7,7 +7,7 @@
 #[derive(Debug, Clone)]
 enum Step {
     Reserve(u64),
-    /// Settles the reserve at this position among those held, with this cost.
+    /// Settles the held reserve at this position (modulo their number), with this cost.
     Settle(usize, u64),
     OpenChild(u8, u64),
     CloseChild(u8, u64),
@@ -28,7 +28,7 @@
     }
 }
 
-fn take(budget: &mut Budget, held: &mut Vec<u64>, step: &Step) {
+fn apply_step(budget: &mut Budget, held: &mut Vec<u64>, step: &Step) {
     match step {
         Step::Reserve(amount) => {
             if budget.reserve(Cost(*amount)).is_ok() {
@@ -50,27 +50,27 @@
 }
 
 quickcheck! {
-    fn reserved_and_spent_never_pass_the_limit(limit: u64, steps: Vec<Step>) -> bool {
+    fn reserved_and_spent_never_exceed_the_limit(limit: u64, steps: Vec<Step>) -> bool {
         let mut budget = Budget::new(Cost(limit));
         let mut held = Vec::new();
         steps.iter().all(|step| {
-            take(&mut budget, &mut held, step);
+            apply_step(&mut budget, &mut held, step);
             let sum = budget.spent().0.checked_add(budget.reserved().0);
             sum.is_some_and(|sum| sum <= limit && budget.remaining().0 == limit - sum)
         })
     }
 
-    fn spent_never_falls(limit: u64, steps: Vec<Step>) -> bool {
+    fn spent_never_decreases(limit: u64, steps: Vec<Step>) -> bool {
         let mut budget = Budget::new(Cost(limit));
         let mut held = Vec::new();
         steps.iter().all(|step| {
             let before = budget.spent();
-            take(&mut budget, &mut held, step);
+            apply_step(&mut budget, &mut held, step);
             budget.spent() >= before
         })
     }
 
-    fn settling_everything_frees_all_that_was_not_spent(limit: u16, reserves: Vec<(u8, u8)>) -> bool {
+    fn settling_everything_releases_all_that_was_not_spent(limit: u16, reserves: Vec<(u8, u8)>) -> bool {
         let mut budget = Budget::new(Cost(u64::from(limit)));
         let held: Vec<(u8, u8)> = reserves
             .into_iter()
--- a/crates/run-log/tests/codec.rs
+++ b/crates/run-log/tests/codec.rs
@@ -1,4 +1,4 @@
-//! What travels and what is stored comes back from its bytes as it was; damaged bytes are refused.
+//! Encoding and decoding of messages and stored heads; truncated bytes are refused.
 
 mod support;
 
@@ -45,14 +45,14 @@
 }
 
 #[test]
-fn messages_survive_the_codec() {
+fn messages_are_unchanged_by_encoding_and_decoding() {
     let message = append();
     let bytes = rkyv::to_bytes::<Error>(&message).unwrap();
     assert_eq!(rkyv::from_bytes::<Message, Error>(&bytes).unwrap(), message);
 }
 
 #[test]
-fn cut_messages_are_refused() {
+fn truncated_messages_are_refused() {
     let bytes = rkyv::to_bytes::<Error>(&append()).unwrap();
     let whole = bytes.len();
     let refused = |cut: &usize| rkyv::from_bytes::<Message, Error>(&bytes[..whole - cut]).is_err();
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn heads_survive_the_codec() {
+fn heads_are_unchanged_by_encoding_and_decoding() {
     let head = RunHead {
         promised: BALLOT,
         instance: 9,
--- a/crates/run-log/tests/proposer.rs
+++ b/crates/run-log/tests/proposer.rs
@@ -1,4 +1,4 @@
-//! Rules of a proposer that a schedule of the simulator seldom meets.
+//! Rules of the proposer that the simulator rarely exercises.
 
 mod support;
 
@@ -19,7 +19,7 @@
     }
 }
 
-/// The log of the first owner.
+/// Log of the first owner.
 fn log() -> Vec<LogEntry> {
     let ballot = Ballot {
         round: 1,
@@ -65,7 +65,7 @@
     }
 }
 
-/// A proposer whose claim was won with the log of node 2, which holds more than node 1.
+/// A proposer that has won its claim with the log of node 2, which is longer than that of node 1.
 fn leading() -> (Proposer, Ballot) {
     let contacts = [1, 2, 3].map(NodeId);
     let settings = ReplicationSettings::default();
@@ -100,10 +100,9 @@
     );
 }
 
-/// An older owner's entry on a majority may still be overruled by an owner that never saw it: it is committed only
-/// together with an entry of the own ballot.
+/// Another owner that never saw an entry of an older ballot may still overwrite it, even if a majority stores it.
 #[test]
-fn entries_of_older_owners_are_committed_only_with_an_own_one() {
+fn entries_of_older_ballots_are_committed_only_with_one_of_the_current_ballot() {
     let (mut proposer, ballot) = leading();
     proposer.handle(NodeId(1), &appended(1, ballot, 2), NOW);
     proposer.handle(NodeId(2), &appended(2, ballot, 2), NOW);
@@ -123,7 +122,7 @@
     proposer.take_requests();
     proposer.handle(NodeId(1), &promise(1, ballot, 1), NOW);
     proposer.handle(NodeId(2), &promise(2, ballot, 2), NOW);
-    assert!(proposer.take_requests().is_empty(), "nothing to copy yet");
+    assert!(proposer.take_requests().is_empty(), "no log is fetched");
 }
 
 #[test]
@@ -137,13 +136,13 @@
     assert_eq!(
         proposer.members().len(),
         3,
-        "not before the claim is committed"
+        "no change before the claim is committed"
     );
     proposer.handle(NodeId(1), &appended(1, ballot, 3), NOW);
     proposer.handle(NodeId(2), &appended(2, ballot, 3), NOW);
     assert_eq!(proposer.members(), [replica(1), replica(2)]);
     proposer.handle(NodeId(1), &appended(1, ballot, 4), NOW);
-    assert_eq!(proposer.members().len(), 2, "a set of two takes both");
+    assert_eq!(proposer.members().len(), 2, "both replicas must confirm");
     proposer.handle(NodeId(2), &appended(2, ballot, 4), NOW);
     assert_eq!(proposer.members(), [replica(1), replica(2), fresh]);
 }
--- a/crates/run-log/tests/replica.rs
+++ b/crates/run-log/tests/replica.rs
@@ -1,4 +1,4 @@
-//! The acceptor's rules that a schedule of the simulator seldom meets.
+//! Rules of the acceptor that the simulator rarely exercises.
 
 mod support;
 
@@ -62,7 +62,7 @@
     }
 }
 
-fn ask(
+fn handle_durably(
     replica: &mut Replica,
     entries: &mut Entries,
     request: Request,
@@ -85,7 +85,7 @@
 fn a_ballot_is_granted_to_one_proposer_instance() {
     let (mut replica, mut entries) = (replica(1), Entries::default());
     let identity = replica.identity();
-    ask(
+    handle_durably(
         &mut replica,
         &mut entries,
         append(
@@ -97,14 +97,14 @@
         NOW,
     );
     let ballot = FIRST_BALLOT.next_for(OTHER_OWNER);
-    let first = ask(&mut replica, &mut entries, prepare(ballot, 1), NOW);
+    let first = handle_durably(&mut replica, &mut entries, prepare(ballot, 1), NOW);
     assert!(matches!(first, Reply::Promise { instance: 1, .. }));
     assert_eq!(
-        ask(&mut replica, &mut entries, prepare(ballot, 1), NOW),
+        handle_durably(&mut replica, &mut entries, prepare(ballot, 1), NOW),
         first,
         "a repeated request"
     );
-    let other = ask(&mut replica, &mut entries, prepare(ballot, 2), NOW);
+    let other = handle_durably(&mut replica, &mut entries, prepare(ballot, 2), NOW);
     assert_eq!(
         rejection(&other),
         Some(Rejection::HigherBallot { promised: ballot })
@@ -115,18 +115,18 @@
 fn only_an_opening_meant_for_this_store_creates_a_run() {
     let (mut replica, mut entries) = (replica(1), Entries::default());
     let identity = replica.identity();
-    let unknown = ask(&mut replica, &mut entries, prepare(FIRST_BALLOT, 1), NOW);
+    let unknown = handle_durably(&mut replica, &mut entries, prepare(FIRST_BALLOT, 1), NOW);
     assert_eq!(rejection(&unknown), Some(Rejection::UnknownRun));
     let other = ReplicaId {
         store: StoreId(1),
         ..identity
     };
-    let meant_for_other = append(other, FIRST_BALLOT, LogPosition::NONE, vec![opened(other)]);
-    let refused = ask(&mut replica, &mut entries, meant_for_other, NOW);
+    let addressed_to_other = append(other, FIRST_BALLOT, LogPosition::NONE, vec![opened(other)]);
+    let refused = handle_durably(&mut replica, &mut entries, addressed_to_other, NOW);
     assert_eq!(rejection(&refused), Some(Rejection::Recovering));
     let later = owner_changed(2, FIRST_BALLOT);
     let previous = opened(identity).position();
-    let middle = ask(
+    let middle = handle_durably(
         &mut replica,
         &mut entries,
         append(identity, FIRST_BALLOT, previous, vec![later]),
@@ -168,33 +168,33 @@
         };
         let ready = replica.handle(OWNER, fetch, NOW, &entries);
         let Reply::Fetched { entries: found, .. } = &ready.replies_after_flush[0].1 else {
-            panic!("the log is handed out");
+            panic!("the log is returned");
         };
         assert_eq!(*found, [old[0].clone(), new]);
     }
 }
 
 #[test]
-fn a_forgotten_run_is_not_opened_again_by_a_late_message() {
+fn a_deleted_run_is_not_recreated_by_a_delayed_message() {
     let (mut cluster, _) = Cluster::open(100);
-    cluster.tell(OwnerEvent::Close {
+    cluster.send_event(OwnerEvent::Close {
         caller: CallerId(1),
     });
     let later = NOW + Duration::from_millis(100);
     for effect in cluster.owner.handle(OwnerEvent::Tick, later) {
         if let ridgeworks_run_log::OwnerEffect::SendToReplica { to, request } = effect {
             let (replica, entries) = &mut cluster.replicas[to.0 as usize - 1];
-            ask(replica, entries, request, later);
+            handle_durably(replica, entries, request, later);
         }
     }
     let (replica, entries) = &mut cluster.replicas[0];
     assert!(replica.head(RUN).is_some_and(|head| head.is_closed()));
     let identity = replica.identity();
     let mut now = later;
-    for forgotten in [false, true] {
+    for deleted in [false, true] {
         now = now + RETENTION;
         replica.sweep(now, RETENTION, 10);
-        assert_eq!(replica.head(RUN).is_none(), forgotten);
+        assert_eq!(replica.head(RUN).is_none(), deleted);
     }
     let late = append(
         identity,
@@ -202,7 +202,7 @@
         LogPosition::NONE,
         vec![opened(identity)],
     );
-    let refused = ask(replica, entries, late, now);
+    let refused = handle_durably(replica, entries, late, now);
     assert_eq!(rejection(&refused), Some(Rejection::Recovering));
     assert_eq!(replica.run_count(), 0);
 }
@@ -249,7 +249,7 @@
     assert_eq!(runs, [4, 5]);
 }
 
-/// Appends entries after those before; returns the position of the last.
+/// Appends entries after `previous`; returns the position of the last one.
 fn append_all(
     replica: &mut Replica,
     entries: &mut Entries,
@@ -268,7 +268,7 @@
     if let Request::Append { commit_index, .. } = &mut request {
         *commit_index = LogIndex(commit);
     }
-    ask(replica, entries, request, NOW);
+    handle_durably(replica, entries, request, NOW);
     last
 }
 
@@ -282,16 +282,16 @@
 }
 
 #[test]
-fn runs_with_a_call_or_an_end_under_way_are_unsettled_once_silent() {
+fn runs_with_an_open_call_or_an_uncommitted_end_have_pending_work_once_silent() {
     let (mut replica, mut entries) = (replica(1), Entries::default());
     let silent = Duration::from_secs(5);
-    let unsettled =
+    let pending_work =
         |replica: &Replica| replica.runs_with_pending_work(NOW + silent, silent).count();
     let opened = opened(replica.identity()).entry;
     let held = (&mut replica, &mut entries);
     let ballot = FIRST_BALLOT;
     let last = append_all(held.0, held.1, ballot, LogPosition::NONE, vec![opened], 0);
-    assert_eq!(unsettled(&replica), 0, "an idle run");
+    assert_eq!(pending_work(&replica), 0, "an idle run");
     let higher = Ballot {
         round: 2,
         node: OTHER_OWNER,
@@ -305,7 +305,7 @@
         vec![accepted(), Entry::OwnerChanged { owner: node }],
         0,
     );
-    assert_eq!(unsettled(&replica), 1, "a call is open");
+    assert_eq!(pending_work(&replica), 1, "a call is open");
     assert_eq!(
         replica.runs_with_pending_work(NOW, silent).count(),
         0,
@@ -314,16 +314,16 @@
     let sequence = ridgeworks_domain::Sequence(1);
     let not_run = vec![Entry::NotRun { call: sequence }];
     let ended = append_all(&mut replica, &mut entries, ballot, last, not_run, 0);
-    assert_eq!(unsettled(&replica), 0, "the call ended");
-    // The end is overruled by the next owner: the call is open again.
+    assert_eq!(pending_work(&replica), 0, "the call ended");
+    // The next owner overwrites the end, so the call is open again.
     let changed = vec![Entry::OwnerChanged { owner: node }];
     let last = append_all(&mut replica, &mut entries, higher, last, changed, 0);
     assert_eq!(last.index, ended.index);
-    assert_eq!(unsettled(&replica), 1, "the end was overruled");
+    assert_eq!(pending_work(&replica), 1, "the end was overwritten");
     let tail = vec![Entry::NotRun { call: sequence }, Entry::Closed];
     let last = append_all(&mut replica, &mut entries, higher, last, tail, 0);
     assert_eq!(
-        unsettled(&replica),
+        pending_work(&replica),
         1,
         "the end of the run is not committed"
     );
@@ -335,7 +335,7 @@
         vec![],
         last.index.0,
     );
-    assert_eq!(unsettled(&replica), 0, "closed for good");
+    assert_eq!(pending_work(&replica), 0, "the run is closed");
     let members = replica.members(RUN, &entries);
     assert_eq!(members, [replica.identity()]);
 }
--- a/crates/run-log/tests/simulation.rs
+++ b/crates/run-log/tests/simulation.rs
@@ -1,4 +1,5 @@
-//! Seeded schedules of message loss, doubling, reordering, crashes, pauses, disk loss and competing owners.
+//! Seeded schedules of message loss, duplication and reordering, partitions, crashes, pauses, disk loss and
+//! competing owners.
 //!
 //! `RIDGEWORKS_SIMULATION_SCHEDULES` raises the number of schedules, `RIDGEWORKS_SIMULATION_SEED` sets the first seed.
 
@@ -11,10 +12,10 @@
 use simulator::checks::Violation;
 use simulator::world::{Outcome, run_schedule};
 
-const LEAST_SCHEDULES: u64 = 10_000;
+const MIN_SCHEDULES: u64 = 10_000;
 const THREADS: u64 = 4;
-/// Schedules within which a missing mechanism must be noticed.
-const WEAKENED_SCHEDULES: u64 = 4_000;
+/// Number of schedules within which a disabled mechanism must be detected.
+const MAX_WEAKENED_SCHEDULES: u64 = 4_000;
 
 fn setting(name: &str, default: u64) -> u64 {
     let text = std::env::var(name).ok();
@@ -47,7 +48,7 @@
     }
 }
 
-/// The first violating seed of those from `first`, with what it violated.
+/// Returns the lowest seed from `first` on that violates a check, with its violations.
 fn search(
     first: u64,
     schedules: u64,
@@ -82,8 +83,7 @@
 
 #[test]
 fn promises_hold_under_seeded_faults() {
-    let schedules =
-        setting("RIDGEWORKS_SIMULATION_SCHEDULES", LEAST_SCHEDULES).max(LEAST_SCHEDULES);
+    let schedules = setting("RIDGEWORKS_SIMULATION_SCHEDULES", MIN_SCHEDULES).max(MIN_SCHEDULES);
     let first = setting("RIDGEWORKS_SIMULATION_SEED", 1);
     let started = Instant::now();
     let totals = Totals::default();
@@ -101,7 +101,7 @@
     assert!(found.is_none(), "seed and violations: {found:?}");
     assert!(
         totals.finished.load(Ordering::Relaxed) > schedules,
-        "schedules do real work"
+        "schedules finish more than one call on average"
     );
     assert!(
         totals.replicas_changed.load(Ordering::Relaxed) > 0,
@@ -109,68 +109,73 @@
     );
     assert!(
         totals.children_closed.load(Ordering::Relaxed) > 0,
-        "children come to their end"
+        "child runs are closed"
     );
 }
 
-/// Without `weakening`'s mechanism the checks find a violation among those that it is there to prevent.
-fn is_noticed(weakening: Weakening) {
-    let found = search(1, WEAKENED_SCHEDULES, Some(weakening), &Totals::default());
+/// Asserts that the checks find a safety violation, not only a stuck client, with `weakening`'s mechanism disabled.
+fn assert_noticed(weakening: Weakening) {
+    let found = search(
+        1,
+        MAX_WEAKENED_SCHEDULES,
+        Some(weakening),
+        &Totals::default(),
+    );
     println!("{weakening:?}: {found:?}");
-    let (_, violations) = found.expect("a missing mechanism must be noticed");
+    let (_, violations) = found.expect("a disabled mechanism must be detected");
     let unsafe_state = |violation: &Violation| !matches!(violation, Violation::Stuck(_));
     assert!(
         violations.iter().any(unsafe_state),
-        "only stuck: {violations:?}"
+        "only stuck clients: {violations:?}"
     );
 }
 
 #[test]
 fn notices_promises_that_are_not_durable() {
-    is_noticed(Weakening::PromiseNotDurable);
+    assert_noticed(Weakening::PromiseNotDurable);
 }
 
 #[test]
 fn notices_replies_before_the_flush() {
-    is_noticed(Weakening::ReplyBeforeFlush);
+    assert_noticed(Weakening::ReplyBeforeFlush);
 }
 
 #[test]
 fn notices_lower_ballots_accepted() {
-    is_noticed(Weakening::LowerBallotAccepted);
+    assert_noticed(Weakening::LowerBallotAccepted);
 }
 
 #[test]
 fn notices_accepted_entries_not_adopted() {
-    is_noticed(Weakening::AcceptedNotAdopted);
+    assert_noticed(Weakening::AcceptedNotAdopted);
 }
 
 #[test]
 fn notices_budgets_without_reserve() {
-    is_noticed(Weakening::NothingReserved);
+    assert_noticed(Weakening::NothingReserved);
 }
 
 #[test]
 fn notices_attempts_sent_before_dispatched_is_committed() {
-    is_noticed(Weakening::SentBeforeDispatched);
+    assert_noticed(Weakening::SentBeforeDispatched);
 }
 
 #[test]
 fn notices_doubtful_attempts_that_are_not_fenced() {
-    is_noticed(Weakening::NotFenced);
+    assert_noticed(Weakening::NotFenced);
 }
 
 #[test]
 fn notices_owners_that_do_not_confirm() {
-    is_noticed(Weakening::NotConfirmed);
+    assert_noticed(Weakening::NotConfirmed);
 }
 
 #[test]
-fn notices_children_that_are_not_carved_from_their_parents() {
-    is_noticed(Weakening::ChildNotCarved);
+fn notices_child_budgets_that_are_not_reserved_in_the_parent() {
+    assert_noticed(Weakening::ChildBudgetNotReserved);
 }
 
 #[test]
 fn notices_lost_disks_under_the_old_identity() {
-    is_noticed(Weakening::IdentityKept);
+    assert_noticed(Weakening::IdentityKept);
 }
--- a/crates/run-log/tests/simulator/backend.rs
+++ b/crates/run-log/tests/simulator/backend.rs
@@ -1,4 +1,4 @@
-//! A back end that knows attempts by (run, call, attempt), counts executions and fences.
+//! A back end that executes and fences attempts, identified by run, call and attempt.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -31,7 +31,7 @@
     attempts: BTreeMap<AttemptKey, Progress>,
 }
 
-/// What an arriving attempt meets.
+/// Result of an attempt's arrival at a back end.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Arrival {
     Started,
@@ -69,7 +69,7 @@
         Arrival::Started
     }
 
-    /// The end of an execution: answer and cost, unless it was cancelled or the back end is gone.
+    /// Finishes an execution. Returns answer and cost, or `None` if it was cancelled or the back end is gone.
     pub fn finish(&mut self, key: AttemptKey) -> Option<(Vec<u8>, Cost)> {
         let progress = self.attempts.get_mut(&key).filter(|_| !self.gone)?;
         let Progress::Running { answer, spent } = progress.clone() else {
@@ -80,7 +80,7 @@
         Some(ended)
     }
 
-    /// Stops an attempt for good. What it had cost until then is told for every other attempt only.
+    /// Fences an attempt. Reports the cost of a stopped execution for every other attempt only.
     pub fn fence(&mut self, key: AttemptKey, executions: &mut [Execution]) -> AttemptResolution {
         if self.gone {
             return AttemptResolution::Unreachable;
@@ -94,8 +94,8 @@
             },
             Some(Progress::Cancelled(spent)) => stopped(key, *spent),
             Some(Progress::Running { answer, spent }) => {
-                // An execution whose cost isn't told may have cost all.
-                let so_far = if tells_cost(key) {
+                // A stopped execution whose cost isn't reported keeps its full cost.
+                let so_far = if reports_cost(key) {
                     Cost(spent.0 / 2)
                 } else {
                     *spent
@@ -112,12 +112,12 @@
     }
 }
 
-fn tells_cost((_, call, attempt): AttemptKey) -> bool {
+fn reports_cost((_, call, attempt): AttemptKey) -> bool {
     (call.0 + u64::from(attempt)).is_multiple_of(2)
 }
 
 fn stopped(key: AttemptKey, spent: Cost) -> AttemptResolution {
-    if tells_cost(key) {
+    if reports_cost(key) {
         AttemptResolution::Stopped { spent }
     } else {
         AttemptResolution::Cancelled
--- a/crates/run-log/tests/simulator/checks.rs
+++ b/crates/run-log/tests/simulator/checks.rs
@@ -1,4 +1,4 @@
-//! The promises, checked over what was recorded.
+//! Checks the service's promises to its callers, by number, on the record of a schedule.
 
 use std::collections::BTreeMap;
 
@@ -10,27 +10,27 @@
 
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Violation {
-    /// Promise 1: a call executed after a later one.
+    /// Promise 1: a call was executed after a later one.
     Order(RunId, Sequence),
-    /// Promise 2: an acknowledged turn is missing in a later read, or a read holds something else.
+    /// Promise 2: a later read lacks an acknowledged turn, or contains turns of another run or out of order.
     History(RunId, Sequence),
-    /// Promise 3: back ends counted more than the budget.
+    /// Promise 3: the back ends' total cost exceeds the budget.
     OverBudget(RunId, Cost),
-    /// Promise 5: an answer that no execution of this call gave, or another one than before.
+    /// Promise 5: no execution of the call gave this answer, or an earlier answer differs.
     Answer(RunId, Sequence),
-    /// Promise 6: a call answered "not run" ran.
+    /// Promise 6: a call that was reported as not run was executed.
     NotRunRan(RunId, Sequence),
-    /// Promise 7: a call that is not repeatable ran twice.
+    /// Promise 7: a call that is not repeatable was executed twice.
     RanTwice(RunId, Sequence),
-    /// Two owners saw different committed entries.
+    /// Two owners have different committed entries at the same index.
     Disagreement(RunId, LogIndex),
-    /// An owner found a log that can't be.
+    /// An owner found an invalid entry in its log.
     InvalidLog(RunId, InvalidEntry),
-    /// A client was not done long after the last fault.
+    /// A client was not done at the end of the schedule, long after the last fault.
     Stuck(RunId),
 }
 
-/// A call as a client saw it answered.
+/// An answer to a call, as received by a client.
 #[derive(Debug, Clone)]
 pub struct Answered {
     pub run: RunId,
@@ -38,7 +38,7 @@
     pub invoked: u64,
     pub at: u64,
     pub answer: CallerAnswer,
-    /// No other request of this call was ever sent, before or after.
+    /// Whether no other request of this call was ever sent, before or after.
     pub only_request: bool,
 }
 
@@ -69,7 +69,7 @@
         }
     }
 
-    /// `child` spends part of `parent`'s budget.
+    /// Checks the record. `child` is the run that spends part of `parent`'s budget.
     pub fn check(&mut self, budgets: &BTreeMap<RunId, Cost>, parent: RunId, child: Option<RunId>) {
         if let Some(child) = child {
             self.check_shared(budgets[&parent], parent, child);
@@ -83,7 +83,10 @@
             self.check_answer(&answered, &ran);
             self.answered.push(answered);
         }
-        let found = self.reads.iter().flat_map(|read| self.missing(read));
+        let found = self
+            .reads
+            .iter()
+            .flat_map(|read| self.history_violations(read));
         let found: Vec<Violation> = found.collect();
         self.violations.extend(found);
     }
@@ -137,8 +140,8 @@
                 let any = of_call.next().is_some();
                 any.then_some(Violation::NotRunRan(run, call))
             }
-            // A refusal speaks for its own request: nothing had run before that request was sent, and nothing
-            // runs at all if it was the only one.
+            // A refusal covers only its own request: nothing was executed before the request was sent, and
+            // nothing is ever executed if it was the only request.
             CallerAnswer::Refused(refusal) if refusal.is_not_run() => {
                 let ran = of_call
                     .any(|execution| answered.only_request || execution.at < answered.invoked);
@@ -149,8 +152,9 @@
         self.violations.extend(wrong);
     }
 
-    /// Turns that were acknowledged before the read was asked for and are not in it as they were.
-    fn missing(&self, read: &HistoryRead) -> Vec<Violation> {
+    /// Turns that were acknowledged before the read and are missing or changed in it, turns of other runs, and turns
+    /// out of order.
+    fn history_violations(&self, read: &HistoryRead) -> Vec<Violation> {
         let acknowledged = self
             .answered
             .iter()
--- a/crates/run-log/tests/simulator/client.rs
+++ b/crates/run-log/tests/simulator/client.rs
@@ -1,4 +1,4 @@
-//! A caller that runs one program: opens a run, makes calls in order, reads, closes.
+//! A client that opens a run, makes calls in order, reads the history and closes the run.
 
 use std::collections::BTreeMap;
 
@@ -7,11 +7,11 @@
 };
 use ridgeworks_run_log::CallerAnswer;
 
-/// What a caller asks of a node.
+/// A client's request to a node.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Ask {
+pub enum ClientRequest {
     Open,
-    /// Asks for a child's budget.
+    /// Reserves the budget of a child run.
     OpenChild(RunId, Cost),
     Call(CallRequest),
     Read,
@@ -20,7 +20,7 @@
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Stage {
-    /// A child run whose parent has not set its budget aside yet.
+    /// A child run whose budget is not reserved yet.
     Waiting,
     Opening,
     OpeningChild,
@@ -28,40 +28,40 @@
     Reading {
         then: u64,
     },
-    LastRead,
+    FinalRead,
     Closing,
     Done,
 }
 
 #[derive(Debug, Clone)]
 pub struct Sent {
-    pub ask: Ask,
+    pub client_request: ClientRequest,
     pub at: u64,
 }
 
 pub struct Client {
     pub run: RunId,
     pub budget: Cost,
-    /// A run that works on part of this one's budget.
+    /// The child run, if any, and its part of this run's budget.
     pub child: Option<(RunId, Cost)>,
     pub calls: Vec<CallRequest>,
     pub stage: Stage,
     pub node: usize,
-    /// Number of the request that the client now waits for.
+    /// Number of the request that the client waits for.
     pub current: u64,
     pub sent: BTreeMap<u64, Sent>,
     pub acknowledged: BTreeMap<Sequence, Vec<u8>>,
     pub next_number: u64,
 }
 
-/// What a client does after an answer.
+/// Action of a client after an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Next {
-    /// Goes on to its next request.
-    GoOn,
-    /// Sends the same to another node.
-    Elsewhere,
-    /// Waits on.
+    /// Sends the next request.
+    Continue,
+    /// Repeats the request at another node.
+    TryOtherNode,
+    /// Keeps waiting.
     Nothing,
 }
 
@@ -79,19 +79,23 @@
 }
 
 impl Client {
-    pub fn ask(&self) -> Option<Ask> {
+    pub fn client_request(&self) -> Option<ClientRequest> {
         match self.stage {
             Stage::Waiting | Stage::Done => None,
-            Stage::Opening => Some(Ask::Open),
-            Stage::OpeningChild => self.child.map(|(run, budget)| Ask::OpenChild(run, budget)),
-            Stage::Calling(number) => Some(Ask::Call(self.calls[number as usize - 1].clone())),
-            Stage::Reading { .. } | Stage::LastRead => Some(Ask::Read),
-            Stage::Closing => Some(Ask::Close),
+            Stage::Opening => Some(ClientRequest::Open),
+            Stage::OpeningChild => self
+                .child
+                .map(|(run, budget)| ClientRequest::OpenChild(run, budget)),
+            Stage::Calling(number) => {
+                Some(ClientRequest::Call(self.calls[number as usize - 1].clone()))
+            }
+            Stage::Reading { .. } | Stage::FinalRead => Some(ClientRequest::Read),
+            Stage::Closing => Some(ClientRequest::Close),
         }
     }
 
-    /// The stage after the opening.
-    pub fn first_stage(&self) -> Stage {
+    /// The stage that follows `Opening`.
+    pub fn stage_after_opening(&self) -> Stage {
         match self.child {
             Some(_) => Stage::OpeningChild,
             None => Stage::Calling(1),
@@ -99,20 +103,19 @@
     }
 
     pub fn requests_of(&self, call: Sequence) -> usize {
-        let of_call =
-            |sent: &&Sent| matches!(&sent.ask, Ask::Call(request) if request.sequence == call);
+        let of_call = |sent: &&Sent| matches!(&sent.client_request, ClientRequest::Call(request) if request.sequence == call);
         self.sent.values().filter(of_call).count()
     }
 
-    /// Takes the answer to the current request.
+    /// Handles the answer to the current request.
     pub fn take(&mut self, answer: &CallerAnswer, reads: bool) -> Next {
         self.stage = match (self.stage, answer) {
-            (_, CallerAnswer::OwnerChanged) => return Next::Elsewhere,
+            (_, CallerAnswer::OwnerChanged) => return Next::TryOtherNode,
             (_, CallerAnswer::Refused(refusal)) => match refusal.reason {
                 RefusalReason::UnknownRun => Stage::Done,
-                RefusalReason::NoBackend => return Next::Elsewhere,
-                _ if matches!(self.stage, Stage::Calling(_)) => Stage::LastRead,
-                _ => return Next::Elsewhere,
+                RefusalReason::NoBackend => return Next::TryOtherNode,
+                _ if matches!(self.stage, Stage::Calling(_)) => Stage::FinalRead,
+                _ => return Next::TryOtherNode,
             },
             (Stage::OpeningChild, CallerAnswer::ChildOpened) => Stage::Calling(1),
             (Stage::Calling(number), CallerAnswer::Ended(end)) => {
@@ -121,16 +124,16 @@
                 }
                 let then = number + 1;
                 match (reads, then as usize > self.calls.len()) {
-                    (_, true) => Stage::LastRead,
+                    (_, true) => Stage::FinalRead,
                     (true, false) => Stage::Reading { then },
                     (false, false) => Stage::Calling(then),
                 }
             }
             (Stage::Reading { then }, CallerAnswer::History(_)) => Stage::Calling(then),
-            (Stage::LastRead, CallerAnswer::History(_)) => Stage::Closing,
+            (Stage::FinalRead, CallerAnswer::History(_)) => Stage::Closing,
             (Stage::Closing, CallerAnswer::Closed { .. }) => Stage::Done,
             _ => return Next::Nothing,
         };
-        Next::GoOn
+        Next::Continue
     }
 }
--- a/crates/run-log/tests/simulator/disk.rs
+++ b/crates/run-log/tests/simulator/disk.rs
@@ -1,4 +1,4 @@
-//! A disk: what was flushed, and batches that a crash loses.
+//! Disk of a replica: flushed tables, and unflushed batches that a crash may lose.
 
 use std::collections::BTreeMap;
 
@@ -50,7 +50,7 @@
     }
 }
 
-/// The replica of one node with its disk and the batch that is being flushed.
+/// Replica of a node, with its disk and its unflushed batches.
 pub struct ReplicaNode {
     pub replica: Replica,
     pub tables: Tables,
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Makes everything durable and hands out the replies.
+    /// Makes all batches durable and returns the replies that waited for them.
     pub fn flush(&mut self) -> Vec<(NodeId, Reply)> {
         self.flush_due = false;
         for (number, writes) in std::mem::take(&mut self.batch) {
@@ -91,7 +91,7 @@
         std::mem::take(&mut self.replies)
     }
 
-    /// A crash: keeps the first `kept` of the writes under way, loses the rest and all replies.
+    /// Simulates a crash: keeps the first `kept` unflushed batches, loses the others and all replies.
     pub fn crash(&mut self, kept: usize, forget_promises: bool, now: MonotonicTime) {
         let batch = std::mem::take(&mut self.batch);
         for (_, writes) in batch.into_iter().take(kept) {
@@ -109,7 +109,7 @@
         self.restore(now);
     }
 
-    /// Comes back with an empty disk, under another identity unless `store` is the old one.
+    /// Restarts with an empty disk and the identity `store`.
     pub fn lose_disk(&mut self, store: StoreId, now: MonotonicTime) {
         self.tables = Tables::default();
         self.batch.clear();
@@ -118,8 +118,8 @@
         self.restore(now);
     }
 
-    /// Weakening: makes the replica forget that it promised more than `ballot`.
-    pub fn lower_promise(
+    /// Lowers the replica's promise to at most `ballot`.
+    pub fn weaken_promise(
         &mut self,
         run: RunId,
         ballot: ridgeworks_domain::Ballot,
--- a/crates/run-log/tests/simulator/mod.rs
+++ b/crates/run-log/tests/simulator/mod.rs
@@ -1,4 +1,4 @@
-//! A simulator of nodes, disks, back ends and callers under virtual time, from one seed.
+//! Deterministic simulator of nodes, disks, back ends and clients in virtual time, driven by one seed.
 
 pub mod backend;
 pub mod checks;
@@ -7,27 +7,28 @@
 pub mod node;
 pub mod world;
 
-/// A mechanism taken away in the harness, to see that the checks notice. Product code knows nothing of it.
+/// A safety mechanism that the simulator disables, to verify that the checks detect its absence. Only the
+/// simulator is changed, not the code under test.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Weakening {
     /// Promises are lost in a crash.
     PromiseNotDurable,
-    /// Replies leave before the writes that they speak of are durable.
+    /// Replies are sent before the writes that they depend on are durable.
     ReplyBeforeFlush,
-    /// Replicas take appends of lower ballots than they promised.
+    /// Replicas accept appends with ballots below the promised one.
     LowerBallotAccepted,
-    /// New owners see only what their donors know to be committed.
+    /// New owners adopt only entries that their source knows to be committed.
     AcceptedNotAdopted,
-    /// Nothing is reserved for calls.
+    /// Calls are sent with a reserve of zero.
     NothingReserved,
-    /// Attempts leave at the grant, before `Dispatched` is committed.
+    /// Attempts are sent when the slot is granted, before `Dispatched` is committed.
     SentBeforeDispatched,
-    /// New owners go on without asking back ends about doubtful attempts.
+    /// New owners continue without fencing the live attempt.
     NotFenced,
-    /// Owners take their own word that they still own the run.
+    /// Owners assume that they still own the run, without a majority's confirmation.
     NotConfirmed,
-    /// Children spend without their parent's budget being set aside.
-    ChildNotCarved,
-    /// A replica that lost its disk comes back under its old identity.
+    /// Child runs spend without a reserve in their parent's budget.
+    ChildBudgetNotReserved,
+    /// A replica that lost its disk restarts with its old identity.
     IdentityKept,
 }
--- a/crates/run-log/tests/simulator/node.rs
+++ b/crates/run-log/tests/simulator/node.rs
@@ -1,4 +1,4 @@
-//! One node: owners of runs, perhaps a replica, and who waits for what.
+//! One node: owners of runs, waiting callers, and an optional replica.
 
 use std::collections::BTreeMap;
 
@@ -6,7 +6,7 @@
 use ridgeworks_run_log::{CallerId, LogIndex, OwnerEffect, OwnerEvent, OwnerSettings, RunOwner};
 
 use super::checks::Record;
-use super::client::Ask;
+use super::client::ClientRequest;
 use super::disk::ReplicaNode;
 
 pub struct Node {
@@ -15,7 +15,7 @@
     pub paused_until: u64,
     pub incarnation: u32,
     pub owners: BTreeMap<RunId, RunOwner>,
-    /// Client and number of its request, by the caller number that the owner knows.
+    /// Client and number of its request, by caller identifier.
     pub callers: BTreeMap<CallerId, (usize, u64)>,
     pub replica: Option<ReplicaNode>,
     next_caller: u64,
@@ -45,8 +45,8 @@
         self.recorded.clear();
     }
 
-    /// Makes this node the owner of `run` unless it believes that it is.
-    pub fn own(
+    /// Takes over `run`, unless this node has an owner of it that has not stopped.
+    pub fn ensure_owner(
         &mut self,
         run: RunId,
         instance: u64,
@@ -75,25 +75,30 @@
         effects
     }
 
-    pub fn event_of(&mut self, client: usize, number: u64, ask: Ask) -> Option<OwnerEvent> {
+    pub fn event_of(
+        &mut self,
+        client: usize,
+        number: u64,
+        client_request: ClientRequest,
+    ) -> Option<OwnerEvent> {
         const MAX_ATTEMPTS: u32 = 3;
         self.next_caller += 1;
         let caller = CallerId(self.next_caller);
         self.callers.insert(caller, (client, number));
-        match ask {
-            Ask::Open => None,
-            Ask::Call(request) => Some(OwnerEvent::Call {
+        match client_request {
+            ClientRequest::Open => None,
+            ClientRequest::Call(request) => Some(OwnerEvent::Call {
                 caller,
                 request,
                 max_attempts: MAX_ATTEMPTS,
             }),
-            Ask::OpenChild(run, budget) => Some(OwnerEvent::OpenChild {
+            ClientRequest::OpenChild(run, budget) => Some(OwnerEvent::OpenChild {
                 caller,
                 run,
                 budget,
             }),
-            Ask::Read => Some(OwnerEvent::ReadHistory { caller }),
-            Ask::Close => Some(OwnerEvent::Close { caller }),
+            ClientRequest::Read => Some(OwnerEvent::ReadHistory { caller }),
+            ClientRequest::Close => Some(OwnerEvent::Close { caller }),
         }
     }
 
--- a/crates/run-log/tests/simulator/world/clients.rs
+++ b/crates/run-log/tests/simulator/world/clients.rs
@@ -1,4 +1,4 @@
-//! What callers send and how they take the answers.
+//! Requests of the clients, and their handling of answers.
 
 use std::collections::BTreeMap;
 
@@ -9,34 +9,39 @@
 
 use super::super::Weakening;
 use super::super::checks::{Answered, HistoryRead, Violation};
-use super::super::client::{Ask, Client, Next, Sent, Stage, request};
+use super::super::client::{Client, ClientRequest, Next, Sent, Stage, request};
 use super::event::Event;
 use super::{CALLS, MILLISECOND, NODES, REPLICAS, World};
 
 impl World {
     pub(super) fn send(&mut self, client: usize) {
-        let Some(ask) = self.clients[client].ask() else {
+        let Some(client_request) = self.clients[client].client_request() else {
             return;
         };
-        let number = self.post(client, self.clients[client].node, ask.clone());
+        let number = self.send_to_node(client, self.clients[client].node, client_request.clone());
         self.clients[client].current = number;
         let timeout = self.rng.random_range(80..300) * MILLISECOND;
         self.after(timeout, Event::Timeout { client, number });
-        if ask == Ask::Open {
+        if client_request == ClientRequest::Open {
             return;
         }
-        let elsewhere = self.rng.random_range(0..NODES);
-        if self.faulty() && self.rng.random_bool(0.1) {
-            self.post(client, elsewhere, ask);
+        let other_node = self.rng.random_range(0..NODES);
+        if self.in_fault_period() && self.rng.random_bool(0.1) {
+            self.send_to_node(client, other_node, client_request);
         } else if let Stage::Calling(call) = self.clients[client].stage
             && self.rng.random_bool(0.05)
             && let Some(early) = self.clients[client].calls.get(call as usize).cloned()
         {
-            self.post(client, elsewhere, Ask::Call(early));
+            self.send_to_node(client, other_node, ClientRequest::Call(early));
         }
     }
 
-    pub(super) fn post(&mut self, client: usize, node: usize, ask: Ask) -> u64 {
+    pub(super) fn send_to_node(
+        &mut self,
+        client: usize,
+        node: usize,
+        client_request: ClientRequest,
+    ) -> u64 {
         let at = self.now;
         let sender = &mut self.clients[client];
         sender.next_number += 1;
@@ -44,41 +49,47 @@
         sender.sent.insert(
             number,
             Sent {
-                ask: ask.clone(),
+                client_request: client_request.clone(),
                 at,
             },
         );
         let weak = self.weakening == Some(Weakening::NothingReserved);
-        let ask = match ask {
-            Ask::Call(mut request) if weak => {
+        let client_request = match client_request {
+            ClientRequest::Call(mut request) if weak => {
                 request.reserve = Cost::ZERO;
-                Ask::Call(request)
+                ClientRequest::Call(request)
             }
-            ask => ask,
+            client_request => client_request,
         };
         if self.copies() > 0 {
             let delay = self.delay();
             self.after(
                 delay,
-                Event::Ask {
+                Event::ClientRequest {
                     node,
                     client,
                     number,
-                    ask,
+                    client_request,
                 },
             );
         }
         number
     }
 
-    pub(super) fn asked(&mut self, node: usize, client: usize, number: u64, ask: Ask) {
+    pub(super) fn handle_client_request(
+        &mut self,
+        node: usize,
+        client: usize,
+        number: u64,
+        client_request: ClientRequest,
+    ) {
         let run = self.clients[client].run;
-        if ask == Ask::Open {
+        if client_request == ClientRequest::Open {
             return self.open(node, client);
         }
-        self.own(node, run);
-        if let Some(event) = self.nodes[node].event_of(client, number, ask) {
-            self.tell(node, run, event);
+        self.ensure_owner(node, run);
+        if let Some(event) = self.nodes[node].event_of(client, number, client_request) {
+            self.deliver_event(node, run, event);
         }
     }
 
@@ -106,18 +117,18 @@
         let opener = self.clients.iter().position(|client| client.run == run);
         if let Some(client) = opener.filter(|c| self.clients[*c].stage == Stage::Opening) {
             self.clients[client].node = node;
-            self.clients[client].stage = self.clients[client].first_stage();
+            self.clients[client].stage = self.clients[client].stage_after_opening();
             self.after(MILLISECOND, Event::Send { client });
         }
     }
 
-    /// Gives up on a node. An opening is never repeated: another node takes the run over, if it exists.
-    pub(super) fn move_on(&mut self, client: usize) {
+    /// Switches to a random node. An opening is never repeated: the other node takes the run over, if it exists.
+    pub(super) fn switch_node(&mut self, client: usize) {
         let node = self.rng.random_range(0..NODES);
         let client = &mut self.clients[client];
         client.node = node;
         if client.stage == Stage::Opening {
-            client.stage = client.first_stage();
+            client.stage = client.stage_after_opening();
         }
     }
 
@@ -137,37 +148,38 @@
                 turns,
             });
         }
-        if let Ask::Call(request) = &sent.ask {
-            self.note_answer(index, request, sent.at, &answer);
+        if let ClientRequest::Call(request) = &sent.client_request {
+            self.record_answer(index, request, sent.at, &answer);
         }
         let client = &mut self.clients[index];
         if client.current != number {
             return;
         }
         let next = client.take(&answer, reads);
-        self.follow_child(index, &answer);
+        self.advance_child(index, &answer);
         let client = &mut self.clients[index];
         match next {
             Next::Nothing => {}
-            Next::GoOn => {
+            Next::Continue => {
                 client.current = 0;
-                // Readers often ask another node than the one that answered.
-                if self.faulty() && self.rng.random_bool(0.2) {
-                    self.move_on(index);
+                // Reads then often go to another node than the one that answered.
+                if self.in_fault_period() && self.rng.random_bool(0.2) {
+                    self.switch_node(index);
                 }
                 self.after(MILLISECOND, Event::Send { client: index });
             }
-            Next::Elsewhere => {
+            Next::TryOtherNode => {
                 client.current = 0;
-                self.move_on(index);
+                self.switch_node(index);
                 let delay = self.rng.random_range(1..30) * MILLISECOND;
                 self.after(delay, Event::Send { client: index });
             }
         }
     }
 
-    /// Starts the child once its budget is set aside, or never; tells the parent when the child is closed.
-    pub(super) fn follow_child(&mut self, index: usize, answer: &CallerAnswer) {
+    /// Starts the child run once its budget is reserved, or ends it if the reserve is refused. Informs the parent when
+    /// the child is closed.
+    pub(super) fn advance_child(&mut self, index: usize, answer: &CallerAnswer) {
         let run = self.clients[index].run;
         let undecided = matches!(
             self.clients[index].stage,
@@ -176,8 +188,8 @@
         let child = self.clients[index].child.map(|(child, _)| child);
         let starts = |client: &Client| Some(client.run) == child && client.stage == Stage::Waiting;
         if let Some(client) = self.clients.iter().position(starts).filter(|_| !undecided) {
-            let set_aside = *answer == CallerAnswer::ChildOpened;
-            let stage = if set_aside {
+            let reserved = *answer == CallerAnswer::ChildOpened;
+            let stage = if reserved {
                 Stage::Opening
             } else {
                 Stage::Done
@@ -192,11 +204,11 @@
             let (node, parent, spent) = (parent.node, parent.run, *spent);
             let incarnation = self.nodes[node].incarnation;
             let event = OwnerEvent::ChildClosed { run, spent };
-            self.input(node, incarnation, parent, event);
+            self.schedule_input(node, incarnation, parent, event);
         }
     }
 
-    pub(super) fn note_answer(
+    pub(super) fn record_answer(
         &mut self,
         index: usize,
         asked: &CallRequest,
@@ -244,14 +256,18 @@
     }
 }
 
-/// Makes the second client a child of the first.
-pub(super) fn adopt(clients: &mut [Client], weakening: Option<Weakening>, rng: &mut ChaCha8Rng) {
+/// Makes the second client's run a child of the first client's run.
+pub(super) fn make_child(
+    clients: &mut [Client],
+    weakening: Option<Weakening>,
+    rng: &mut ChaCha8Rng,
+) {
     let [parent, child, ..] = clients else {
         return;
     };
     child.budget = Cost(rng.random_range(20..=parent.budget.0));
     parent.child = Some((child.run, child.budget));
-    if weakening == Some(Weakening::ChildNotCarved) {
+    if weakening == Some(Weakening::ChildBudgetNotReserved) {
         parent.child = None;
     } else {
         child.stage = Stage::Waiting;
--- a/crates/run-log/tests/simulator/world/event.rs
+++ b/crates/run-log/tests/simulator/world/event.rs
@@ -1,10 +1,10 @@
-//! What can happen in a simulated world.
+//! Events of the simulation.
 
 use ridgeworks_domain::{CallRequest, RunId};
 use ridgeworks_run_log::{CallerAnswer, OwnerEffect, OwnerEvent, Reply, Request};
 
 use super::super::backend::AttemptKey;
-use super::super::client::Ask;
+use super::super::client::ClientRequest;
 
 pub enum Event {
     Request {
@@ -37,11 +37,11 @@
         run: RunId,
         event: OwnerEvent,
     },
-    Ask {
+    ClientRequest {
         node: usize,
         client: usize,
         number: u64,
-        ask: Ask,
+        client_request: ClientRequest,
     },
     Answer {
         client: usize,
--- a/crates/run-log/tests/simulator/world/faults.rs
+++ b/crates/run-log/tests/simulator/world/faults.rs
@@ -1,4 +1,4 @@
-//! Which faults come when, and what they do.
+//! Schedule of faults, and their effects.
 
 use rand::RngExt;
 use ridgeworks_run_log::StoreId;
@@ -8,7 +8,7 @@
 use super::{BACKENDS, CLIENTS, FAULTS_END, MILLISECOND, NODES, REPLICAS, TICK, World};
 
 impl World {
-    pub(super) fn plan(&mut self) {
+    pub(super) fn schedule_faults(&mut self) {
         for node in 0..NODES {
             self.at(
                 TICK,
@@ -24,7 +24,7 @@
         for _ in 0..self.rng.random_range(2..12) {
             let at = self.rng.random_range(0..FAULTS_END);
             match self.rng.random_range(0..10) {
-                0 => self.plan_power_cut(at),
+                0 => self.schedule_power_loss(at),
                 _ => {
                     let fault = self.fault(at);
                     self.at(at, fault);
@@ -33,8 +33,8 @@
         }
     }
 
-    /// All disks lose power while a node takes a run over whose appends don't get through.
-    pub(super) fn plan_power_cut(&mut self, at: u64) {
+    /// Schedules a power loss of the other replicas while a node takes over a run and its messages to the replicas are lost.
+    pub(super) fn schedule_power_loss(&mut self, at: u64) {
         let from = self.rng.random_range(0..NODES);
         let run = self.clients[self.rng.random_range(0..CLIENTS)].run;
         self.at(at, Event::TakeOver { node: from, run });
@@ -77,7 +77,7 @@
         if !self.nodes[node].alive {
             return;
         }
-        self.lose_memory(node);
+        self.lose_volatile_state(node);
         let lose_disk = node < REPLICAS && !self.disk_lost && self.rng.random_bool(0.4);
         self.disk_lost |= lose_disk;
         let delay = self.rng.random_range(5..500) * MILLISECOND;
@@ -86,19 +86,19 @@
 
     pub(super) fn power_off(&mut self, node: usize, on_at: u64) {
         if self.nodes[node].alive {
-            self.lose_memory(node);
+            self.lose_volatile_state(node);
             let lose_disk = false;
             self.at(on_at, Event::Restart { node, lose_disk });
         }
     }
 
-    pub(super) fn lose_memory(&mut self, node: usize) {
+    pub(super) fn lose_volatile_state(&mut self, node: usize) {
         let now = self.time();
         let forget = self.weakening == Some(Weakening::PromiseNotDurable);
         let kept = self.rng.random_range(0..4);
         self.nodes[node].crash();
-        if let Some(held) = self.nodes[node].replica.as_mut() {
-            held.crash(kept, forget, now);
+        if let Some(replica_node) = self.nodes[node].replica.as_mut() {
+            replica_node.crash(kept, forget, now);
         }
     }
 
@@ -109,9 +109,9 @@
         let restarted = &mut self.nodes[node];
         restarted.alive = true;
         let incarnation = restarted.incarnation;
-        if let Some(held) = restarted.replica.as_mut().filter(|_| lose_disk) {
-            let store = if keep { held.store() } else { fresh };
-            held.lose_disk(store, now);
+        if let Some(replica_node) = restarted.replica.as_mut().filter(|_| lose_disk) {
+            let store = if keep { replica_node.store() } else { fresh };
+            replica_node.lose_disk(store, now);
         }
         self.after(TICK, Event::Tick { node, incarnation });
     }
