--- a/crates/run-log/tests/simulator/world/mod.rs
+++ b/crates/run-log/tests/simulator/world/mod.rs
@@ -1,4 +1,4 @@
-//! The event loop: network, faults, effects.
+//! Event loop of the simulator: network, faults, effects. Times are in microseconds.
 
 mod clients;
 mod event;
@@ -20,7 +20,7 @@
 use super::client::{Client, Stage};
 use super::disk::ReplicaNode;
 use super::node::Node;
-use clients::{adopt, new_client};
+use clients::{make_child, new_client};
 use event::Event;
 
 const MILLISECOND: u64 = 1_000;
@@ -33,7 +33,7 @@
 const FAULTS_END: u64 = 1_500 * MILLISECOND;
 const END: u64 = 30_000 * MILLISECOND;
 
-/// What a schedule came to.
+/// Result of one schedule.
 pub struct Outcome {
     pub violations: Vec<Violation>,
     pub events: u64,
@@ -54,15 +54,15 @@
     nodes: Vec<Node>,
     backends: Vec<SimulatedBackend>,
     clients: Vec<Client>,
-    /// The second client's run is a child of the first one's.
+    /// Whether the second client's run is a child of the first client's run.
     has_child: bool,
     record: Record,
     disk_lost: bool,
-    /// Until when nothing passes from one node to another.
+    /// End time of each one-way network partition, by sender and receiver.
     cuts: BTreeMap<(usize, usize), u64>,
 }
 
-/// Runs one schedule.
+/// Runs the schedule of one seed.
 pub fn run_schedule(seed: u64, weakening: Option<Weakening>) -> Outcome {
     World::new(seed, weakening).run()
 }
@@ -83,7 +83,7 @@
             .collect();
         let has_child = rng.random_bool(0.5);
         if has_child {
-            adopt(&mut clients, weakening, &mut rng);
+            make_child(&mut clients, weakening, &mut rng);
         }
         let mut world = Self {
             now: 0,
@@ -100,7 +100,7 @@
             disk_lost: false,
             cuts: BTreeMap::new(),
         };
-        world.plan();
+        world.schedule_faults();
         world
     }
 
@@ -180,32 +180,33 @@
         self.at(self.now + delay, event);
     }
 
-    fn faulty(&self) -> bool {
+    fn in_fault_period(&self) -> bool {
         self.now < FAULTS_END
     }
 
     fn delay(&mut self) -> u64 {
-        let long = if self.faulty() { 0.06 } else { 0.0 };
+        let long = if self.in_fault_period() { 0.06 } else { 0.0 };
         if self.rng.random_bool(long) {
             return self.rng.random_range(5..400) * MILLISECOND;
         }
         self.rng.random_range(300..3_000)
     }
 
-    /// How many copies of a message arrive.
+    /// Draws how many copies of a message arrive.
     fn copies(&mut self) -> u32 {
         match self.rng.random_range(0..100) {
-            0..=4 if self.faulty() => 0,
+            0..=4 if self.in_fault_period() => 0,
             5..=7 => 2,
             _ => 1,
         }
     }
 
-    /// Whether the event must wait for the node to wake up, or is lost with the node.
-    fn hold(&self, event: &Event) -> Option<Option<u64>> {
+    /// Whether the event is dropped because its node is down or restarted (`Some(None)`), or is delayed until the
+    /// end of a pause (`Some(Some(time))`).
+    fn delivery_constraint(&self, event: &Event) -> Option<Option<u64>> {
         let (node, incarnation) = match event {
             Event::Request { to, .. } | Event::Reply { to, .. } => (*to, None),
-            Event::Ask { node, .. } | Event::TakeOver { node, .. } => (*node, None),
+            Event::ClientRequest { node, .. } | Event::TakeOver { node, .. } => (*node, None),
             Event::Flush { node, incarnation }
             | Event::Tick { node, incarnation }
             | Event::Effect {
@@ -232,7 +233,7 @@
     }
 
     fn step(&mut self, event: Event) {
-        match self.hold(&event) {
+        match self.delivery_constraint(&event) {
             Some(None) => return,
             Some(Some(until)) => {
                 let jitter = self.rng.random_range(0..2_000);
@@ -248,23 +249,23 @@
             Event::Reply { from, to, reply } => {
                 if let Some(run) = reply.run() {
                     let from = self.nodes[from].id;
-                    self.tell(to, run, OwnerEvent::Reply { from, reply });
+                    self.deliver_event(to, run, OwnerEvent::Reply { from, reply });
                 }
             }
             Event::Flush { node, .. } => self.flush(node),
             Event::Tick { node, incarnation } => self.tick(node, incarnation),
             Event::Effect {
                 node, run, effect, ..
-            } => self.carry_out(node, run, effect),
+            } => self.execute_effect(node, run, effect),
             Event::Input {
                 node, run, event, ..
-            } => self.tell(node, run, event),
-            Event::Ask {
+            } => self.deliver_event(node, run, event),
+            Event::ClientRequest {
                 node,
                 client,
                 number,
-                ask,
-            } => self.asked(node, client, number, ask),
+                client_request,
+            } => self.handle_client_request(node, client, number, client_request),
             Event::Answer {
                 client,
                 number,
@@ -273,7 +274,7 @@
             Event::Send { client } => self.send(client),
             Event::Timeout { client, number } => {
                 if self.clients[client].current == number {
-                    self.move_on(client);
+                    self.switch_node(client);
                     self.send(client);
                 }
             }
@@ -307,7 +308,7 @@
                     attempt: key.2,
                     resolution,
                 };
-                self.input(node, incarnation, key.0, event);
+                self.schedule_input(node, incarnation, key.0, event);
             }
             Event::Crash { node } => self.crash(node),
             Event::PowerOff { node, on_at } => self.power_off(node, on_at),
@@ -316,7 +317,7 @@
             Event::Cut { from, to, until } => {
                 self.cuts.insert((from, to), until);
             }
-            Event::TakeOver { node, run } => self.own(node, run),
+            Event::TakeOver { node, run } => self.ensure_owner(node, run),
             Event::BackendGone { backend } => self.backends[backend].gone = true,
         }
     }
--- a/crates/run-log/tests/simulator/world/owners.rs
+++ b/crates/run-log/tests/simulator/world/owners.rs
@@ -1,4 +1,4 @@
-//! Owners and their effects, and the back ends that these reach.
+//! Owners, their effects, and the back ends.
 
 use std::net::SocketAddr;
 
@@ -17,13 +17,19 @@
 use super::{BACKENDS, REPLICAS, TICK, World};
 
 impl World {
-    pub(super) fn tell(&mut self, node: usize, run: RunId, event: OwnerEvent) {
+    pub(super) fn deliver_event(&mut self, node: usize, run: RunId, event: OwnerEvent) {
         let now = self.time();
         let effects = self.nodes[node].handle(run, event, now, &mut self.record);
         self.schedule(node, run, effects);
     }
 
-    pub(super) fn input(&mut self, node: usize, incarnation: u32, run: RunId, event: OwnerEvent) {
+    pub(super) fn schedule_input(
+        &mut self,
+        node: usize,
+        incarnation: u32,
+        run: RunId,
+        event: OwnerEvent,
+    ) {
         let delay = self.delay();
         self.after(
             delay,
@@ -36,23 +42,23 @@
         );
     }
 
-    pub(super) fn own(&mut self, node: usize, run: RunId) {
+    pub(super) fn ensure_owner(&mut self, node: usize, run: RunId) {
         let contacts: Vec<NodeId> = self.nodes[..REPLICAS].iter().map(|node| node.id).collect();
         let instance = self.rng.random_range(1..u64::MAX);
         let now = self.time();
-        let effects = self.nodes[node].own(run, instance, &contacts, now);
+        let effects = self.nodes[node].ensure_owner(run, instance, &contacts, now);
         self.schedule(node, run, effects);
     }
 
     pub(super) fn tick(&mut self, node: usize, incarnation: u32) {
         let runs: Vec<RunId> = self.nodes[node].owners.keys().copied().collect();
         for run in runs {
-            self.tell(node, run, OwnerEvent::Tick);
+            self.deliver_event(node, run, OwnerEvent::Tick);
         }
         self.after(TICK, Event::Tick { node, incarnation });
     }
 
-    /// Effects take a moment, in which the node may be paused or die.
+    /// Schedules effects with a short delay, in which the node may be paused or crash.
     pub(super) fn schedule(&mut self, node: usize, run: RunId, effects: Vec<OwnerEffect>) {
         let incarnation = self.nodes[node].incarnation;
         for effect in effects {
@@ -69,7 +75,7 @@
         }
     }
 
-    pub(super) fn carry_out(&mut self, node: usize, run: RunId, effect: OwnerEffect) {
+    pub(super) fn execute_effect(&mut self, node: usize, run: RunId, effect: OwnerEffect) {
         let incarnation = self.nodes[node].incarnation;
         match effect {
             OwnerEffect::SendToReplica { to, request } => self.send_request(node, to, request),
@@ -106,7 +112,7 @@
                         attempt,
                         resolution,
                     };
-                    return self.input(node, incarnation, run, event);
+                    return self.schedule_input(node, incarnation, run, event);
                 }
                 let backend = backend_index(&backend);
                 for _ in 0..self.copies() {
@@ -166,7 +172,7 @@
                 last_index: LogIndex::NONE,
                 round: *round,
             };
-            self.tell(from, *run, OwnerEvent::Reply { from: to, reply });
+            self.deliver_event(from, *run, OwnerEvent::Reply { from: to, reply });
         }
         let to = to.0 as usize - 1;
         for _ in 0..self.copies() {
@@ -191,14 +197,14 @@
     ) {
         let (call, attempt) = asked;
         let incarnation = self.nodes[node].incarnation;
-        if self.faulty() && self.rng.random_bool(0.03) {
+        if self.in_fault_period() && self.rng.random_bool(0.03) {
             let refusal = Refusal::permanent(RefusalReason::NoBackend);
             let event = OwnerEvent::GrantRefused {
                 call,
                 attempt,
                 refusal,
             };
-            return self.input(node, incarnation, run, event);
+            return self.schedule_input(node, incarnation, run, event);
         }
         let alive = (0..BACKENDS).filter(|backend| !self.backends[*backend].gone);
         let alive: Vec<usize> = alive.collect();
@@ -212,7 +218,7 @@
             backend: BackendName::new(format!("backend-{backend}")).unwrap(),
             address: SocketAddr::from(([127, 0, 0, 1], 9)).into(),
         };
-        self.input(node, incarnation, run, event);
+        self.schedule_input(node, incarnation, run, event);
     }
 
     pub(super) fn start(
@@ -224,7 +230,7 @@
     ) {
         let incarnation = self.nodes[node].incarnation;
         if self.copies() == 0 {
-            return self.lost(node, incarnation, key);
+            return self.report_lost_attempt(node, incarnation, key);
         }
         let delay = self.delay();
         self.after(
@@ -239,13 +245,13 @@
         );
     }
 
-    pub(super) fn lost(&mut self, node: usize, incarnation: u32, key: AttemptKey) {
+    pub(super) fn report_lost_attempt(&mut self, node: usize, incarnation: u32, key: AttemptKey) {
         let event = OwnerEvent::AttemptFinished {
             call: key.1,
             attempt: key.2,
             outcome: AttemptOutcome::Lost,
         };
-        self.input(node, incarnation, key.0, event);
+        self.schedule_input(node, incarnation, key.0, event);
     }
 
     pub(super) fn arrive(
@@ -286,9 +292,9 @@
                     attempt,
                     outcome,
                 };
-                self.input(node, incarnation, key.0, event);
+                self.schedule_input(node, incarnation, key.0, event);
             }
-            Arrival::Lost => self.lost(node, incarnation, key),
+            Arrival::Lost => self.report_lost_attempt(node, incarnation, key),
         }
     }
 
@@ -300,17 +306,17 @@
         incarnation: u32,
     ) {
         let Some((answer, spent)) = self.backends[backend].finish(key) else {
-            return self.lost(node, incarnation, key);
+            return self.report_lost_attempt(node, incarnation, key);
         };
         if self.copies() == 0 {
-            return self.lost(node, incarnation, key);
+            return self.report_lost_attempt(node, incarnation, key);
         }
         let event = OwnerEvent::AttemptFinished {
             call: key.1,
             attempt: key.2,
             outcome: AttemptOutcome::Finished { answer, spent },
         };
-        self.input(node, incarnation, key.0, event);
+        self.schedule_input(node, incarnation, key.0, event);
     }
 }
 
--- a/crates/run-log/tests/simulator/world/replicas.rs
+++ b/crates/run-log/tests/simulator/world/replicas.rs
@@ -1,4 +1,4 @@
-//! Requests to replicas, flushes, and replies.
+//! Replicas: requests, flushes, replies.
 
 use rand::RngExt;
 use ridgeworks_domain::NodeId;
@@ -13,26 +13,32 @@
         let now = self.time();
         let sender = self.nodes[from].id;
         let lower = self.weakening == Some(Weakening::LowerBallotAccepted);
-        let Some(held) = self.nodes[to].replica.as_mut() else {
+        let Some(replica_node) = self.nodes[to].replica.as_mut() else {
             return;
         };
         if let Request::Append { run, ballot, .. } = &request
             && lower
         {
-            held.lower_promise(*run, *ballot, now);
+            replica_node.weaken_promise(*run, *ballot, now);
         }
-        let ready = held.replica.handle(sender, request, now, &held.tables);
-        held.batch.push((ready.write_number, ready.writes));
-        held.replies.extend(ready.replies_after_flush);
+        let ready = replica_node
+            .replica
+            .handle(sender, request, now, &replica_node.tables);
+        replica_node.batch.push((ready.write_number, ready.writes));
+        replica_node.replies.extend(ready.replies_after_flush);
         if self.weakening == Some(Weakening::ReplyBeforeFlush) {
-            let replies = std::mem::take(&mut held.replies);
+            let replies = std::mem::take(&mut replica_node.replies);
             self.send_replies(to, replies);
         }
         let delay = self.rng.random_range(500..4_000);
         let node = &mut self.nodes[to];
         let incarnation = node.incarnation;
-        if let Some(held) = node.replica.as_mut().filter(|held| !held.flush_due) {
-            held.flush_due = true;
+        if let Some(replica_node) = node
+            .replica
+            .as_mut()
+            .filter(|replica_node| !replica_node.flush_due)
+        {
+            replica_node.flush_due = true;
             self.after(
                 delay,
                 Event::Flush {
@@ -44,16 +50,16 @@
     }
 
     pub(super) fn flush(&mut self, node: usize) {
-        let Some(held) = self.nodes[node].replica.as_mut() else {
+        let Some(replica_node) = self.nodes[node].replica.as_mut() else {
             return;
         };
-        let replies = held.flush();
+        let replies = replica_node.flush();
         self.send_replies(node, replies);
     }
 
     pub(super) fn send_replies(&mut self, from: usize, replies: Vec<(NodeId, Reply)>) {
         for (to, reply) in replies {
-            let reply = self.weaken_reply(from, reply);
+            let reply = self.hide_uncommitted_entries(from, reply);
             let to = to.0 as usize - 1;
             for _ in 0..self.copies() {
                 let delay = self.delay();
@@ -69,12 +75,12 @@
         }
     }
 
-    /// Hides from new owners what was accepted and is not known to be committed.
-    pub(super) fn weaken_reply(&self, from: usize, mut reply: Reply) -> Reply {
+    /// Hides accepted entries that are not known to be committed from new owners, if the weakening requires it.
+    pub(super) fn hide_uncommitted_entries(&self, from: usize, mut reply: Reply) -> Reply {
         if self.weakening != Some(Weakening::AcceptedNotAdopted) {
             return reply;
         }
-        let Some(held) = &self.nodes[from].replica else {
+        let Some(replica_node) = &self.nodes[from].replica else {
             return reply;
         };
 
@@ -85,14 +91,17 @@
                 commit_index,
                 ..
             } => {
-                let committed = held.tables.entries(*run, *commit_index, 1);
+                let committed = replica_node.tables.entries(*run, *commit_index, 1);
                 *last = committed
                     .first()
                     .filter(|_| *commit_index != LogIndex::NONE)
                     .map_or(LogPosition::NONE, |entry| entry.position());
             }
             Reply::Fetched { run, entries, .. } => {
-                let commit = held.replica.head(*run).map(|head| head.commit_index);
+                let commit = replica_node
+                    .replica
+                    .head(*run)
+                    .map(|head| head.commit_index);
                 entries.retain(|entry| Some(entry.index) <= commit);
             }
             _ => {}
--- a/crates/run-log/tests/support/mod.rs
+++ b/crates/run-log/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Three replicas without delay, faults or time, and an owner among them.
+//! Three replicas and an owner that exchange messages immediately, without faults.
 #![allow(dead_code, reason = "each test file uses its own part")]
 
 use std::collections::BTreeMap;
@@ -19,7 +19,7 @@
 pub const OWNER: NodeId = NodeId(9);
 pub const OTHER_OWNER: NodeId = NodeId(10);
 
-/// Entries that were written; reads see them at once.
+/// Stored entries; reads see all writes immediately.
 #[derive(Default)]
 pub struct Entries(pub BTreeMap<(RunId, LogIndex), LogEntry>);
 
@@ -117,11 +117,11 @@
     effects.iter().filter_map(answer).collect()
 }
 
-pub fn is_start(effect: &OwnerEffect) -> bool {
+pub fn is_start_attempt(effect: &OwnerEffect) -> bool {
     matches!(effect, OwnerEffect::StartAttempt { .. })
 }
 
-/// Three replicas and one owner; messages pass at once.
+/// Three replicas and one owner; messages are delivered immediately.
 pub struct Cluster {
     pub replicas: Vec<(Replica, Entries)>,
     pub owner: RunOwner,
@@ -142,11 +142,11 @@
             owner,
             appends: 0,
         };
-        let effects = cluster.pass(effects);
+        let effects = cluster.deliver(effects);
         (cluster, effects)
     }
 
-    /// Another node takes the run over.
+    /// Replaces the owner by another node, which takes the run over and handles `queued` events.
     pub fn take_over(&mut self, queued: Vec<OwnerEvent>) -> Vec<OwnerEffect> {
         let contacts = [NodeId(1), NodeId(2), NodeId(3)];
         let settings = OwnerSettings::default();
@@ -156,20 +156,20 @@
         for event in queued {
             effects.extend(self.owner.handle(event, NOW));
         }
-        self.pass(effects)
+        self.deliver(effects)
     }
 
-    pub fn tell(&mut self, event: OwnerEvent) -> Vec<OwnerEffect> {
-        self.tell_at(event, NOW)
+    pub fn send_event(&mut self, event: OwnerEvent) -> Vec<OwnerEffect> {
+        self.send_event_at(event, NOW)
     }
 
-    pub fn tell_at(&mut self, event: OwnerEvent, now: MonotonicTime) -> Vec<OwnerEffect> {
+    pub fn send_event_at(&mut self, event: OwnerEvent, now: MonotonicTime) -> Vec<OwnerEffect> {
         let effects = self.owner.handle(event, now);
-        self.pass(effects)
+        self.deliver(effects)
     }
 
-    /// Carries requests to the replicas and replies back; returns all other effects.
-    fn pass(&mut self, effects: Vec<OwnerEffect>) -> Vec<OwnerEffect> {
+    /// Delivers requests to the replicas and their replies to the owner; returns all other effects.
+    fn deliver(&mut self, effects: Vec<OwnerEffect>) -> Vec<OwnerEffect> {
         let mut rest = Vec::new();
         let mut queue = std::collections::VecDeque::from(effects);
         while let Some(effect) = queue.pop_front() {
--- a/crates/storage/examples/bench_storage/libraries.rs
+++ b/crates/storage/examples/bench_storage/libraries.rs
@@ -1,4 +1,4 @@
-//! The libraries that are compared, behind one interface.
+//! Common interface to the benchmarked storage libraries.
 
 use std::path::Path;
 use std::thread::{self, JoinHandle};
@@ -10,7 +10,7 @@
 
 const CACHE_BYTES: u64 = 32 * 1024 * 1024;
 
-/// One append: an entry, and the head of its run.
+/// An entry to append and the new head of its run.
 pub struct Append {
     pub run: u128,
     pub index: u64,
@@ -21,15 +21,15 @@
 
 /// A log with group commit.
 pub trait Log: Send + Sync {
-    /// Takes appends, which become durable together.
+    /// Queues appends that become durable together.
     fn append(&self, appends: Vec<Append>);
-    /// Number of commits so far, if it is known.
+    /// Number of commits so far.
     fn commits(&self) -> u64;
-    /// Reads all heads; how many there are.
+    /// Reads and counts all heads.
     fn count_heads(&self) -> usize;
 }
 
-/// The store of this crate, over redb.
+/// The store of this crate, based on redb.
 pub struct RedbLog(Store);
 
 impl RedbLog {
@@ -80,7 +80,7 @@
     }
 }
 
-/// The same group commit over fjall.
+/// The same group commit, based on fjall.
 pub struct FjallLog {
     appends: Option<Sender<Vec<Append>>>,
     writer: Option<JoinHandle<()>>,
--- a/crates/storage/examples/bench_storage/main.rs
+++ b/crates/storage/examples/bench_storage/main.rs
@@ -1,4 +1,4 @@
-//! Measures durable appends, idle runs and restart of the store, and of another library beside it.
+//! Benchmarks durable appends, idle runs and reopening, for this store and for `fjall`.
 //!
 //! `bench_storage appends|idle|reopen redb|fjall FOLDER`; `make bench-storage` runs all of them.
 
@@ -146,7 +146,7 @@
     }
 }
 
-/// Ends without closing the store, so that `reopen` finds what a crash of the process leaves.
+/// Exits without closing the store, so that `reopen` measures recovery after a crash of the process.
 fn measure_idle_runs(library: &str, folder: &Path) {
     let folder = folder.join(format!("idle-{library}"));
     let log = open(library, &folder);
--- a/crates/storage/src/counters.rs
+++ b/crates/storage/src/counters.rs
@@ -1,4 +1,4 @@
-//! Counters of the store, read by the node's metrics.
+//! Counters of the store, exported by the node's metrics.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
@@ -12,7 +12,7 @@
     pub(crate) commit_micros: AtomicU64,
 }
 
-/// A copy of [`StoreCounters`] at one moment.
+/// Values of [`StoreCounters`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StoreCountersSnapshot {
     /// Transactions committed with `fsync`.
@@ -21,14 +21,14 @@
     pub batches: u64,
     /// Operations made durable.
     pub operations: u64,
-    /// Batches refused because too many wait, or after a failure.
+    /// Batches refused because the queue was full, or after a failure.
     pub refused: u64,
-    /// Time spent in transactions, in microseconds.
+    /// Total duration of successful transactions, in microseconds.
     pub commit_micros: u64,
 }
 
 impl StoreCounters {
-    /// Copies all counters; they are read one after another, not at one instant.
+    /// Reads all counters, one after another and not atomically.
     pub fn snapshot(&self) -> StoreCountersSnapshot {
         StoreCountersSnapshot {
             commits: self.commits.load(Ordering::Relaxed),
--- a/crates/storage/src/error.rs
+++ b/crates/storage/src/error.rs
@@ -3,35 +3,35 @@
 use std::fmt;
 use std::io;
 
-/// Why an operation of the store failed.
+/// Why opening, reading or writing the store failed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum StoreError {
-    /// Another process, or another store of this one, has the data folder open.
+    /// The data folder is locked by another process, or by another store of this process.
     Locked,
-    /// The data folder belongs to the node with this name.
+    /// The data folder belongs to another node, which has this name.
     ForeignNode(String),
-    /// The file does not hold what it should.
+    /// The database file or a stored value is corrupted.
     Corrupted {
-        /// What the library found, for the log.
+        /// Description for the log.
         detail: String,
     },
-    /// The file was written by another version of the library; holds the number of its format.
+    /// The file has a format that this version of `redb` doesn't support; holds the format version.
     UnsupportedFormat(u8),
-    /// No room is left on the disk.
+    /// The disk is full or its quota is exhausted.
     DiskFull,
     /// Reading, writing or syncing failed.
     Io(io::ErrorKind),
-    /// A value is longer than the library takes; holds its length in bytes.
+    /// A value exceeds the limit of `redb`; holds its length in bytes.
     ValueTooLarge(usize),
-    /// As many batches as allowed wait for the writer.
+    /// The writer's queue is full.
     QueueFull,
-    /// An earlier write failed; nothing is taken any more.
+    /// An earlier write failed; the store accepts no more writes.
     FailedBefore,
     /// The store is closed.
     Closed,
-    /// The library refused a use of it that this crate takes for impossible.
+    /// `redb` returned an error that correct use of it doesn't cause.
     Unexpected {
-        /// What the library said, for the log.
+        /// Error text of `redb`, for the log.
         detail: String,
     },
 }
@@ -39,17 +39,24 @@
 impl fmt::Display for StoreError {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Locked => write!(formatter, "the data folder is open elsewhere"),
+            Self::Locked => write!(
+                formatter,
+                "the data folder is locked by another process or store"
+            ),
             Self::ForeignNode(name) => write!(formatter, "the data folder belongs to node {name}"),
             Self::Corrupted { detail } => write!(formatter, "the store is corrupted: {detail}"),
-            Self::UnsupportedFormat(format) => write!(formatter, "unsupported format {format}"),
-            Self::DiskFull => write!(formatter, "no room is left on the disk"),
-            Self::Io(kind) => write!(formatter, "input or output failed: {kind}"),
-            Self::ValueTooLarge(length) => write!(formatter, "a value has {length} bytes"),
-            Self::QueueFull => write!(formatter, "too many batches wait for the writer"),
-            Self::FailedBefore => write!(formatter, "an earlier write failed"),
+            Self::UnsupportedFormat(format) => {
+                write!(formatter, "unsupported database format {format}")
+            }
+            Self::DiskFull => write!(formatter, "the disk is full"),
+            Self::Io(kind) => write!(formatter, "I/O error: {kind}"),
+            Self::ValueTooLarge(length) => {
+                write!(formatter, "a value of {length} bytes is too large")
+            }
+            Self::QueueFull => write!(formatter, "the queue of write batches is full"),
+            Self::FailedBefore => write!(formatter, "the store failed on an earlier write"),
             Self::Closed => write!(formatter, "the store is closed"),
-            Self::Unexpected { detail } => write!(formatter, "unexpected: {detail}"),
+            Self::Unexpected { detail } => write!(formatter, "unexpected database error: {detail}"),
         }
     }
 }
--- a/crates/storage/src/folder.rs
+++ b/crates/storage/src/folder.rs
@@ -1,7 +1,7 @@
 //! The data folder: its lock, and the creation of the database file.
 //!
-//! `redb` cannot open a file whose creation a crash cut off. So a new file is made under another
-//! name and gets its own only when it holds the identity; a leftover is made anew.
+//! `redb` cannot open a file whose creation was interrupted by a crash. A new file is therefore created under a
+//! temporary name and renamed once it holds the identity. A leftover temporary file is deleted.
 
 use std::fs::{self, File, TryLockError};
 use std::io;
@@ -10,19 +10,19 @@
 use crate::error::StoreError;
 
 const DATABASE_FILE: &str = "replica.redb";
-const UNFINISHED_FILE: &str = "replica.redb.new";
+const TEMPORARY_FILE: &str = "replica.redb.new";
 const LOCK_FILE: &str = "lock";
 
-/// A data folder that this process alone has open.
+/// A data folder locked by this process.
 #[derive(Debug)]
 pub(crate) struct DataFolder {
     directory: PathBuf,
-    /// Locked for as long as it is open.
+    /// Holds the lock while the file is open.
     _lock: File,
 }
 
 impl DataFolder {
-    /// Locks the folder, creating it when missing.
+    /// Locks the folder; creates it if missing.
     pub(crate) fn lock(directory: &Path) -> Result<Self, StoreError> {
         fs::create_dir_all(directory)?;
         let lock = File::options()
@@ -48,21 +48,21 @@
         self.directory.join(DATABASE_FILE)
     }
 
-    /// Lets `create` make the file under another name, then gives it its own.
+    /// Calls `create` with the temporary path, then renames the file to its final name.
     pub(crate) fn create_database(
         &self,
         create: impl FnOnce(&Path) -> Result<(), StoreError>,
     ) -> Result<(), StoreError> {
-        let unfinished = self.directory.join(UNFINISHED_FILE);
-        remove_if_present(&unfinished)?;
-        create(&unfinished)?;
-        File::open(&unfinished)?.sync_all()?;
-        fs::rename(&unfinished, self.database_path())?;
-        self.sync_names()
+        let temporary = self.directory.join(TEMPORARY_FILE);
+        remove_if_present(&temporary)?;
+        create(&temporary)?;
+        File::open(&temporary)?.sync_all()?;
+        fs::rename(&temporary, self.database_path())?;
+        self.sync_directories()
     }
 
-    /// A new name survives a crash only once its folder is synced; the folder may be new too.
-    fn sync_names(&self) -> Result<(), StoreError> {
+    /// Makes the new name durable. The folder itself may be new, so its parent is synced too.
+    fn sync_directories(&self) -> Result<(), StoreError> {
         File::open(&self.directory)?.sync_all()?;
         let directory = self.directory.canonicalize()?;
         if let Some(parent) = directory.parent() {
--- a/crates/storage/src/identity.rs
+++ b/crates/storage/src/identity.rs
@@ -1,4 +1,4 @@
-//! Identity of a data folder, by which a replica knows that its disk is new or another node's.
+//! Identity of a data folder, which reveals a new disk or a disk of another node.
 
 use redb::{Database, ReadableDatabase, TableError};
 
@@ -7,21 +7,21 @@
 
 const IDENTITY_KEY: u8 = 0;
 
-/// Number drawn at random when a data folder is first used. A folder that was lost and made anew has
-/// another one, so nobody takes the new store for one that remembers its promises.
+/// Random number, generated when a data folder is first used. A folder that was lost and created again has
+/// another one, so the new store can't be mistaken for one that holds the old promises.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct StoreCreationId(pub u128);
 
-/// Whose data folder it is.
+/// Owner and creation of a data folder.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StoreIdentity {
-    /// Name of the node.
+    /// The node that the data folder belongs to.
     pub node_name: String,
-    /// Number of the folder's creation.
+    /// Distinguishes folders that the same node created.
     pub creation_id: StoreCreationId,
 }
 
-/// The identity that the database holds; `None` when it is new.
+/// Reads the identity; `None` if the database is new.
 pub(crate) fn load(database: &Database) -> Result<Option<StoreIdentity>, StoreError> {
     let transaction = database.begin_read()?;
     let table = match transaction.open_table(IDENTITY) {
@@ -39,7 +39,7 @@
     }))
 }
 
-/// Writes the identity into the transaction that creates the tables.
+/// Writes the identity in the transaction that creates the tables.
 pub(crate) fn put(
     transaction: &redb::WriteTransaction,
     identity: &StoreIdentity,
--- a/crates/storage/src/lib.rs
+++ b/crates/storage/src/lib.rs
@@ -1,18 +1,18 @@
-//! Durable storage of a replica over `redb`: group commit of log entries and configuration.
+//! Durable storage of a replica, based on `redb`: group commit of log entries, records and configuration.
 //!
-//! What survives a crash of the process or of the machine:
+//! After a crash of the process or the machine, the store contains:
 //!
 //! - every batch whose completion was called with `Ok`: it was part of a transaction whose `fsync`
 //!   returned;
 //! - of the batches whose completion was not called, or called with an error, a prefix in the order
-//!   of submission, each of them wholly or not at all;
-//! - the identity of the data folder, made durable before [`Store::open`] returns.
+//!   of submission; each batch is atomic;
+//! - the identity of the data folder, which is durable before [`Store::open`] returns.
 //!
-//! A failed write or `fsync` is final: what reached the disk is not known then, so the store refuses
-//! everything that follows and never acknowledges it. The replica has to be started anew.
+//! A failed write or `fsync` is final, because it is unknown what reached the disk: the store refuses
+//! and never acknowledges later writes. The replica must be restarted.
 //!
-//! Every value carries a checksum, which each read checks; a bad one is [`StoreError::Corrupted`].
-//! Values are bytes; their meaning belongs to the crates that write them.
+//! Every value is stored with a checksum that each read verifies; a mismatch is [`StoreError::Corrupted`].
+//! Values are opaque bytes, which the crates that write them encode and decode.
 
 mod checksum;
 mod counters;
--- a/crates/storage/src/operation.rs
+++ b/crates/storage/src/operation.rs
@@ -1,4 +1,4 @@
-//! What callers hand to the store.
+//! Operations and batches that callers submit to the store.
 
 use std::fmt;
 
@@ -6,73 +6,73 @@
 
 use crate::error::StoreError;
 
-/// One durable change.
+/// A change of the store's contents.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum StoreOperation {
-    /// Sets the head of a run: its promise, commit index and what else its replica keeps per run.
+    /// Sets the head of a run: its promise, commit index and other fixed-size state.
     PutRunHead {
-        /// The run.
+        /// Key of the head.
         run: RunId,
-        /// The head, encoded.
+        /// The encoded head.
         bytes: Vec<u8>,
     },
-    /// Sets one entry of a run's log.
+    /// Sets an entry of a run's log.
     PutEntry {
-        /// The run.
+        /// The run whose log is written.
         run: RunId,
-        /// Position in the run's log.
+        /// Index in the run's log.
         index: u64,
-        /// The entry with its ballot, encoded.
+        /// The encoded entry, with its ballot.
         bytes: Vec<u8>,
     },
     /// Removes the entries of a run from an index on.
     TruncateEntries {
-        /// The run.
+        /// The run whose log is truncated.
         run: RunId,
         /// First index removed.
         from: u64,
     },
     /// Removes a run's head and all its entries.
     DeleteRun {
-        /// The run.
+        /// The run to delete.
         run: RunId,
     },
-    /// Sets one configuration record.
+    /// Sets a configuration record.
     PutConfiguration {
-        /// Name of the record.
+        /// Key of the record.
         key: Vec<u8>,
-        /// The record, encoded.
+        /// The encoded record.
         bytes: Vec<u8>,
     },
-    /// Removes one configuration record.
+    /// Removes a configuration record.
     DeleteConfiguration {
-        /// Name of the record.
+        /// Key of the record.
         key: Vec<u8>,
     },
-    /// Sets one replicated record.
+    /// Sets a replicated record.
     PutRecord {
         /// Key of the record.
         key: Vec<u8>,
-        /// The record, encoded.
+        /// The encoded record.
         bytes: Vec<u8>,
     },
-    /// Removes one replicated record.
+    /// Removes a replicated record.
     DeleteRecord {
         /// Key of the record.
         key: Vec<u8>,
     },
-    /// Sets one record of the replica itself, such as its generation.
+    /// Sets a local record of this node, such as the store's generation.
     PutNodeRecord {
-        /// Name of the record.
+        /// Key of the record.
         key: Vec<u8>,
-        /// The record, encoded.
+        /// The encoded record.
         bytes: Vec<u8>,
     },
 }
 
 impl StoreOperation {
-    /// Length of the key and value that it writes, in bytes; a bound on the size of a group.
-    pub(crate) fn weight(&self) -> usize {
+    /// Approximate size of the operation's key and value; used to limit the size of a commit.
+    pub(crate) fn size_bytes(&self) -> usize {
         match self {
             Self::PutRunHead { bytes, .. } | Self::PutEntry { bytes, .. } => bytes.len(),
             Self::PutConfiguration { key, bytes }
@@ -84,20 +84,20 @@
     }
 }
 
-/// Called once, on the writer's thread, with the outcome of the batch. It should only pass the news
-/// on: the next group waits for it.
+/// Called once with the outcome of a batch. It runs on the writer thread and delays the next commit,
+/// so it should only forward the outcome.
 pub type Completion = Box<dyn FnOnce(Result<(), StoreError>) + Send>;
 
-/// Changes that become durable together, in this order.
+/// Operations that become durable atomically, applied in order.
 pub struct WriteBatch {
-    /// The changes.
+    /// Applied in this order.
     pub operations: Vec<StoreOperation>,
-    /// Called when they are durable, or never will be acknowledged.
+    /// Called with `Ok` once the batch is durable, or with the error if it failed.
     pub on_durable: Completion,
 }
 
 impl WriteBatch {
-    /// A batch with its completion.
+    /// Creates a batch; `on_durable` is called with its outcome.
     pub fn new(
         operations: Vec<StoreOperation>,
         on_durable: impl FnOnce(Result<(), StoreError>) + Send + 'static,
@@ -108,8 +108,8 @@
         }
     }
 
-    pub(crate) fn weight(&self) -> usize {
-        self.operations.iter().map(StoreOperation::weight).sum()
+    pub(crate) fn size_bytes(&self) -> usize {
+        self.operations.iter().map(StoreOperation::size_bytes).sum()
     }
 }
 
--- a/crates/storage/src/reader.rs
+++ b/crates/storage/src/reader.rs
@@ -1,38 +1,38 @@
-//! Reading back what is durable. Batches that wait or are being committed are not seen.
+//! Reads durable contents. Batches that are queued or being committed are not visible.
 
 use std::ops::{Bound, ControlFlow};
 
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition};
 use ridgeworks_domain::RunId;
 
-use crate::checksum::{entry_key_bytes, unseal};
+use crate::checksum::{entry_key_bytes, strip_checksum};
 use crate::error::StoreError;
 use crate::tables::{CONFIGURATION, NODE_RECORDS, RECORDS, RUN_ENTRIES, RUN_HEADS};
 
-/// One entry of a run's log.
+/// A stored entry of a run's log.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StoredEntry {
-    /// Position in the run's log.
+    /// Index in the run's log.
     pub index: u64,
-    /// The entry, encoded.
+    /// The encoded entry.
     pub bytes: Vec<u8>,
 }
 
-/// One replicated record.
+/// A stored replicated record.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ReplicatedRecord {
-    /// Its key.
+    /// Unique among the replicated records.
     pub key: Vec<u8>,
-    /// The record, encoded.
+    /// The encoded record.
     pub bytes: Vec<u8>,
 }
 
-/// One configuration record.
+/// A stored configuration record.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ConfigurationRecord {
-    /// Name of the record.
+    /// Unique among the configuration records.
     pub key: Vec<u8>,
-    /// The record, encoded.
+    /// The encoded record.
     pub bytes: Vec<u8>,
 }
 
@@ -44,7 +44,7 @@
     for item in table.iter()? {
         let (run, head) = item?;
         let run = run.value();
-        let head = unseal(&run.to_be_bytes(), head.value())?;
+        let head = strip_checksum(&run.to_be_bytes(), head.value())?;
         if visit(RunId(run), head).is_break() {
             break;
         }
@@ -54,10 +54,10 @@
 
 pub(crate) fn run_head(database: &Database, run: RunId) -> Result<Option<Vec<u8>>, StoreError> {
     let table = database.begin_read()?.open_table(RUN_HEADS)?;
-    let Some(sealed) = table.get(run.0)? else {
+    let Some(checksummed) = table.get(run.0)? else {
         return Ok(None);
     };
-    let head = unseal(&run.0.to_be_bytes(), sealed.value())?;
+    let head = strip_checksum(&run.0.to_be_bytes(), checksummed.value())?;
     Ok(Some(head.to_vec()))
 }
 
@@ -73,7 +73,7 @@
     for item in table.range((run.0, first)..=(run.0, u64::MAX))? {
         let (key, value) = item?;
         let index = key.value().1;
-        let bytes = unseal(&entry_key_bytes(run.0, index), value.value())?;
+        let bytes = strip_checksum(&entry_key_bytes(run.0, index), value.value())?;
         total_bytes += bytes.len();
         if total_bytes > max_bytes && !entries.is_empty() {
             break;
@@ -93,7 +93,7 @@
         let (key, value) = item?;
         records.push(ConfigurationRecord {
             key: key.value().to_vec(),
-            bytes: unseal(key.value(), value.value())?.to_vec(),
+            bytes: strip_checksum(key.value(), value.value())?.to_vec(),
         });
     }
     Ok(records)
@@ -113,26 +113,26 @@
     key: &[u8],
 ) -> Result<Option<Vec<u8>>, StoreError> {
     let table = database.begin_read()?.open_table(table)?;
-    let Some(sealed) = table.get(key)? else {
+    let Some(checksummed) = table.get(key)? else {
         return Ok(None);
     };
-    Ok(Some(unseal(key, sealed.value())?.to_vec()))
+    Ok(Some(strip_checksum(key, checksummed.value())?.to_vec()))
 }
 
 pub(crate) fn records_after(
     database: &Database,
     after: &[u8],
-    most: usize,
+    limit: usize,
 ) -> Result<Vec<ReplicatedRecord>, StoreError> {
     let table = database.begin_read()?.open_table(RECORDS)?;
     let range = (Bound::Excluded(after), Bound::Unbounded);
     let mut records = Vec::new();
-    for item in table.range::<&[u8]>(range)?.take(most) {
+    for item in table.range::<&[u8]>(range)?.take(limit) {
         let (key, value) = item?;
         let key = key.value();
         records.push(ReplicatedRecord {
             key: key.to_vec(),
-            bytes: unseal(key, value.value())?.to_vec(),
+            bytes: strip_checksum(key, value.value())?.to_vec(),
         });
     }
     Ok(records)
--- a/crates/storage/src/store.rs
+++ b/crates/storage/src/store.rs
@@ -1,4 +1,4 @@
-//! The store: opening, submitting, reading, closing.
+//! Opens, reads, writes and closes a store.
 
 use std::ops::ControlFlow;
 use std::sync::Arc;
@@ -21,16 +21,16 @@
 
 const WRITER_THREAD: &str = "store-writer";
 
-/// A store that was just opened.
+/// Result of opening a store.
 pub struct OpenedStore {
-    /// The store.
+    /// The open store.
     pub store: Store,
-    /// Whether the data folder was new. A replica that served before has lost its promises then.
+    /// Whether the data folder was new. A replica that was in use before has then lost its promises.
     pub is_new: bool,
 }
 
-/// An open store; shared by reference between threads. Dropping it commits what waits, answers it,
-/// and gives the data folder free.
+/// An open store, which threads share by reference. Dropping it commits all queued batches, calls their
+/// completions and unlocks the data folder.
 pub struct Store {
     database: Arc<Database>,
     identity: StoreIdentity,
@@ -38,12 +38,12 @@
     writer: Option<JoinHandle<()>>,
     counters: Arc<StoreCounters>,
     failed: Arc<AtomicBool>,
-    /// Holds the lock; dropped after the database, which the fields above close.
+    /// Holds the lock. Dropped last, after the fields above have closed the database.
     folder: Option<DataFolder>,
 }
 
 impl Store {
-    /// Opens the data folder, creating it when missing, and repairs the database after a crash.
+    /// Opens the data folder, creates it if missing, and repairs the database after a crash.
     pub fn open(settings: &StoreSettings) -> Result<OpenedStore, StoreError> {
         let folder = DataFolder::lock(&settings.directory)?;
         let is_new = !folder.has_database()?;
@@ -59,8 +59,8 @@
         Ok(opened)
     }
 
-    /// Opens a store on another backend than a file, for simulated crashes and faults.
-    pub fn open_on(
+    /// Opens a store on a custom storage backend; tests use it to simulate crashes and faults.
+    pub fn open_with_backend(
         settings: &StoreSettings,
         backend: impl StorageBackend,
     ) -> Result<OpenedStore, StoreError> {
@@ -96,7 +96,7 @@
         let database = Arc::new(database);
         let counters = Arc::<StoreCounters>::default();
         let failed = Arc::<AtomicBool>::default();
-        let (sender, batches) = bounded(settings.max_waiting_batches);
+        let (sender, batches) = bounded(settings.max_queued_batches);
         let writer = Writer {
             database: Arc::clone(&database),
             batches,
@@ -117,18 +117,18 @@
         })
     }
 
-    /// Whose data folder it is.
+    /// Identity of the data folder.
     pub fn identity(&self) -> &StoreIdentity {
         &self.identity
     }
 
-    /// Counters of the store.
+    /// Counters since the store was opened.
     pub fn counters(&self) -> Arc<StoreCounters> {
         Arc::clone(&self.counters)
     }
 
-    /// Hands a batch to the writer without waiting. Batches become durable in the order of their
-    /// submission. With an error the batch is dropped, its completion is not called, and it never
+    /// Queues a batch for the writer without blocking. Batches become durable in the order of their
+    /// submission. On an error the batch is dropped: its completion is not called, and it never
     /// becomes durable.
     pub fn submit(&self, batch: WriteBatch) -> Result<(), StoreError> {
         let outcome = self.try_submit(batch);
@@ -151,23 +151,22 @@
         })
     }
 
-    /// At most `most` replicated records after this key, in the order of their keys. Each call sees what is
-    /// durable then: one that went through all records would keep the pages of everything that is overwritten
-    /// meanwhile, until the disk is full.
+    /// At most `limit` replicated records after this key, in key order. Each call reads its own snapshot: one long-lived
+    /// snapshot would retain the pages of all records overwritten in the meantime and could fill the disk.
     pub fn records_after(
         &self,
         after: &[u8],
-        most: usize,
+        limit: usize,
     ) -> Result<Vec<ReplicatedRecord>, StoreError> {
-        reader::records_after(&self.database, after, most)
+        reader::records_after(&self.database, after, limit)
     }
 
-    /// One replicated record.
+    /// A replicated record; `None` if the key doesn't exist.
     pub fn record(&self, key: &[u8]) -> Result<Option<Vec<u8>>, StoreError> {
         reader::record(&self.database, key)
     }
 
-    /// Calls `visit` with the head of each run, in the order of run identifiers, until it breaks.
+    /// Calls `visit` with the head of each run, in the order of run identifiers, until it returns `Break`.
     pub fn visit_run_heads(
         &self,
         visit: impl FnMut(RunId, &[u8]) -> ControlFlow<()>,
@@ -175,12 +174,12 @@
         reader::visit_run_heads(&self.database, visit)
     }
 
-    /// Head of one run.
+    /// Head of a run; `None` if the run doesn't exist.
     pub fn run_head(&self, run: RunId) -> Result<Option<Vec<u8>>, StoreError> {
         reader::run_head(&self.database, run)
     }
 
-    /// Entries of a run from `first` on, at least one if there is one, at most `max_bytes` of values.
+    /// Entries of a run from `first` on: at least one if there is one, at most `max_bytes` of values.
     pub fn entries(
         &self,
         run: RunId,
@@ -190,12 +189,12 @@
         reader::entries(&self.database, run, first, max_bytes)
     }
 
-    /// All configuration records, in the order of their names.
+    /// All configuration records, in key order.
     pub fn configuration(&self) -> Result<Vec<ConfigurationRecord>, StoreError> {
         reader::configuration(&self.database)
     }
 
-    /// One record of the replica itself.
+    /// A local record of this node; `None` if the key doesn't exist.
     pub fn node_record(&self, key: &[u8]) -> Result<Option<Vec<u8>>, StoreError> {
         reader::node_record(&self.database, key)
     }
@@ -207,14 +206,14 @@
         let Some(writer) = self.writer.take() else {
             return;
         };
-        // A completion may hold the last reference to the store.
+        // A completion may drop the last reference to the store, so this can run on the writer thread.
         if writer.thread().id() != thread::current().id() {
             let _ = writer.join();
         }
     }
 }
 
-/// Writes identity and empty tables in one transaction.
+/// Writes the identity and creates the tables in one transaction.
 fn create_tables(
     database: &Database,
     settings: &StoreSettings,
--- a/crates/storage/src/tables.rs
+++ b/crates/storage/src/tables.rs
@@ -1,32 +1,32 @@
-//! Tables of the database, and how operations change them.
+//! Tables of the database, and the application of operations to them.
 
 use redb::{Table, TableDefinition, TableError, WriteTransaction};
 use ridgeworks_domain::RunId;
 
-use crate::checksum::{entry_key_bytes, seal};
+use crate::checksum::{add_checksum, entry_key_bytes};
 use crate::error::StoreError;
 use crate::operation::StoreOperation;
 
 type Bytes = &'static [u8];
 type EntryKey = (u128, u64);
 
-/// Identity of the data folder: node name and creation number.
+/// Identity of the data folder: node name and creation identifier.
 pub(crate) const IDENTITY: TableDefinition<u8, (&str, u128)> = TableDefinition::new("identity");
-/// Heads of runs.
+/// Heads of runs, by run.
 pub(crate) const RUN_HEADS: TableDefinition<u128, Bytes> = TableDefinition::new("run-heads");
 /// Entries of runs, by run and index.
 pub(crate) const RUN_ENTRIES: TableDefinition<EntryKey, Bytes> =
     TableDefinition::new("run-entries");
-/// Configuration records.
+/// Configuration records, by key.
 pub(crate) const CONFIGURATION: TableDefinition<Bytes, Bytes> =
     TableDefinition::new("configuration");
-/// Records of the replica itself.
+/// Local records of this node, by key.
 pub(crate) const NODE_RECORDS: TableDefinition<Bytes, Bytes> = TableDefinition::new("node-records");
-/// Replicated records.
+/// Replicated records, by key.
 pub(crate) const RECORDS: TableDefinition<Bytes, Bytes> = TableDefinition::new("records");
 
-/// Tables of one write transaction. Each is opened when it is first needed: opening all of them took a
-/// good part of the time of a small commit.
+/// Tables of a write transaction. Each is opened on first use, because opening a table is expensive compared
+/// with a small commit.
 pub(crate) struct WriteTables<'transaction> {
     transaction: &'transaction WriteTransaction,
     run_heads: Option<Table<'transaction, u128, Bytes>>,
@@ -36,20 +36,20 @@
     records: Option<Table<'transaction, Bytes, Bytes>>,
 }
 
-/// The table in this place, opened when it is not yet.
-fn opened<'table, 'transaction, K: redb::Key + 'static, V: redb::Value + 'static>(
-    place: &'table mut Option<Table<'transaction, K, V>>,
+/// Returns the table in `slot`; opens it on first use.
+fn open_once<'table, 'transaction, K: redb::Key + 'static, V: redb::Value + 'static>(
+    slot: &'table mut Option<Table<'transaction, K, V>>,
     transaction: &'transaction WriteTransaction,
     definition: TableDefinition<K, V>,
 ) -> Result<&'table mut Table<'transaction, K, V>, TableError> {
-    match place {
+    match slot {
         Some(table) => Ok(table),
-        None => Ok(place.insert(transaction.open_table(definition)?)),
+        None => Ok(slot.insert(transaction.open_table(definition)?)),
     }
 }
 
 impl<'transaction> WriteTables<'transaction> {
-    /// No table is open yet.
+    /// Starts without open tables.
     pub(crate) fn new(transaction: &'transaction WriteTransaction) -> Self {
         Self {
             transaction,
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Creates the tables that are missing.
+    /// Opens all tables, which creates missing ones.
     pub(crate) fn create_all(&mut self) -> Result<(), TableError> {
         self.run_heads()?;
         self.run_entries()?;
@@ -72,36 +72,36 @@
     }
 
     fn run_heads(&mut self) -> Result<&mut Table<'transaction, u128, Bytes>, TableError> {
-        opened(&mut self.run_heads, self.transaction, RUN_HEADS)
+        open_once(&mut self.run_heads, self.transaction, RUN_HEADS)
     }
 
     fn run_entries(&mut self) -> Result<&mut Table<'transaction, EntryKey, Bytes>, TableError> {
-        opened(&mut self.run_entries, self.transaction, RUN_ENTRIES)
+        open_once(&mut self.run_entries, self.transaction, RUN_ENTRIES)
     }
 
     fn configuration(&mut self) -> Result<&mut Table<'transaction, Bytes, Bytes>, TableError> {
-        opened(&mut self.configuration, self.transaction, CONFIGURATION)
+        open_once(&mut self.configuration, self.transaction, CONFIGURATION)
     }
 
     fn node_records(&mut self) -> Result<&mut Table<'transaction, Bytes, Bytes>, TableError> {
-        opened(&mut self.node_records, self.transaction, NODE_RECORDS)
+        open_once(&mut self.node_records, self.transaction, NODE_RECORDS)
     }
 
     fn records(&mut self) -> Result<&mut Table<'transaction, Bytes, Bytes>, TableError> {
-        opened(&mut self.records, self.transaction, RECORDS)
+        open_once(&mut self.records, self.transaction, RECORDS)
     }
 
-    /// Applies one change.
+    /// Applies an operation within the transaction.
     pub(crate) fn apply(&mut self, operation: &StoreOperation) -> Result<(), StoreError> {
         match operation {
             StoreOperation::PutRunHead { run, bytes } => {
-                let sealed = seal(&run.0.to_be_bytes(), bytes);
-                self.run_heads()?.insert(run.0, sealed.as_slice())?;
+                let checksummed = add_checksum(&run.0.to_be_bytes(), bytes);
+                self.run_heads()?.insert(run.0, checksummed.as_slice())?;
             }
             StoreOperation::PutEntry { run, index, bytes } => {
                 let key = (run.0, *index);
-                let sealed = seal(&entry_key_bytes(run.0, *index), bytes);
-                self.run_entries()?.insert(key, sealed.as_slice())?;
+                let checksummed = add_checksum(&entry_key_bytes(run.0, *index), bytes);
+                self.run_entries()?.insert(key, checksummed.as_slice())?;
             }
             StoreOperation::TruncateEntries { run, from } => self.remove_entries(*run, *from)?,
             StoreOperation::DeleteRun { run } => {
@@ -132,8 +132,8 @@
     }
 }
 
-/// Writes a value with its checksum.
+/// Inserts a value with its checksum.
 fn put(table: &mut Table<'_, Bytes, Bytes>, key: &[u8], bytes: &[u8]) -> Result<(), StoreError> {
-    table.insert(key, seal(key, bytes).as_slice())?;
+    table.insert(key, add_checksum(key, bytes).as_slice())?;
     Ok(())
 }
--- a/crates/storage/src/writer.rs
+++ b/crates/storage/src/writer.rs
@@ -1,4 +1,4 @@
-//! The writer's thread: takes every batch that waits and commits them in one transaction.
+//! The writer thread: commits all queued batches, up to a size limit, in one transaction.
 
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::sync::Arc;
@@ -13,7 +13,7 @@
 use crate::operation::WriteBatch;
 use crate::tables::WriteTables;
 
-/// State of the writer's thread.
+/// State of the writer thread.
 pub(crate) struct Writer {
     pub database: Arc<Database>,
     pub batches: Receiver<WriteBatch>,
@@ -23,23 +23,23 @@
 }
 
 impl Writer {
-    /// Runs until all senders are gone and what they sent is answered.
+    /// Runs until all senders are dropped and all queued batches are completed.
     pub(crate) fn run(self) {
         while let Ok(first) = self.batches.recv() {
             let group = self.collect_group(first);
             let outcome = self.commit(&group);
-            complete(group, &outcome);
+            call_completions(group, &outcome);
         }
     }
 
     fn collect_group(&self, first: WriteBatch) -> Vec<WriteBatch> {
-        let mut weight = first.weight();
+        let mut size_bytes = first.size_bytes();
         let mut group = vec![first];
-        while weight < self.max_commit_bytes {
+        while size_bytes < self.max_commit_bytes {
             let Ok(batch) = self.batches.try_recv() else {
                 break;
             };
-            weight += batch.weight();
+            size_bytes += batch.size_bytes();
             group.push(batch);
         }
         group
@@ -56,7 +56,7 @@
             Ok(()) => self.count(group, started),
             Err(error) => {
                 self.failed.store(true, Ordering::SeqCst);
-                log::error!("the store failed and takes nothing any more: {error}");
+                log::error!("the store failed and accepts no more writes: {error}");
             }
         }
         outcome
@@ -84,12 +84,12 @@
     }
 }
 
-fn complete(group: Vec<WriteBatch>, outcome: &Result<(), StoreError>) {
+fn call_completions(group: Vec<WriteBatch>, outcome: &Result<(), StoreError>) {
     for batch in group {
         let outcome = outcome.clone();
         let on_durable = batch.on_durable;
         if catch_unwind(AssertUnwindSafe(|| on_durable(outcome))).is_err() {
-            log::error!("a completion of the store panicked");
+            log::error!("the completion of a write batch panicked");
         }
     }
 }
--- a/crates/storage/tests/crash.rs
+++ b/crates/storage/tests/crash.rs
@@ -1,4 +1,4 @@
-//! Crashes and faults of a simulated disk under seeded schedules.
+//! Durability and atomicity of the store under seeded crashes and faults of a simulated disk.
 
 mod support;
 
@@ -46,7 +46,7 @@
     (0..count).map(|_| random_operation(random)).collect()
 }
 
-/// The contents after each prefix of the batches; the first is empty.
+/// Contents after each prefix of the batches; the first prefix is empty.
 fn prefixes(batches: &[Vec<StoreOperation>]) -> Vec<Contents> {
     let mut prefixes = vec![Contents::default()];
     for batch in batches {
@@ -57,7 +57,7 @@
     prefixes
 }
 
-/// Submits batches until the disk fails; how many were submitted, and how many acknowledged.
+/// Submits batches until the disk fails. Returns the numbers of submitted and of acknowledged batches.
 fn write_until_failure(
     store: &Store,
     batches: &[Vec<StoreOperation>],
@@ -79,7 +79,7 @@
             })
             .collect();
         submitted += outcomes.len();
-        // A refused submission says nothing about the batches submitted before it.
+        // Batches submitted before a refused one may still succeed.
         let refused = outcomes.len() < group;
         let mut failed = false;
         for outcome in outcomes {
@@ -98,15 +98,18 @@
     (submitted, acknowledged)
 }
 
-/// Opens the store, at first perhaps with further crashes during the repair.
+/// Opens the store, after a random number of further crashes during the repair.
 fn reopen(mut image: Vec<u8>, random: &mut ChaCha8Rng) -> Store {
     while !image.is_empty() && random.random_bool(0.3) {
-        let disk = SimulatedDisk::holding(image);
+        let disk = SimulatedDisk::with_contents(image);
         disk.fail_after(random.random_range(0..20), Fault::Crash);
-        let _ = Store::open_on(&settings(Path::new("")), disk.clone());
+        let _ = Store::open_with_backend(&settings(Path::new("")), disk.clone());
         image = disk.image_after_crash(random);
     }
-    let opened = Store::open_on(&settings(Path::new("")), SimulatedDisk::holding(image));
+    let opened = Store::open_with_backend(
+        &settings(Path::new("")),
+        SimulatedDisk::with_contents(image),
+    );
     opened.expect("the store opens after a crash").store
 }
 
@@ -143,7 +146,7 @@
         random.random_range(0..MAX_CHANGES_BEFORE_CRASH),
         Fault::Crash,
     );
-    let opened = Store::open_on(&settings(Path::new("")), disk.clone());
+    let opened = Store::open_with_backend(&settings(Path::new("")), disk.clone());
     let was_created = opened.is_ok();
     let (submitted, acknowledged) = match opened {
         Ok(opened) => write_until_failure(&opened.store, &batches, &mut random),
@@ -152,7 +155,7 @@
             (0, 0)
         }
     };
-    // A file whose creation was cut off has not got its name yet, and is made anew.
+    // A file whose creation was interrupted still has its temporary name and is created again.
     let image = match was_created {
         true => disk.image_after_crash(&mut random),
         false => Vec::new(),
@@ -189,16 +192,17 @@
 }
 
 #[test]
-fn a_new_store_knows_that_it_is_new_and_an_old_one_its_identity() {
+fn a_new_store_is_reported_as_new_and_keeps_its_identity() {
     let disk = SimulatedDisk::default();
-    let opened = Store::open_on(&settings(Path::new("")), disk.clone()).expect("open");
+    let opened = Store::open_with_backend(&settings(Path::new("")), disk.clone()).expect("open");
     assert!(opened.is_new);
     assert_eq!(opened.store.identity().creation_id, StoreCreationId(7));
     let mut random = ChaCha8Rng::seed_from_u64(0);
     let image = disk.image_after_crash(&mut random);
     let mut later = settings(Path::new(""));
     later.new_creation_id = StoreCreationId(8);
-    let opened = Store::open_on(&later, SimulatedDisk::holding(image)).expect("open");
+    let opened =
+        Store::open_with_backend(&later, SimulatedDisk::with_contents(image)).expect("open");
     assert!(!opened.is_new);
     assert_eq!(opened.store.identity().creation_id, StoreCreationId(7));
 }
@@ -217,7 +221,7 @@
 
 fn assert_failure_is_final(fault: Fault, expected: &StoreError) {
     let disk = SimulatedDisk::default();
-    let store = Store::open_on(&settings(Path::new("")), disk.clone())
+    let store = Store::open_with_backend(&settings(Path::new("")), disk.clone())
         .expect("open")
         .store;
     assert_eq!(write(&store, entry(0)), Ok(()));
@@ -240,15 +244,15 @@
 }
 
 #[test]
-fn batches_that_wait_share_one_commit() {
+fn queued_batches_share_one_commit() {
     const WAITING: u64 = 500;
     const SMALL: usize = 20;
     let disk = SimulatedDisk::default();
-    let store = Store::open_on(&settings(Path::new("")), disk.clone())
+    let store = Store::open_with_backend(&settings(Path::new("")), disk.clone())
         .expect("open")
         .store;
-    // Pages are copied on writing, so the second time makes all the room that the group needs: growing
-    // the file takes syncs of its own.
+    // Pages are copied on write, so the second round allocates all the space that the group needs. Growing
+    // the file would add syncs.
     for _ in 0..2 {
         let all = (0..WAITING).flat_map(|index| entry_of(index, SMALL));
         assert_eq!(write(&store, all.collect()), Ok(()));
@@ -256,14 +260,14 @@
     let syncs_before = disk.syncs();
     assert_eq!(write(&store, entry_of(0, SMALL)), Ok(()));
     let syncs_per_commit = disk.syncs() - syncs_before;
-    let (entered, held) = crossbeam_channel::bounded::<()>(0);
+    let (entered, blocked) = crossbeam_channel::bounded::<()>(0);
     let (release, released) = crossbeam_channel::bounded::<()>(0);
-    let holding = ridgeworks_storage::WriteBatch::new(entry_of(0, SMALL), move |_| {
+    let blocking = ridgeworks_storage::WriteBatch::new(entry_of(0, SMALL), move |_| {
         let _ = entered.send(());
         let _ = released.recv();
     });
-    store.submit(holding).expect("taken");
-    held.recv().expect("the writer is held");
+    store.submit(blocking).expect("taken");
+    blocked.recv().expect("the writer is blocked");
     let syncs_before = disk.syncs();
     let outcomes: Vec<_> = (0..WAITING)
         .map(|index| submit(&store, entry_of(index, SMALL)))
--- a/crates/storage/tests/folder.rs
+++ b/crates/storage/tests/folder.rs
@@ -1,4 +1,4 @@
-//! A store in a data folder.
+//! Tests of a store in a data folder.
 
 mod support;
 
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn what_was_written_is_there_after_reopening() {
+fn written_contents_survive_reopening() {
     let folder = tempfile::tempdir().expect("folder");
     let settings = settings(folder.path());
     let operations: Vec<_> = (0..100)
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn a_store_that_is_dropped_commits_what_waits_first() {
+fn dropping_a_store_commits_queued_batches() {
     let folder = tempfile::tempdir().expect("folder");
     let store = open(&settings(folder.path()));
     let outcomes: Vec<_> = (0..50)
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn a_forgotten_run_is_gone_and_its_neighbours_stay() {
+fn deleting_a_run_keeps_other_runs() {
     let folder = tempfile::tempdir().expect("folder");
     let store = open(&settings(folder.path()));
     let operations = (1..=3).flat_map(|run| [head(run), entry(run, 0), entry(run, u64::MAX)]);
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn entries_are_read_in_pieces_of_bounded_size() {
+fn entries_are_read_in_pages_of_bounded_size() {
     let folder = tempfile::tempdir().expect("folder");
     let store = open(&settings(folder.path()));
     let operations = (0..10).map(|index| StoreOperation::PutEntry {
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn visiting_runs_stops_where_the_visitor_breaks() {
+fn visiting_runs_stops_when_the_visitor_breaks() {
     let folder = tempfile::tempdir().expect("folder");
     let store = open(&settings(folder.path()));
     assert_eq!(write(&store, (0..10).map(head).collect()), Ok(()));
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn a_data_folder_is_open_once_at_a_time() {
+fn a_data_folder_is_opened_by_one_store_at_a_time() {
     let folder = tempfile::tempdir().expect("folder");
     let store = open(&settings(folder.path()));
     let second = Store::open(&settings(folder.path())).map(|_| ());
@@ -153,7 +153,7 @@
 }
 
 #[test]
-fn a_file_that_is_no_store_is_an_error() {
+fn opening_a_file_of_another_format_fails() {
     let folder = tempfile::tempdir().expect("folder");
     std::fs::write(folder.path().join("replica.redb"), vec![7; 100_000]).expect("write");
     let outcome = Store::open(&settings(folder.path())).map(|_| ());
@@ -167,21 +167,21 @@
 }
 
 #[test]
-fn a_full_queue_refuses_without_waiting() {
+fn a_full_queue_refuses_batches_without_blocking() {
     let folder = tempfile::tempdir().expect("folder");
     let settings = StoreSettings {
-        max_waiting_batches: 2,
+        max_queued_batches: 2,
         ..settings(folder.path())
     };
     let store = open(&settings);
-    let (entered, held) = crossbeam_channel::bounded::<()>(0);
+    let (entered, blocked) = crossbeam_channel::bounded::<()>(0);
     let (release, released) = crossbeam_channel::bounded::<()>(0);
-    let holding = WriteBatch::new(vec![head(0)], move |_| {
+    let blocking = WriteBatch::new(vec![head(0)], move |_| {
         let _ = entered.send(());
         let _ = released.recv();
     });
-    store.submit(holding).expect("taken");
-    held.recv().expect("the writer is held");
+    store.submit(blocking).expect("taken");
+    blocked.recv().expect("the writer is blocked");
     let waiting = [submit(&store, vec![head(1)]), submit(&store, vec![head(2)])];
     let refused = WriteBatch::new(vec![head(3)], |_| panic!("must not be called"));
     assert_eq!(store.submit(refused), Err(StoreError::QueueFull));
@@ -191,7 +191,7 @@
 }
 
 #[test]
-fn a_creation_that_was_cut_off_is_made_anew() {
+fn an_interrupted_creation_is_repeated() {
     let folder = tempfile::tempdir().expect("folder");
     std::fs::write(folder.path().join("replica.redb.new"), vec![7; 100_000]).expect("write");
     let opened = Store::open(&settings(folder.path())).expect("open");
@@ -200,19 +200,21 @@
     assert!(!Store::open(&settings(folder.path())).expect("open").is_new);
 }
 
-/// Flips a bit in every copy of `value` that the file holds.
-fn damage(path: &std::path::Path, value: &[u8]) {
+/// Flips a bit in every copy of `value` in the file.
+fn corrupt_value(path: &std::path::Path, value: &[u8]) {
     let mut file = std::fs::read(path).expect("file");
-    let places: Vec<_> = (0..file.len() - value.len())
-        .filter(|place| file[*place..].starts_with(value))
+    let positions: Vec<_> = (0..file.len() - value.len())
+        .filter(|position| file[*position..].starts_with(value))
         .collect();
-    assert!(!places.is_empty());
-    places.iter().for_each(|place| file[place + 3] ^= 1);
+    assert!(!positions.is_empty());
+    positions
+        .iter()
+        .for_each(|position| file[position + 3] ^= 1);
     std::fs::write(path, file).expect("write");
 }
 
 #[test]
-fn a_value_that_went_bad_on_the_disk_is_an_error() {
+fn reading_a_corrupted_value_fails() {
     let folder = tempfile::tempdir().expect("folder");
     let settings = settings(folder.path());
     let value = b"a value found nowhere else".to_vec();
@@ -240,7 +242,7 @@
     let store = open(&settings);
     assert_eq!(write(&store, operations), Ok(()));
     drop(store);
-    damage(&folder.path().join("replica.redb"), &value);
+    corrupt_value(&folder.path().join("replica.redb"), &value);
     let store = open(&settings);
     let corrupted = |error: Option<StoreError>| matches!(error, Some(StoreError::Corrupted { .. }));
     assert!(corrupted(store.run_head(run).err()));
--- a/crates/storage/tests/support/mod.rs
+++ b/crates/storage/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A simulated disk, and helpers that the store's tests share.
+//! Simulated disk and helpers shared by the tests of the store.
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
 use std::collections::BTreeMap;
@@ -21,12 +21,12 @@
     SetLength(usize),
 }
 
-/// What a disk does at a chosen one of its changes, and from then on.
+/// Fault of a disk from a chosen change on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
-    /// The machine stops: nothing is done any more.
+    /// The machine stops: every write, resize and sync fails.
     Crash,
-    /// Writes and growth fail for want of room.
+    /// Writes and growth fail because the disk is full.
     DiskFull,
     /// Syncing fails.
     SyncFails,
@@ -42,12 +42,12 @@
     fault: Option<(u64, Fault)>,
 }
 
-/// A disk in memory that remembers which writes were not synced.
+/// In-memory disk that tracks unsynced writes.
 #[derive(Debug, Clone, Default)]
 pub struct SimulatedDisk(Arc<Mutex<State>>);
 
 impl SimulatedDisk {
-    pub fn holding(image: Vec<u8>) -> Self {
+    pub fn with_contents(image: Vec<u8>) -> Self {
         let disk = Self::default();
         disk.state().synced = image.clone();
         disk.state().current = image;
@@ -67,8 +67,8 @@
         self.state().syncs
     }
 
-    /// What the disk may hold after the crash: all that was synced, and of the rest any part, in
-    /// which a write may be torn between sectors.
+    /// Possible contents after a crash: all synced changes and a random part of the others. A write may be
+    /// torn between sectors.
     pub fn image_after_crash(&self, random: &mut impl Rng) -> Vec<u8> {
         let state = self.state();
         let mut image = state.synced.clone();
@@ -77,7 +77,7 @@
             if random.random_bool(keep_probability) {
                 apply(&mut image, change);
             } else if let Change::Write { offset, data } = change {
-                apply_torn(&mut image, *offset, data, random);
+                apply_torn_write(&mut image, *offset, data, random);
             }
         }
         image
@@ -92,7 +92,7 @@
     fn change(&self, change: Change) -> Result<()> {
         let mut state = self.state();
         state.begin_change()?;
-        if state.faulty() == Some(Fault::DiskFull) {
+        if state.active_fault() == Some(Fault::DiskFull) {
             return Err(Error::from(ErrorKind::StorageFull));
         }
         apply(&mut state.current, &change);
@@ -102,14 +102,14 @@
 }
 
 impl State {
-    fn faulty(&self) -> Option<Fault> {
+    fn active_fault(&self) -> Option<Fault> {
         let (at, fault) = self.fault?;
         (self.changes > at).then_some(fault)
     }
 
     fn begin_change(&mut self) -> Result<()> {
         self.changes += 1;
-        if self.faulty() == Some(Fault::Crash) {
+        if self.active_fault() == Some(Fault::Crash) {
             return Err(Error::from(ErrorKind::Other));
         }
         Ok(())
@@ -129,7 +129,7 @@
     }
 }
 
-fn apply_torn(image: &mut Vec<u8>, offset: usize, data: &[u8], random: &mut impl Rng) {
+fn apply_torn_write(image: &mut Vec<u8>, offset: usize, data: &[u8], random: &mut impl Rng) {
     for (index, sector) in data.chunks(SECTOR_BYTES).enumerate() {
         if random.random_bool(0.3) {
             let offset = offset + index * SECTOR_BYTES;
@@ -159,7 +159,7 @@
     fn sync_data(&self) -> Result<()> {
         let mut state = self.state();
         state.begin_change()?;
-        if state.faulty() == Some(Fault::SyncFails) {
+        if state.active_fault() == Some(Fault::SyncFails) {
             return Err(Error::from(ErrorKind::Other));
         }
         state.syncs += 1;
@@ -184,7 +184,7 @@
     }
 }
 
-/// Submits one batch; the channel brings its outcome.
+/// Submits a batch; the returned channel receives its outcome.
 pub fn submit(store: &Store, operations: Vec<StoreOperation>) -> Receiver<Outcome> {
     let (sender, outcome) = bounded(1);
     let batch = WriteBatch::new(operations, move |outcome| {
@@ -196,28 +196,28 @@
 
 pub type Outcome = std::result::Result<(), StoreError>;
 
-/// Submits one batch and waits for its outcome.
+/// Submits a batch and waits for its outcome.
 pub fn write(store: &Store, operations: Vec<StoreOperation>) -> Outcome {
     submit(store, operations)
         .recv()
         .expect("every batch is answered")
 }
 
-/// Length of the keys of replicated records in the tests.
+/// Length of keys of replicated records in the tests.
 pub const RECORD_KEY_BYTES: usize = 1;
 
-/// All that a store holds.
+/// Contents of a store, except for node records.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Contents {
     pub heads: BTreeMap<u128, Vec<u8>>,
     pub entries: BTreeMap<(u128, u64), Vec<u8>>,
     pub configuration: BTreeMap<Vec<u8>, Vec<u8>>,
-    /// Values of the replicated records; the tests write values that begin with their key.
+    /// Values of the replicated records. The tests write values that begin with their key.
     pub records: BTreeMap<Vec<u8>, Vec<u8>>,
 }
 
 impl Contents {
-    /// Changes the model as the store should change.
+    /// Applies an operation to this model of the store.
     pub fn apply(&mut self, operation: &StoreOperation) {
         match operation.clone() {
             StoreOperation::PutRunHead { run, bytes } => {
@@ -250,7 +250,7 @@
         }
     }
 
-    /// Reads a store, whose entries belong to these runs.
+    /// Reads the contents of a store. Reads entries of `runs` only.
     pub fn of(store: &Store, runs: impl Iterator<Item = u128>) -> Self {
         let mut contents = Self::default();
         let visited = store.visit_run_heads(|run, head| {
@@ -266,7 +266,7 @@
         for record in store.configuration().expect("configuration") {
             contents.configuration.insert(record.key, record.bytes);
         }
-        // In pages, as replicas read them.
+        // Read in pages, as replicas do.
         let mut after = Vec::new();
         loop {
             let page = store.records_after(&after, 3).expect("records");
