--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -98,7 +98,7 @@
 pub struct EngineResponse {
     pub status: StatusCode,
     pub headers: HeaderMap,
-    /// Protocol fields of the head.
+    /// Metadata parsed from status and headers.
     pub head: EngineResponseHead,
     /// The unread body.
     pub body: Incoming,
@@ -123,8 +123,8 @@
     pub body: &'a Bytes,
     /// Last forwarded event, when a stream is resumed.
     pub last_event_id: Option<u64>,
-    /// Random number from 0 to 1. The request needs no grant for a warming engine whose `share` is
-    /// greater than this.
+    /// Random number from 0 to 1, drawn once per request. The request needs no grant for an engine
+    /// if the fraction of requests to it that need none (`WarmUps::share`) is greater than this.
     pub draw: f64,
     /// Grant for an engine that is warming up.
     pub warm_up_grant: Option<Grant>,
--- a/crates/gateway/src/call.rs
+++ b/crates/gateway/src/call.rs
@@ -22,7 +22,7 @@
     pub path: String,
     pub headers: HeaderMap,
     pub body: Bytes,
-    /// Protocol fields of the headers.
+    /// Metadata parsed from the headers.
     pub metadata: CallMetadata,
     pub route: Arc<Route>,
     /// `None` if the route requires no key.
--- a/crates/gateway/src/entry.rs
+++ b/crates/gateway/src/entry.rs
@@ -35,7 +35,7 @@
 };
 
 /// The client limits of the current configuration.
-pub fn caller_limits(gateway: &Gateway) -> CallerLimits {
+pub fn client_limits(gateway: &Gateway) -> CallerLimits {
     let routes = gateway.node.view.routes();
     routes.map_or(DEFAULT_LIMITS, |routes| routes.limits())
 }
@@ -105,7 +105,7 @@
     gateway: &Rc<Gateway>,
     body: Incoming,
 ) -> Result<(Bytes, BodyReservation), Refusal> {
-    let max_bytes = caller_limits(gateway).max_body_bytes;
+    let max_bytes = client_limits(gateway).max_body_bytes;
     let announced = hyper::body::Body::size_hint(&body).lower();
     if announced > max_bytes {
         return Err(Refusal::without_retry(RefusalReason::BodyTooLarge));
--- a/crates/gateway/src/exchange.rs
+++ b/crates/gateway/src/exchange.rs
@@ -54,8 +54,8 @@
     has_earlier_turns: bool,
     /// Whether the request holds a rate-limit grant of its tenant.
     has_rate_grant: bool,
-    /// Random number from 0 to 1. The request needs no grant for a warming engine whose `share` is
-    /// greater than this.
+    /// Random number from 0 to 1, drawn once per request. The request needs no grant for an engine
+    /// if the fraction of requests to it that need none (`WarmUps::share`) is greater than this.
     draw: f64,
 }
 
@@ -146,11 +146,11 @@
         let engine_response = match self.send(engine, in_flight, &mut client).await {
             Ok(engine_response) => engine_response,
             Err(SendFailure::ClientDisconnected) => {
-                self.on_may_have_run(engine);
+                self.record_possible_run(engine);
                 return Ok(Ending::ClientDisconnected);
             }
             Err(SendFailure::DeadlineExceeded) => {
-                self.on_may_have_run(engine);
+                self.record_possible_run(engine);
                 return Ok(self.deadline_exceeded(client).await);
             }
             Err(SendFailure::Failed(failure)) => {
@@ -225,11 +225,11 @@
                 Err(client)
             }
             StreamEnd::ClientDisconnected => {
-                self.on_may_have_run(engine);
+                self.record_possible_run(engine);
                 Ok(Ending::ClientDisconnected)
             }
             StreamEnd::DeadlineExceeded(client) => {
-                self.on_may_have_run(engine);
+                self.record_possible_run(engine);
                 Ok(self.deadline_exceeded(client).await)
             }
         }
@@ -282,11 +282,11 @@
         let response = tokio::select! {
             response = buffered_response::read(&self.gateway, engine_response) => response,
             () = client.disconnected() => {
-                self.on_may_have_run(engine);
+                self.record_possible_run(engine);
                 return Ok(Ending::ClientDisconnected);
             }
             () = tokio::time::sleep_until(self.call.deadline) => {
-                self.on_may_have_run(engine);
+                self.record_possible_run(engine);
                 return Ok(self.deadline_exceeded(client).await);
             }
         };
--- a/crates/gateway/src/exchange/engine_choice.rs
+++ b/crates/gateway/src/exchange/engine_choice.rs
@@ -19,9 +19,11 @@
 const MAX_REJECTIONS: usize = 3;
 /// Unreachable engines before the client is told to retry later.
 const MAX_UNREACHABLE: usize = 6;
-/// Fraction of a request's time in which full or unreachable engines are tried again.
+/// Time from the receipt of a request in which full or unreachable engines are tried again, as a
+/// fraction of the time to its deadline.
 const CAPACITY_WAIT_FRACTION: f64 = 0.35;
-/// Fraction of a request's time after which its client may retry.
+/// Retry delay of a final refusal, as a fraction of the time from the receipt of the request to its
+/// deadline; at least [`RETRY_AFTER`]. A refusal because of zone drains has its own delay.
 const RETRY_AFTER_FRACTION: f64 = 0.2;
 /// Shortest wait for a first event before another engine is tried.
 const MIN_FIRST_EVENT_TIMEOUT: Duration = Duration::from_millis(300);
@@ -45,8 +47,8 @@
     pub(super) may_have_run_on: Vec<String>,
     /// Engine process that may have run the request last.
     pub(super) last_run: Option<EngineKey>,
-    /// Engines of `may_have_run_on` that have terminated since. They do not count as attempts
-    /// allowed by the route.
+    /// Engines of `may_have_run_on` that have terminated since. They do not count against
+    /// the route's maximum number of attempts.
     pub(super) terminated: Vec<String>,
     /// Engine at which the stream was resumed after that engine had failed.
     pub(super) resumed_at: Option<String>,
@@ -291,7 +293,7 @@
         self.call.deadline.min(Instant::now() + timeout)
     }
 
-    pub(super) fn on_may_have_run(&mut self, engine: &Engine) {
+    pub(super) fn record_possible_run(&mut self, engine: &Engine) {
         self.history.last_run = Some(engine.key());
         let may_have_run_on = &mut self.history.may_have_run_on;
         if !may_have_run_on.contains(&engine.instance) {
@@ -338,7 +340,7 @@
             self.on_outcome(engine, outcome);
         }
         if !failure.did_not_run() {
-            self.on_may_have_run(engine);
+            self.record_possible_run(engine);
         }
         log::info!(
             target: "attempt",
--- a/crates/gateway/src/exchange/preparation.rs
+++ b/crates/gateway/src/exchange/preparation.rs
@@ -26,7 +26,7 @@
 }
 
 /// State of the ledger after a successful reservation.
-struct Reservation {
+struct LedgerState {
     /// Whether the ledger has other turns of the program.
     has_earlier_turns: bool,
 }
@@ -68,7 +68,8 @@
         Ok(())
     }
 
-    /// Refuses at once a request that needs a majority of replicas while none is reachable.
+    /// Refuses a request at once if it needs a majority of its group's replicas, and that majority
+    /// is believed to be unreachable.
     fn majority_refusal(&self) -> Option<Refusal> {
         let records = &self.gateway.records;
         let group = records.group_of(self.call.program().as_ref());
@@ -177,7 +178,7 @@
 
     /// Reserves the maximum number of tokens that the turn may generate; `None` if the request has
     /// no budget.
-    async fn reserve(&self) -> Result<Option<Reservation>, Refusal> {
+    async fn reserve(&self) -> Result<Option<LedgerState>, Refusal> {
         let (Some(ledger_key), Some(budget)) = (self.ledger_key(), self.call.metadata.token_budget)
         else {
             return Ok(None);
@@ -210,7 +211,7 @@
         }
         if ledger.admits(&ledger_key.turn, reserved_tokens, budget) {
             let has_earlier_turns = ledger.entries.keys().any(|turn| *turn != ledger_key.turn);
-            return Ok(Some(Reservation { has_earlier_turns }));
+            return Ok(Some(LedgerState { has_earlier_turns }));
         }
         log::info!(
             target: "request",
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -242,12 +242,12 @@
         failed.into_iter().next_back()?
     }
 
-    /// Asks the directory node which engine last prefilled the prompt that ends with `part`.
-    /// Returns that engine if it failed the prompt.
-    pub async fn look_up_prefill(&self, part: u64) -> Option<EngineKey> {
-        let record = match self.node.gossip.directory_node(part) {
-            Some(node) => self.node.gossip.query_prefill(node, part).await,
-            None => self.find_prefill(part),
+    /// Asks the directory node which engine last prefilled the prompt that ends with the part
+    /// that has this hash. Returns that engine if it failed the prompt.
+    pub async fn look_up_prefill(&self, part_hash: u64) -> Option<EngineKey> {
+        let record = match self.node.gossip.directory_node(part_hash) {
+            Some(node) => self.node.gossip.query_prefill(node, part_hash).await,
+            None => self.find_prefill(part_hash),
         };
         let record = record?;
         if record.is_failure() {
@@ -423,9 +423,9 @@
         self.directory.borrow_mut().insert(record, now);
     }
 
-    fn find_prefill(&self, part: u64) -> Option<PrefillRecord> {
+    fn find_prefill(&self, part_hash: u64) -> Option<PrefillRecord> {
         let directory = self.directory.borrow();
-        directory.find(part, self.now()).cloned()
+        directory.find(part_hash, self.now()).cloned()
     }
 }
 
--- a/crates/gateway/src/listener.rs
+++ b/crates/gateway/src/listener.rs
@@ -20,7 +20,8 @@
 
 /// File descriptors reserved for engines, nodes, the store and files.
 const RESERVED_DESCRIPTORS: u64 = 1_000;
-const MIN_CONNECTIONS: u64 = 256;
+/// Lowest limit of open client connections, even if the file descriptors allow fewer.
+const MIN_CONNECTION_LIMIT: u64 = 256;
 /// Smallest buffer that the HTTP library accepts.
 const MIN_BUFFER_BYTES: u64 = 8 * 1024;
 /// Idle connections stay open slightly longer than clients may reuse them.
@@ -49,7 +50,7 @@
     let listener = TcpListener::bind(address).await?;
     let descriptors = gateway.node.settings.limits.descriptors;
     let connections = descriptors.saturating_sub(RESERVED_DESCRIPTORS);
-    let permits = connections.max(MIN_CONNECTIONS);
+    let permits = connections.max(MIN_CONNECTION_LIMIT);
     let permits = Rc::new(Semaphore::new(
         usize::try_from(permits).unwrap_or(usize::MAX),
     ));
@@ -83,7 +84,7 @@
     if stream.set_nodelay(true).is_err() {
         return;
     }
-    let limits = entry::caller_limits(&gateway);
+    let limits = entry::client_limits(&gateway);
     let idle = Duration::from_millis(limits.idle_timeout_ms) + IDLE_MARGIN;
     let buffer = limits.max_header_bytes.max(MIN_BUFFER_BYTES);
     let keeps_alive = *phase.borrow() == StopPhase::Serving;
--- a/crates/gateway/src/quorum_health.rs
+++ b/crates/gateway/src/majority_health.rs
@@ -17,12 +17,12 @@
 
 /// Reachability of one group's majority, judged by the last operations.
 #[derive(Debug, Default)]
-pub struct QuorumHealth {
+pub struct MajorityHealth {
     /// When the majority became unreachable; `None` while it is reachable.
     lost_since: Cell<Option<Instant>>,
 }
 
-impl QuorumHealth {
+impl MajorityHealth {
     /// Records that a majority answered. Returns how long it was unreachable if this ends the loss.
     pub fn on_reached(&self) -> Option<Duration> {
         let since = self.lost_since.take()?;
@@ -56,7 +56,7 @@
 
 /// Reachability of each group's majority. Groups without a recorded failure count as reachable.
 #[derive(Debug, Default)]
-pub struct GroupHealth(RefCell<BTreeMap<GroupId, QuorumHealth>>);
+pub struct GroupHealth(RefCell<BTreeMap<GroupId, MajorityHealth>>);
 
 impl GroupHealth {
     /// Records that a majority of a group answered. Returns how long it was unreachable if this
@@ -76,7 +76,7 @@
     /// Whether the group's majority is believed to be unreachable.
     pub fn is_lost(&self, group: GroupId) -> bool {
         let groups = self.0.borrow();
-        groups.get(&group).is_some_and(QuorumHealth::is_lost)
+        groups.get(&group).is_some_and(MajorityHealth::is_lost)
     }
 
     /// Number of groups whose majority is unreachable.
@@ -90,6 +90,6 @@
         let groups = self.0.borrow();
         groups
             .get(&group)
-            .map_or(Duration::ZERO, QuorumHealth::lost_for)
+            .map_or(Duration::ZERO, MajorityHealth::lost_for)
     }
 }
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -182,9 +182,10 @@
     pub replica_set_epoch: Gauge,
     /// Calls to the platform's store.
     pub store_calls: Gauge,
-    /// Calls to the store that check a silent watch.
+    /// Answered calls to the store that check, beside an open watch, whether the watch has missed
+    /// changes. Made after the known objects have been unconfirmed for too long.
     pub store_checks: Gauge,
-    /// Watches that were found to have missed changes.
+    /// Watches for which such a check found missed changes.
     pub silent_watches: Gauge,
     /// Links to other nodes that were replaced because no data arrived.
     pub silent_links: Gauge,
--- a/crates/gateway/src/records_client.rs
+++ b/crates/gateway/src/records_client.rs
@@ -23,8 +23,8 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
+use crate::majority_health::GroupHealth;
 use crate::node_network::NodeNetwork;
-use crate::quorum_health::GroupHealth;
 use crate::replica_paths::ReplicaPaths;
 
 /// Timeout of a request to one replica.
--- a/crates/gateway/src/records_client/reading.rs
+++ b/crates/gateway/src/records_client/reading.rs
@@ -13,8 +13,8 @@
 use super::{LastReplies, RETRY_DELAY, RecordsClient, RecordsUnavailable};
 
 /// Shortest time before the next replica is asked. Longer for a replica whose recent replies were
-/// slow.
-const READ_TIMEOUT: Duration = Duration::from_millis(200);
+/// slow. Also the timeout for sending newer replica sets to a replica.
+const MIN_READ_TIMEOUT: Duration = Duration::from_millis(200);
 
 impl RecordsClient {
     /// Reads a program's turn and all before it. The turn is reported as absent only if no group
@@ -109,7 +109,7 @@
                 let asking = self.paths.ask_with_adaptive_timeout(
                     &replica,
                     request,
-                    READ_TIMEOUT,
+                    MIN_READ_TIMEOUT,
                     residency,
                 );
                 let reply = asking.await;
@@ -129,7 +129,7 @@
                         let groups = ReplicaGroups::clone(&*self.groups().await);
                         let adopt = ReplicaRequest::Adopt { groups };
                         // The read continues at the next replica, and returns to this one later.
-                        let _ = self.paths.ask(&replica, adopt, READ_TIMEOUT).await;
+                        let _ = self.paths.ask(&replica, adopt, MIN_READ_TIMEOUT).await;
                     }
                     _ => {}
                 }
--- a/crates/gateway/src/replica_paths.rs
+++ b/crates/gateway/src/replica_paths.rs
@@ -36,7 +36,8 @@
 const PROBE_INTERVAL: Duration = Duration::from_millis(250);
 /// Timeout of a probe.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(700);
-/// How long a closed path is remembered. One that is still closed is detected again.
+/// Age at which a closed path is forgotten, checked whenever a path is being closed. If it is still
+/// unusable, that is detected again.
 const CLOSED_PATH_LIFETIME: Duration = Duration::from_secs(60);
 /// How long a replica that did not answer stays last in the order in which replicas are asked. Long
 /// enough for a failed replica to be replaced.
@@ -112,9 +113,11 @@
         until.is_some_and(|until| Instant::now() < until)
     }
 
-    /// Whether to relay another gateway's request to a replica. If the replica does not answer this
-    /// gateway either, the requester learns at once that the replica is unreachable from other
-    /// gateways too, and tells its clients to wait longer, so that they do not use up their tries.
+    /// Whether to relay another gateway's request to a replica: only if the direct path is believed
+    /// to be open and the replica has not recently failed to answer this gateway. Otherwise the
+    /// relay fails at once, which tells the requesting gateway that others cannot reach the replica
+    /// either. It then gives its clients a longer retry delay, so that they do not use up their
+    /// tries.
     pub fn can_relay_to(&self, replica: ReplicaId) -> bool {
         self.is_open(replica) && !self.is_suspected(replica)
     }
--- a/crates/gateway/src/role.rs
+++ b/crates/gateway/src/role.rs
@@ -40,7 +40,7 @@
     settings_path: PathBuf,
     log_counters: Arc<LogCounters>,
 ) -> Result<(), RoleError> {
-    let callers = settings
+    let client_address = settings
         .listen
         .callers
         .ok_or(RoleError::MissingSetting("listen.callers"))?;
@@ -62,7 +62,7 @@
     serve_readiness(&gateway, readiness).await?;
     let metrics_source = Rc::clone(&gateway);
     serve_metrics(&node, registry, move || metrics_source.update_gauges()).await?;
-    listener::listen(Rc::clone(&gateway), callers, phase).await?;
+    listener::listen(Rc::clone(&gateway), client_address, phase).await?;
     tokio::task::spawn_local(Rc::clone(&gateway).run_maintenance());
     tokio::task::spawn_local(Rc::clone(&gateway.records).run_settlements());
     tokio::task::spawn_local(Rc::clone(&gateway.records).run_probes());
--- a/crates/gateway/src/warm_ups.rs
+++ b/crates/gateway/src/warm_ups.rs
@@ -49,8 +49,8 @@
 pub struct WarmUpRule<'a> {
     admission: &'a WarmUpAdmission,
     now: Duration,
-    /// Random number from 0 to 1. The request needs no grant for a warming engine whose `share` is
-    /// greater than this.
+    /// Random number from 0 to 1, drawn once per request. The request needs no grant for an engine
+    /// if the fraction of requests to it that need none ([`WarmUps::share`]) is greater than this.
     draw: f64,
     /// Whether the request may ask a limiter for a grant.
     may_ask: bool,
@@ -69,7 +69,8 @@
 }
 
 impl WarmUpAdmission {
-    /// Creates the admission of a gateway on this node.
+    /// Creates the admission without any grants. It is enabled if the node's settings have a
+    /// warm-up bound.
     pub fn new(node: Rc<Node>, metrics: WarmUpMetrics) -> Self {
         Self {
             is_enabled: node.settings.bounds.warm_up().is_some(),
--- a/crates/gateway/src/zone_drains.rs
+++ b/crates/gateway/src/zone_drains.rs
@@ -1,4 +1,5 @@
-//! Tracks this gateway's open requests in drained zones, and estimates when a zone returns.
+//! Tracks this gateway's open requests in drained zones, and estimates how long clients should wait
+//! for a drain to end.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -32,7 +33,7 @@
 }
 
 impl ZoneDrainWatch {
-    /// Creates a watch over the drains that this node knows.
+    /// Creates a watch that has not checked any drained zone yet.
     pub fn new(node: Rc<Node>) -> Self {
         Self {
             node,
@@ -40,9 +41,9 @@
         }
     }
 
-    /// Whether the drains are known, are not followed, or have been unknown since the start of the
-    /// process for longer than the bound on a drain taking effect. Requests stop waiting for
-    /// unknown drains then, and do not wait if there is no bound.
+    /// Whether requests need not wait for the list of drains: it is known, this node does not use
+    /// drains, the settings have no bound on the time until a drain takes effect, or the process
+    /// has run for longer than that bound.
     pub fn are_known_or_overdue(&self) -> bool {
         let drains = &self.node.view.drains;
         let bound = self.node.settings.bounds.zone_drain();
--- a/crates/gateway/tests/drains.rs
+++ b/crates/gateway/tests/drains.rs
@@ -18,7 +18,7 @@
 use tokio::sync::watch;
 
 const ZONE: &str = "zone-a";
-const CALLERS: &str = "127.77.2.1:27391";
+const CLIENT_ADDRESS: &str = "127.77.2.1:27391";
 const REQUEST: &[u8] =
     b"GET /tools/x HTTP/1.1\r\nhost: app.example\r\nridgeworks-request-id: r-1\r\n\
     ridgeworks-deadline-ms: 1000\r\n\r\n";
@@ -76,7 +76,7 @@
     };
     view.adopt_engines(vec![entry], 1, Source::Store);
     view.adopt_drains(drains(&[], 1), Source::Store);
-    let address = CALLERS.parse().expect("an address");
+    let address = CLIENT_ADDRESS.parse().expect("an address");
     listen(Rc::clone(&gateway), address, phase)
         .await
         .expect("a free port");
@@ -93,7 +93,7 @@
         let engine = engine(listener.local_addr().expect("a bound listener"));
         let (_stop, phase) = watch::channel(StopPhase::Serving);
         let gateway = start_gateway(engine.clone(), phase).await;
-        let client = tokio::task::spawn_local(first_response_line(CALLERS));
+        let client = tokio::task::spawn_local(first_response_line(CLIENT_ADDRESS));
         let mut connection = accept_without_yielding(&listener).await;
         gateway
             .node
--- a/crates/gateway/tests/replica_paths.rs
+++ b/crates/gateway/tests/replica_paths.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use ridgeworks_gateway::{QuorumHealth, ReplicaNetwork, ReplicaPaths, ReplyFuture};
+use ridgeworks_gateway::{MajorityHealth, ReplicaNetwork, ReplicaPaths, ReplyFuture};
 use ridgeworks_records::{
     Epoch, GroupId, Replica, ReplicaId, ReplicaReply, ReplicaRequest, TurnId,
 };
@@ -284,7 +284,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn majority_is_lost_after_a_long_failure_until_it_answers() {
-    let health = QuorumHealth::default();
+    let health = MajorityHealth::default();
     assert!(
         !health.on_failed(Duration::from_millis(50)),
         "too short to be evidence"
@@ -325,7 +325,7 @@
     first.map(|replica| replica.id).collect()
 }
 
-/// Guards against one replica serving most reads of a zone that has no replica.
+/// Guards against one replica serving most reads from a zone without replicas.
 #[test]
 fn reads_from_a_zone_without_replicas_are_spread() {
     let network = FakeNetwork::new(Behaviour::Replies(REPLY_TIME), &[]);
@@ -376,8 +376,8 @@
     );
 }
 
-/// Otherwise the requesting gateway would wait until the relay's own request to the failed replica
-/// times out.
+/// Guards against a relay that asks a replica that it knows to have failed: the requesting gateway
+/// would wait until the relay's own request times out.
 #[tokio::test(start_paused = true)]
 async fn gateway_does_not_relay_to_a_suspected_replica() {
     let network = FakeNetwork::new(Behaviour::Silent, &[]);
