--- a/crates/http-edge/examples/open_streams.rs
+++ b/crates/http-edge/examples/open_streams.rs
@@ -76,10 +76,7 @@
 fn wait_until(condition: impl Fn() -> bool) -> Duration {
     let started = Instant::now();
     while !condition() {
-        assert!(
-            started.elapsed() < TIMEOUT,
-            "timed out waiting for the condition"
-        );
+        assert!(started.elapsed() < TIMEOUT, "waited in vain");
         thread::sleep(POLL_INTERVAL);
     }
     started.elapsed()
