--- a/crates/configuration/src/acceptance/decision.rs
+++ b/crates/configuration/src/acceptance/decision.rs
@@ -1,4 +1,4 @@
-//! What becomes of one change, and what its operator hears.
+//! Decides one change and computes the answer for its operator.
 
 use std::sync::Arc;
 
@@ -8,16 +8,17 @@
 use crate::set::ConfigurationSet;
 use crate::update::Update;
 
-/// Reads the platform's document; an absent one is the empty configuration.
+/// Parses the platform's document; an empty document is the empty configuration.
 pub(crate) fn read_document(document: &[u8]) -> Result<ConfigurationSet, Unavailable> {
     if document.is_empty() {
         return Ok(ConfigurationSet::default());
     }
     let update = Update::from_document(document).map_err(|_| Unavailable::UnreadableDocument)?;
-    Ok(ConfigurationSet::from_whole(&update))
+    Ok(ConfigurationSet::from_snapshot(&update))
 }
 
-/// Applies one change, or finds it done already.
+/// Applies one change to `next`. An operation that was already applied is answered with its recorded
+/// revision and changes nothing.
 pub(super) fn decide(next: &mut Arc<ConfigurationSet>, request: &ChangeRequest) -> OperatorAnswer {
     if let Some(record) = next.operation(request.operation) {
         let revision = record.revision;
@@ -33,11 +34,11 @@
     }
 }
 
-/// Whether a change is allowed only thanks to another one in the same write. Such a change waits for
-/// the next write: every change in a write must be allowed at the version that the write expects,
-/// or a second coordinator that is asked for the same operation could reject it at that version
-/// while the first one's write is still on its way.
-pub(super) fn leans_on_batch(
+/// Whether a change is allowed only because of another change in the same write. Such a change is
+/// deferred to the next write: every change in a write must be allowed at the version that the write
+/// expects. Otherwise a second coordinator that receives the same operation could reject it at that
+/// version while the write of the first one is still in flight.
+pub(super) fn depends_on_batch(
     base: &Arc<ConfigurationSet>,
     next: &Arc<ConfigurationSet>,
     request: &ChangeRequest,
@@ -48,17 +49,17 @@
         && apply_change(base, request).is_err()
 }
 
-/// The revision that an answer gives away.
-pub(super) fn needs(answer: &OperatorAnswer, set: &ConfigurationSet) -> Revision {
+/// The revision that a majority must hold before the answer may be sent.
+pub(super) fn required_revision(answer: &OperatorAnswer, set: &ConfigurationSet) -> Revision {
     match answer {
         OperatorAnswer::Accepted { revision } => *revision,
         _ => set.revision(),
     }
 }
 
-/// What an operator hears whose answer no majority came to hold. An accepted change stands in the
-/// platform's store and may still be heard of; a rejected one has no effect in any case.
-pub(super) fn without_quorum(answer: &OperatorAnswer) -> OperatorAnswer {
+/// The answer when no majority acknowledged the required revision in time. An accepted change is in
+/// the platform's store and may still take effect; a rejected one has no effect in any case.
+pub(super) fn answer_without_quorum(answer: &OperatorAnswer) -> OperatorAnswer {
     match answer {
         OperatorAnswer::Accepted { .. } => OperatorAnswer::Unknown,
         _ => OperatorAnswer::Refused(Unavailable::NoQuorum),
--- a/crates/configuration/src/acceptance/mod.rs
+++ b/crates/configuration/src/acceptance/mod.rs
@@ -1,16 +1,18 @@
-//! The coordinator of changes: it runs on whichever node an operator asks.
+//! The coordinator of changes. It runs on the node that receives the operator's request.
 //!
-//! A change takes effect when the platform's store swaps the document, and is accepted when a
-//! majority of the voters also holds the revision. An answer that gives a revision away, also a
-//! rejection, waits until a majority holds that revision: whoever asks later then finds it too.
+//! A change takes effect when the compare-and-swap of the platform's document succeeds, and is
+//! accepted when a majority of the voters also holds the revision. Every answer that reveals a
+//! revision, including a rejection, waits until a majority holds that revision, so that later reads
+//! on any node observe it.
 //!
-//! A lost answer of the store is resolved by reading back. The document remembers the newest
-//! operations, so that an operation is found also after other writers. While the document stands
-//! at the version that the lost write expected, the write may still arrive: the very same document
-//! is sent again, and at most one of the two takes effect. Once the version has changed, a write
-//! that is not in the document can never take effect.
+//! If the answer to a write is lost, the coordinator reads the document again. The document records
+//! the most recent operations, so that an operation is found even after writes by others. While the
+//! document is still at the version that the lost write expected, that write may still arrive: the
+//! identical document is sent again, and at most one of the two writes takes effect. Once the version
+//! has changed, a write that is not in the document can never take effect.
 //!
-//! Nothing here survives a crash; a watcher brings what a dead coordinator left to the voters.
+//! The coordinator keeps no durable state. After its crash, a watcher replicates the document that it
+//! wrote to the voters.
 
 mod decision;
 mod stages;
@@ -21,8 +23,8 @@
 use ridgeworks_domain::{MonotonicTime, NodeId};
 
 pub(crate) use self::decision::read_document;
-use self::decision::{decide, leans_on_batch, needs, without_quorum};
-use self::stages::{Asked, Attempt, OpenChange, Settling, Stage};
+use self::decision::{answer_without_quorum, decide, depends_on_batch, required_revision};
+use self::stages::{Attempt, OpenChange, PendingAnswer, PlatformCall, Stage};
 use crate::change::ChangeRequest;
 use crate::effect::{OperatorAnswer, PlatformAnswer, PlatformOperation, Ticket, Unavailable};
 use crate::outbox::Outbox;
@@ -31,7 +33,8 @@
 use crate::revision::{PlatformVersion, RequestId, Revision};
 use crate::set::ConfigurationSet;
 use crate::settings::{
-    GIVE_UP_AFTER, MAX_BATCH, MAX_OPEN_CHANGES, PLATFORM_TIMEOUT, REFUSE_AFTER, RETRY_INTERVAL,
+    MAX_CHANGES_PER_WRITE, MAX_OPEN_CHANGES, PLATFORM_TIMEOUT, QUEUED_CHANGE_TIMEOUT,
+    RETRY_INTERVAL, SENT_CHANGE_TIMEOUT,
 };
 
 /// The coordinator of one node.
@@ -40,7 +43,7 @@
     stage: Stage,
     queue: VecDeque<OpenChange>,
     attempt: Option<Attempt>,
-    settling: Vec<Settling>,
+    pending_answers: Vec<PendingAnswer>,
     replication: Replication,
     in_force: Revision,
 }
@@ -51,18 +54,18 @@
             stage: Stage::Idle,
             queue: VecDeque::new(),
             attempt: None,
-            settling: Vec::new(),
+            pending_answers: Vec::new(),
             replication: Replication::new(voters),
             in_force: Revision::ZERO,
         }
     }
 
-    /// Notes the revision in force on this node.
-    pub(crate) fn note_in_force(&mut self, revision: Revision) {
+    /// Records the revision in force on this node, a lower bound for documents read later.
+    pub(crate) fn set_in_force(&mut self, revision: Revision) {
         self.in_force = self.in_force.max(revision);
     }
 
-    /// Takes a change of an operator.
+    /// Queues a change of an operator; answers `TooManyRequests` above [`MAX_OPEN_CHANGES`].
     pub(crate) fn submit(
         &mut self,
         ticket: Ticket,
@@ -81,16 +84,16 @@
             arrived: now,
             answered: false,
         });
-        self.proceed(now, outbox);
+        self.start_read_if_needed(now, outbox);
     }
 
-    /// Changes that operators wait for.
+    /// Number of changes that are not answered yet or still part of a write attempt.
     pub(crate) fn open_changes(&self) -> usize {
         let in_attempt = self.attempt.iter().map(|attempt| attempt.changes.len());
-        self.queue.len() + self.settling.len() + in_attempt.sum::<usize>()
+        self.queue.len() + self.pending_answers.len() + in_attempt.sum::<usize>()
     }
 
-    /// Takes an answer of the platform. Returns the configuration found in the store, if one was.
+    /// Handles an answer of the platform. Returns the configuration that the store is known to hold.
     pub(crate) fn platform_answer(
         &mut self,
         request: RequestId,
@@ -98,32 +101,32 @@
         now: MonotonicTime,
         outbox: &mut Outbox,
     ) -> Option<Arc<ConfigurationSet>> {
-        let asked = match self.stage {
-            Stage::Reading(asked) | Stage::Swapping(asked) => asked,
-            Stage::Idle | Stage::Pausing(_) => return None,
+        let call = match self.stage {
+            Stage::Reading(call) | Stage::Swapping(call) => call,
+            Stage::Idle | Stage::Backoff(_) => return None,
         };
-        if asked.request != request {
+        if call.request != request {
             return None;
         }
         self.stage = Stage::Idle;
         let found = match answer {
             PlatformAnswer::Document { version, document } => {
-                self.document(asked, version, &document, now, outbox)
+                self.document(call, version, &document, now, outbox)
             }
-            PlatformAnswer::Swapped { .. } => self.swapped(now, outbox),
+            PlatformAnswer::Swapped { .. } => self.on_swapped(now, outbox),
             PlatformAnswer::VersionMismatch => None,
             PlatformAnswer::Unavailable
             | PlatformAnswer::Lost
             | PlatformAnswer::Machines { .. } => {
-                self.stage = Stage::Pausing(now + RETRY_INTERVAL);
+                self.stage = Stage::Backoff(now + RETRY_INTERVAL);
                 None
             }
         };
-        self.proceed(now, outbox);
+        self.start_read_if_needed(now, outbox);
         found
     }
 
-    /// Takes the acknowledgement of a voter.
+    /// Handles a voter's acknowledgement that it durably holds revision `newest`.
     pub(crate) fn acknowledge(
         &mut self,
         from: NodeId,
@@ -134,48 +137,53 @@
     ) {
         self.replication
             .acknowledge(from, request, newest, now, outbox);
-        self.settle(now, outbox);
+        self.answer_settled(now, outbox);
     }
 
-    /// Retries and gives up what took too long.
+    /// Retries replication and expires changes that have reached their deadline.
     pub(crate) fn tick(&mut self, now: MonotonicTime, outbox: &mut Outbox) {
-        if let Stage::Reading(asked) | Stage::Swapping(asked) = self.stage
-            && now.since(asked.sent) >= PLATFORM_TIMEOUT
+        if let Stage::Reading(call) | Stage::Swapping(call) = self.stage
+            && now.since(call.sent) >= PLATFORM_TIMEOUT
         {
             self.stage = Stage::Idle;
         }
-        self.settle(now, outbox);
-        self.give_up(now, outbox);
-        if !self.settling.is_empty() {
+        self.answer_settled(now, outbox);
+        self.expire_changes(now, outbox);
+        if !self.pending_answers.is_empty() {
             self.replication.retry(now, outbox);
         }
-        self.proceed(now, outbox);
+        self.start_read_if_needed(now, outbox);
     }
 
-    /// Reads the document when there is something to do and nothing is under way.
-    fn proceed(&mut self, now: MonotonicTime, outbox: &mut Outbox) {
+    /// Reads the document if changes are waiting and no platform operation is in flight.
+    fn start_read_if_needed(&mut self, now: MonotonicTime, outbox: &mut Outbox) {
         let paused = match self.stage {
             Stage::Idle => false,
-            Stage::Pausing(until) => now < until,
+            Stage::Backoff(until) => now < until,
             Stage::Reading(_) | Stage::Swapping(_) => true,
         };
         if paused || (self.queue.is_empty() && self.attempt.is_none()) {
             return;
         }
-        self.stage = Stage::Reading(self.ask(PlatformOperation::Read, now, outbox));
+        self.stage = Stage::Reading(self.call_platform(PlatformOperation::Read, now, outbox));
     }
 
-    fn ask(&self, operation: PlatformOperation, now: MonotonicTime, outbox: &mut Outbox) -> Asked {
-        Asked {
+    fn call_platform(
+        &self,
+        operation: PlatformOperation,
+        now: MonotonicTime,
+        outbox: &mut Outbox,
+    ) -> PlatformCall {
+        PlatformCall {
             request: outbox.platform(operation),
             sent: now,
-            floor: self.in_force.max(self.replication.target().revision()),
+            min_revision: self.in_force.max(self.replication.target().revision()),
         }
     }
 
     fn document(
         &mut self,
-        asked: Asked,
+        call: PlatformCall,
         version: PlatformVersion,
         document: &[u8],
         now: MonotonicTime,
@@ -188,34 +196,34 @@
                 return None;
             }
         };
-        if set.revision() < asked.floor {
+        if set.revision() < call.min_revision {
             self.refuse_queue(Unavailable::PlatformBehind, now, outbox);
             return None;
         }
         match self.attempt.take() {
             Some(attempt) if attempt.expected == version => {
                 self.attempt = Some(attempt);
-                self.swap(now, outbox);
+                self.send_swap(now, outbox);
             }
             Some(attempt) => {
                 self.resolve(attempt, &set, outbox);
-                self.begin_attempt(asked, version, &set, now, outbox);
+                self.begin_attempt(call, version, &set, now, outbox);
             }
-            None => self.begin_attempt(asked, version, &set, now, outbox),
+            None => self.begin_attempt(call, version, &set, now, outbox),
         }
         Some(set)
     }
 
-    /// Finds out what became of a write whose document has been overtaken.
+    /// Resolves a write of unknown outcome once the document is at another version than it expected.
     fn resolve(&mut self, attempt: Attempt, set: &ConfigurationSet, outbox: &mut Outbox) {
-        let remembered = set.remembers_since(attempt.base.revision());
+        let all_recorded = set.has_operations_since(attempt.base.revision());
         for (change, _) in attempt.changes.into_iter().rev() {
             if change.answered {
                 continue;
             }
             let found = set.operation(change.request.operation).is_some();
-            if found || remembered {
-                // Where it is found, the next attempt answers with its recorded revision.
+            if found || all_recorded {
+                // If the operation was applied, the next attempt answers with its recorded revision.
                 self.queue.push_front(change);
             } else {
                 outbox.answer(change.ticket, OperatorAnswer::Unknown);
@@ -223,10 +231,10 @@
         }
     }
 
-    /// Applies the waiting changes to the document as read, and writes it where any took effect.
+    /// Applies queued changes to the document that was read, and writes it if any of them changed it.
     fn begin_attempt(
         &mut self,
-        asked: Asked,
+        call: PlatformCall,
         version: PlatformVersion,
         base: &Arc<ConfigurationSet>,
         now: MonotonicTime,
@@ -235,16 +243,16 @@
         let mut next = Arc::clone(base);
         let mut changes = Vec::new();
         let mut deferred = VecDeque::new();
-        let count = self.queue.len().min(MAX_BATCH);
+        let count = self.queue.len().min(MAX_CHANGES_PER_WRITE);
         for change in self.queue.drain(..count) {
-            if leans_on_batch(base, &next, &change.request) {
+            if depends_on_batch(base, &next, &change.request) {
                 deferred.push_back(change);
                 continue;
             }
             let answer = decide(&mut next, &change.request);
             let rejected = matches!(answer, OperatorAnswer::Rejected(_));
-            if rejected && change.arrived > asked.sent {
-                // The document may be older than the change, which needs a later one.
+            if rejected && change.arrived > call.sent {
+                // The document may be older than the request, so it cannot justify a rejection.
                 deferred.push_back(change);
                 continue;
             }
@@ -261,27 +269,27 @@
         let unchanged = attempt.next.revision() == base.revision();
         self.attempt = Some(attempt);
         if unchanged {
-            self.swapped(now, outbox);
+            self.on_swapped(now, outbox);
         } else {
-            self.swap(now, outbox);
+            self.send_swap(now, outbox);
         }
     }
 
-    fn swap(&mut self, now: MonotonicTime, outbox: &mut Outbox) {
+    fn send_swap(&mut self, now: MonotonicTime, outbox: &mut Outbox) {
         let Some(attempt) = &self.attempt else {
             return;
         };
         let base = attempt.base.revision();
         let operation = PlatformOperation::CompareAndSwap {
             expected: attempt.expected,
-            document: attempt.next.whole().to_document(),
+            document: attempt.next.snapshot().to_document(),
             operations: attempt.next.operations_since(base),
         };
-        self.stage = Stage::Swapping(self.ask(operation, now, outbox));
+        self.stage = Stage::Swapping(self.call_platform(operation, now, outbox));
     }
 
-    /// The attempt's document stands in the store: on to the voters.
-    fn swapped(
+    /// The store holds the attempt's document; replicates it to the voters.
+    fn on_swapped(
         &mut self,
         now: MonotonicTime,
         outbox: &mut Outbox,
@@ -292,35 +300,35 @@
             if change.answered {
                 continue;
             }
-            self.settling.push(Settling {
+            self.pending_answers.push(PendingAnswer {
                 ticket: change.ticket,
-                needs: needs(&answer, &next),
+                required_revision: required_revision(&answer, &next),
                 answer,
                 arrived: change.arrived,
             });
         }
-        if !self.settling.is_empty() {
+        if !self.pending_answers.is_empty() {
             self.replication.start(&next, self.in_force, now, outbox);
-            self.settle(now, outbox);
+            self.answer_settled(now, outbox);
         }
         Some(next)
     }
 
-    /// Answers the operators whose revisions a majority holds.
-    fn settle(&mut self, now: MonotonicTime, outbox: &mut Outbox) {
+    /// Sends the pending answers whose required revision a majority holds.
+    fn answer_settled(&mut self, now: MonotonicTime, outbox: &mut Outbox) {
         let held = self.replication.held(now);
-        self.settling.retain(|settling| {
-            let settled = held.is_some_and(|held| held >= settling.needs);
+        self.pending_answers.retain(|pending| {
+            let settled = held.is_some_and(|held| held >= pending.required_revision);
             if settled {
-                outbox.answer(settling.ticket, settling.answer.clone());
+                outbox.answer(pending.ticket, pending.answer.clone());
             }
             !settled
         });
     }
 
-    fn give_up(&mut self, now: MonotonicTime, outbox: &mut Outbox) {
+    fn expire_changes(&mut self, now: MonotonicTime, outbox: &mut Outbox) {
         self.queue.retain(|change| {
-            let keep = now.since(change.arrived) < REFUSE_AFTER;
+            let keep = now.since(change.arrived) < QUEUED_CHANGE_TIMEOUT;
             if !keep {
                 let refused = OperatorAnswer::Refused(Unavailable::Platform);
                 outbox.answer(change.ticket, refused);
@@ -329,15 +337,15 @@
         });
         let attempted = self.attempt.iter_mut();
         for (change, _) in attempted.flat_map(|attempt| &mut attempt.changes) {
-            if !change.answered && now.since(change.arrived) >= GIVE_UP_AFTER {
+            if !change.answered && now.since(change.arrived) >= SENT_CHANGE_TIMEOUT {
                 change.answered = true;
                 outbox.answer(change.ticket, OperatorAnswer::Unknown);
             }
         }
-        self.settling.retain(|settling| {
-            let keep = now.since(settling.arrived) < GIVE_UP_AFTER;
+        self.pending_answers.retain(|pending| {
+            let keep = now.since(pending.arrived) < SENT_CHANGE_TIMEOUT;
             if !keep {
-                outbox.answer(settling.ticket, without_quorum(&settling.answer));
+                outbox.answer(pending.ticket, answer_without_quorum(&pending.answer));
             }
             keep
         });
@@ -347,6 +355,6 @@
         for change in self.queue.drain(..) {
             outbox.answer(change.ticket, OperatorAnswer::Refused(unavailable));
         }
-        self.stage = Stage::Pausing(now + RETRY_INTERVAL);
+        self.stage = Stage::Backoff(now + RETRY_INTERVAL);
     }
 }
--- a/crates/configuration/src/acceptance/stages.rs
+++ b/crates/configuration/src/acceptance/stages.rs
@@ -1,4 +1,4 @@
-//! The stages that a change passes through, and those of the platform's document.
+//! States of a change in the coordinator, and of the coordinator's use of the platform.
 
 use std::sync::Arc;
 
@@ -9,17 +9,17 @@
 use crate::revision::{PlatformVersion, RequestId, Revision};
 use crate::set::ConfigurationSet;
 
-/// A change that an operator waits for.
+/// A change in the queue or in a write attempt.
 #[derive(Debug)]
 pub(super) struct OpenChange {
     pub ticket: Ticket,
     pub request: ChangeRequest,
     pub arrived: MonotonicTime,
-    /// Whether the operator was told that the end is unknown.
+    /// Whether the operator was already answered that the outcome is unknown.
     pub answered: bool,
 }
 
-/// A write of the document that may have taken effect, or may still.
+/// A write of the document that may have taken effect or may still take effect.
 #[derive(Debug)]
 pub(super) struct Attempt {
     pub expected: PlatformVersion,
@@ -28,33 +28,33 @@
     pub changes: Vec<(OpenChange, OperatorAnswer)>,
 }
 
-/// An answer that waits until a majority holds `needs`.
+/// An answer that is sent once a majority holds `required_revision`.
 #[derive(Debug)]
-pub(super) struct Settling {
+pub(super) struct PendingAnswer {
     pub ticket: Ticket,
     pub answer: OperatorAnswer,
-    pub needs: Revision,
+    pub required_revision: Revision,
     pub arrived: MonotonicTime,
 }
 
-/// What is under way between the coordinator and the platform.
+/// The coordinator's platform operation.
 #[derive(Debug, Clone, Copy)]
 pub(super) enum Stage {
-    /// Nothing is asked of the platform.
+    /// No operation is in flight.
     Idle,
-    /// Ask again at this time.
-    Pausing(MonotonicTime),
+    /// Retry at this time.
+    Backoff(MonotonicTime),
     /// The document is being read.
-    Reading(Asked),
+    Reading(PlatformCall),
     /// The document is being written.
-    Swapping(Asked),
+    Swapping(PlatformCall),
 }
 
-/// An operation that the platform was asked for.
+/// A platform operation in flight.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Asked {
+pub(super) struct PlatformCall {
     pub request: RequestId,
     pub sent: MonotonicTime,
-    /// The newest revision that was known to be held then.
-    pub floor: Revision,
+    /// Newest revision known when the operation was sent; an older document is refused.
+    pub min_revision: Revision,
 }
--- a/crates/configuration/src/change.rs
+++ b/crates/configuration/src/change.rs
@@ -1,4 +1,4 @@
-//! Changes that operators ask for, and what becomes of a configuration under them.
+//! Changes that operators request, and their application to a configuration.
 
 use ridgeworks_domain::PartnerName;
 use ridgeworks_domain::objects::Share;
@@ -10,40 +10,41 @@
 use crate::set::ConfigurationSet;
 use crate::validation::{InvalidObject, check_unreferenced, validate};
 
-/// On whose behalf a change is asked for.
+/// The identity that requests a change.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Principal {
-    /// An operator of this partner, already authenticated.
+    /// An authenticated operator of this partner.
     Partner(PartnerName),
     /// The deployment itself, which may only create partners and the first pool split.
     Bootstrap,
 }
 
-/// One change. `expected` is the version the operator saw, [`ObjectVersion::ABSENT`] to create.
+/// One change. `expected` is the version that the operator read, or [`ObjectVersion::ABSENT`] to
+/// create the object; at any other version the change is rejected as a conflict.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Change {
     /// Creates or replaces an object.
     Put {
-        /// The object as it shall be.
+        /// The new content of the object.
         object: ConfigurationObject,
-        /// The version it stands at.
+        /// The current version of the object.
         expected: ObjectVersion,
     },
     /// Deletes an object.
     Delete {
         /// Key of the object.
         key: ObjectKey,
-        /// The version it stands at.
+        /// The current version of the object.
         expected: ObjectVersion,
     },
-    /// Opens a proposal for the pool split, in place of one that may be open.
+    /// Opens a proposal for the pool split; replaces an open one.
     Propose {
         /// The proposed shares.
         shares: Vec<Share>,
         /// Version of the pool split, [`ObjectVersion::ABSENT`] while there is none.
         expected: ObjectVersion,
     },
-    /// Consents to the proposal that stands at this version of the pool split.
+    /// Consents to the proposal in this version of the pool split.
     Consent {
         /// Version of the pool split.
         expected: ObjectVersion,
@@ -51,7 +52,7 @@
 }
 
 impl Change {
-    /// The object that the change touches.
+    /// Key of the object that the change writes.
     pub fn key(&self) -> ObjectKey {
         match self {
             Self::Put { object, .. } => object.key(),
@@ -60,7 +61,7 @@
         }
     }
 
-    /// The version that the operator saw.
+    /// The version at which the change applies.
     pub fn expected(&self) -> ObjectVersion {
         match self {
             Self::Put { expected, .. }
@@ -71,33 +72,33 @@
     }
 }
 
-/// A change with its operation id and principal.
+/// A change with its operation identifier and principal.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ChangeRequest {
-    /// The operator's name of the change, never used for another one.
+    /// Identifier chosen by the operator, unique to this change; retries repeat it.
     pub operation: OperationId,
-    /// On whose behalf.
+    /// The identity that requests the change.
     pub principal: Principal,
-    /// What to change.
+    /// The requested change.
     pub change: Change,
 }
 
-/// Why a change was rejected. A rejected change has no effect and will have none.
+/// Why a change was rejected. A rejected change has no effect, now or later.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ChangeError {
-    /// The object does not stand at the expected version.
+    /// The object is not at the expected version.
     Conflict {
-        /// The version it stands at.
+        /// The current version of the object.
         current: ObjectVersion,
     },
-    /// The object belongs to another partner, or changes only by proposal and consent.
+    /// The object belongs to another partner, or can only be changed by proposal and consent.
     Forbidden {
         /// Key of the object.
         key: ObjectKey,
     },
     /// A field holds a value that is not allowed.
     Invalid(InvalidObject),
-    /// Another object refers to the one to be deleted.
+    /// Another object refers to the object to be deleted.
     Referenced {
         /// Key of the object.
         key: ObjectKey,
@@ -108,7 +109,7 @@
     NoProposal,
 }
 
-/// Applies one change: the configuration at the next revision, or why it is rejected.
+/// Applies one change and returns the configuration at the next revision.
 pub fn apply_change(
     set: &ConfigurationSet,
     request: &ChangeRequest,
--- a/crates/configuration/src/clients.rs
+++ b/crates/configuration/src/clients.rs
@@ -1,32 +1,32 @@
-//! Nodes that renew their leases with this one, to whom it pushes what is new.
+//! Clients: nodes that renew their leases through this node and receive its pushes.
 
 use std::collections::BTreeMap;
 
 use ridgeworks_domain::{MonotonicTime, NodeId};
 
 use crate::machines::MachineList;
-use crate::message::{Known, News};
+use crate::message::{KnownVersions, StateDelta};
 use crate::revision::RequestId;
 use crate::set::ConfigurationSet;
-use crate::settings::{CLIENT_TIME, RENEW_INTERVAL};
+use crate::settings::{CLIENT_EXPIRY, RENEW_INTERVAL};
 
-/// A renewal of a client that waits for the relay's own one.
+/// A client's renewal that waits for the relay's own renewal.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct WaitingRenewal {
-    /// Number of the client's request.
+    /// Identifier of the client's request.
     pub(crate) request: RequestId,
-    /// When it arrived here, on this node's clock.
+    /// Time of arrival on this node's clock.
     pub(crate) arrived: MonotonicTime,
 }
 
 #[derive(Debug)]
 struct Client {
     seen: MonotonicTime,
-    known: Known,
+    known: KnownVersions,
     waiting: Option<WaitingRenewal>,
 }
 
-/// The clients of one node.
+/// All clients of one node.
 #[derive(Debug, Default)]
 pub(crate) struct Clients {
     clients: BTreeMap<NodeId, Client>,
@@ -41,8 +41,13 @@
         self.clients.contains_key(&node)
     }
 
-    /// Notes what a client has.
-    pub(crate) fn note(&mut self, node: NodeId, known: Known, now: MonotonicTime) {
+    /// Records that a client renewed, and the versions that it holds.
+    pub(crate) fn record_renewal(
+        &mut self,
+        node: NodeId,
+        known: KnownVersions,
+        now: MonotonicTime,
+    ) {
         let client = self.clients.entry(node).or_insert(Client {
             seen: now,
             known,
@@ -52,9 +57,10 @@
         client.known = known;
     }
 
-    /// Lets a client wait for the next renewal of this node. A repeated request leaves the first
-    /// one in place for a while, or a client that repeats fast would never be served.
-    pub(crate) fn wait(&mut self, node: NodeId, renewal: WaitingRenewal) {
+    /// Queues a client's renewal until this node's next renewal is granted. A repeated request
+    /// replaces a queued one only after [`RENEW_INTERVAL`]; otherwise a client that retries fast
+    /// would never be answered.
+    pub(crate) fn enqueue(&mut self, node: NodeId, renewal: WaitingRenewal) {
         let Some(client) = self.clients.get_mut(&node) else {
             return;
         };
@@ -67,35 +73,36 @@
         }
     }
 
-    /// When the renewal arrived that waits longest.
+    /// Arrival time of the oldest queued renewal.
     pub(crate) fn waiting_since(&self) -> Option<MonotonicTime> {
         let waiting = self.clients.values().filter_map(|client| client.waiting);
         waiting.map(|renewal| renewal.arrived).min()
     }
 
-    /// Takes out the clients whose renewals arrived before `sent_at` or then.
-    pub(crate) fn take_waiting(&mut self, sent_at: MonotonicTime) -> Vec<(NodeId, RequestId)> {
-        let mut taken = Vec::new();
+    /// Removes and returns the queued renewals that arrived at or before `sent_at`.
+    pub(crate) fn drain_waiting(&mut self, sent_at: MonotonicTime) -> Vec<(NodeId, RequestId)> {
+        let mut drained = Vec::new();
         for (node, client) in &mut self.clients {
             if let Some(renewal) = client.waiting.take_if(|renewal| renewal.arrived <= sent_at) {
-                taken.push((*node, renewal.request));
+                drained.push((*node, renewal.request));
             }
         }
-        taken
+        drained
     }
 
-    /// What a client lacks of `newest` and `machines`; it is taken to have it from now on.
-    pub(crate) fn news_for(
+    /// What a client lacks of `newest` and `machines`. The client is assumed to receive it, so that
+    /// later deltas start from there.
+    pub(crate) fn delta_for(
         &mut self,
         node: NodeId,
         newest: &ConfigurationSet,
         in_force: &ConfigurationSet,
         machines: &MachineList,
-    ) -> News {
+    ) -> StateDelta {
         let Some(client) = self.clients.get_mut(&node) else {
-            return News::default();
+            return StateDelta::default();
         };
-        let news = News {
+        let news = StateDelta {
             update: newest.update_since(client.known.newest).map(Box::new),
             held: in_force.revision(),
             machines: machines.update_since(client.known.machines).map(Box::new),
@@ -105,14 +112,13 @@
         news
     }
 
-    /// All clients.
     pub(crate) fn nodes(&self) -> Vec<NodeId> {
         self.clients.keys().copied().collect()
     }
 
-    /// Forgets clients that no longer renew here.
-    pub(crate) fn forget_idle(&mut self, now: MonotonicTime) {
+    /// Removes clients that have not renewed for [`CLIENT_EXPIRY`].
+    pub(crate) fn remove_idle(&mut self, now: MonotonicTime) {
         self.clients
-            .retain(|_, client| now.since(client.seen) < CLIENT_TIME);
+            .retain(|_, client| now.since(client.seen) < CLIENT_EXPIRY);
     }
 }
--- a/crates/configuration/src/counters.rs
+++ b/crates/configuration/src/counters.rs
@@ -2,39 +2,39 @@
 
 use crate::effect::{Effect, OperatorAnswer};
 
-/// What the configuration role of a node has counted since it started.
+/// Counts of one node's configuration role since its start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct ConfigurationCounters {
     /// Messages sent to other nodes.
     pub messages_sent: u64,
     /// Renewals sent, to voters or to relays.
     pub renewals_sent: u64,
-    /// Times that the lease was granted.
+    /// Number of times that the lease was granted or renewed.
     pub leases_granted: u64,
-    /// Times that the lease ran out.
+    /// Number of times that the lease expired.
     pub leases_expired: u64,
-    /// Revisions put in force; one may pass over several changes.
+    /// Revisions put in force; one step may cover several changes.
     pub revisions_in_force: u64,
     /// Pushes sent to clients.
     pub pushes_sent: u64,
-    /// Updates that did not lead on from what the node has.
+    /// Received updates whose base is newer than the node's configuration.
     pub updates_mismatched: u64,
-    /// Renewals refused because the relay has all the clients it takes.
+    /// Renewals refused because the relay is at its limit of clients.
     pub clients_refused: u64,
-    /// Operations asked of the platform.
+    /// Operations sent to the platform.
     pub platform_operations: u64,
     /// Changes answered as accepted.
     pub changes_accepted: u64,
     /// Changes answered as rejected.
     pub changes_rejected: u64,
-    /// Requests refused.
+    /// Changes and reads refused without effect.
     pub requests_refused: u64,
-    /// Changes whose end could not be learned.
+    /// Changes answered with an unknown outcome.
     pub changes_unknown: u64,
 }
 
 impl ConfigurationCounters {
-    /// Counts what the role told its host to do.
+    /// Counts the effects of one event.
     pub(crate) fn count(&mut self, effects: &[Effect]) {
         for effect in effects {
             match effect {
--- a/crates/configuration/src/effect.rs
+++ b/crates/configuration/src/effect.rs
@@ -1,4 +1,4 @@
-//! Events that the configuration role takes and effects that it asks for.
+//! Input events and output effects of the configuration role.
 
 use std::sync::Arc;
 
@@ -15,11 +15,11 @@
 /// Key of the only configuration document in the platform's store.
 pub const DOCUMENT_KEY: &str = "ridgeworks-configuration";
 
-/// The host's name of one operator request, returned with its answer.
+/// The host's identifier of one operator request, returned with its answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Ticket(pub u64);
 
-/// Something that happened.
+/// An input of the configuration role.
 #[derive(Debug, Clone)]
 pub enum Event {
     /// A message arrived.
@@ -29,30 +29,30 @@
         /// The message.
         message: ConfigurationMessage,
     },
-    /// The platform answered an operation.
+    /// An answer to a platform operation.
     PlatformAnswer {
-        /// Number of the operation.
+        /// Identifier of the operation.
         request: RequestId,
         /// The answer.
         answer: PlatformAnswer,
     },
-    /// The platform's watch reported something.
+    /// An event of the platform's watch.
     PlatformWatch(WatchEvent),
-    /// Time passed; see [`crate::settings::TICK_INTERVAL`].
+    /// Periodic timer; see [`crate::settings::TICK_INTERVAL`].
     Tick,
-    /// An operator asks for a change.
+    /// An operator requests a change.
     Change {
-        /// The host's name of the request.
+        /// The host's identifier of the request.
         ticket: Ticket,
         /// The change.
         request: ChangeRequest,
     },
-    /// An operator asks for the newest configuration.
+    /// An operator requests the newest configuration.
     Read {
-        /// The host's name of the request.
+        /// The host's identifier of the request.
         ticket: Ticket,
     },
-    /// The write of this number, and all before it, are durable.
+    /// The write of this number and all earlier ones are durable.
     Flushed {
         /// Number of the write.
         write: u64,
@@ -61,7 +61,7 @@
     Members(Vec<Member>),
 }
 
-/// Something for the host to do.
+/// An action that the host must carry out.
 #[derive(Debug, Clone)]
 pub enum Effect {
     /// Send a message.
@@ -71,14 +71,14 @@
         /// The message.
         message: ConfigurationMessage,
     },
-    /// Ask the platform's store.
+    /// Send an operation to the platform's store.
     Platform {
-        /// Number of the operation, to be returned with the answer.
+        /// Identifier of the operation, to be returned with the answer.
         request: RequestId,
         /// The operation.
         operation: PlatformOperation,
     },
-    /// Make this durable in place of earlier writes, then give back [`Event::Flushed`].
+    /// Durably replace the stored state, then report [`Event::Flushed`].
     Write {
         /// Number of the write.
         write: u64,
@@ -87,16 +87,16 @@
     },
     /// Answer an operator.
     Answer {
-        /// The host's name of the request.
+        /// The host's identifier of the request.
         ticket: Ticket,
         /// The answer.
         answer: OperatorAnswer,
     },
     /// A newer configuration is in force.
     InForce(Arc<ConfigurationSet>),
-    /// A newer list of machines is known.
+    /// A newer list of machines was received.
     Machines(Arc<MachineList>),
-    /// The node became ready for work, or ceased to be.
+    /// The node's lease was granted (`true`) or expired (`false`).
     Ready(bool),
 }
 
@@ -105,16 +105,16 @@
 pub enum PlatformOperation {
     /// Read the configuration document at [`DOCUMENT_KEY`].
     Read,
-    /// Write the document where it stands at the expected version.
+    /// Write the document if it is at the expected version.
     CompareAndSwap {
-        /// The version it must stand at, zero where there is none.
+        /// The required version; zero if the document must not exist.
         expected: PlatformVersion,
-        /// The whole configuration as JSON.
+        /// The complete configuration as JSON.
         document: Vec<u8>,
-        /// Operations of the document that are new in it, for the platform's own log.
+        /// Operations that this write adds to the document, for the platform's log.
         operations: Vec<OperationId>,
     },
-    /// Start or restart the watch of the document and of the machines. It is answered only where it
+    /// Start or restart the watch of the document and of the machines. It is answered only if it
     /// fails, by any answer; a watch that ends later is reported as [`WatchEvent::Closed`].
     Watch,
     /// Read the list of machines.
@@ -126,9 +126,9 @@
 pub enum PlatformAnswer {
     /// The document.
     Document {
-        /// Its version, zero where there is none.
+        /// Its version; zero if there is no document.
         version: PlatformVersion,
-        /// Its content, empty where there is none.
+        /// Its content; empty if there is no document.
         document: Vec<u8>,
     },
     /// The compare-and-swap took effect.
@@ -136,7 +136,7 @@
         /// The document's new version.
         version: PlatformVersion,
     },
-    /// The document stands at another version; nothing was written.
+    /// The document is at another version; nothing was written.
     VersionMismatch,
     /// The list of machines.
     Machines {
@@ -145,14 +145,13 @@
         /// The machines.
         machines: Vec<Machine>,
     },
-    /// The operation had no effect and will have none: the platform refused it, or no byte of it
-    /// was sent.
+    /// The operation has no effect, now or later: the platform refused it, or no byte of it was sent.
     Unavailable,
-    /// The answer was lost: the operation may have taken effect, or may still.
+    /// No answer was received: the operation may have taken effect or may still take effect.
     Lost,
 }
 
-/// What the platform's watch reports.
+/// An event of the platform's watch.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum WatchEvent {
     /// The document changed.
@@ -166,7 +165,7 @@
     Machines {
         /// Version of the list.
         version: u64,
-        /// The whole list.
+        /// The complete list.
         machines: Vec<Machine>,
     },
     /// Events were missed.
@@ -175,37 +174,37 @@
     Closed,
 }
 
-/// Why a request was given up without any effect.
+/// Why a request was refused without effect.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Unavailable {
-    /// The platform's store does not answer.
+    /// The platform's store did not answer in time.
     Platform,
-    /// No majority of the voters answers.
+    /// No majority of the voters answered in time.
     NoQuorum,
     /// Too many requests are open on this node.
     TooManyRequests,
-    /// The platform's document is older than a revision that was accepted: it was restored from an
-    /// old copy and needs its operator.
+    /// The platform's document is older than an accepted revision. It was restored from an old copy;
+    /// an operator of the platform must repair it.
     PlatformBehind,
-    /// The platform's document is not one of this version of the program.
+    /// The platform's document does not have the format of this version of the program.
     UnreadableDocument,
 }
 
 /// The answer to an operator.
 #[derive(Debug, Clone, PartialEq)]
 pub enum OperatorAnswer {
-    /// The change is accepted for good.
+    /// The change is permanently accepted.
     Accepted {
-        /// Its revision, also the new version of the object.
+        /// Revision of the change, which is also the new version of the object.
         revision: Revision,
     },
     /// The change is rejected and has no effect.
     Rejected(ChangeError),
-    /// The request was given up and has no effect; trying again later helps.
+    /// The request has no effect and may be retried later.
     Refused(Unavailable),
-    /// Whether the change took effect, or will, could not be learned. Sending it again under the
-    /// same operation id is safe.
+    /// It is unknown whether the change took effect or will take effect. Retrying it with the same
+    /// operation identifier is safe.
     Unknown,
-    /// The configuration that was the newest at some time after the request came.
+    /// The configuration that was the newest at some time after the request arrived.
     Newest(Arc<ConfigurationSet>),
 }
--- a/crates/configuration/src/lib.rs
+++ b/crates/configuration/src/lib.rs
@@ -1,19 +1,19 @@
-//! Configuration revisions, acceptance, leases and relays, without I/O.
+//! Configuration revisions, acceptance of changes, leases and relays, without I/O.
 //!
-//! [`role::ConfigurationRole`] is what a host wraps: typed events in, typed effects out, time
-//! passed in. The host
+//! [`role::ConfigurationRole`] is a state machine that takes events and the time and returns effects.
+//! Its host
 //!
-//! - calls [`ConfigurationRole::handle`] for every message, operator request, answer of the platform,
-//!   finished write, and [`Event::Tick`] every [`settings::TICK_INTERVAL`];
-//! - carries the effects out in order. [`Effect::Write`] may be overtaken by a later one, which holds
-//!   everything; [`Event::Flushed`] follows only after the data is on the disk;
-//! - answers every [`Effect::Platform`] but a watch, [`PlatformAnswer::Lost`] where the answer did not
-//!   come, and [`PlatformAnswer::Unavailable`] only where the operation certainly had no effect;
-//! - asks [`ConfigurationRole::in_force`] with the time of that moment before it accepts any work;
-//! - gives [`ConfigurationSettings::seed`] another value at every start.
+//! - calls [`ConfigurationRole::handle`] for every message, operator request, answer of the platform
+//!   and finished write, and with [`Event::Tick`] every [`settings::TICK_INTERVAL`];
+//! - carries out the effects in order. A later [`Effect::Write`] may replace a pending one, since it
+//!   holds the complete state; [`Event::Flushed`] is reported only after the data is on disk;
+//! - answers every [`Effect::Platform`] except a watch: with [`PlatformAnswer::Lost`] if no answer
+//!   arrived, and with [`PlatformAnswer::Unavailable`] only if the operation certainly had no effect;
+//! - calls [`ConfigurationRole::in_force`] with the current time before it accepts any work;
+//! - sets [`ConfigurationSettings::seed`] to a different value at every start.
 //!
-//! An empty platform is filled by changes of [`Principal::Bootstrap`], which creates partners and the
-//! first pool split and nothing else.
+//! An empty platform is initialised by changes of [`Principal::Bootstrap`], which may only create
+//! partners and the first pool split.
 
 mod acceptance;
 pub mod change;
--- a/crates/configuration/src/machines.rs
+++ b/crates/configuration/src/machines.rs
@@ -1,4 +1,5 @@
-//! The platform's list of machines, which lags behind and travels beside the configuration.
+//! The platform's list of machines. It lags behind the platform and is distributed together with the
+//! configuration, but has its own version.
 #![allow(
     missing_docs,
     reason = "the resolvers that rkyv derives carry undocumented fields"
@@ -9,15 +10,15 @@
 use ridgeworks_domain::objects::Backend;
 use rkyv::{Archive, Deserialize, Serialize};
 
-/// Machines that left whose end is remembered, so that a difference can name it.
-pub const REMEMBERED_DEPARTURES: usize = 1024;
+/// Number of machines in state `Gone` that are kept, so that a delta can include them.
+pub const MAX_RECORDED_DEPARTURES: usize = 1024;
 
-/// What the platform says about a machine.
+/// State of a machine, as the platform reports it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Archive, Serialize, Deserialize)]
 pub enum MachineState {
-    /// It takes work.
+    /// It accepts work.
     Live,
-    /// It is leaving and takes no new work; final for its incarnation.
+    /// It is leaving and accepts no new work; final for its incarnation.
     Leaving,
     /// The platform no longer lists it.
     Gone,
@@ -28,60 +29,60 @@
 pub struct Machine {
     /// Its name on the platform.
     pub name: String,
-    /// Number of its start; a replacement under the same name has a higher one.
+    /// Increases with every replacement of the machine under the same name.
     pub incarnation: u64,
-    /// What the platform says about it.
+    /// Its state on the platform.
     pub state: MachineState,
-    /// The back end that it runs, if any.
+    /// The back end that runs on it, if any.
     pub backend: Option<Backend>,
 }
 
-/// A machine and the version of the list in which a change of it was first seen.
+/// A machine with the version of the list that last changed it.
 #[derive(Debug, Clone, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct ListedMachine {
-    /// Version of the list in which the change was first seen, never earlier than the change.
+    /// Version of the list in which the last change was first seen; never earlier than the change.
     pub changed_in: u64,
     /// The machine.
     pub machine: Machine,
 }
 
-/// The list of machines, or what changed in it since a version.
+/// The full list of machines, or a delta since a version.
 #[derive(Debug, Clone, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct MachineUpdate {
-    /// The version this difference starts from; `None` for the whole list.
+    /// The version that the delta starts from; `None` for the full list.
     pub base: Option<u64>,
-    /// The version it leads to.
+    /// The version that it results in.
     pub version: u64,
-    /// Machines of the list, or those that changed.
+    /// All machines, or those that changed.
     pub machines: Vec<ListedMachine>,
 }
 
-/// The newest known list of machines. Not durable: the platform gives it again.
+/// The newest known list of machines. Not durable, since it can be read again from the platform.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct MachineList {
     version: u64,
-    /// Departures at or below this version have been forgotten.
-    forgotten: u64,
+    /// Gone machines whose `changed_in` is at or below this version may have been removed.
+    pruned_through: u64,
     machines: BTreeMap<String, ListedMachine>,
 }
 
 impl MachineList {
-    /// Version that the platform gave the list; zero before the first one.
+    /// Version assigned by the platform; zero before the first list.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// All machines in order of their names, those that left included.
+    /// All machines in order of their names, including those in state `Gone`.
     pub fn machines(&self) -> impl Iterator<Item = &Machine> {
         self.machines.values().map(|listed| &listed.machine)
     }
 
-    /// The machine of this name.
+    /// The machine of this name, if it is listed or kept as `Gone`.
     pub fn get(&self, name: &str) -> Option<&Machine> {
         self.machines.get(name).map(|listed| &listed.machine)
     }
 
-    /// Takes a whole list as read from the platform. Returns whether it was newer.
+    /// Applies a full list read from the platform. Returns whether it was newer.
     pub fn observe(&mut self, version: u64, listed: Vec<Machine>) -> bool {
         if version <= self.version {
             return false;
@@ -96,11 +97,12 @@
             self.merge(version, machine);
         }
         self.version = version;
-        self.forget_departures();
+        self.prune_departures();
         true
     }
 
-    /// Takes a difference or whole list from another node. Returns whether it was newer and fitted.
+    /// Applies a delta or full list from another node. Returns whether it was newer and its base was
+    /// not ahead of this list.
     pub fn apply(&mut self, update: &MachineUpdate) -> bool {
         if update.version <= self.version {
             return false;
@@ -116,19 +118,19 @@
                     self.merge(listed.changed_in, listed.machine.clone());
                 }
                 self.version = update.version;
-                self.forget_departures();
+                self.prune_departures();
                 true
             }
             Some(_) => false,
         }
     }
 
-    /// What a node that knows version `known` needs; `None` when it is up to date.
+    /// The update for a node that holds version `known`; `None` if it is up to date.
     pub fn update_since(&self, known: u64) -> Option<MachineUpdate> {
         if known >= self.version {
             return None;
         }
-        let base = (known > 0 && known >= self.forgotten).then_some(known);
+        let base = (known > 0 && known >= self.pruned_through).then_some(known);
         let newer = |listed: &&ListedMachine| base.is_none_or(|base| listed.changed_in > base);
         Some(MachineUpdate {
             base,
@@ -137,7 +139,7 @@
         })
     }
 
-    /// A machine of an older incarnation, or a step back within one incarnation, changes nothing.
+    /// Ignores an older incarnation; within one incarnation the state never moves backwards.
     fn merge(&mut self, changed_in: u64, mut machine: Machine) {
         if let Some(known) = self.machines.get(&machine.name) {
             if machine.incarnation < known.machine.incarnation {
@@ -157,7 +159,7 @@
         self.machines.insert(listed.machine.name.clone(), listed);
     }
 
-    fn forget_departures(&mut self) {
+    fn prune_departures(&mut self) {
         let gone = |listed: &&ListedMachine| listed.machine.state == MachineState::Gone;
         let mut departures: Vec<u64> = self
             .machines
@@ -165,12 +167,12 @@
             .filter(gone)
             .map(|listed| listed.changed_in)
             .collect();
-        if departures.len() <= REMEMBERED_DEPARTURES {
+        if departures.len() <= MAX_RECORDED_DEPARTURES {
             return;
         }
         departures.sort_unstable();
-        let floor = departures[departures.len() - REMEMBERED_DEPARTURES - 1];
-        self.forgotten = self.forgotten.max(floor);
+        let floor = departures[departures.len() - MAX_RECORDED_DEPARTURES - 1];
+        self.pruned_through = self.pruned_through.max(floor);
         self.machines.retain(|_, listed| {
             listed.machine.state != MachineState::Gone || listed.changed_in > floor
         });
--- a/crates/configuration/src/message.rs
+++ b/crates/configuration/src/message.rs
@@ -11,7 +11,7 @@
 use crate::revision::{RequestId, Revision};
 use crate::update::Update;
 
-/// The newest revision that a voter holds durably and vouches for.
+/// The newest durable revision of an eligible voter.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct VoterAnswer {
     /// The voter.
@@ -20,21 +20,21 @@
     pub newest: Revision,
 }
 
-/// What a node needs besides the lease: newer sets and machines.
+/// Configuration and machines that are newer than what the receiver is known to hold.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Archive, Serialize, Deserialize)]
-pub struct News {
-    /// A newer revision, if the sender has one. Not in force before a majority holds it.
+pub struct StateDelta {
+    /// A newer configuration, if the sender has one. It is not in force until a majority holds it.
     pub update: Option<Box<Update>>,
-    /// The highest revision that the sender knows to be on a majority of voters.
+    /// The highest revision that the sender knows a majority of voters to hold.
     pub held: Revision,
     /// A newer list of machines, if the sender has one.
     pub machines: Option<Box<MachineUpdate>>,
 }
 
-/// What a node knows already, so that it is sent only what is newer.
+/// Versions that a node already holds, so that it is sent only what is newer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Archive, Serialize, Deserialize)]
-pub struct Known {
-    /// The newest revision that the node has, in force or not.
+pub struct KnownVersions {
+    /// The newest revision that the node holds, in force or not.
     pub newest: Revision,
     /// Version of its list of machines.
     pub machines: u64,
@@ -43,63 +43,63 @@
 /// A message between nodes about the configuration.
 #[derive(Debug, Clone, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub enum ConfigurationMessage {
-    /// To a voter: store this revision.
+    /// To a voter: store this configuration.
     Replicate {
-        /// Number of the request.
+        /// Identifier of the request.
         request: RequestId,
-        /// The revision.
+        /// The configuration, in full or as a delta.
         update: Box<Update>,
     },
-    /// From a voter: this is my newest durable revision. Answers `Replicate`, and goes to the other
-    /// voters after a change and from time to time.
+    /// From a voter: its newest durable revision. Sent in answer to `Replicate`, and to the other
+    /// voters after every change and periodically.
     Stored {
-        /// Number of the `Replicate` that is answered.
+        /// Identifier of the `Replicate` that is answered; `None` if unsolicited.
         request: Option<RequestId>,
-        /// What the voter has, durably.
-        known: Known,
+        /// What the voter durably holds.
+        known: KnownVersions,
     },
-    /// To a voter: send me what I lack.
+    /// To a voter: requests everything newer than `known`.
     FetchNewest {
-        /// Number of the request.
+        /// Identifier of the request.
         request: RequestId,
-        /// What the sender has.
-        known: Known,
+        /// What the sender holds.
+        known: KnownVersions,
     },
     /// From a voter: the answer to `FetchNewest`.
     Newest {
-        /// Number of the request.
+        /// Identifier of the request.
         request: RequestId,
         /// The newest durable revision.
         newest: Revision,
-        /// Whether the voter vouches for it.
+        /// Whether the voter is eligible, so that its answer counts.
         vouches: bool,
-        /// What the asker lacked.
-        news: News,
+        /// What the requester lacks.
+        news: StateDelta,
     },
-    /// To a voter or a relay: which revision is the newest?
+    /// To a voter or a relay: requests the newest revisions, to renew a lease.
     Renew {
-        /// Number of the request.
+        /// Identifier of the request.
         request: RequestId,
-        /// What the sender has.
-        known: Known,
+        /// What the sender holds.
+        known: KnownVersions,
     },
     /// From a voter or a relay: answers of voters, all given after the `Renew` was sent.
     Renewed {
-        /// Number of the request.
+        /// Identifier of the request.
         request: RequestId,
-        /// Answers of voters that vouch; one from a voter, those of a majority from a relay.
+        /// Answers of eligible voters: one from a voter, those of a majority from a relay.
         answers: Vec<VoterAnswer>,
-        /// What the asker lacked.
-        news: News,
+        /// What the requester lacks.
+        news: StateDelta,
     },
-    /// From a relay that has all the clients it takes.
+    /// From a relay that is at its limit of clients.
     RelayFull {
-        /// Number of the request.
+        /// Identifier of the request.
         request: RequestId,
     },
-    /// From a voter or a relay to those that renew with it: something new, unasked.
+    /// From a voter or a relay to its clients: an unsolicited update.
     Push {
-        /// What is new.
-        news: News,
+        /// What the receiver is expected to lack.
+        news: StateDelta,
     },
 }
--- a/crates/configuration/src/object.rs
+++ b/crates/configuration/src/object.rs
@@ -1,4 +1,4 @@
-//! Configuration objects of every kind behind one type, with their keys.
+//! Configuration objects of all kinds as one type, and their keys.
 #![allow(
     missing_docs,
     reason = "the resolvers that rkyv derives carry undocumented fields"
@@ -48,7 +48,7 @@
     Backend,
 }
 
-/// What identifies an object: its kind and its name within the kind.
+/// Identifies an object by its kind and its name, which is unique within the kind.
 #[derive(
     Debug,
     Clone,
@@ -66,12 +66,12 @@
 pub struct ObjectKey {
     /// Kind of the object.
     pub kind: ObjectKind,
-    /// Its name.
+    /// Name of the object.
     pub name: String,
 }
 
 impl ObjectKey {
-    /// The key of the object of this kind and name.
+    /// A key, whether or not the object exists.
     pub fn new(kind: ObjectKind, name: impl Into<String>) -> Self {
         Self {
             kind,
@@ -151,7 +151,7 @@
     }
 }
 
-/// An object and the version it stands at.
+/// An object with its version.
 #[derive(
     Debug,
     Clone,
--- a/crates/configuration/src/outbox.rs
+++ b/crates/configuration/src/outbox.rs
@@ -1,4 +1,4 @@
-//! Effects collected while one event is handled, and messages of a node to itself.
+//! Collects the effects of one event, and messages of a node to itself.
 
 use std::collections::VecDeque;
 
@@ -8,7 +8,7 @@
 use crate::message::ConfigurationMessage;
 use crate::revision::RequestId;
 
-/// Where the parts of the role put what they want done.
+/// Output shared by the components of the role.
 #[derive(Debug)]
 pub(crate) struct Outbox {
     node: NodeId,
@@ -18,7 +18,7 @@
 }
 
 impl Outbox {
-    /// An outbox whose request numbers start from a hash of `seed`.
+    /// Request identifiers start from a hash of `seed`.
     pub(crate) fn new(node: NodeId, seed: u64) -> Self {
         let start = xxhash_rust::xxh3::xxh3_64_with_seed(&node.0.to_le_bytes(), seed);
         Self {
@@ -34,7 +34,7 @@
         RequestId(self.next_request)
     }
 
-    /// Sends a message; one to this node itself is handled after the present one.
+    /// Sends a message. A message to this node itself is handled after the current event.
     pub(crate) fn send(&mut self, to: NodeId, message: ConfigurationMessage) {
         if to == self.node {
             self.local.push_back(message);
--- a/crates/configuration/src/ownership.rs
+++ b/crates/configuration/src/ownership.rs
@@ -1,4 +1,4 @@
-//! Who may change which object.
+//! Authorisation: which principal may change which object.
 
 use ridgeworks_domain::PartnerName;
 
@@ -6,8 +6,8 @@
 use crate::object::ConfigurationObject;
 use crate::set::ConfigurationSet;
 
-/// The partner that owns an object. The pool split belongs to nobody alone; a back end belongs to
-/// the owner of its service.
+/// The partner that owns an object. The pool split has no owner; a back end belongs to the owner of
+/// its service.
 pub fn owner<'a>(
     set: &'a ConfigurationSet,
     object: &'a ConfigurationObject,
@@ -25,7 +25,7 @@
     }
 }
 
-/// Checks that `principal` may write `object`, which `exists` already or not.
+/// Checks that `principal` may write `object`; `exists` is false if the write creates it.
 pub(crate) fn check_owner(
     set: &ConfigurationSet,
     principal: &Principal,
@@ -45,7 +45,7 @@
     Err(ChangeError::Forbidden { key: object.key() })
 }
 
-/// Checks that a replacement leaves the object with its owner.
+/// Checks that a replacement does not change the owner.
 pub(crate) fn check_same_owner(
     set: &ConfigurationSet,
     current: &ConfigurationObject,
--- a/crates/configuration/src/pool_split.rs
+++ b/crates/configuration/src/pool_split.rs
@@ -1,4 +1,4 @@
-//! Changing the split of the shared pool by proposal and consent.
+//! Changes of the pool split by proposal and consent.
 
 use ridgeworks_domain::PartnerName;
 use ridgeworks_domain::objects::{PoolSplit, Share};
@@ -7,7 +7,7 @@
 use crate::object::ObjectKey;
 use crate::set::ConfigurationSet;
 
-/// The split with a new open proposal to which its proposer has consented.
+/// Returns the split with a new open proposal and the consent of its proposer.
 pub(crate) fn propose(
     set: &ConfigurationSet,
     principal: &Principal,
@@ -23,7 +23,7 @@
     add_consent(split, principal)
 }
 
-/// The split with one more consent; the last one puts the proposal in force.
+/// Returns the split with one more consent. The last missing consent puts the proposal in force.
 pub(crate) fn consent(
     set: &ConfigurationSet,
     principal: &Principal,
@@ -55,7 +55,7 @@
     Ok(split)
 }
 
-/// Partners with a part in the split in force or in the proposed one.
+/// Partners with a share in the current or in the proposed split; all of them must consent.
 fn partners_concerned<'a>(in_force: &'a [Share], proposed: &'a [Share]) -> Vec<&'a PartnerName> {
     let shares = in_force.iter().chain(proposed);
     let mut partners: Vec<&PartnerName> = shares.map(|share| &share.partner).collect();
--- a/crates/configuration/src/quorum.rs
+++ b/crates/configuration/src/quorum.rs
@@ -1,27 +1,27 @@
-//! Majorities of the fixed list of voters, and what their answers prove.
+//! Quorums of the fixed list of voters.
 
 use ridgeworks_domain::NodeId;
 
 use crate::revision::Revision;
 
-/// The fixed list of voters, in order of rank.
+/// The fixed list of voters in order of rank.
 #[derive(Debug, Clone)]
 pub struct Voters {
     nodes: Vec<NodeId>,
 }
 
-/// What the answers of at least a majority prove.
+/// What the answers of at least a majority imply.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Standing {
-    /// No revision above this one was accepted before the question was sent. Every accepted
-    /// revision is on a majority, which meets the majority that answered with the lowest numbers.
-    pub needed: Revision,
-    /// The highest revision that a majority holds.
+pub struct QuorumResult {
+    /// No revision above this one was accepted before the request was sent. A majority holds every
+    /// accepted revision, and it intersects the majority that answered with the lowest revisions.
+    pub required: Revision,
+    /// The highest revision that a majority is known to hold.
     pub held: Revision,
 }
 
 impl Voters {
-    /// The voters in order of rank.
+    /// `nodes` are in order of rank, the same on every node.
     pub fn new(nodes: Vec<NodeId>) -> Self {
         Self { nodes }
     }
@@ -31,7 +31,7 @@
         &self.nodes
     }
 
-    /// Position of a voter in the list.
+    /// Position of a voter in the list; `None` if `node` is not a voter.
     pub fn rank(&self, node: NodeId) -> Option<usize> {
         self.nodes.iter().position(|voter| *voter == node)
     }
@@ -41,27 +41,30 @@
         self.nodes.contains(&node)
     }
 
-    /// Voters that make a majority.
+    /// Number of voters in a majority.
     pub fn majority(&self) -> usize {
         self.nodes.len() / 2 + 1
     }
 
-    /// Other voters that a voter without its disk must hear: they meet every majority that the
-    /// voter may have been part of.
+    /// Number of other voters whose answers a voter with a lost disk needs. They intersect every
+    /// majority that the voter may have been part of.
     pub fn recovery_quorum(&self) -> usize {
         (self.nodes.len() + 1 - self.majority()).max(1)
     }
 
-    /// What answers of distinct voters prove; `None` for less than a majority.
-    pub fn standing(&self, answers: impl IntoIterator<Item = Revision>) -> Option<Standing> {
+    /// Evaluates answers of distinct voters; `None` for less than a majority.
+    pub fn quorum_result(
+        &self,
+        answers: impl IntoIterator<Item = Revision>,
+    ) -> Option<QuorumResult> {
         let mut newest: Vec<Revision> = answers.into_iter().collect();
         newest.sort_unstable();
         let majority = self.majority();
         if newest.len() < majority {
             return None;
         }
-        Some(Standing {
-            needed: newest[majority - 1],
+        Some(QuorumResult {
+            required: newest[majority - 1],
             held: newest[newest.len() - majority],
         })
     }
--- a/crates/configuration/src/relay.rs
+++ b/crates/configuration/src/relay.rs
@@ -1,7 +1,7 @@
-//! Relays: which nodes renew the leases of their zone's members, and whom a node asks next.
+//! Relays: which nodes renew leases for the members of their zone, and where a node sends its renewal.
 //!
-//! Every node works the plan out from its own list of members. Two lists may differ: a relay serves
-//! whoever asks, within its bound, and a node that finds no relay asks the voters themselves.
+//! Every node computes the assignment from its own list of members. The lists may differ: a relay
+//! serves any node up to its limit of clients, and a node without a working relay asks the voters.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,14 +9,14 @@
 use ridgeworks_domain::{MonotonicTime, NodeId, ZoneName};
 
 use crate::quorum::Voters;
-use crate::settings::{MEMBERS_PER_RELAY, Member, RELAY_PATIENCE};
+use crate::settings::{MEMBERS_PER_RELAY, Member, RELAY_TIMEOUT};
 
-/// Relays that a node tries one after the other before it asks the voters.
-const RELAYS_TRIED: usize = 2;
-/// How long a node whose relays failed asks the voters before it tries relays again.
-const DIRECT_TIME: Duration = Duration::from_secs(10);
+/// Number of relays that a node tries before it asks the voters.
+const MAX_RELAY_ATTEMPTS: usize = 2;
+/// How long a node asks the voters after its relays failed, before it tries relays again.
+const RELAY_COOLDOWN: Duration = Duration::from_secs(10);
 
-/// Whom a node asks to renew its lease.
+/// Where a node sends the renewal of its lease.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RenewalTarget {
     /// All voters.
@@ -25,20 +25,20 @@
     Relay(NodeId),
 }
 
-/// The relays of all zones, in the order in which each node prefers them.
+/// The relays of all zones.
 #[derive(Debug, Clone, Default)]
-pub struct RelayPlan {
+pub struct RelayAssignment {
     zones: BTreeMap<ZoneName, Vec<NodeId>>,
     zone_of: BTreeMap<NodeId, ZoneName>,
 }
 
-impl RelayPlan {
-    /// Chooses one relay for every [`MEMBERS_PER_RELAY`] members of a zone; voters are spared.
+impl RelayAssignment {
+    /// Assigns one relay for every [`MEMBERS_PER_RELAY`] members of a zone. Voters are never relays.
     pub fn new(members: &[Member], voters: &Voters) -> Self {
-        let mut plan = Self::default();
+        let mut assignment = Self::default();
         let mut zones: BTreeMap<ZoneName, Vec<NodeId>> = BTreeMap::new();
         for member in members {
-            plan.zone_of.insert(member.node, member.zone.clone());
+            assignment.zone_of.insert(member.node, member.zone.clone());
             if !voters.contains(member.node) {
                 zones
                     .entry(member.zone.clone())
@@ -50,12 +50,12 @@
             let count = nodes.len().div_ceil(MEMBERS_PER_RELAY);
             nodes.sort_by_key(|node| weight(zone.as_str().as_bytes(), *node));
             nodes.truncate(count);
-            plan.zones.insert(zone, nodes);
+            assignment.zones.insert(zone, nodes);
         }
-        plan
+        assignment
     }
 
-    /// The relays of a node's zone, the one it prefers first; empty where it asks the voters.
+    /// The relays of a node's zone in the node's order of preference; empty if it asks the voters.
     pub fn relays_for(&self, node: NodeId) -> Vec<NodeId> {
         let zone = self.zone_of.get(&node);
         let relays = zone.and_then(|zone| self.zones.get(zone));
@@ -73,68 +73,69 @@
     xxhash_rust::xxh3::xxh3_64_with_seed(key, node.0)
 }
 
-/// A node's way through its relays.
+/// Selects the relay that a node uses, with failover to the voters.
 #[derive(Debug, Default)]
-pub struct RelayChoice {
+pub struct RelaySelector {
     relays: Vec<NodeId>,
     next: usize,
-    asked: Option<MonotonicTime>,
-    direct_since: Option<MonotonicTime>,
+    requested_at: Option<MonotonicTime>,
+    using_voters_since: Option<MonotonicTime>,
 }
 
-impl RelayChoice {
-    /// Takes a new order of preference. The present relay is kept where it is still a relay.
+impl RelaySelector {
+    /// Sets a new order of preference. The current relay is kept if it is still in the list.
     pub fn set_relays(&mut self, relays: Vec<NodeId>) {
-        let present = self.relays.get(self.next).copied();
-        let kept = relays.iter().position(|relay| Some(*relay) == present);
+        let current = self.relays.get(self.next).copied();
+        let kept = relays.iter().position(|relay| Some(*relay) == current);
         self.next = kept.unwrap_or(0);
         self.relays = relays;
-        self.asked = None;
-        self.direct_since = None;
+        self.requested_at = None;
+        self.using_voters_since = None;
     }
 
-    /// Whom to ask now. A relay that does not answer in time is left for the voters at once, since
-    /// the lease is running out; the next renewal tries the next relay.
+    /// Where to send a renewal now. If the relay does not answer within [`RELAY_TIMEOUT`], this
+    /// renewal goes to the voters, since the lease is about to expire; the next one tries the next
+    /// relay.
     pub fn target(&mut self, now: MonotonicTime) -> RenewalTarget {
         if self
-            .asked
-            .is_some_and(|asked| now.since(asked) >= RELAY_PATIENCE)
+            .requested_at
+            .is_some_and(|requested_at| now.since(requested_at) >= RELAY_TIMEOUT)
         {
-            self.give_up_relay();
+            self.skip_relay();
             return RenewalTarget::Voters;
         }
         match self.relays.get(self.next) {
-            Some(relay) if self.next < RELAYS_TRIED => {
-                self.asked.get_or_insert(now);
+            Some(relay) if self.next < MAX_RELAY_ATTEMPTS => {
+                self.requested_at.get_or_insert(now);
                 RenewalTarget::Relay(*relay)
             }
             _ => self.ask_voters(now),
         }
     }
 
-    /// Relays that failed are tried again after [`DIRECT_TIME`].
+    /// Tries the relays again after [`RELAY_COOLDOWN`].
     fn ask_voters(&mut self, now: MonotonicTime) -> RenewalTarget {
-        let since = *self.direct_since.get_or_insert(now);
-        if now.since(since) >= DIRECT_TIME {
-            self.direct_since = None;
+        let since = *self.using_voters_since.get_or_insert(now);
+        if now.since(since) >= RELAY_COOLDOWN {
+            self.using_voters_since = None;
             self.next = 0;
         }
         RenewalTarget::Voters
     }
 
-    /// Whether a relay has been asked and has not answered yet.
+    /// Whether a renewal to a relay is unanswered.
     pub fn is_waiting(&self) -> bool {
-        self.asked.is_some()
+        self.requested_at.is_some()
     }
 
-    /// Notes that the relay answered.
+    /// Records that the relay answered.
     pub fn answered(&mut self) {
-        self.asked = None;
+        self.requested_at = None;
     }
 
-    /// Turns to the next relay.
-    pub fn give_up_relay(&mut self) {
+    /// Switches to the next relay.
+    pub fn skip_relay(&mut self) {
         self.next += 1;
-        self.asked = None;
+        self.requested_at = None;
     }
 }
--- a/crates/configuration/src/replication.rs
+++ b/crates/configuration/src/replication.rs
@@ -1,4 +1,4 @@
-//! Bringing a revision to a majority of the voters.
+//! Replication of a configuration to a majority of the voters.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -12,21 +12,21 @@
 use crate::set::ConfigurationSet;
 use crate::settings::{QUORUM_WINDOW, RETRY_INTERVAL};
 
-/// What a voter acknowledged, and when the request was sent that it answered.
+/// The revision that a voter acknowledged, and when the answered request was sent.
 #[derive(Debug, Clone, Copy)]
 struct Acknowledgement {
     revision: Revision,
     sent_at: MonotonicTime,
 }
 
-/// Sends the newest configuration that a node wants to be held, until a majority holds it.
+/// Sends the newest target configuration to the voters until they acknowledge it.
 #[derive(Debug)]
 pub(crate) struct Replication {
     voters: Voters,
     target: Arc<ConfigurationSet>,
     requests: BTreeMap<RequestId, (NodeId, MonotonicTime)>,
     acknowledged: BTreeMap<NodeId, Acknowledgement>,
-    /// Last reported revision of each voter, from which differences are made.
+    /// Last reported revision of each voter, the base of the deltas sent to it.
     reported: BTreeMap<NodeId, Revision>,
     last_sent: Option<MonotonicTime>,
 }
@@ -43,12 +43,12 @@
         }
     }
 
-    /// Newest configuration that shall be held.
+    /// The newest configuration to replicate.
     pub(crate) fn target(&self) -> &Arc<ConfigurationSet> {
         &self.target
     }
 
-    /// Takes a newer configuration and sends it at once. `base` is what voters are likely to have.
+    /// Sets a newer target and sends it at once. `base` is the revision that voters probably hold.
     pub(crate) fn start(
         &mut self,
         set: &Arc<ConfigurationSet>,
@@ -67,7 +67,7 @@
         self.send(now, outbox);
     }
 
-    /// Takes the acknowledgement of a voter; one that turns out to lag is sent what it lacks.
+    /// Handles an acknowledgement. A voter that is behind the target is sent what it lacks.
     pub(crate) fn acknowledge(
         &mut self,
         from: NodeId,
@@ -93,18 +93,20 @@
         }
     }
 
-    /// The highest revision that a majority is known to hold. Only answers to recent requests
-    /// count together, since a voter may lose its disk after it answered.
+    /// The highest revision that a majority is known to hold. Only answers to requests younger than
+    /// [`QUORUM_WINDOW`] count, since a voter may lose its disk after it answered.
     pub(crate) fn held(&self, now: MonotonicTime) -> Option<Revision> {
         let recent = self
             .acknowledged
             .values()
             .filter(|answer| now.since(answer.sent_at) < QUORUM_WINDOW);
-        let standing = self.voters.standing(recent.map(|answer| answer.revision))?;
-        Some(standing.held)
+        let quorum_result = self
+            .voters
+            .quorum_result(recent.map(|answer| answer.revision))?;
+        Some(quorum_result.held)
     }
 
-    /// Sends again what is not acknowledged after a while.
+    /// Sends the target again to voters that have not acknowledged it, every [`RETRY_INTERVAL`].
     pub(crate) fn retry(&mut self, now: MonotonicTime, outbox: &mut Outbox) {
         let due = |sent: MonotonicTime| now.since(sent) >= RETRY_INTERVAL;
         if self.last_sent.is_none_or(due) {
@@ -126,7 +128,7 @@
     fn send_to(&mut self, voter: NodeId, now: MonotonicTime, outbox: &mut Outbox) {
         let base = self.reported.get(&voter).copied().unwrap_or_default();
         let update = self.target.update_since(base);
-        let update = Box::new(update.unwrap_or_else(|| self.target.whole()));
+        let update = Box::new(update.unwrap_or_else(|| self.target.snapshot()));
         let request = outbox.next_request();
         self.requests.insert(request, (voter, now));
         outbox.send(voter, ConfigurationMessage::Replicate { request, update });
--- a/crates/configuration/src/revision.rs
+++ b/crates/configuration/src/revision.rs
@@ -1,4 +1,4 @@
-//! Numbers that order and identify changes.
+//! Numbers that order and identify changes and requests.
 
 use std::fmt;
 use std::str::FromStr;
@@ -26,7 +26,7 @@
 }
 
 number!(
-    /// Number of an accepted change; every change raises it by one, zero is the empty configuration.
+    /// Revision of the configuration. Every change increments it; zero is the empty configuration.
     Revision(u64)
 );
 number!(
@@ -34,12 +34,12 @@
     ObjectVersion(u64)
 );
 number!(
-    /// Version that the platform's store gave a document; zero means that there is none. It serves
-    /// for compare-and-swap only.
+    /// Version that the platform's store assigned to a document; zero means that there is none. Used
+    /// only for compare-and-swap.
     PlatformVersion(u64)
 );
 number!(
-    /// Number by which a sender recognises the answer to one of its requests.
+    /// Matches an answer to the sender's request.
     RequestId(u64)
 );
 
@@ -47,7 +47,7 @@
     /// The empty configuration.
     pub const ZERO: Self = Self(0);
 
-    /// The revision after this one.
+    /// The next revision.
     pub fn next(self) -> Self {
         Self(self.0 + 1)
     }
@@ -64,8 +64,8 @@
     }
 }
 
-/// The operator's name of one change; a repeated request carries the same one. In JSON it is a text
-/// of 32 hexadecimal digits, since readers of JSON lose digits of such large numbers.
+/// Identifier of one change, chosen by the operator; a retry carries the same one. In JSON it is a
+/// string of 32 hexadecimal digits, since many JSON parsers lose precision in large numbers.
 #[derive(
     Debug,
     Clone,
--- a/crates/configuration/src/role.rs
+++ b/crates/configuration/src/role.rs
@@ -1,4 +1,4 @@
-//! The configuration role of a node: one state machine for the daemon's actor to wrap.
+//! The configuration role of a node: the state machine that the node's configuration actor drives.
 
 mod messages;
 mod renewal;
@@ -12,21 +12,21 @@
 use crate::clients::Clients;
 use crate::counters::ConfigurationCounters;
 use crate::effect::{Effect, Event, OperatorAnswer, PlatformAnswer, Ticket, Unavailable};
-use crate::lease::{ConfigurationLease, Grant};
+use crate::lease::{ConfigurationLease, LeaseGrant};
 use crate::machines::MachineList;
 use crate::outbox::Outbox;
 use crate::quorum::Voters;
-use crate::relay::{RelayChoice, RelayPlan, RenewalTarget};
+use crate::relay::{RelayAssignment, RelaySelector, RenewalTarget};
 use crate::revision::{RequestId, Revision};
 use crate::set::ConfigurationSet;
 use crate::settings::{ConfigurationSettings, Member, READ_TIMEOUT, RENEW_INTERVAL, TICK_INTERVAL};
 use crate::voter::Voter;
 use crate::voter_state::StoredVoter;
-use crate::watcher::{Finding, Watcher};
+use crate::watcher::{Observation, Watcher};
 
-/// A read that waits for a renewal sent after it arrived.
+/// A read that is answered by the first grant whose renewal was sent after its arrival.
 #[derive(Debug)]
-struct OpenRead {
+struct PendingRead {
     ticket: Ticket,
     arrived: MonotonicTime,
 }
@@ -37,26 +37,27 @@
     node: NodeId,
     voters: Voters,
     lease: ConfigurationLease,
-    relays: RelayChoice,
+    relays: RelaySelector,
     clients: Clients,
     voter: Option<Voter>,
     coordinator: Coordinator,
     watcher: Watcher,
     machines: Arc<MachineList>,
-    reads: Vec<OpenRead>,
+    reads: Vec<PendingRead>,
     outbox: Outbox,
-    /// Whether clients lack something that came in force here.
+    /// Whether clients must be sent a newer configuration or list of machines.
     push_pending: bool,
     last_push: Option<MonotonicTime>,
-    /// What the last effects told the host.
-    announced_revision: Revision,
-    announced_machines: u64,
-    announced_ready: bool,
+    /// Last values reported to the host.
+    reported_revision: Revision,
+    reported_machines: u64,
+    reported_ready: bool,
     counters: ConfigurationCounters,
 }
 
 impl ConfigurationRole {
-    /// Starts the role. `stored` is what a voter's disk holds, `None` on an empty disk or no voter.
+    /// Starts the role. `stored` is the durable state of a voter; `None` if the disk is empty or the
+    /// node is not a voter.
     pub fn new(
         settings: ConfigurationSettings,
         stored: Option<StoredVoter>,
@@ -73,7 +74,7 @@
         Self {
             node,
             lease,
-            relays: RelayChoice::default(),
+            relays: RelaySelector::default(),
             clients: Clients::default(),
             voter,
             coordinator: Coordinator::new(voters.clone()),
@@ -83,15 +84,15 @@
             outbox: Outbox::new(node, settings.seed),
             push_pending: false,
             last_push: None,
-            announced_revision: Revision::ZERO,
-            announced_machines: 0,
-            announced_ready: false,
+            reported_revision: Revision::ZERO,
+            reported_machines: 0,
+            reported_ready: false,
             counters: ConfigurationCounters::default(),
             voters,
         }
     }
 
-    /// Takes one event and returns what is to be done, in order.
+    /// Handles one event and returns the effects to carry out, in order.
     pub fn handle(&mut self, now: MonotonicTime, event: Event) -> Vec<Effect> {
         match event {
             Event::Message { from, message } => self.message(now, from, message),
@@ -99,8 +100,8 @@
                 self.platform_answer(now, request, answer);
             }
             Event::PlatformWatch(event) => {
-                let finding = self.watcher.watch_event(event, now);
-                self.take_finding(finding);
+                let observation = self.watcher.watch_event(event, now);
+                self.apply_observation(observation);
             }
             Event::Tick => self.tick(now),
             Event::Change { ticket, request } => self.change(now, ticket, request),
@@ -115,44 +116,45 @@
         effects
     }
 
-    /// The configuration in force, or a refusal with [`RefusalReason::ConfigurationStale`] where
-    /// the lease ran out. Ask before every acceptance of work, with the time of that moment.
+    /// The configuration in force, or a refusal with [`RefusalReason::ConfigurationStale`] if the
+    /// lease has expired. To be called with the current time before any work is accepted.
     pub fn in_force(&self, now: MonotonicTime) -> Result<&Arc<ConfigurationSet>, Refusal> {
-        if self.lease.holds(now) {
+        if self.lease.is_valid(now) {
             return Ok(self.lease.set());
         }
         let stale = RefusalReason::ConfigurationStale;
         Err(Refusal::retry_after(stale, RENEW_INTERVAL))
     }
 
-    /// The last configuration that was in force, for work accepted earlier and for display only.
+    /// The last configuration in force, even if the lease has expired. Only for display and for work
+    /// that is already accepted.
     pub fn last_known(&self) -> &Arc<ConfigurationSet> {
         self.lease.set()
     }
 
-    /// The newest known list of machines. It lags behind the platform.
+    /// The newest known list of machines, which may lag behind the platform.
     pub fn machines(&self) -> &Arc<MachineList> {
         &self.machines
     }
 
-    /// What was counted since the start.
+    /// Counts since the start of the role.
     pub fn counters(&self) -> ConfigurationCounters {
         self.counters
     }
 
-    /// This node.
+    /// Identifier of this node.
     pub fn node(&self) -> NodeId {
         self.node
     }
 
-    /// Nodes that renew their leases with this one.
+    /// Number of nodes that renew their leases through this one.
     pub fn client_count(&self) -> usize {
         self.clients.len()
     }
 
-    /// Whether this node is a voter that answers for the newest revision.
-    pub fn is_vouching_voter(&self) -> bool {
-        self.voter.as_ref().is_some_and(Voter::vouches)
+    /// Whether this node is a voter whose answers count towards a quorum.
+    pub fn is_eligible_voter(&self) -> bool {
+        self.voter.as_ref().is_some_and(Voter::is_eligible)
     }
 
     fn handle_local(&mut self, now: MonotonicTime) {
@@ -163,7 +165,7 @@
 
     fn try_grant(&mut self, now: MonotonicTime) {
         let grant = self.lease.try_grant(now);
-        self.after_promotion();
+        self.report_changes();
         if let Some(grant) = grant {
             self.counters.leases_granted += 1;
             self.answer_clients(&grant);
@@ -171,29 +173,29 @@
         }
     }
 
-    /// Tells the host what came in force, and which machines are known.
-    fn after_promotion(&mut self) {
+    /// Reports a newer configuration in force, and a newer list of machines, to the host.
+    fn report_changes(&mut self) {
         let revision = self.lease.set().revision();
         let machines = self.machines.version();
-        if revision <= self.announced_revision && machines <= self.announced_machines {
+        if revision <= self.reported_revision && machines <= self.reported_machines {
             return;
         }
-        if revision > self.announced_revision {
-            self.announced_revision = revision;
+        if revision > self.reported_revision {
+            self.reported_revision = revision;
             self.counters.revisions_in_force += 1;
-            self.coordinator.note_in_force(revision);
+            self.coordinator.set_in_force(revision);
             let set = Arc::clone(self.lease.set());
             self.outbox.effect(Effect::InForce(set));
         }
-        if machines > self.announced_machines {
-            self.announced_machines = machines;
+        if machines > self.reported_machines {
+            self.reported_machines = machines;
             let machines = Arc::clone(&self.machines);
             self.outbox.effect(Effect::Machines(machines));
         }
         self.push_pending = true;
     }
 
-    fn answer_reads(&mut self, grant: &Grant) {
+    fn answer_reads(&mut self, grant: &LeaseGrant) {
         let set = self.lease.set();
         self.reads.retain(|read| {
             let answered = read.arrived <= grant.sent_at;
@@ -206,25 +208,25 @@
     }
 
     fn platform_answer(&mut self, now: MonotonicTime, request: RequestId, answer: PlatformAnswer) {
-        if let Some(finding) = self.watcher.platform_answer(request, &answer, now) {
-            self.take_finding(Some(finding));
+        if let Some(observation) = self.watcher.platform_answer(request, &answer, now) {
+            self.apply_observation(Some(observation));
             return;
         }
         let found = self
             .coordinator
             .platform_answer(request, answer, now, &mut self.outbox);
-        self.take_finding(found.map(Finding::Watched));
+        self.apply_observation(found.map(Observation::Watched));
     }
 
-    fn take_finding(&mut self, finding: Option<Finding>) {
-        match (finding, &mut self.voter) {
-            (Some(Finding::Read(set)), Some(voter)) => voter.take_read(&set, &mut self.outbox),
-            (Some(Finding::Watched(set)), Some(voter)) => {
-                voter.take_watched(&set, &mut self.outbox);
+    fn apply_observation(&mut self, observation: Option<Observation>) {
+        match (observation, &mut self.voter) {
+            (Some(Observation::Read(set)), Some(voter)) => voter.apply_read(&set, &mut self.outbox),
+            (Some(Observation::Watched(set)), Some(voter)) => {
+                voter.apply_watched(&set, &mut self.outbox);
             }
-            (Some(Finding::Machines(version, machines)), _) => {
+            (Some(Observation::Machines(version, machines)), _) => {
                 Arc::make_mut(&mut self.machines).observe(version, machines);
-                self.after_promotion();
+                self.report_changes();
             }
             _ => {}
         }
@@ -236,7 +238,7 @@
     }
 
     fn read(&mut self, now: MonotonicTime, ticket: Ticket) {
-        self.reads.push(OpenRead {
+        self.reads.push(PendingRead {
             ticket,
             arrived: now,
         });
@@ -245,7 +247,8 @@
         }
     }
 
-    /// What the voter has on its disk may come in force here as soon as a majority is known to hold it.
+    /// Stages the voter's durable configuration, so that it can be put in force once a majority holds
+    /// it.
     fn flushed(&mut self, write: u64) {
         let machines = self.machines.version();
         if let Some(voter) = &mut self.voter {
@@ -255,10 +258,10 @@
     }
 
     fn set_members(&mut self, members: &[Member]) {
-        let plan = RelayPlan::new(members, &self.voters);
+        let assignment = RelayAssignment::new(members, &self.voters);
         let relays = match self.voter {
             Some(_) => Vec::new(),
-            None => plan.relays_for(self.node),
+            None => assignment.relays_for(self.node),
         };
         self.relays.set_relays(relays);
     }
@@ -267,17 +270,17 @@
         let machines = self.machines.version();
         if let Some(voter) = &mut self.voter {
             voter.tick(now, machines, &mut self.outbox);
-            let recovering = !voter.vouches();
+            let recovering = !voter.is_eligible();
             self.watcher.tick(now, recovering, &mut self.outbox);
         }
         self.coordinator.tick(now, &mut self.outbox);
-        self.clients.forget_idle(now);
-        self.give_up_reads(now);
+        self.clients.remove_idle(now);
+        self.expire_reads(now);
         self.try_grant(now);
         self.renew_if_due(now);
     }
 
-    fn give_up_reads(&mut self, now: MonotonicTime) {
+    fn expire_reads(&mut self, now: MonotonicTime) {
         self.reads.retain(|read| {
             let keep = now.since(read.arrived) < READ_TIMEOUT;
             if !keep {
@@ -289,13 +292,13 @@
     }
 
     fn announce(&mut self, now: MonotonicTime) {
-        self.after_promotion();
+        self.report_changes();
         self.push_to_clients(now);
-        let ready = self.lease.holds(now);
-        if ready == self.announced_ready {
+        let ready = self.lease.is_valid(now);
+        if ready == self.reported_ready {
             return;
         }
-        self.announced_ready = ready;
+        self.reported_ready = ready;
         self.counters.leases_expired += u64::from(!ready);
         self.outbox.effect(Effect::Ready(ready));
     }
--- a/crates/configuration/src/role/messages.rs
+++ b/crates/configuration/src/role/messages.rs
@@ -1,11 +1,11 @@
-//! Messages of other nodes, each handed to the part that it concerns.
+//! Dispatch of messages to the components of the role.
 
 use std::sync::Arc;
 
 use ridgeworks_domain::{MonotonicTime, NodeId};
 
 use super::ConfigurationRole;
-use crate::message::{ConfigurationMessage, Known, News};
+use crate::message::{ConfigurationMessage, KnownVersions, StateDelta};
 use crate::revision::RequestId;
 
 impl ConfigurationRole {
@@ -26,7 +26,7 @@
                 self.stored(now, from, request, known);
             }
             ConfigurationMessage::FetchNewest { request, known } => {
-                self.fetch_newest(from, request, known);
+                self.on_fetch_newest(from, request, known);
             }
             ConfigurationMessage::Newest {
                 request,
@@ -34,35 +34,35 @@
                 vouches,
                 news,
             } => {
-                self.take_machines(&news);
+                self.apply_machines(&news);
                 let update = news.update.as_deref();
                 if let Some(voter) = &mut self.voter {
-                    voter.take_newest(from, request, newest, vouches, update, &mut self.outbox);
+                    voter.on_newest(from, request, newest, vouches, update, &mut self.outbox);
                 }
             }
             ConfigurationMessage::Renew { request, known } => {
-                self.renew_for(now, from, request, known);
+                self.on_renew(now, from, request, known);
             }
             ConfigurationMessage::Renewed {
                 request,
                 answers,
                 news,
             } => {
-                if self.lease.take_answers(request, &answers) && !self.voters.contains(from) {
+                if self.lease.record_answers(request, &answers) && !self.voters.contains(from) {
                     self.relays.answered();
                 }
-                self.take_news(&news);
+                self.apply_delta(&news);
                 self.try_grant(now);
             }
             ConfigurationMessage::RelayFull { .. } => {
                 if self.relays.is_waiting() {
-                    self.relays.give_up_relay();
+                    self.relays.skip_relay();
                     self.renew(now);
                 }
             }
             ConfigurationMessage::Push { news } => {
-                self.take_news(&news);
-                self.after_promotion();
+                self.apply_delta(&news);
+                self.report_changes();
             }
         }
     }
@@ -72,7 +72,7 @@
         now: MonotonicTime,
         from: NodeId,
         request: Option<RequestId>,
-        known: Known,
+        known: KnownVersions,
     ) {
         if let Some(request) = request {
             let newest = known.newest;
@@ -85,25 +85,30 @@
         let Some(voter) = &mut self.voter else {
             return;
         };
-        voter.digest(from, known, self.machines.version(), &mut self.outbox);
+        voter.on_digest(from, known, self.machines.version(), &mut self.outbox);
         if let Some(machines) = self.machines.update_since(known.machines) {
-            let news = News {
+            let news = StateDelta {
                 machines: Some(Box::new(machines)),
-                ..News::default()
+                ..StateDelta::default()
             };
             self.outbox.send(from, ConfigurationMessage::Push { news });
         }
     }
 
-    pub(super) fn fetch_newest(&mut self, from: NodeId, request: RequestId, known: Known) {
+    pub(super) fn on_fetch_newest(
+        &mut self,
+        from: NodeId,
+        request: RequestId,
+        known: KnownVersions,
+    ) {
         let Some(voter) = &self.voter else {
             return;
         };
         let message = ConfigurationMessage::Newest {
             request,
             newest: voter.durable().revision(),
-            vouches: voter.vouches(),
-            news: News {
+            vouches: voter.is_eligible(),
+            news: StateDelta {
                 update: voter.durable().update_since(known.newest).map(Box::new),
                 held: self.lease.set().revision(),
                 machines: self.machines.update_since(known.machines).map(Box::new),
@@ -112,17 +117,17 @@
         self.outbox.send(from, message);
     }
 
-    pub(super) fn take_news(&mut self, news: &News) {
+    pub(super) fn apply_delta(&mut self, news: &StateDelta) {
         if let Some(update) = &news.update
             && self.lease.sets.stage_update(update).is_err()
         {
             self.counters.updates_mismatched += 1;
         }
         self.lease.sets.promote(news.held);
-        self.take_machines(news);
+        self.apply_machines(news);
     }
 
-    pub(super) fn take_machines(&mut self, news: &News) {
+    pub(super) fn apply_machines(&mut self, news: &StateDelta) {
         if let Some(update) = &news.machines {
             Arc::make_mut(&mut self.machines).apply(update);
         }
--- a/crates/configuration/src/role/renewal.rs
+++ b/crates/configuration/src/role/renewal.rs
@@ -1,29 +1,31 @@
-//! Renewals of the node's own lease, and of its clients' leases.
+//! Renewal of the node's own lease and of its clients' leases.
 
 use ridgeworks_domain::{MonotonicTime, NodeId};
 
 use super::ConfigurationRole;
 use crate::clients::WaitingRenewal;
-use crate::lease::Grant;
-use crate::message::{ConfigurationMessage, Known, VoterAnswer};
+use crate::lease::LeaseGrant;
+use crate::message::{ConfigurationMessage, KnownVersions, VoterAnswer};
 use crate::relay::RenewalTarget;
 use crate::revision::RequestId;
 use crate::settings::{
-    MAX_RELAY_CLIENTS, PUSH_INTERVAL, RELAY_BATCH_INTERVAL, RELAY_RETRY, RENEW_RETRY, TICK_INTERVAL,
+    MAX_RELAY_CLIENTS, PUSH_INTERVAL, RELAY_BATCH_INTERVAL, RELAY_RETRY_INTERVAL,
+    RENEW_RETRY_INTERVAL, TICK_INTERVAL,
 };
 
 impl ConfigurationRole {
-    /// Answers a renewal as a voter, or keeps it until this node's own renewal is answered.
-    pub(super) fn renew_for(
+    /// Answers a client's renewal if this node is a voter; otherwise queues it until this node's own
+    /// renewal is granted.
+    pub(super) fn on_renew(
         &mut self,
         now: MonotonicTime,
         from: NodeId,
         request: RequestId,
-        known: Known,
+        known: KnownVersions,
     ) {
         if let Some(voter) = &self.voter {
             let answers = voter.answers();
-            self.clients.note(from, known, now);
+            self.clients.record_renewal(from, known, now);
             self.send_renewed(from, request, answers);
             return;
         }
@@ -33,9 +35,10 @@
             self.outbox.send(from, message);
             return;
         }
-        self.clients.note(from, known, now);
+        self.clients.record_renewal(from, known, now);
         let arrived = now;
-        self.clients.wait(from, WaitingRenewal { request, arrived });
+        self.clients
+            .enqueue(from, WaitingRenewal { request, arrived });
     }
 
     pub(super) fn send_renewed(
@@ -49,7 +52,7 @@
             None => self.lease.sets.newest(),
         };
         let in_force = self.lease.set();
-        let news = self.clients.news_for(to, newest, in_force, &self.machines);
+        let news = self.clients.delta_for(to, newest, in_force, &self.machines);
         let message = ConfigurationMessage::Renewed {
             request,
             answers,
@@ -58,17 +61,18 @@
         self.outbox.send(to, message);
     }
 
-    /// The voters' answers to this node's renewal hold for every client that asked before it.
-    pub(super) fn answer_clients(&mut self, grant: &Grant) {
-        for (client, request) in self.clients.take_waiting(grant.sent_at) {
+    /// Answers the clients whose renewals arrived before this node's renewal was sent. The voters'
+    /// answers are valid for them too.
+    pub(super) fn answer_clients(&mut self, grant: &LeaseGrant) {
+        for (client, request) in self.clients.drain_waiting(grant.sent_at) {
             self.send_renewed(client, request, grant.answers.clone());
         }
     }
 
-    /// Passes on what is new. In a burst several changes go in one push.
+    /// Pushes updates to clients, at most once per [`PUSH_INTERVAL`].
     pub(super) fn push_to_clients(&mut self, now: MonotonicTime) {
-        let lately = |last: MonotonicTime| now.since(last) < PUSH_INTERVAL;
-        if !self.push_pending || self.last_push.is_some_and(lately) {
+        let recently_pushed = |last: MonotonicTime| now.since(last) < PUSH_INTERVAL;
+        if !self.push_pending || self.last_push.is_some_and(recently_pushed) {
             return;
         }
         self.push_pending = false;
@@ -80,7 +84,7 @@
             let in_force = self.lease.set();
             let news = self
                 .clients
-                .news_for(client, in_force, in_force, &self.machines);
+                .delta_for(client, in_force, in_force, &self.machines);
             self.counters.pushes_sent += 1;
             self.outbox
                 .send(client, ConfigurationMessage::Push { news });
@@ -94,8 +98,8 @@
         let unread = self.reads.iter().any(|read| Some(read.arrived) > last);
         let client_waits = self.clients.waiting_since() > last.or(Some(MonotonicTime::ZERO));
         let retry = match self.relays.is_waiting() {
-            true => RELAY_RETRY,
-            false => RENEW_RETRY,
+            true => RELAY_RETRY_INTERVAL,
+            false => RENEW_RETRY_INTERVAL,
         };
         let due = self.lease.renewal_due(now)
             || (unanswered && self.lease.due(now, retry))
@@ -109,7 +113,7 @@
     }
 
     pub(super) fn renew(&mut self, now: MonotonicTime) {
-        // A node that has no lease yet, or a relay with clients, needs the voters themselves.
+        // A node without a lease, or a relay with waiting clients, asks the voters directly.
         let relays_others = self.clients.waiting_since().is_some();
         let target = match self.lease.granted_from() {
             Some(_) if !relays_others => self.relays.target(now),
@@ -120,7 +124,7 @@
 
     pub(super) fn renew_with(&mut self, now: MonotonicTime, target: RenewalTarget) {
         let request = self.outbox.next_request();
-        let known = Known {
+        let known = KnownVersions {
             newest: self.lease.sets.newest().revision(),
             machines: self.machines.version(),
         };
--- a/crates/configuration/src/set.rs
+++ b/crates/configuration/src/set.rs
@@ -1,4 +1,4 @@
-//! The whole configuration at one revision.
+//! The complete configuration at one revision.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
@@ -8,19 +8,19 @@
 
 use crate::object::{ConfigurationObject, ObjectKey, ObjectKind, VersionedObject};
 use crate::revision::{ObjectVersion, OperationId, Revision};
-use crate::update::{OperationRecord, REMEMBERED_OPERATIONS, Update};
+use crate::update::{MAX_RECORDED_OPERATIONS, OperationRecord, Update};
 
-/// Why an update does not lead on from a configuration.
+/// Why an update cannot be applied to a configuration.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum UpdateMismatch {
-    /// The difference starts from a revision that is still ahead; holds that revision.
+    /// The delta starts from this revision, which is newer than the configuration.
     BaseAhead(Revision),
-    /// The update does not lead to a newer revision.
+    /// The update does not result in a newer revision.
     NotNewer,
 }
 
-/// All objects with their versions at one revision. Cloning shares the objects; hold it in an
-/// [`Arc`] to share the whole.
+/// All objects with their versions at one revision. Cloning shares the objects but copies the maps;
+/// use an [`Arc`] to share the set.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct ConfigurationSet {
     revision: Revision,
@@ -41,22 +41,22 @@
 }
 
 impl ConfigurationSet {
-    /// The revision of this configuration.
+    /// The revision; zero for the empty configuration.
     pub fn revision(&self) -> Revision {
         self.revision
     }
 
-    /// The object of this key with its version.
+    /// The object with its version.
     pub fn get(&self, key: &ObjectKey) -> Option<&VersionedObject> {
         self.objects.get(key).map(Arc::as_ref)
     }
 
-    /// The object of this key.
+    /// The object without its version.
     pub fn object(&self, key: &ObjectKey) -> Option<&ConfigurationObject> {
         self.get(key).map(|versioned| &versioned.object)
     }
 
-    /// Version of the object, [`ObjectVersion::ABSENT`] where there is none.
+    /// Version of the object; [`ObjectVersion::ABSENT`] if it does not exist.
     pub fn version(&self, key: &ObjectKey) -> ObjectVersion {
         self.get(key)
             .map_or(ObjectVersion::ABSENT, |versioned| versioned.version)
@@ -88,8 +88,8 @@
         backend, Backend, BackendName
     );
 
-    /// The partner whose token has this SHA-256 hash in lower-case hexadecimal. Hashes are compared,
-    /// not tokens, so the time that it takes tells nothing of a token.
+    /// The partner whose token has this SHA-256 hash in lower-case hexadecimal. Comparing hashes
+    /// instead of tokens keeps the timing from revealing a token.
     pub fn partner_by_token_hash(&self, token_sha256: &str) -> Option<&Partner> {
         let mut partners = self.partners();
         partners.find(|partner| partner.token_sha256 == token_sha256)
@@ -122,7 +122,7 @@
             })
     }
 
-    /// The split of the shared pool.
+    /// The split of the shared pool; `None` before the first one is proposed.
     pub fn pool_split(&self) -> Option<&PoolSplit> {
         match self.object(&ObjectKey::pool_split()) {
             Some(ConfigurationObject::PoolSplit(split)) => Some(split),
@@ -130,25 +130,25 @@
         }
     }
 
-    /// The record of an operation, while it is remembered.
+    /// The record of an operation; `None` if it was never applied or is older than the recorded ones.
     pub fn operation(&self, operation: OperationId) -> Option<&OperationRecord> {
         let mut records = self.operations.iter();
         records.find(|record| record.operation == operation)
     }
 
-    /// Operations after revision `since` that are remembered.
+    /// Recorded operations after revision `since`.
     pub fn operations_since(&self, since: Revision) -> Vec<OperationId> {
         let newer = |record: &&OperationRecord| record.revision > since;
         let records = self.operations.iter().filter(newer);
         records.map(|record| record.operation).collect()
     }
 
-    /// Whether every operation after revision `since` is still remembered.
-    pub fn remembers_since(&self, since: Revision) -> bool {
+    /// Whether every operation after revision `since` is still recorded.
+    pub fn has_operations_since(&self, since: Revision) -> bool {
         self.revision.0.saturating_sub(since.0) <= self.operations.len() as u64
     }
 
-    /// This configuration with one object written as the next revision.
+    /// Returns the next revision, with one object created or replaced.
     pub(crate) fn with_object(&self, operation: OperationId, object: ConfigurationObject) -> Self {
         let mut next = self.clone();
         next.advance(operation, object.key());
@@ -158,7 +158,7 @@
         next
     }
 
-    /// This configuration with one object deleted as the next revision.
+    /// Returns the next revision, with one object deleted.
     pub(crate) fn without_object(&self, operation: OperationId, key: &ObjectKey) -> Self {
         let mut next = self.clone();
         next.advance(operation, key.clone());
@@ -166,8 +166,8 @@
         next
     }
 
-    /// The whole configuration.
-    pub fn whole(&self) -> Update {
+    /// The complete configuration as an update.
+    pub fn snapshot(&self) -> Update {
         Update {
             base: None,
             revision: self.revision,
@@ -177,14 +177,14 @@
         }
     }
 
-    /// What a holder of revision `known` needs to reach this one: a difference where the operations
-    /// since then are remembered, the whole otherwise, `None` where it knows no less.
+    /// The update from revision `known` to this one: a delta if all operations since then are
+    /// recorded, otherwise a snapshot; `None` if `known` is not older.
     pub fn update_since(&self, known: Revision) -> Option<Update> {
         if known >= self.revision {
             return None;
         }
-        if known == Revision::ZERO || !self.remembers_since(known) {
-            return Some(self.whole());
+        if known == Revision::ZERO || !self.has_operations_since(known) {
+            return Some(self.snapshot());
         }
         let newer = |record: &&OperationRecord| record.revision > known;
         let operations: Vec<OperationRecord> =
@@ -207,21 +207,21 @@
         })
     }
 
-    /// The configuration that `update` leads to. A difference holds the final state of all it
-    /// touches, so it may start from this revision or from an earlier one.
+    /// Applies an update. A delta contains the final state of every object that it changes, so its
+    /// base may be this revision or an earlier one.
     pub fn apply(&self, update: &Update) -> Result<Self, UpdateMismatch> {
         if update.revision <= self.revision {
             return Err(UpdateMismatch::NotNewer);
         }
         match update.base {
-            None => Ok(Self::from_whole(update)),
+            None => Ok(Self::from_snapshot(update)),
             Some(base) if base > self.revision => Err(UpdateMismatch::BaseAhead(base)),
-            Some(_) => Ok(self.apply_difference(update)),
+            Some(_) => Ok(self.apply_delta(update)),
         }
     }
 
-    /// The configuration that a whole update holds.
-    pub fn from_whole(update: &Update) -> Self {
+    /// The configuration of a snapshot.
+    pub fn from_snapshot(update: &Update) -> Self {
         let mut set = Self::default();
         for versioned in &update.objects {
             set.insert(versioned.clone());
@@ -231,7 +231,7 @@
         set
     }
 
-    fn apply_difference(&self, update: &Update) -> Self {
+    fn apply_delta(&self, update: &Update) -> Self {
         let mut next = self.clone();
         for key in &update.removed {
             next.objects.remove(key);
@@ -242,7 +242,7 @@
         let newer = |record: &&OperationRecord| record.revision > self.revision;
         next.operations
             .extend(update.operations.iter().filter(newer).cloned());
-        next.forget_operations();
+        next.prune_operations();
         next.revision = update.revision;
         next
     }
@@ -259,11 +259,14 @@
             revision: self.revision,
             key,
         });
-        self.forget_operations();
+        self.prune_operations();
     }
 
-    fn forget_operations(&mut self) {
-        let surplus = self.operations.len().saturating_sub(REMEMBERED_OPERATIONS);
+    fn prune_operations(&mut self) {
+        let surplus = self
+            .operations
+            .len()
+            .saturating_sub(MAX_RECORDED_OPERATIONS);
         self.operations.drain(..surplus);
     }
 }
--- a/crates/configuration/src/staged.rs
+++ b/crates/configuration/src/staged.rs
@@ -1,4 +1,4 @@
-//! The configuration in force, and newer ones that wait for a majority of voters.
+//! The configuration in force, and newer ones that no majority of voters is known to hold.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -7,10 +7,10 @@
 use crate::set::{ConfigurationSet, UpdateMismatch};
 use crate::update::Update;
 
-/// Most newer configurations kept at a time.
+/// Maximum number of newer configurations kept; the oldest is dropped.
 const MAX_STAGED: usize = 64;
 
-/// A chain of configurations in order of their revisions; the first one is in force.
+/// The configuration in force and newer ones in order of their revisions.
 #[derive(Debug, Clone)]
 pub struct StagedSets {
     in_force: Arc<ConfigurationSet>,
@@ -37,7 +37,8 @@
         self.newer.back().unwrap_or(&self.in_force)
     }
 
-    /// Stages what `update` leads to. Returns whether it is newer than all others.
+    /// Stages the result of applying `update` to the newest configuration. Returns whether it is
+    /// newer than all others.
     pub fn stage_update(&mut self, update: &Update) -> Result<bool, UpdateMismatch> {
         if update.revision <= self.newest().revision() {
             return Ok(false);
@@ -58,8 +59,8 @@
         true
     }
 
-    /// Puts the newest configuration in force that is not above `held`. Returns whether there was
-    /// one above the configuration in force.
+    /// Puts in force the newest staged configuration up to revision `held`. Returns whether the
+    /// configuration in force changed.
     pub fn promote(&mut self, held: Revision) -> bool {
         let count = self
             .newer
--- a/crates/configuration/src/update.rs
+++ b/crates/configuration/src/update.rs
@@ -1,5 +1,5 @@
-//! The form in which a configuration travels, rests on disk and stands in the platform's store:
-//! the whole of it, or what changed since a revision.
+//! The serialised form of a configuration in messages, on disk and in the platform's store: a
+//! snapshot, or a delta since a revision.
 #![allow(
     missing_docs,
     reason = "the resolvers that rkyv derives carry undocumented fields"
@@ -10,11 +10,11 @@
 use crate::object::{ObjectKey, VersionedObject};
 use crate::revision::{OperationId, Revision};
 
-/// Changes whose operation ids a configuration remembers. A lost answer can be resolved, and a
-/// delta can be made, as long as no more changes than this have followed.
-pub const REMEMBERED_OPERATIONS: usize = 256;
+/// Number of most recent operations that a configuration records. A lost answer can be resolved, and
+/// a delta can be computed, as long as no more changes than this have followed.
+pub const MAX_RECORDED_OPERATIONS: usize = 256;
 
-/// Which operation made which revision, and which object it touched.
+/// The revision that an operation created, and the object that it changed.
 #[derive(
     Debug,
     Clone,
@@ -27,15 +27,15 @@
     serde::Deserialize,
 )]
 pub struct OperationRecord {
-    /// The operator's name of the change.
+    /// Identifier of the change.
     pub operation: OperationId,
-    /// The revision it made.
+    /// The revision that it created.
     pub revision: Revision,
-    /// The object it touched.
+    /// The object that it changed.
     pub key: ObjectKey,
 }
 
-/// A configuration, or the difference between two revisions of it.
+/// A snapshot of the configuration, or the delta between two revisions.
 #[derive(
     Debug,
     Clone,
@@ -48,34 +48,34 @@
     serde::Deserialize,
 )]
 pub struct Update {
-    /// The revision this difference starts from; `None` for the whole configuration.
+    /// The revision that the delta starts from; `None` for a snapshot.
     pub base: Option<Revision>,
-    /// The revision it leads to.
+    /// The revision that it results in.
     pub revision: Revision,
-    /// Objects created or changed.
+    /// Objects created or changed; all objects for a snapshot.
     pub objects: Vec<VersionedObject>,
-    /// Objects deleted; empty for the whole configuration.
+    /// Objects deleted; empty for a snapshot.
     pub removed: Vec<ObjectKey>,
-    /// Newest operations in order of their revisions: since `base`, or all that are remembered.
+    /// Operations in order of their revisions: since `base`, or all recorded ones for a snapshot.
     pub operations: Vec<OperationRecord>,
 }
 
-/// Why a document of the platform's store could not be read.
+/// Why a document of the platform's store could not be parsed.
 #[derive(Debug)]
 pub enum DocumentError {
-    /// It is not the JSON of a configuration.
+    /// It is not JSON of an [`Update`].
     Malformed(serde_json::Error),
-    /// It is a difference where the whole configuration belongs.
+    /// It is a delta instead of a snapshot.
     NotWhole,
 }
 
 impl Update {
-    /// The JSON document for the platform's store.
+    /// Serialises the update as the JSON document for the platform's store.
     pub fn to_document(&self) -> Vec<u8> {
         serde_json::to_vec(self).expect("a configuration has only string keys and plain values")
     }
 
-    /// Reads a document of the platform's store.
+    /// Parses a document of the platform's store, which must be a snapshot.
     pub fn from_document(document: &[u8]) -> Result<Self, DocumentError> {
         let update: Self = serde_json::from_slice(document).map_err(DocumentError::Malformed)?;
         match update.base {
--- a/crates/configuration/src/validation.rs
+++ b/crates/configuration/src/validation.rs
@@ -1,4 +1,4 @@
-//! Which objects are allowed: ranges of fields, and references that must exist.
+//! Validation of objects: ranges of fields, and references that must exist.
 
 use std::ops::RangeInclusive;
 
@@ -9,7 +9,7 @@
 use crate::object::{ConfigurationObject, ObjectKey, ObjectKind};
 use crate::set::ConfigurationSet;
 
-/// Digits of a SHA-256 hash in hexadecimal.
+/// Number of hexadecimal digits of a SHA-256 hash.
 pub const TOKEN_HASH_DIGITS: usize = 64;
 /// Sum of all shares of the pool, in thousandths.
 pub const SHARE_SUM_PERMILLE: u64 = 1000;
@@ -63,7 +63,7 @@
     Slots,
 }
 
-/// What a field may hold.
+/// The values that a field allows.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Allowed {
     /// A number in this range.
@@ -73,15 +73,15 @@
         /// Number of digits.
         digits: usize,
     },
-    /// The name of an object of this kind that exists.
+    /// The name of an existing object of this kind.
     Existing(ObjectKind),
     /// The name of an object of this kind that has the same owner.
     SameOwner(ObjectKind),
-    /// A value that occurs once.
+    /// A value that must not occur twice.
     Unique,
     /// Numbers with this sum.
     Sum(u64),
-    /// The IP number of one host.
+    /// The IP address of a single host.
     HostAddress,
 }
 
@@ -94,19 +94,19 @@
     pub field: Field,
     /// Its value as text.
     pub value: String,
-    /// What is allowed.
+    /// The values that the field allows.
     pub allowed: Allowed,
 }
 
 type Checked = Result<(), InvalidObject>;
 
-/// Collects what every check of one object needs.
+/// Context for the checks of one object.
 struct Check<'a> {
     set: &'a ConfigurationSet,
     key: ObjectKey,
 }
 
-/// Checks the fields of an object and that what it refers to exists in `set`.
+/// Checks the fields of an object, and that all objects it refers to exist in `set`.
 pub fn validate(set: &ConfigurationSet, object: &ConfigurationObject) -> Checked {
     let key = object.key();
     let check = Check { set, key };
@@ -230,7 +230,7 @@
         Ok(())
     }
 
-    /// A split with a proposal and no shares is the one that is still to be agreed on.
+    /// A split may have no shares while its first proposal is open.
     fn split(&self, split: &PoolSplit) -> Checked {
         if !split.shares.is_empty() || split.proposed.is_none() {
             self.shares(&split.shares)?;
--- a/crates/configuration/src/voter.rs
+++ b/crates/configuration/src/voter.rs
@@ -1,10 +1,10 @@
-//! A configuration voter: it keeps the newest revision on its disk and tells it to whoever asks.
+//! A configuration voter stores the newest revision durably and reports it on request.
 //!
-//! Survives a crash: [`StoredVoter`]. A voter answers for a revision only after the write of it is
-//! durable, so its answers never go back. A voter that starts without its state has lost its disk
-//! or is new: it does not vouch for what is newest until it has caught up, either from
-//! [`Voters::recovery_quorum`] other voters after a quarantine, or from the platform's document,
-//! which every acknowledged revision was written to first.
+//! The durable state is [`StoredVoter`]. A voter reports a revision only after its write is durable,
+//! so the reported revision never decreases. A voter that starts without stored state is new or has
+//! lost its disk. It is not eligible, so its answers do not count towards a quorum, until it has
+//! caught up: either from [`Voters::recovery_quorum`] other voters after a quarantine, or from the
+//! platform's document, to which every acknowledged revision was written first.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -12,7 +12,7 @@
 use ridgeworks_domain::{MonotonicTime, NodeId};
 
 use crate::effect::Effect;
-use crate::message::{ConfigurationMessage, Known, VoterAnswer};
+use crate::message::{ConfigurationMessage, KnownVersions, VoterAnswer};
 use crate::outbox::Outbox;
 use crate::quorum::Voters;
 use crate::revision::{RequestId, Revision};
@@ -22,7 +22,7 @@
 use crate::update::Update;
 use crate::voter_state::StoredVoter;
 
-/// A reply that waits for a write.
+/// A reply that is sent once its revision is durable.
 #[derive(Debug)]
 struct PendingReply {
     to: NodeId,
@@ -34,14 +34,14 @@
 struct WriteInFlight {
     number: u64,
     set: Arc<ConfigurationSet>,
-    vouches: bool,
+    is_eligible: bool,
 }
 
-/// Catching up after a lost disk.
+/// Recovery after the loss of the disk.
 #[derive(Debug)]
 struct Recovery {
     started: MonotonicTime,
-    asked: Option<MonotonicTime>,
+    requested_at: Option<MonotonicTime>,
     requests: BTreeMap<RequestId, NodeId>,
     answers: BTreeMap<NodeId, Revision>,
 }
@@ -52,11 +52,11 @@
     node: NodeId,
     voters: Voters,
     durable: Arc<ConfigurationSet>,
-    /// Configurations taken, of which the newest is to be written.
-    taken: StagedSets,
-    vouches: bool,
-    /// Whether the next write shall say that the voter vouches.
-    shall_vouch: bool,
+    /// Received configurations; the newest is written next.
+    received: StagedSets,
+    is_eligible: bool,
+    /// Whether the next write marks the voter as eligible.
+    eligible_after_write: bool,
     write: Option<WriteInFlight>,
     last_write: u64,
     replies: Vec<PendingReply>,
@@ -71,14 +71,14 @@
         stored: Option<StoredVoter>,
         now: MonotonicTime,
     ) -> Self {
-        let vouches = stored.as_ref().is_some_and(|stored| stored.vouches);
-        let set = stored.map(|stored| ConfigurationSet::from_whole(&stored.whole));
+        let is_eligible = stored.as_ref().is_some_and(|stored| stored.vouches);
+        let set = stored.map(|stored| ConfigurationSet::from_snapshot(&stored.whole));
         let durable = Arc::new(set.unwrap_or_default());
-        let mut taken = StagedSets::default();
-        taken.stage(Arc::clone(&durable));
-        let recovery = (!vouches).then(|| Recovery {
+        let mut received = StagedSets::default();
+        received.stage(Arc::clone(&durable));
+        let recovery = (!is_eligible).then(|| Recovery {
             started: now,
-            asked: None,
+            requested_at: None,
             requests: BTreeMap::new(),
             answers: BTreeMap::new(),
         });
@@ -86,9 +86,9 @@
             node,
             voters,
             durable,
-            taken,
-            vouches,
-            shall_vouch: vouches,
+            received,
+            is_eligible,
+            eligible_after_write: is_eligible,
             write: None,
             last_write: 0,
             replies: Vec::new(),
@@ -102,14 +102,14 @@
         &self.durable
     }
 
-    /// Whether the voter knows every revision that it ever acknowledged.
-    pub(crate) fn vouches(&self) -> bool {
-        self.vouches
+    /// Whether the voter holds every revision that it ever acknowledged.
+    pub(crate) fn is_eligible(&self) -> bool {
+        self.is_eligible
     }
 
-    /// The voter's answer to a renewal: none while it does not vouch.
+    /// The voter's answer to a renewal; empty while it is not eligible.
     pub(crate) fn answers(&self) -> Vec<VoterAnswer> {
-        if !self.vouches {
+        if !self.is_eligible {
             return Vec::new();
         }
         vec![VoterAnswer {
@@ -118,7 +118,7 @@
         }]
     }
 
-    /// Takes a revision that a coordinator or another voter asks to store.
+    /// Stores a configuration for a coordinator or another voter.
     pub(crate) fn replicate(
         &mut self,
         from: NodeId,
@@ -127,8 +127,8 @@
         machines: u64,
         outbox: &mut Outbox,
     ) {
-        let fits = self.taken.stage_update(update).is_ok();
-        if fits && update.revision > self.durable.revision() {
+        let is_applicable = self.received.stage_update(update).is_ok();
+        if is_applicable && update.revision > self.durable.revision() {
             self.replies.push(PendingReply {
                 to: from,
                 request,
@@ -140,31 +140,31 @@
         outbox.send(from, self.stored(Some(request), machines));
     }
 
-    /// Takes a configuration that a watcher of this node was told of.
-    pub(crate) fn take_watched(&mut self, set: &Arc<ConfigurationSet>, outbox: &mut Outbox) {
-        self.taken.stage(Arc::clone(set));
+    /// Stores a configuration that this node's watcher observed.
+    pub(crate) fn apply_watched(&mut self, set: &Arc<ConfigurationSet>, outbox: &mut Outbox) {
+        self.received.stage(Arc::clone(set));
         self.start_write(outbox);
     }
 
-    /// Takes a configuration that this node read from the platform's store after the voter
-    /// started: it holds every revision that this voter ever acknowledged.
-    pub(crate) fn take_read(&mut self, set: &Arc<ConfigurationSet>, outbox: &mut Outbox) {
+    /// Stores a configuration that this node read from the platform's store after the voter started.
+    /// It includes every revision that this voter ever acknowledged, so it completes a recovery.
+    pub(crate) fn apply_read(&mut self, set: &Arc<ConfigurationSet>, outbox: &mut Outbox) {
         if self.recovery.is_some() && set.revision() >= self.durable.revision() {
-            self.shall_vouch = true;
+            self.eligible_after_write = true;
         }
-        self.take_watched(set, outbox);
+        self.apply_watched(set, outbox);
     }
 
-    /// Takes the news that a write is durable, and gives the replies that waited for it.
+    /// Handles the completion of a write and sends the replies that waited for it.
     pub(crate) fn flushed(&mut self, number: u64, machines: u64, outbox: &mut Outbox) {
         let Some(write) = self.write.take_if(|write| write.number <= number) else {
             return;
         };
-        let grown = write.set.revision() > self.durable.revision();
+        let advanced = write.set.revision() > self.durable.revision();
         self.durable = write.set;
-        self.taken.promote(self.durable.revision());
-        if write.vouches && !self.vouches {
-            self.vouches = true;
+        self.received.promote(self.durable.revision());
+        if write.is_eligible && !self.is_eligible {
+            self.is_eligible = true;
             self.recovery = None;
         }
         let durable = self.durable.revision();
@@ -173,17 +173,18 @@
         for reply in ready {
             outbox.send(reply.to, self.stored(Some(reply.request), machines));
         }
-        if grown {
+        if advanced {
             self.send_digest(machines, outbox);
         }
         self.start_write(outbox);
     }
 
-    /// Takes another voter's digest: sends it what it lacks, or asks for what this one lacks.
-    pub(crate) fn digest(
+    /// Handles another voter's digest: sends the other voter what it lacks, or reports this voter's
+    /// revision so that the other one sends what is missing here.
+    pub(crate) fn on_digest(
         &mut self,
         from: NodeId,
-        known: Known,
+        known: KnownVersions,
         machines: u64,
         outbox: &mut Outbox,
     ) {
@@ -191,13 +192,13 @@
             let request = outbox.next_request();
             let update = Box::new(update);
             outbox.send(from, ConfigurationMessage::Replicate { request, update });
-        } else if known.newest > self.taken.newest().revision() {
+        } else if known.newest > self.received.newest().revision() {
             outbox.send(from, self.stored(None, machines));
         }
     }
 
-    /// Takes the answer of another voter to this one, which lost its disk.
-    pub(crate) fn take_newest(
+    /// Handles another voter's answer to a request of the recovery.
+    pub(crate) fn on_newest(
         &mut self,
         from: NodeId,
         request: RequestId,
@@ -216,45 +217,46 @@
             recovery.answers.insert(from, newest);
         }
         if let Some(update) = update {
-            // One that does not fit is asked for again.
-            let _ = self.taken.stage_update(update);
+            // An update that cannot be applied is requested again.
+            let _ = self.received.stage_update(update);
         }
         self.try_recover();
         self.start_write(outbox);
     }
 
-    /// Sends digests, and questions of a recovery, when they are due.
+    /// Sends digests and requests of the recovery when they are due.
     pub(crate) fn tick(&mut self, now: MonotonicTime, machines: u64, outbox: &mut Outbox) {
         let due = |last: MonotonicTime| now.since(last) >= DIGEST_INTERVAL;
         if self.last_digest.is_none_or(due) {
             self.last_digest = Some(now);
             self.send_digest(machines, outbox);
         }
-        self.ask_others(now, machines, outbox);
+        self.request_from_others(now, machines, outbox);
     }
 
-    fn ask_others(&mut self, now: MonotonicTime, machines: u64, outbox: &mut Outbox) {
-        let newest = self.taken.newest().revision();
+    fn request_from_others(&mut self, now: MonotonicTime, machines: u64, outbox: &mut Outbox) {
+        let newest = self.received.newest().revision();
         let Some(recovery) = &mut self.recovery else {
             return;
         };
-        let early = now.since(recovery.started) < DISK_LOSS_QUARANTINE;
-        let asked_lately = |asked: MonotonicTime| now.since(asked) < RETRY_INTERVAL;
-        if early || recovery.asked.is_some_and(asked_lately) {
+        let in_quarantine = now.since(recovery.started) < DISK_LOSS_QUARANTINE;
+        let requested_recently =
+            |requested_at: MonotonicTime| now.since(requested_at) < RETRY_INTERVAL;
+        if in_quarantine || recovery.requested_at.is_some_and(requested_recently) {
             return;
         }
-        recovery.asked = Some(now);
+        recovery.requested_at = Some(now);
         let others = self.voters.nodes().iter();
         for other in others.filter(|other| **other != self.node) {
             let request = outbox.next_request();
             recovery.requests.insert(request, *other);
-            let known = Known { newest, machines };
+            let known = KnownVersions { newest, machines };
             let message = ConfigurationMessage::FetchNewest { request, known };
             outbox.send(*other, message);
         }
     }
 
-    /// Vouches once the voter has what enough others had when they were asked.
+    /// Makes the voter eligible once it holds the newest revision that a recovery quorum reported.
     fn try_recover(&mut self) {
         let Some(recovery) = &self.recovery else {
             return;
@@ -263,27 +265,28 @@
             return;
         }
         let target = recovery.answers.values().max().copied();
-        if self.taken.newest().revision() >= target.unwrap_or_default() {
-            self.shall_vouch = true;
+        if self.received.newest().revision() >= target.unwrap_or_default() {
+            self.eligible_after_write = true;
         }
     }
 
-    /// One write at a time; what comes meanwhile goes into the next one.
+    /// Starts a write unless one is in flight; later changes are combined into the next write.
     fn start_write(&mut self, outbox: &mut Outbox) {
-        let newest = self.taken.newest();
-        let news = newest.revision() > self.durable.revision() || self.shall_vouch != self.vouches;
-        if !news || self.write.is_some() {
+        let newest = self.received.newest();
+        let has_changes = newest.revision() > self.durable.revision()
+            || self.eligible_after_write != self.is_eligible;
+        if !has_changes || self.write.is_some() {
             return;
         }
         self.last_write += 1;
         let state = StoredVoter {
-            whole: newest.whole(),
-            vouches: self.shall_vouch,
+            whole: newest.snapshot(),
+            vouches: self.eligible_after_write,
         };
         self.write = Some(WriteInFlight {
             number: self.last_write,
             set: Arc::clone(newest),
-            vouches: self.shall_vouch,
+            is_eligible: self.eligible_after_write,
         });
         outbox.effect(Effect::Write {
             write: self.last_write,
@@ -302,7 +305,7 @@
         let newest = self.durable.revision();
         ConfigurationMessage::Stored {
             request,
-            known: Known { newest, machines },
+            known: KnownVersions { newest, machines },
         }
     }
 }
--- a/crates/configuration/src/voter_state.rs
+++ b/crates/configuration/src/voter_state.rs
@@ -1,7 +1,7 @@
-//! What a voter keeps on its disk.
+//! Durable state of a voter.
 //!
-//! Survives a crash: the newest revision that the voter acknowledged, whole, and whether the voter
-//! vouches for it. Everything else of a voter is learnt again.
+//! It consists of a snapshot of the newest revision that the voter acknowledged, and whether the
+//! voter is eligible. All other state of a voter is rebuilt after a restart.
 #![allow(
     missing_docs,
     reason = "the resolvers that rkyv derives carry undocumented fields"
@@ -11,16 +11,17 @@
 
 use crate::update::Update;
 
-/// The durable state of a voter, one value that each write replaces.
+/// The durable state of a voter. Each write replaces it completely.
 #[derive(Debug, Clone, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct StoredVoter {
-    /// The whole configuration.
+    /// Snapshot of the configuration.
     pub whole: Update,
-    /// Whether the voter knows every revision that it ever acknowledged. False after a lost disk.
+    /// Whether the voter holds every revision that it ever acknowledged. False after the loss of its
+    /// disk until it has recovered.
     pub vouches: bool,
 }
 
-/// Why stored bytes are not the state of a voter.
+/// The stored bytes are not the state of a voter.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CorruptVoterState;
 
@@ -32,7 +33,7 @@
             .to_vec()
     }
 
-    /// Reads stored bytes. A host that finds them corrupt starts the role with no state.
+    /// Reads stored bytes. On an error, the host starts the role without stored state.
     pub fn from_bytes(bytes: &[u8]) -> Result<Self, CorruptVoterState> {
         rkyv::from_bytes::<Self, rkyv::rancor::Error>(bytes).map_err(|_| CorruptVoterState)
     }
--- a/crates/configuration/src/watcher.rs
+++ b/crates/configuration/src/watcher.rs
@@ -1,9 +1,9 @@
-//! The watcher: the only part that reads the platform's store unasked.
+//! The watcher reads the platform's store and keeps a watch on it, independent of requests.
 //!
-//! The first [`MAX_WATCHERS`] voters watch, so that the store has few readers whatever the number of
-//! nodes. What a watcher finds it gives to the voter of its own node, which spreads it: so also a
-//! change comes to the voters whose coordinator died after the store took it. A voter that lost its
-//! disk reads the store too, until it has caught up.
+//! Only the first [`MAX_WATCHERS`] voters watch, so that the load on the store does not grow with the
+//! number of nodes. A watcher passes its observations to the voter on its own node, which replicates
+//! them. This also replicates a change whose coordinator crashed after the store accepted it. A voter
+//! that lost its disk reads the store as well, until it has recovered.
 
 use std::sync::Arc;
 
@@ -17,41 +17,44 @@
 use crate::set::ConfigurationSet;
 use crate::settings::{MAX_WATCHERS, PLATFORM_TIMEOUT, RELIST_INTERVAL, RETRY_INTERVAL};
 
-/// What a watcher learnt.
+/// What a watcher observed in the platform's store.
 #[derive(Debug)]
-pub(crate) enum Finding {
+pub(crate) enum Observation {
     /// The configuration as read from the store.
     Read(Arc<ConfigurationSet>),
     /// A configuration that the watch reported.
     Watched(Arc<ConfigurationSet>),
-    /// The list of machines.
+    /// Version and content of the list of machines.
     Machines(u64, Vec<Machine>),
 }
 
-/// A read that is repeated from time to time.
+/// A read that is repeated every [`RELIST_INTERVAL`].
 #[derive(Debug, Default)]
-struct RepeatedRead {
-    awaited: Option<(RequestId, MonotonicTime)>,
+struct PeriodicRead {
+    in_flight: Option<(RequestId, MonotonicTime)>,
     next: MonotonicTime,
 }
 
-impl RepeatedRead {
+impl PeriodicRead {
     fn tick(&mut self, now: MonotonicTime, operation: PlatformOperation, outbox: &mut Outbox) {
         let lost = |(_, sent): (RequestId, MonotonicTime)| now.since(sent) >= PLATFORM_TIMEOUT;
-        if self.awaited.is_some_and(lost) {
-            self.awaited = None;
+        if self.in_flight.is_some_and(lost) {
+            self.in_flight = None;
         }
-        if self.awaited.is_none() && now >= self.next {
-            self.awaited = Some((outbox.platform(operation), now));
+        if self.in_flight.is_none() && now >= self.next {
+            self.in_flight = Some((outbox.platform(operation), now));
         }
     }
 
-    /// Whether the answer is awaited here. Sets the time of the next read.
+    /// Whether the answer belongs to this read. If so, schedules the next read.
     fn take(&mut self, request: RequestId, answer: &PlatformAnswer, now: MonotonicTime) -> bool {
-        if self.awaited.is_none_or(|(awaited, _)| awaited != request) {
+        if self
+            .in_flight
+            .is_none_or(|(in_flight, _)| in_flight != request)
+        {
             return false;
         }
-        self.awaited = None;
+        self.in_flight = None;
         let failed = matches!(answer, PlatformAnswer::Unavailable | PlatformAnswer::Lost);
         let pause = if failed {
             RETRY_INTERVAL
@@ -66,51 +69,52 @@
 /// The watcher of one node.
 #[derive(Debug)]
 pub(crate) struct Watcher {
-    /// Whether this node watches for all others.
-    watches: bool,
+    /// Whether this node is one of the watchers.
+    is_watcher: bool,
     watch_at: Option<MonotonicTime>,
     watch_request: Option<RequestId>,
-    document: RepeatedRead,
-    machines: RepeatedRead,
+    document: PeriodicRead,
+    machines: PeriodicRead,
 }
 
 impl Watcher {
-    /// A watcher of the voter of this rank, `None` on other nodes.
+    /// `rank` is the rank of this node's voter; `None` if the node is not a voter.
     pub(crate) fn new(rank: Option<usize>) -> Self {
-        let watches = rank.is_some_and(|rank| rank < MAX_WATCHERS);
+        let is_watcher = rank.is_some_and(|rank| rank < MAX_WATCHERS);
         Self {
-            watches,
-            watch_at: watches.then_some(MonotonicTime::ZERO),
+            is_watcher,
+            watch_at: is_watcher.then_some(MonotonicTime::ZERO),
             watch_request: None,
-            document: RepeatedRead::default(),
-            machines: RepeatedRead::default(),
+            document: PeriodicRead::default(),
+            machines: PeriodicRead::default(),
         }
     }
 
-    /// Reads and watches where that is due. `recovering` says that the voter needs the document.
+    /// Starts the watch and reads that are due. If `recovering`, the document is read on every voter.
     pub(crate) fn tick(&mut self, now: MonotonicTime, recovering: bool, outbox: &mut Outbox) {
         if self.watch_at.is_some_and(|at| now >= at) {
             self.watch_at = None;
             self.watch_request = Some(outbox.platform(PlatformOperation::Watch));
         }
-        if self.watches || recovering {
+        if self.is_watcher || recovering {
             self.document.tick(now, PlatformOperation::Read, outbox);
         }
-        if self.watches {
+        if self.is_watcher {
             let operation = PlatformOperation::ListMachines;
             self.machines.tick(now, operation, outbox);
         }
     }
 
-    /// Takes an answer of the platform, if it is to this watcher.
+    /// Handles an answer of the platform; `None` if it is not for this watcher or contains nothing
+    /// usable.
     pub(crate) fn platform_answer(
         &mut self,
         request: RequestId,
         answer: &PlatformAnswer,
         now: MonotonicTime,
-    ) -> Option<Finding> {
+    ) -> Option<Observation> {
         if self.watch_request == Some(request) {
-            self.watch_again(now);
+            self.schedule_watch(now);
             return None;
         }
         let own =
@@ -121,43 +125,47 @@
         match answer {
             PlatformAnswer::Document { document, .. } => {
                 let set = read_document(document).ok()?;
-                Some(Finding::Read(Arc::new(set)))
+                Some(Observation::Read(Arc::new(set)))
             }
             PlatformAnswer::Machines { version, machines } => {
-                Some(Finding::Machines(*version, machines.clone()))
+                Some(Observation::Machines(*version, machines.clone()))
             }
             _ => None,
         }
     }
 
-    /// Takes what the watch reports. After a gap or the end of a watch everything is read again.
-    pub(crate) fn watch_event(&mut self, event: WatchEvent, now: MonotonicTime) -> Option<Finding> {
+    /// Handles an event of the watch. After a gap or the end of the watch, everything is read again.
+    pub(crate) fn watch_event(
+        &mut self,
+        event: WatchEvent,
+        now: MonotonicTime,
+    ) -> Option<Observation> {
         match event {
             WatchEvent::Document { document, .. } => {
                 let set = read_document(&document).ok()?;
-                Some(Finding::Watched(Arc::new(set)))
+                Some(Observation::Watched(Arc::new(set)))
             }
             WatchEvent::Machines { version, machines } => {
-                Some(Finding::Machines(version, machines))
+                Some(Observation::Machines(version, machines))
             }
             WatchEvent::Gap => {
-                self.read_again(now);
+                self.schedule_reads(now);
                 None
             }
             WatchEvent::Closed => {
-                self.watch_again(now);
+                self.schedule_watch(now);
                 None
             }
         }
     }
 
-    /// The watch ended or could not be started.
-    fn watch_again(&mut self, now: MonotonicTime) {
-        self.watch_at = self.watches.then_some(now + RETRY_INTERVAL);
-        self.read_again(now);
+    /// Schedules a restart of the watch, which ended or could not be started.
+    fn schedule_watch(&mut self, now: MonotonicTime) {
+        self.watch_at = self.is_watcher.then_some(now + RETRY_INTERVAL);
+        self.schedule_reads(now);
     }
 
-    fn read_again(&mut self, now: MonotonicTime) {
+    fn schedule_reads(&mut self, now: MonotonicTime) {
         self.document.next = now;
         self.machines.next = now;
     }
--- a/crates/configuration/tests/acceptance.rs
+++ b/crates/configuration/tests/acceptance.rs
@@ -1,4 +1,5 @@
-//! The coordinator of changes, driven by hand on a node that is no voter.
+//! The coordinator of changes on a node that is not a voter, with scripted answers of the platform and
+//! the voters.
 
 #[path = "simulator/scenario.rs"]
 mod scenario;
@@ -6,9 +7,11 @@
 use std::time::Duration;
 
 use ridgeworks_configuration::change::apply_change;
-use ridgeworks_configuration::message::Known;
-use ridgeworks_configuration::settings::{GIVE_UP_AFTER, PLATFORM_TIMEOUT, REFUSE_AFTER};
-use ridgeworks_configuration::update::REMEMBERED_OPERATIONS;
+use ridgeworks_configuration::message::KnownVersions;
+use ridgeworks_configuration::settings::{
+    PLATFORM_TIMEOUT, QUEUED_CHANGE_TIMEOUT, SENT_CHANGE_TIMEOUT,
+};
+use ridgeworks_configuration::update::MAX_RECORDED_OPERATIONS;
 use ridgeworks_configuration::{
     Change, ChangeError, ChangeRequest, ConfigurationMessage, ConfigurationObject,
     ConfigurationRole, ConfigurationSet, ConfigurationSettings, Effect, Event, ObjectKey,
@@ -20,12 +23,12 @@
 use scenario::{initial_configuration, partner_name, principal, put, registers, service};
 
 const VOTERS: [NodeId; 3] = [NodeId(1), NodeId(2), NodeId(3)];
-const INSTANT: Duration = Duration::ZERO;
+const NO_DELAY: Duration = Duration::ZERO;
 
 struct Driver {
     role: ConfigurationRole,
     now: MonotonicTime,
-    /// Effects that the test has not looked at yet.
+    /// Effects that the test has not consumed yet.
     effects: Vec<Effect>,
 }
 
@@ -88,14 +91,14 @@
         self.handle(Event::PlatformAnswer { request, answer });
     }
 
-    /// Answers the read under way with this document.
-    fn give(&mut self, version: u64, set: &ConfigurationSet) {
+    /// Answers the read in flight with this document.
+    fn answer_read(&mut self, version: u64, set: &ConfigurationSet) {
         let (request, operation) = self.only_operation();
         assert_eq!(operation, PlatformOperation::Read);
         self.platform(request, document(version, set));
     }
 
-    /// The swap under way, with the document that it carries.
+    /// Returns the compare-and-swap in flight: its request, expected version and document.
     fn swap(&mut self) -> (RequestId, u64, ConfigurationSet) {
         let (request, operation) = self.only_operation();
         let PlatformOperation::CompareAndSwap {
@@ -105,18 +108,18 @@
             panic!("expected a swap, not {operation:?}");
         };
         let update = ridgeworks_configuration::update::Update::from_document(&document);
-        let set = ConfigurationSet::from_whole(&update.expect("a document"));
+        let set = ConfigurationSet::from_snapshot(&update.expect("a document"));
         (request, expected.0, set)
     }
 
-    fn succeed(&mut self) -> ConfigurationSet {
+    fn complete_swap(&mut self) -> ConfigurationSet {
         let (request, expected, set) = self.swap();
         let version = PlatformVersion(expected + 1);
         self.platform(request, PlatformAnswer::Swapped { version });
         set
     }
 
-    /// Lets the first `count` voters that were sent a revision acknowledge it.
+    /// Acknowledges a revision for the first `count` voters that it was sent to.
     fn acknowledge(&mut self, count: usize) {
         let effects = std::mem::take(&mut self.effects);
         let mut sent = Vec::new();
@@ -130,7 +133,7 @@
             }
         }
         for (from, request, newest) in sent.into_iter().take(count) {
-            let known = Known {
+            let known = KnownVersions {
                 newest,
                 machines: 0,
             };
@@ -155,7 +158,7 @@
 
 fn document(version: u64, set: &ConfigurationSet) -> PlatformAnswer {
     let version = PlatformVersion(version);
-    let document = set.whole().to_document();
+    let document = set.snapshot().to_document();
     PlatformAnswer::Document { version, document }
 }
 
@@ -169,7 +172,7 @@
     OperatorAnswer::Rejected(ChangeError::Conflict { current })
 }
 
-/// A change of the other partner's service on top of `set`.
+/// Applies a change of the other partner's service to `set`.
 fn overwritten(set: &ConfigurationSet, operation: u128) -> ConfigurationSet {
     let expected = set.version(&registers()[1]).0;
     let change = put(service(1, operation as u64), expected);
@@ -183,11 +186,11 @@
 }
 
 #[test]
-fn accepted_is_answered_only_after_a_majority() {
+fn accepted_is_answered_only_after_a_majority_acknowledged() {
     let mut driver = Driver::new();
     driver.change(1, put(service(0, 7), 3));
-    driver.give(1, &initial_configuration());
-    driver.succeed();
+    driver.answer_read(1, &initial_configuration());
+    driver.complete_swap();
     assert_eq!(driver.answers(), []);
     driver.acknowledge(1);
     assert_eq!(driver.answers(), []);
@@ -197,16 +200,16 @@
 }
 
 #[test]
-fn rejection_waits_for_a_majority_too() {
+fn rejection_is_answered_only_after_a_majority_acknowledged() {
     let mut driver = Driver::new();
     driver.change(1, put(service(0, 7), 2));
-    driver.give(1, &initial_configuration());
+    driver.answer_read(1, &initial_configuration());
     assert_eq!(driver.answers(), []);
     driver.acknowledge(2);
     assert_eq!(driver.answers(), [(1, conflict(3))]);
 }
 
-/// Found by the simulator: a node that was paused handled the change before the old answer.
+/// A node that was paused may handle a change before the answer to an older read.
 #[test]
 fn change_is_not_rejected_by_a_read_sent_before_it_arrived() {
     let mut driver = Driver::new();
@@ -226,35 +229,35 @@
     driver.platform(request, document(1, &initial_configuration()));
     driver.acknowledge(2);
     assert_eq!(driver.answers(), [(1, conflict(3))]);
-    driver.give(3, &newer);
-    driver.succeed();
+    driver.answer_read(3, &newer);
+    driver.complete_swap();
     driver.acknowledge(2);
     assert_eq!(driver.answers(), [(2, accepted(8))]);
 }
 
 #[test]
-fn lost_answer_is_resolved_though_a_later_writer_followed() {
+fn lost_answer_is_resolved_after_a_later_write_by_another_coordinator() {
     let mut driver = Driver::new();
     driver.change(1, put(service(0, 7), 3));
-    driver.give(1, &initial_configuration());
+    driver.answer_read(1, &initial_configuration());
     let (request, _, written) = driver.swap();
     driver.platform(request, PlatformAnswer::Lost);
     driver.tick_after(Duration::from_millis(300));
-    driver.give(3, &overwritten(&written, 60));
+    driver.answer_read(3, &overwritten(&written, 60));
     driver.acknowledge(2);
     assert_eq!(driver.answers(), [(1, accepted(6))]);
 }
 
 #[test]
-fn lost_write_that_never_arrived_is_applied_anew() {
+fn lost_write_that_never_arrived_is_applied_again() {
     let mut driver = Driver::new();
     driver.change(1, put(service(0, 7), 3));
-    driver.give(1, &initial_configuration());
+    driver.answer_read(1, &initial_configuration());
     let (request, ..) = driver.swap();
     driver.platform(request, PlatformAnswer::Lost);
     driver.tick_after(Duration::from_millis(300));
-    driver.give(2, &overwritten(&initial_configuration(), 60));
-    driver.succeed();
+    driver.answer_read(2, &overwritten(&initial_configuration(), 60));
+    driver.complete_swap();
     driver.acknowledge(2);
     assert_eq!(driver.answers(), [(1, accepted(7))]);
 }
@@ -263,36 +266,36 @@
 fn the_same_document_is_sent_again_while_a_lost_write_may_still_arrive() {
     let mut driver = Driver::new();
     driver.change(1, put(service(0, 7), 3));
-    driver.give(1, &initial_configuration());
+    driver.answer_read(1, &initial_configuration());
     let (_, _, first) = driver.swap();
     driver.tick_after(PLATFORM_TIMEOUT);
     driver.change(2, put(service(0, 8), 6));
-    driver.give(1, &initial_configuration());
+    driver.answer_read(1, &initial_configuration());
     let (request, expected, second) = driver.swap();
     assert_eq!((expected, second), (1, first.clone()));
     driver.platform(request, PlatformAnswer::VersionMismatch);
-    driver.give(2, &first);
-    driver.succeed();
+    driver.answer_read(2, &first);
+    driver.complete_swap();
     driver.acknowledge(2);
     assert_eq!(driver.answers(), [(1, accepted(6)), (2, accepted(7))]);
 }
 
 #[test]
-fn end_is_unknown_only_after_more_changes_than_are_remembered() {
+fn outcome_is_unknown_only_after_more_changes_than_are_recorded() {
     for (followers, answer) in [
-        (REMEMBERED_OPERATIONS, accepted(6)),
-        (REMEMBERED_OPERATIONS + 1, OperatorAnswer::Unknown),
+        (MAX_RECORDED_OPERATIONS, accepted(6)),
+        (MAX_RECORDED_OPERATIONS + 1, OperatorAnswer::Unknown),
     ] {
         let mut driver = Driver::new();
         driver.change(1, put(service(0, 7), 3));
-        driver.give(1, &initial_configuration());
+        driver.answer_read(1, &initial_configuration());
         let (request, _, mut set) = driver.swap();
         driver.platform(request, PlatformAnswer::Lost);
         for number in 1..followers {
             set = overwritten(&set, 10_000 + number as u128);
         }
         driver.tick_after(Duration::from_millis(300));
-        driver.give(500, &set);
+        driver.answer_read(500, &set);
         driver.acknowledge(2);
         assert_eq!(driver.answers(), [(1, answer)]);
     }
@@ -304,32 +307,32 @@
     driver.change(1, put(service(0, 7), 3));
     let (request, _) = driver.only_operation();
     driver.platform(request, PlatformAnswer::Unavailable);
-    driver.tick_after(REFUSE_AFTER);
+    driver.tick_after(QUEUED_CHANGE_TIMEOUT);
     let refused = OperatorAnswer::Refused(Unavailable::Platform);
     assert_eq!(driver.answers(), [(1, refused)]);
 }
 
 #[test]
-fn change_is_unknown_when_the_platform_stays_away_after_a_lost_write() {
+fn change_is_unknown_when_the_platform_stays_down_after_a_lost_write() {
     let mut driver = Driver::new();
     driver.change(1, put(service(0, 7), 3));
-    driver.give(1, &initial_configuration());
+    driver.answer_read(1, &initial_configuration());
     let (request, ..) = driver.swap();
     driver.platform(request, PlatformAnswer::Lost);
-    driver.tick_after(REFUSE_AFTER);
+    driver.tick_after(QUEUED_CHANGE_TIMEOUT);
     assert_eq!(driver.answers(), []);
-    driver.tick_after(GIVE_UP_AFTER);
+    driver.tick_after(SENT_CHANGE_TIMEOUT);
     assert_eq!(driver.answers(), [(1, OperatorAnswer::Unknown)]);
 }
 
 #[test]
-fn change_without_a_majority_of_voters_is_unknown_and_a_rejection_refused() {
+fn without_a_majority_an_accepted_change_is_unknown_and_a_rejection_is_refused() {
     let mut driver = Driver::new();
     driver.change(1, put(service(0, 7), 3));
     driver.change(2, put(service(0, 7), 2));
-    driver.give(1, &initial_configuration());
-    driver.succeed();
-    driver.tick_after(GIVE_UP_AFTER);
+    driver.answer_read(1, &initial_configuration());
+    driver.complete_swap();
+    driver.tick_after(SENT_CHANGE_TIMEOUT);
     let refused = OperatorAnswer::Refused(Unavailable::NoQuorum);
     assert_eq!(
         driver.answers(),
@@ -338,15 +341,15 @@
 }
 
 #[test]
-fn platform_that_went_back_is_refused() {
+fn change_is_refused_when_the_platform_document_is_older_than_an_accepted_revision() {
     let mut driver = Driver::new();
     driver.change(1, put(service(0, 7), 3));
-    driver.give(1, &initial_configuration());
-    driver.succeed();
+    driver.answer_read(1, &initial_configuration());
+    driver.complete_swap();
     driver.acknowledge(2);
     driver.answers();
     driver.change(2, put(service(0, 8), 6));
-    driver.give(1, &initial_configuration());
+    driver.answer_read(1, &initial_configuration());
     let refused = OperatorAnswer::Refused(Unavailable::PlatformBehind);
     assert_eq!(driver.answers(), [(2, refused)]);
 }
@@ -355,21 +358,21 @@
 fn repeated_operation_is_answered_with_its_revision() {
     let mut driver = Driver::new();
     driver.change(1, put(service(0, 7), 3));
-    driver.give(1, &initial_configuration());
-    let written = driver.succeed();
+    driver.answer_read(1, &initial_configuration());
+    let written = driver.complete_swap();
     driver.acknowledge(2);
     driver.answers();
     driver.change(1, put(service(0, 7), 3));
-    driver.give(2, &written);
+    driver.answer_read(2, &written);
     driver.acknowledge(2);
-    driver.tick_after(INSTANT);
+    driver.tick_after(NO_DELAY);
     assert_eq!(driver.answers(), [(1, accepted(6))]);
     assert_eq!(driver.operations(), []);
 }
 
-/// Otherwise a second coordinator could reject the program while the first write is on its way.
+/// Otherwise a second coordinator could reject the program while the first write is in flight.
 #[test]
-fn change_that_leans_on_another_of_the_same_write_waits() {
+fn change_that_depends_on_another_of_the_same_write_is_deferred() {
     let class = ConfigurationObject::PriorityClass(PriorityClass {
         name: ClassName::new("class").expect("a valid name"),
         partner: partner_name(0),
@@ -388,12 +391,12 @@
     driver.change(0, put(service(0, 7), 3));
     driver.change(1, put(class, 0));
     driver.change(2, put(program, 0));
-    driver.give(1, &initial_configuration());
-    let first = driver.succeed();
+    driver.answer_read(1, &initial_configuration());
+    let first = driver.complete_swap();
     let key = ObjectKey::new(ObjectKind::Program, "program");
     assert_eq!(first.object(&key), None);
-    driver.give(2, &first);
-    assert!(driver.succeed().object(&key).is_some());
+    driver.answer_read(2, &first);
+    assert!(driver.complete_swap().object(&key).is_some());
     driver.acknowledge(6);
     assert_eq!(
         driver.answers(),
--- a/crates/configuration/tests/changes.rs
+++ b/crates/configuration/tests/changes.rs
@@ -1,11 +1,11 @@
-//! Validation, ownership, conflicts, and the pool split by proposal and consent.
+//! Changes: validation, ownership, conflicts, and the pool split by proposal and consent.
 
 #[path = "simulator/scenario.rs"]
 mod scenario;
 
 use quickcheck::{QuickCheck, TestResult};
 use ridgeworks_configuration::change::apply_change;
-use ridgeworks_configuration::update::{REMEMBERED_OPERATIONS, Update};
+use ridgeworks_configuration::update::{MAX_RECORDED_OPERATIONS, Update};
 use ridgeworks_configuration::validation::{Allowed, Field, refers_to};
 use ridgeworks_configuration::{
     Change, ChangeError, ChangeRequest, ConfigurationObject, ConfigurationSet, ObjectKey,
@@ -277,7 +277,7 @@
 }
 
 #[test]
-fn fields_have_ranges() {
+fn out_of_range_fields_are_invalid() {
     let set = initial_configuration();
     let price = apply(&set, 0, put(service(0, u64::MAX), 3));
     assert_eq!(invalid_field(price).0, Field::Price);
@@ -307,7 +307,7 @@
 }
 
 #[test]
-fn references_must_exist_and_hold() {
+fn references_must_exist_and_prevent_deletion() {
     let set = initial_configuration();
     let missing = program(0, "class", &["service-first"]);
     let change = put(ConfigurationObject::Program(missing), 0);
@@ -352,7 +352,7 @@
     }
 }
 
-/// A change that may or may not be allowed, from a few random numbers.
+/// Derives a change, allowed or not, from random numbers.
 fn arbitrary_change(set: &ConfigurationSet, choice: u8, number: u16) -> (usize, Change) {
     let by = usize::from(number) % 2;
     let object = match choice % 8 {
@@ -381,7 +381,7 @@
     (by, put(object, expected))
 }
 
-/// Applies random changes and returns every configuration on the way.
+/// Applies random changes and returns all resulting configurations.
 fn chain(numbers: &[(u8, u16)]) -> Vec<ConfigurationSet> {
     let mut sets = vec![initial_configuration()];
     for (choice, number) in numbers {
@@ -395,7 +395,7 @@
 }
 
 #[test]
-fn no_reference_ever_dangles() {
+fn references_never_dangle_after_random_changes() {
     fn property(numbers: Vec<(u8, u16)>) -> bool {
         let sets = chain(&numbers);
         let set = sets.last().expect("a configuration");
@@ -414,14 +414,14 @@
 }
 
 #[test]
-fn differences_and_documents_lead_to_the_same_configuration() {
+fn deltas_and_documents_result_in_the_same_configuration() {
     fn property(numbers: Vec<(u8, u16)>, from: usize, on: usize) -> bool {
         let sets = chain(&numbers);
         let newest = sets.last().expect("a configuration");
         let base = from % sets.len();
         let holder = &sets[base + on % (sets.len() - base)];
-        let whole = Update::from_document(&newest.whole().to_document()).expect("a document");
-        let same = &ConfigurationSet::from_whole(&whole) == newest;
+        let whole = Update::from_document(&newest.snapshot().to_document()).expect("a document");
+        let same = &ConfigurationSet::from_snapshot(&whole) == newest;
         let update = newest.update_since(sets[base].revision());
         let led = match update {
             Some(update) if holder.revision() < newest.revision() => {
@@ -437,13 +437,13 @@
 }
 
 #[test]
-fn operations_are_remembered_up_to_the_bound() {
+fn operations_are_recorded_up_to_the_bound() {
     let mut set = initial_configuration();
     let [key, ..] = registers();
     let first = apply(&set, 0, put(service(0, 1), 3)).expect("a change");
     let operation = OperationId(1000 + u128::from(set.revision().0));
     set = first.clone();
-    for _ in 1..REMEMBERED_OPERATIONS {
+    for _ in 1..MAX_RECORDED_OPERATIONS {
         set = apply(&set, 0, put(service(0, 1), set.version(&key).0)).expect("a change");
     }
     assert_eq!(
@@ -458,6 +458,6 @@
     );
     set = apply(&set, 0, put(service(0, 1), set.version(&key).0)).expect("a change");
     assert_eq!(set.operation(operation), None);
-    assert!(!set.remembers_since(Revision(5)));
+    assert!(!set.has_operations_since(Revision(5)));
     assert!(set.update_since(Revision(5)).expect("newer").base.is_none());
 }
--- a/crates/configuration/tests/leases.rs
+++ b/crates/configuration/tests/leases.rs
@@ -1,4 +1,4 @@
-//! Leases, voters, machines and majorities one at a time.
+//! Leases, voters, relays, quorums and the list of machines, each on its own.
 
 #[path = "simulator/scenario.rs"]
 mod scenario;
@@ -7,11 +7,11 @@
 
 use quickcheck::{QuickCheck, TestResult};
 use ridgeworks_configuration::machines::{Machine, MachineList, MachineState};
-use ridgeworks_configuration::message::{Known, News, VoterAnswer};
+use ridgeworks_configuration::message::{KnownVersions, StateDelta, VoterAnswer};
 use ridgeworks_configuration::quorum::Voters;
-use ridgeworks_configuration::relay::RelayPlan;
+use ridgeworks_configuration::relay::RelayAssignment;
 use ridgeworks_configuration::settings::{
-    DISK_LOSS_QUARANTINE, LEASE_TIME, MAX_RELAY_CLIENTS, MEMBERS_PER_RELAY, Member,
+    DISK_LOSS_QUARANTINE, LEASE_DURATION, MAX_RELAY_CLIENTS, MEMBERS_PER_RELAY, Member,
 };
 use ridgeworks_configuration::{
     ConfigurationMessage, ConfigurationRole, ConfigurationSettings, Effect, Event, PlatformAnswer,
@@ -51,7 +51,7 @@
     found.expect("a renewal")
 }
 
-/// A voter's answer that gives the initial configuration along.
+/// A voter's answer that includes the initial configuration.
 fn renewed(voter: NodeId, request: RequestId) -> Event {
     let set = initial_configuration();
     let message = ConfigurationMessage::Renewed {
@@ -60,9 +60,9 @@
             voter,
             newest: set.revision(),
         }],
-        news: News {
-            update: Some(Box::new(set.whole())),
-            ..News::default()
+        news: StateDelta {
+            update: Some(Box::new(set.snapshot())),
+            ..StateDelta::default()
         },
     };
     Event::Message {
@@ -72,28 +72,30 @@
 }
 
 #[test]
-fn lease_counts_from_the_sending_of_the_renewal() {
+fn lease_starts_when_the_renewal_is_sent() {
     let mut role = role(9, None);
     let request = renewal(&role.handle(START, Event::Tick));
     let answered = START + Duration::from_millis(2_500);
     role.handle(answered, renewed(VOTERS[0], request));
     assert!(role.in_force(answered).is_err());
     role.handle(answered, renewed(VOTERS[2], request));
-    let last = START + (LEASE_TIME - Duration::from_micros(1));
+    let last = START + (LEASE_DURATION - Duration::from_micros(1));
     assert_eq!(
         role.in_force(last).expect("a lease").revision(),
         Revision(5)
     );
-    let refusal = role.in_force(START + LEASE_TIME).expect_err("a refusal");
+    let refusal = role
+        .in_force(START + LEASE_DURATION)
+        .expect_err("a refusal");
     assert_eq!(refusal.reason, RefusalReason::ConfigurationStale);
     assert!(refusal.retry_after_ms.is_some());
 }
 
 #[test]
-fn answers_that_a_paused_node_finds_give_no_lease() {
+fn late_answers_to_a_paused_node_grant_no_lease() {
     let mut role = role(9, None);
     let request = renewal(&role.handle(START, Event::Tick));
-    let woken = START + LEASE_TIME;
+    let woken = START + LEASE_DURATION;
     role.handle(woken, renewed(VOTERS[0], request));
     role.handle(woken, renewed(VOTERS[1], request));
     assert!(role.in_force(woken).is_err());
@@ -110,7 +112,7 @@
             voter: VOTERS[1],
             newest: Revision::ZERO,
         }],
-        news: News::default(),
+        news: StateDelta::default(),
     };
     role.handle(
         START,
@@ -127,7 +129,7 @@
 
 fn replicate(request: u64) -> Event {
     let request = RequestId(request);
-    let update = Box::new(initial_configuration().whole());
+    let update = Box::new(initial_configuration().snapshot());
     let message = ConfigurationMessage::Replicate { request, update };
     Event::Message {
         from: NodeId(9),
@@ -148,7 +150,7 @@
 }
 
 #[test]
-fn voter_replies_after_the_flush() {
+fn voter_acknowledges_only_after_the_flush() {
     let mut voter = role(1, None);
     let effects = voter.handle(START, replicate(4));
     assert_eq!(stored_reply(&effects), None);
@@ -165,7 +167,7 @@
     let request = RequestId(77);
     let message = ConfigurationMessage::Renew {
         request,
-        known: Known::default(),
+        known: KnownVersions::default(),
     };
     let effects = voter.handle(
         now,
@@ -184,8 +186,8 @@
 }
 
 #[test]
-fn voter_restores_what_it_stored_and_vouches_for_it() {
-    let whole = initial_configuration().whole();
+fn voter_is_eligible_with_its_stored_state_after_a_restart() {
+    let whole = initial_configuration().snapshot();
     let stored = StoredVoter {
         whole,
         vouches: true,
@@ -204,7 +206,7 @@
 }
 
 #[test]
-fn voter_without_its_disk_vouches_after_it_heard_a_majority_of_the_others() {
+fn voter_without_its_disk_is_eligible_after_answers_of_a_recovery_quorum() {
     let mut voter = role(1, None);
     let early = voter.handle(START, Event::Tick);
     let asks = |effects: &[Effect]| {
@@ -227,9 +229,9 @@
             request,
             newest: set.revision(),
             vouches: true,
-            news: News {
-                update: Some(Box::new(set.whole())),
-                ..News::default()
+            news: StateDelta {
+                update: Some(Box::new(set.snapshot())),
+                ..StateDelta::default()
             },
         };
         let effects = voter.handle(now, Event::Message { from, message });
@@ -253,7 +255,7 @@
 }
 
 #[test]
-fn voter_without_its_disk_vouches_after_it_read_the_platform() {
+fn voter_without_its_disk_is_eligible_after_it_read_the_platform() {
     let mut voter = role(1, None);
     let effects = voter.handle(START, Event::Tick);
     let read = effects.iter().find_map(|effect| match effect {
@@ -278,7 +280,7 @@
 }
 
 #[test]
-fn watch_that_fails_to_start_is_started_again() {
+fn watch_that_fails_to_start_is_retried() {
     let watches = |effects: &[Effect]| {
         effects.iter().find_map(|effect| match effect {
             Effect::Platform {
@@ -304,7 +306,7 @@
         let request = RequestId(client);
         let message = ConfigurationMessage::Renew {
             request,
-            known: Known::default(),
+            known: KnownVersions::default(),
         };
         let from = NodeId(100 + client);
         let effects = relay.handle(START, Event::Message { from, message });
@@ -316,7 +318,7 @@
 }
 
 #[test]
-fn every_zone_has_enough_relays_and_voters_are_spared() {
+fn every_zone_has_enough_relays_and_voters_are_never_relays() {
     fn property(zones: Vec<u8>) -> bool {
         let zone = |number: &u8| ZoneName::new(format!("zone-{}", number % 4)).expect("a name");
         let members: Vec<Member> = zones
@@ -328,7 +330,7 @@
             })
             .collect();
         let voters = Voters::new(VOTERS.to_vec());
-        let plan = RelayPlan::new(&members, &voters);
+        let plan = RelayAssignment::new(&members, &voters);
         members.iter().all(|member| {
             let relays = plan.relays_for(member.node);
             let of_zone =
@@ -341,9 +343,9 @@
     QuickCheck::new().quickcheck(property as fn(Vec<u8>) -> bool);
 }
 
-/// A revision on a majority is never missed, and what is called held is on a majority.
+/// `required` is never below a revision that a majority holds, and a majority holds `held`.
 #[test]
-fn majorities_prove_what_they_say() {
+fn quorum_results_match_the_revisions_held_by_a_majority() {
     fn property(five: bool, revisions: Vec<u8>, heard: u8) -> TestResult {
         let count = if five { 5 } else { 3 };
         if revisions.len() < count {
@@ -356,7 +358,7 @@
         let voters = Voters::new((0..count as u64).map(NodeId).collect());
         let heard = (0..count).filter(|index| heard & (1 << index) != 0);
         let answers: Vec<Revision> = heard.map(|index| revisions[index]).collect();
-        let Some(standing) = voters.standing(answers.iter().copied()) else {
+        let Some(quorum_result) = voters.quorum_result(answers.iter().copied()) else {
             return TestResult::from_bool(answers.len() < voters.majority());
         };
         let on_majority = |revision: Revision| {
@@ -366,7 +368,7 @@
             .map(Revision)
             .filter(|revision| on_majority(*revision));
         let newest = accepted.max().unwrap_or_default();
-        TestResult::from_bool(standing.needed >= newest && on_majority(standing.held))
+        TestResult::from_bool(quorum_result.required >= newest && on_majority(quorum_result.held))
     }
     QuickCheck::new()
         .tests(2_000)
@@ -397,7 +399,7 @@
 }
 
 #[test]
-fn machine_differences_lead_to_the_same_list() {
+fn machine_deltas_result_in_the_same_list() {
     fn property(steps: Vec<(u8, u8)>, from: usize) -> bool {
         let mut source = MachineList::default();
         let mut states = vec![source.clone()];
--- a/crates/configuration/tests/scale.rs
+++ b/crates/configuration/tests/scale.rs
@@ -1,4 +1,5 @@
-//! Dissemination to 410 nodes in virtual time: bytes, messages, platform readers, time to in force.
+//! Dissemination to 410 nodes in virtual time: traffic, readers of the platform, and the time until a
+//! revision is in force everywhere.
 
 #[path = "simulator/scenario.rs"]
 mod scenario;
@@ -23,7 +24,7 @@
 const TICK: u64 = 50_000;
 const DELAY: u64 = 1_500;
 const BURST: u64 = 50;
-/// Control traffic that one node may cause, sent or received, in bytes a second.
+/// Limit of control traffic per node and direction, in bytes per second.
 const MAX_BYTES_PER_SECOND: u64 = 11_000;
 
 enum Action {
@@ -36,7 +37,7 @@
     ),
 }
 
-/// What passed through one node.
+/// Traffic of one node.
 #[derive(Default, Clone, Copy)]
 struct Traffic {
     bytes_sent: u64,
@@ -44,7 +45,7 @@
     messages: u64,
 }
 
-struct Fleet {
+struct Cluster {
     now: u64,
     order: u64,
     queue: BinaryHeap<Reverse<(u64, u64)>>,
@@ -56,12 +57,12 @@
     platform_readers: BTreeSet<usize>,
     accepted: BTreeMap<Revision, u64>,
     in_force: Vec<Vec<(Revision, u64)>>,
-    lapses: usize,
+    lease_expirations: usize,
 }
 
-impl Fleet {
+impl Cluster {
     fn new() -> Self {
-        let mut fleet = Self {
+        let mut cluster = Self {
             now: SECOND,
             order: 0,
             queue: BinaryHeap::new(),
@@ -69,11 +70,11 @@
             roles: Vec::new(),
             traffic: vec![Traffic::default(); NODES],
             version: 1,
-            document: initial_configuration().whole().to_document(),
+            document: initial_configuration().snapshot().to_document(),
             platform_readers: BTreeSet::new(),
             accepted: BTreeMap::new(),
             in_force: vec![Vec::new(); NODES],
-            lapses: 0,
+            lease_expirations: 0,
         };
         for node in 0..NODES {
             let settings = ConfigurationSettings {
@@ -81,15 +82,15 @@
                 voters: (0..VOTERS as u64).map(NodeId).collect(),
                 seed: node as u64,
             };
-            let now = MonotonicTime::from_micros(fleet.now);
+            let now = MonotonicTime::from_micros(cluster.now);
             let role = ConfigurationRole::new(settings, None, now);
-            fleet.roles.push(Some(role));
-            fleet.handle(node, Event::Members(members()));
-            // Nodes start over two seconds, as machines do.
-            let first = fleet.now + node as u64 * 2 * SECOND / NODES as u64;
-            fleet.schedule(first, Action::Tick(node));
+            cluster.roles.push(Some(role));
+            cluster.handle(node, Event::Members(members()));
+            // Starts of the nodes are spread over two seconds, as in a deployment.
+            let first = cluster.now + node as u64 * 2 * SECOND / NODES as u64;
+            cluster.schedule(first, Action::Tick(node));
         }
-        fleet
+        cluster
     }
 
     fn schedule(&mut self, at: u64, action: Action) {
@@ -189,7 +190,7 @@
             }
             Effect::Answer { answer, .. } => panic!("a change ended as {answer:?}"),
             Effect::InForce(set) => self.in_force[node].push((set.revision(), self.now)),
-            Effect::Ready(ready) => self.lapses += usize::from(!ready),
+            Effect::Ready(ready) => self.lease_expirations += usize::from(!ready),
             Effect::Machines(_) => {}
         }
     }
@@ -205,7 +206,7 @@
         self.schedule(self.now + DELAY, Action::Handle(to, event));
     }
 
-    /// Highest traffic of a node since the last call, in each direction, a second.
+    /// Highest traffic per second of any node since the last call, for each counter.
     fn highest_traffic(&mut self, seconds: u64) -> Traffic {
         let traffic = std::mem::replace(&mut self.traffic, vec![Traffic::default(); NODES]);
         let highest =
@@ -226,7 +227,8 @@
         self.live().all(|role| role.in_force(now).is_ok())
     }
 
-    /// Longest time from the acceptance of a revision until a node had it in force.
+    /// Longest time from the acceptance of a revision until it was in force on a node, in
+    /// microseconds.
     fn slowest_in_force(&self) -> u64 {
         let mut slowest = 0;
         for (revision, accepted) in &self.accepted {
@@ -272,15 +274,15 @@
 }
 
 #[test]
-fn four_hundred_nodes_stay_fresh_within_the_bounds() {
-    let mut fleet = Fleet::new();
-    fleet.run_for(10 * SECOND);
-    assert!(fleet.all_ready());
-    assert!(fleet.live().all(|role| role.machines().version() == 1));
-    fleet.highest_traffic(1);
+fn four_hundred_nodes_stay_up_to_date_within_the_traffic_limit() {
+    let mut cluster = Cluster::new();
+    cluster.run_for(10 * SECOND);
+    assert!(cluster.all_ready());
+    assert!(cluster.live().all(|role| role.machines().version() == 1));
+    cluster.highest_traffic(1);
 
-    fleet.run_for(20 * SECOND);
-    let idle = fleet.highest_traffic(20);
+    cluster.run_for(20 * SECOND);
+    let idle = cluster.highest_traffic(20);
     println!(
         "idle, busiest node: {} B/s sent, {} B/s received, {} messages/s",
         idle.bytes_sent, idle.bytes_received, idle.messages
@@ -288,7 +290,7 @@
     assert!(idle.bytes_sent <= MAX_BYTES_PER_SECOND);
     assert!(idle.bytes_received <= MAX_BYTES_PER_SECOND);
     let watchers = (0..MAX_WATCHERS).collect::<BTreeSet<usize>>();
-    let beyond: Vec<usize> = fleet
+    let beyond: Vec<usize> = cluster
         .platform_readers
         .difference(&watchers)
         .copied()
@@ -299,41 +301,41 @@
     );
 
     for number in 0..BURST {
-        fleet.change(number, 100 + number as usize * 3);
-        fleet.run_for(SECOND / BURST);
+        cluster.change(number, 100 + number as usize * 3);
+        cluster.run_for(SECOND / BURST);
     }
-    let burst = fleet.highest_traffic(1);
-    fleet.run_for(5 * SECOND);
+    let burst = cluster.highest_traffic(1);
+    cluster.run_for(5 * SECOND);
     println!(
         "burst of {BURST} in a second, busiest node: {} B sent, {} B received, {} messages",
         burst.bytes_sent, burst.bytes_received, burst.messages
     );
-    assert_eq!(fleet.accepted.len() as u64, BURST);
-    let slowest = fleet.slowest_in_force();
+    assert_eq!(cluster.accepted.len() as u64, BURST);
+    let slowest = cluster.slowest_in_force();
     println!("slowest node in force {slowest} us after acceptance");
     assert!(slowest < SECOND);
-    assert!(fleet.all_ready());
-    assert_eq!(fleet.lapses, 0);
+    assert!(cluster.all_ready());
+    assert_eq!(cluster.lease_expirations, 0);
 }
 
 #[test]
 fn nodes_stay_ready_when_relays_and_voters_die() {
-    let mut fleet = Fleet::new();
-    fleet.run_for(10 * SECOND);
+    let mut cluster = Cluster::new();
+    cluster.run_for(10 * SECOND);
     let relays: Vec<usize> = (VOTERS..NODES)
         .filter(|node| {
-            let role = fleet.roles[*node].as_ref();
+            let role = cluster.roles[*node].as_ref();
             role.is_some_and(|role| role.client_count() > 0)
         })
         .collect();
     println!("{} relays", relays.len());
     assert!(relays.len() >= NODES / 32);
     for relay in relays.iter().step_by(2) {
-        fleet.roles[*relay] = None;
+        cluster.roles[*relay] = None;
     }
-    fleet.roles[0] = None;
-    fleet.roles[1] = None;
-    fleet.run_for(15 * SECOND);
-    assert!(fleet.all_ready());
-    assert_eq!(fleet.lapses, 0);
+    cluster.roles[0] = None;
+    cluster.roles[1] = None;
+    cluster.run_for(15 * SECOND);
+    assert!(cluster.all_ready());
+    assert_eq!(cluster.lease_expirations, 0);
 }
--- a/crates/configuration/tests/simulation.rs
+++ b/crates/configuration/tests/simulation.rs
@@ -1,17 +1,20 @@
-//! Seeded schedules of faults over the whole configuration role.
+//! Random schedules of faults, by seed, for the complete configuration role.
 
 mod simulator;
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::thread;
 
-use simulator::{NODES, Report, ScriptedFault, Violation, Weakness, run, run_script};
+use simulator::{DisabledMechanism, NODES, Report, ScriptedFault, Violation, run, run_script};
 
 const SCHEDULES: u64 = 2_000;
 const THREADS: usize = 3;
 
-/// Runs the schedules of seeds below `count` and returns the sums, or the first failing seed found.
-fn run_schedules(count: u64, weakness: Weakness) -> Result<Report, (u64, Violation)> {
+/// Runs the schedules of seeds below `count`. Returns the sums, or the first failing seed found.
+fn run_schedules(
+    count: u64,
+    disabled_mechanism: DisabledMechanism,
+) -> Result<Report, (u64, Violation)> {
     let next = AtomicU64::new(0);
     let work = || {
         let mut sum = Report::default();
@@ -20,7 +23,7 @@
             if seed >= count {
                 return Ok(sum);
             }
-            let report = run(seed, weakness).map_err(|violation| {
+            let report = run(seed, disabled_mechanism).map_err(|violation| {
                 next.store(count, Ordering::Relaxed);
                 (seed, violation)
             })?;
@@ -49,7 +52,7 @@
 
 #[test]
 fn accepted_configuration_is_linearizable_fresh_and_never_reverts() {
-    match run_schedules(SCHEDULES, Weakness::None) {
+    match run_schedules(SCHEDULES, DisabledMechanism::None) {
         Ok(report) => println!("{SCHEDULES} schedules: {report:?}"),
         Err((seed, violation)) => panic!("seed {seed}: {violation:?}"),
     }
@@ -57,8 +60,8 @@
 
 #[test]
 fn checks_fail_without_a_majority_before_accepted() {
-    let (seed, violation) =
-        run_schedules(SCHEDULES, Weakness::NoMajorityBeforeAccepted).expect_err("a violation");
+    let (seed, violation) = run_schedules(SCHEDULES, DisabledMechanism::NoMajorityBeforeAccepted)
+        .expect_err("a violation");
     println!("seed {seed}: {violation:?}");
     let seen = matches!(
         violation,
@@ -68,9 +71,9 @@
 }
 
 #[test]
-fn checks_fail_when_the_lease_counts_from_the_answer() {
+fn checks_fail_when_the_lease_starts_at_the_answer() {
     let (seed, violation) =
-        run_schedules(SCHEDULES, Weakness::LeaseFromAnswer).expect_err("a violation");
+        run_schedules(SCHEDULES, DisabledMechanism::LeaseFromAnswer).expect_err("a violation");
     println!("seed {seed}: {violation:?}");
     let seen = matches!(
         violation,
@@ -81,8 +84,8 @@
 
 #[test]
 fn checks_fail_when_a_voter_goes_back_on_restart() {
-    let (seed, violation) =
-        run_schedules(SCHEDULES, Weakness::RevisionGoesBackOnRestart).expect_err("a violation");
+    let (seed, violation) = run_schedules(SCHEDULES, DisabledMechanism::RevisionGoesBackOnRestart)
+        .expect_err("a violation");
     println!("seed {seed}: {violation:?}");
     let seen = matches!(
         violation,
@@ -91,10 +94,10 @@
     assert!(seen, "seed {seed}: {violation:?}");
 }
 
-/// A voter that lost its disk may be the only reachable one that held the newest revisions. With the
-/// platform down it must not make a majority with a voter that never had them.
+/// A voter that lost its disk may be the only reachable one that held the newest revisions. While the
+/// platform is down, it must not form a majority with a voter that never held them.
 #[test]
-fn voter_that_lost_its_disk_does_not_vouch_beside_one_that_lagged() {
+fn voter_that_lost_its_disk_forms_no_majority_with_a_lagging_voter() {
     let script = [
         (2_500, ScriptedFault::Cut(2, true)),
         (2_500, ScriptedFault::EndWatch(2)),
@@ -109,10 +112,10 @@
     }
 }
 
-/// An acknowledgement from a disk that is lost since must not make a majority with one that comes
-/// after the voter caught up: the voter that acknowledged no longer has the revision.
+/// An acknowledgement from a disk that was lost afterwards must not form a majority with a later one
+/// from another voter: the voter that sent it no longer holds the revision.
 #[test]
-fn acknowledgement_from_a_lost_disk_does_not_count_once_the_voter_vouches_again() {
+fn acknowledgement_from_a_lost_disk_does_not_count_after_the_voter_recovered() {
     let mut script = vec![
         (3_000, ScriptedFault::Cut(2, true)),
         (3_000, ScriptedFault::EndWatch(1)),
@@ -124,7 +127,7 @@
         (5_300, ScriptedFault::CutLink(0, 1)),
         (5_300, ScriptedFault::CutLink(1, 2)),
     ];
-    // Coordinators do not reach the voter that lagged.
+    // Coordinators cannot reach the voter that lags behind.
     script.extend((3..NODES).map(|node| (5_000, ScriptedFault::CutLink(2, node))));
     for seed in 0..40 {
         let result = run_script(seed, &script);
--- a/crates/configuration/tests/simulator/faults.rs
+++ b/crates/configuration/tests/simulator/faults.rs
@@ -1,11 +1,11 @@
-//! Faults of nodes and of the platform, random or by a script.
+//! Random and scripted faults of nodes and of the platform.
 
 use rand::RngExt;
 use ridgeworks_configuration::{ConfigurationRole, MachineState};
 
-use super::{Action, FAULTS_END, NODES, Node, SECOND, ScriptedFault, World};
+use super::{Action, FAULTS_END, NODES, Node, SECOND, ScriptedFault, Simulation};
 
-impl World {
+impl Simulation {
     pub(super) fn fault(&mut self) {
         if self.healed() {
             self.heal();
@@ -75,9 +75,9 @@
         }
         let state = &mut self.nodes[node];
         state.role = None;
-        state.life += 1;
+        state.incarnation += 1;
         state.paused = false;
-        state.kept.clear();
+        state.deferred_events.clear();
         if disk_lost {
             state.disk = None;
         }
@@ -85,14 +85,14 @@
         self.schedule(self.now + length, Action::Start { node });
     }
 
-    /// One voter at a time loses its disk, and not before the last one had time to catch up.
+    /// Loses the disk of one voter, unless another one has not recovered yet.
     pub(super) fn lose_disk(&mut self, length: u64) {
-        let vouching = |node: &Node| {
+        let eligible = |node: &Node| {
             let role = node.role.as_ref();
             node.disk.as_ref().is_some_and(|disk| disk.vouches)
-                && role.is_none_or(ConfigurationRole::is_vouching_voter)
+                && role.is_none_or(ConfigurationRole::is_eligible_voter)
         };
-        if self.nodes[..self.voters].iter().all(vouching) {
+        if self.nodes[..self.voters].iter().all(eligible) {
             let voter = self.random.random_range(0..self.voters);
             self.crash(voter, length, true);
         }
@@ -104,10 +104,17 @@
         }
         self.nodes[node].paused = false;
         self.check_node(node);
-        let life = self.nodes[node].life;
-        for event in std::mem::take(&mut self.nodes[node].kept) {
+        let incarnation = self.nodes[node].incarnation;
+        for event in std::mem::take(&mut self.nodes[node].deferred_events) {
             let at = self.now + self.random.random_range(0..60_000);
-            self.schedule(at, Action::Handle { node, life, event });
+            self.schedule(
+                at,
+                Action::Handle {
+                    node,
+                    incarnation,
+                    event,
+                },
+            );
         }
     }
 }
--- a/crates/configuration/tests/simulator/history.rs
+++ b/crates/configuration/tests/simulator/history.rs
@@ -1,4 +1,4 @@
-//! The history of all operators as a linearizable register of the whole configuration.
+//! Checks that the operators' history is that of a linearizable register of the configuration.
 
 use std::collections::BTreeMap;
 
@@ -10,21 +10,21 @@
 
 const REVISION: usize = 3;
 
-/// What an operator asked for.
+/// An operator's request.
 #[derive(Debug, Clone)]
 pub enum Asked {
     Change { key: ObjectKey, expected: u64 },
     Read,
 }
 
-/// One operation of an operator, from its first sending to its last answer.
+/// One operation of an operator, from its first request to its last answer.
 #[derive(Debug, Clone)]
 pub struct Recorded {
     pub operation: OperationId,
     pub asked: Asked,
     pub invoked: u64,
     pub answer: Option<(u64, OperatorAnswer)>,
-    /// Whether an earlier sending of it ended unknown.
+    /// Whether an earlier request of the operation had an unknown outcome.
     pub unknown_before: bool,
 }
 
@@ -78,7 +78,8 @@
     [first, second, third, set.revision().0]
 }
 
-/// Checks what the platform's log tells of single operations. Returns a description of a fault.
+/// Checks the answer of each operation against the platform's log. Returns a description of the first
+/// mismatch.
 pub fn check_outcomes(
     operations: &[Recorded],
     log: &BTreeMap<OperationId, Revision>,
@@ -98,8 +99,8 @@
     Ok(())
 }
 
-/// Whether the history is that of a linearizable register. An operation of unknown end that stands
-/// in the platform's log may take effect until the end of the history.
+/// Whether the history is that of a linearizable register. An operation of unknown outcome that is in
+/// the platform's log may take effect until the end of the history.
 pub fn is_linearizable(operations: &[Recorded], log: &BTreeMap<OperationId, Revision>) -> bool {
     let mut actions = Vec::new();
     for (process, recorded) in operations.iter().enumerate() {
