--- a/crates/configuration/tests/simulator/mod.rs
+++ b/crates/configuration/tests/simulator/mod.rs
@@ -1,8 +1,9 @@
-//! A deterministic simulator of a few nodes, the platform and racing operators in virtual time.
+//! A deterministic simulator of nodes, the platform and concurrent operators in virtual time.
 //!
-//! Network: loss, duplication, reordering, long delays. Faults: crashes with and without the disk,
-//! pauses, cuts, platform down, slow, answers lost after the effect. The weakened runs forge what a
-//! missing mechanism would have let through, so that the checks are seen to fail.
+//! Network: loss, duplication, reordering, long delays. Faults: crashes with and without loss of the
+//! disk, pauses, partitions, and a platform that is down, slow, or loses answers after the effect.
+//! Runs with a [`DisabledMechanism`] simulate the errors that the mechanism prevents, to verify that
+//! the checks detect them.
 
 #![allow(dead_code, reason = "each test binary uses its part of the simulator")]
 
@@ -32,19 +33,19 @@
 const VOTER_COUNTS: [usize; 4] = [3, 3, 3, 5];
 const TICK: u64 = 50_000;
 const SECOND: u64 = 1_000_000;
-/// Faults and operators stop then; the nodes must agree within the time that follows.
+/// End of faults and new operations, in microseconds. The nodes must converge by [`RUN_END`].
 const FAULTS_END: u64 = 14 * SECOND;
 const RUN_END: u64 = FAULTS_END + 10 * SECOND;
 
-/// A mechanism that a run goes without.
+/// A mechanism that is disabled in a run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Weakness {
+pub enum DisabledMechanism {
     None,
-    /// A coordinator takes every voter's acknowledgement for granted.
+    /// A coordinator assumes the acknowledgement of every voter.
     NoMajorityBeforeAccepted,
-    /// The lease counts from the arrival of the answer.
+    /// The lease starts at the arrival of the answer instead of the sending of the renewal.
     LeaseFromAnswer,
-    /// A voter restarts from a state that it has long replaced.
+    /// A voter restarts from an outdated state.
     RevisionGoesBackOnRestart,
 }
 
@@ -74,7 +75,7 @@
     },
 }
 
-/// What a run amounted to.
+/// Counts of one run.
 #[derive(Debug, Default, Clone, Copy)]
 pub struct Report {
     pub operations: usize,
@@ -83,17 +84,17 @@
     pub faults: usize,
 }
 
-/// A fault at a chosen time, for runs with a script in place of random faults.
+/// A fault at a chosen time, for runs with a script instead of random faults.
 #[derive(Debug, Clone, Copy)]
 pub enum ScriptedFault {
     Cut(usize, bool),
     PlatformDown,
     LoseDisk(usize),
-    /// The platform's watch of this node reports nothing more.
+    /// The platform's watch of this node reports no further events.
     EndWatch(usize),
-    /// Nothing passes between these two nodes.
+    /// All messages between these two nodes are lost.
     CutLink(usize, usize),
-    /// `Replicate` messages to this node take this long, in microseconds.
+    /// `Replicate` messages to this node are delayed by this many microseconds.
     DelayReplicate(usize, u64),
 }
 
@@ -101,24 +102,24 @@
     Scripted(ScriptedFault),
     Handle {
         node: usize,
-        life: u64,
+        incarnation: u64,
         event: Event,
     },
     Arrive {
         node: usize,
-        life: u64,
+        incarnation: u64,
         request: RequestId,
         operation: PlatformOperation,
     },
     Flush {
         node: usize,
-        life: u64,
+        incarnation: u64,
         write: u64,
         state: StoredVoter,
     },
     Tick {
         node: usize,
-        life: u64,
+        incarnation: u64,
     },
     Start {
         node: usize,
@@ -158,24 +159,24 @@
 #[derive(Default)]
 struct Node {
     role: Option<ConfigurationRole>,
-    life: u64,
+    incarnation: u64,
     clock_offset: u64,
     paused: bool,
     cut: bool,
-    kept: Vec<Event>,
+    deferred_events: Vec<Event>,
     disk: Option<StoredVoter>,
-    /// The first state that the voter vouched for, for the weakened restart.
-    first_disk: Option<StoredVoter>,
+    /// The first stored state with an eligible voter, for [`DisabledMechanism::RevisionGoesBackOnRestart`].
+    first_eligible_disk: Option<StoredVoter>,
     highest_in_force: Revision,
     last_renewal: Option<RequestId>,
 }
 
-pub struct World {
+pub struct Simulation {
     pub now: u64,
     order: u64,
     queue: BinaryHeap<Reverse<Scheduled>>,
     random: ChaCha8Rng,
-    weakness: Weakness,
+    disabled_mechanism: DisabledMechanism,
     voters: usize,
     nodes: Vec<Node>,
     platform: Platform,
@@ -201,42 +202,42 @@
     node.0 as usize - 1
 }
 
-/// Runs one schedule.
-pub fn run(seed: u64, weakness: Weakness) -> Result<Report, Violation> {
-    let mut world = World::new(seed, weakness);
-    world.run_to_end();
-    world.judge()
+/// Runs the random schedule of this seed.
+pub fn run(seed: u64, disabled_mechanism: DisabledMechanism) -> Result<Report, Violation> {
+    let mut simulation = Simulation::new(seed, disabled_mechanism);
+    simulation.run_to_end();
+    simulation.verify()
 }
 
-/// Runs one schedule with the faults of a script, given with their times in milliseconds. The
-/// network is fast, and three voters lead the list of nodes.
+/// Runs a schedule with scripted faults at times in milliseconds. The network is fast, and the first
+/// three nodes are the voters.
 pub fn run_script(seed: u64, script: &[(u64, ScriptedFault)]) -> Result<Report, Violation> {
-    let mut world = World::new(seed, Weakness::None);
-    world.voters = 3;
-    world.loss = 0.0;
-    world.longest_delay = 5_000;
-    world.scripted = true;
+    let mut simulation = Simulation::new(seed, DisabledMechanism::None);
+    simulation.voters = 3;
+    simulation.loss = 0.0;
+    simulation.longest_delay = 5_000;
+    simulation.scripted = true;
     for (milliseconds, fault) in script {
-        world.schedule(milliseconds * 1_000, Action::Scripted(*fault));
+        simulation.schedule(milliseconds * 1_000, Action::Scripted(*fault));
     }
-    world.schedule(FAULTS_END, Action::Fault);
-    world.run_to_end();
-    world.judge()
+    simulation.schedule(FAULTS_END, Action::Fault);
+    simulation.run_to_end();
+    simulation.verify()
 }
 
-impl World {
-    fn new(seed: u64, weakness: Weakness) -> Self {
+impl Simulation {
+    fn new(seed: u64, disabled_mechanism: DisabledMechanism) -> Self {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let loss = [0.0, 0.02, 0.15][random.random_range(0..3)];
         let longest_delay = [5_000, 50_000, 400_000, 2_500_000][random.random_range(0..4)];
         let voters = VOTER_COUNTS[random.random_range(0..VOTER_COUNTS.len())];
-        let platform = Platform::new(&scenario::initial_configuration().whole());
-        let mut world = Self {
+        let platform = Platform::new(&scenario::initial_configuration().snapshot());
+        let mut simulation = Self {
             now: SECOND,
             order: 0,
             queue: BinaryHeap::new(),
             random,
-            weakness,
+            disabled_mechanism,
             voters,
             nodes: (0..NODES).map(|_| Node::default()).collect(),
             platform,
@@ -254,13 +255,13 @@
             violation: None,
         };
         for node in 0..NODES {
-            world.schedule(world.now, Action::Start { node });
+            simulation.schedule(simulation.now, Action::Start { node });
         }
         for operator in 0..operators::OPERATORS {
-            world.schedule(2 * SECOND, Action::Operate { operator });
+            simulation.schedule(2 * SECOND, Action::Operate { operator });
         }
-        world.schedule(3 * SECOND, Action::Fault);
-        world
+        simulation.schedule(3 * SECOND, Action::Fault);
+        simulation
     }
 
     fn schedule(&mut self, at: u64, action: Action) {
@@ -285,28 +286,32 @@
 
     fn act(&mut self, action: Action) {
         match action {
-            Action::Handle { node, life, event } => {
-                // Messages outlive a restart of their receiver, as they may over datagrams.
+            Action::Handle {
+                node,
+                incarnation,
+                event,
+            } => {
+                // Messages may arrive after a restart of their receiver, as with datagrams.
                 let is_message = matches!(event, Event::Message { .. });
-                if is_message || self.nodes[node].life == life {
+                if is_message || self.nodes[node].incarnation == incarnation {
                     self.handle(node, event);
                 }
             }
             Action::Arrive {
                 node,
-                life,
+                incarnation,
                 request,
                 operation,
             } => {
-                self.arrive(node, life, request, operation);
+                self.arrive(node, incarnation, request, operation);
             }
             Action::Flush {
                 node,
-                life,
+                incarnation,
                 write,
                 state,
-            } => self.flush(node, life, write, state),
-            Action::Tick { node, life } => self.tick(node, life),
+            } => self.flush(node, incarnation, write, state),
+            Action::Tick { node, incarnation } => self.tick(node, incarnation),
             Action::Start { node } => self.start(node),
             Action::Wake { node } => self.wake(node),
             Action::Operate { operator } => self.operate(operator),
@@ -316,7 +321,7 @@
     }
 
     fn local(&self, node: usize) -> MonotonicTime {
-        // The clocks run apart by up to 1.5 percent.
+        // The clocks drift apart by up to 1.5 percent.
         let drift = self.now / 200 * (node as u64 % 4);
         MonotonicTime::from_micros(self.now + drift + self.nodes[node].clock_offset)
     }
@@ -330,8 +335,8 @@
         };
         let now = self.local(node);
         let mut disk = self.nodes[node].disk.clone();
-        if self.weakness == Weakness::RevisionGoesBackOnRestart {
-            disk = self.nodes[node].first_disk.clone();
+        if self.disabled_mechanism == DisabledMechanism::RevisionGoesBackOnRestart {
+            disk = self.nodes[node].first_eligible_disk.clone();
         }
         let mut role = ConfigurationRole::new(settings, disk, now);
         let zone = |index: usize| ZoneName::new(["a", "b"][index % 2]).expect("a valid name");
@@ -341,16 +346,16 @@
         });
         let effects = role.handle(now, Event::Members(members.collect()));
         self.nodes[node].role = Some(role);
-        let life = self.nodes[node].life;
+        let incarnation = self.nodes[node].incarnation;
         self.carry_out(node, effects);
-        self.schedule(self.now, Action::Tick { node, life });
+        self.schedule(self.now, Action::Tick { node, incarnation });
     }
 
-    fn tick(&mut self, node: usize, life: u64) {
-        if self.nodes[node].life != life {
+    fn tick(&mut self, node: usize, incarnation: u64) {
+        if self.nodes[node].incarnation != incarnation {
             return;
         }
-        self.schedule(self.now + TICK, Action::Tick { node, life });
+        self.schedule(self.now + TICK, Action::Tick { node, incarnation });
         if !self.nodes[node].paused {
             self.handle(node, Event::Tick);
         }
@@ -358,11 +363,11 @@
 
     fn handle(&mut self, node: usize, mut event: Event) {
         if self.nodes[node].paused {
-            self.nodes[node].kept.push(event);
+            self.nodes[node].deferred_events.push(event);
             return;
         }
-        if self.weakness == Weakness::LeaseFromAnswer {
-            self.take_for_newest_renewal(node, &mut event);
+        if self.disabled_mechanism == DisabledMechanism::LeaseFromAnswer {
+            self.redirect_to_newest_renewal(node, &mut event);
         }
         self.check_node(node);
         let now = self.local(node);
@@ -374,7 +379,7 @@
         self.carry_out(node, effects);
     }
 
-    fn take_for_newest_renewal(&self, node: usize, event: &mut Event) {
+    fn redirect_to_newest_renewal(&self, node: usize, event: &mut Event) {
         if let Event::Message { message, .. } = event
             && let ConfigurationMessage::Renewed { request, .. } = message
             && let Some(newest) = self.nodes[node].last_renewal
@@ -383,7 +388,7 @@
         }
     }
 
-    /// What a request that arrives now would be told.
+    /// Checks that the configuration in force is neither stale nor older than before.
     fn check_node(&mut self, node: usize) {
         let now = self.local(node);
         let Some(role) = &self.nodes[node].role else {
@@ -412,7 +417,7 @@
     }
 
     fn carry_out(&mut self, node: usize, effects: Vec<Effect>) {
-        let life = self.nodes[node].life;
+        let incarnation = self.nodes[node].incarnation;
         for effect in effects {
             match effect {
                 Effect::Send { to, message } => self.send(node, index_of(to), message),
@@ -422,7 +427,7 @@
                         at,
                         Action::Arrive {
                             node,
-                            life,
+                            incarnation,
                             request,
                             operation,
                         },
@@ -434,7 +439,7 @@
                         at,
                         Action::Flush {
                             node,
-                            life,
+                            incarnation,
                             write,
                             state,
                         },
@@ -466,16 +471,23 @@
         else {
             return;
         };
-        let life = self.nodes[node].life;
+        let incarnation = self.nodes[node].incarnation;
         let at = self.now + self.random.random_range(100..3_000);
-        self.schedule(at, Action::Handle { node, life, event });
+        self.schedule(
+            at,
+            Action::Handle {
+                node,
+                incarnation,
+                event,
+            },
+        );
     }
 
     fn answer(&mut self, ticket: Ticket, answer: OperatorAnswer) {
         self.operators.answered(ticket, answer, self.now);
     }
 
-    fn judge(mut self) -> Result<Report, Violation> {
+    fn verify(mut self) -> Result<Report, Violation> {
         if let Some(violation) = self.violation.take() {
             return Err(violation);
         }
@@ -486,7 +498,7 @@
             return Err(Violation::NotLinearizable);
         }
         for node in 0..NODES {
-            self.judge_node(node)?;
+            self.verify_node(node)?;
         }
         let report = self.operators.report(self.faults);
         if report.accepted == 0 {
@@ -495,8 +507,8 @@
         Ok(report)
     }
 
-    /// After the faults, every node is ready with what stands in the store.
-    fn judge_node(&self, node: usize) -> Result<(), Violation> {
+    /// Checks that the node holds a lease and has converged to the platform's store.
+    fn verify_node(&self, node: usize) -> Result<(), Violation> {
         let store = self.platform.revision;
         let role = self.nodes[node].role.as_ref().expect("a node that runs");
         let ready = role.in_force(self.local(node)).is_ok();
--- a/crates/configuration/tests/simulator/network.rs
+++ b/crates/configuration/tests/simulator/network.rs
@@ -1,16 +1,16 @@
-//! What is on its way: messages, writes to disks, operations of the platform.
+//! Delivery of messages, writes to disks, and platform operations.
 
 use rand::RngExt;
 use ridgeworks_configuration::effect::WatchEvent;
-use ridgeworks_configuration::message::Known;
+use ridgeworks_configuration::message::KnownVersions;
 use ridgeworks_configuration::{
     ConfigurationMessage, Event, PlatformAnswer, PlatformOperation, PlatformVersion, RequestId,
     StoredVoter,
 };
 
-use super::{Action, Weakness, World, node_id};
+use super::{Action, DisabledMechanism, Simulation, node_id};
 
-impl World {
+impl Simulation {
     pub(super) fn send(&mut self, from: usize, to: usize, message: ConfigurationMessage) {
         if let ConfigurationMessage::Renew { request, .. } = message {
             self.nodes[from].last_renewal = Some(request);
@@ -35,17 +35,17 @@
         to: usize,
         message: &ConfigurationMessage,
     ) {
-        if self.weakness != Weakness::NoMajorityBeforeAccepted {
+        if self.disabled_mechanism != DisabledMechanism::NoMajorityBeforeAccepted {
             return;
         }
         if let ConfigurationMessage::Replicate { request, update } = message {
-            let known = Known {
+            let known = KnownVersions {
                 newest: update.revision,
                 machines: 0,
             };
             let request = Some(*request);
             let forged = ConfigurationMessage::Stored { request, known };
-            let life = self.nodes[from].life;
+            let incarnation = self.nodes[from].incarnation;
             let event = Event::Message {
                 from: node_id(to),
                 message: forged,
@@ -54,7 +54,7 @@
                 self.now + 1,
                 Action::Handle {
                     node: from,
-                    life,
+                    incarnation,
                     event,
                 },
             );
@@ -79,23 +79,23 @@
         }
         let from = node_id(from);
         let event = Event::Message { from, message };
-        let life = self.nodes[to].life;
+        let incarnation = self.nodes[to].incarnation;
         self.schedule(
             self.now + delay,
             Action::Handle {
                 node: to,
-                life,
+                incarnation,
                 event,
             },
         );
     }
 
-    pub(super) fn flush(&mut self, node: usize, life: u64, write: u64, state: StoredVoter) {
-        if self.nodes[node].life != life {
+    pub(super) fn flush(&mut self, node: usize, incarnation: u64, write: u64, state: StoredVoter) {
+        if self.nodes[node].incarnation != incarnation {
             return;
         }
-        if state.vouches && self.nodes[node].first_disk.is_none() {
-            self.nodes[node].first_disk = Some(state.clone());
+        if state.vouches && self.nodes[node].first_eligible_disk.is_none() {
+            self.nodes[node].first_eligible_disk = Some(state.clone());
         }
         self.nodes[node].disk = Some(state);
         self.handle(node, Event::Flushed { write });
@@ -113,7 +113,7 @@
     pub(super) fn arrive(
         &mut self,
         node: usize,
-        life: u64,
+        incarnation: u64,
         request: RequestId,
         operation: PlatformOperation,
     ) {
@@ -121,12 +121,19 @@
             let answer = PlatformAnswer::Unavailable;
             let event = Event::PlatformAnswer { request, answer };
             if self.random.random_bool(0.7) {
-                self.schedule(self.now + 1000, Action::Handle { node, life, event });
+                self.schedule(
+                    self.now + 1000,
+                    Action::Handle {
+                        node,
+                        incarnation,
+                        event,
+                    },
+                );
             }
             return;
         }
         if operation == PlatformOperation::Watch {
-            self.watchers.insert(node, life);
+            self.watchers.insert(node, incarnation);
             return;
         }
         let (mut answer, changed) = self.platform.carry_out(operation);
@@ -141,11 +148,18 @@
         }
         let at = self.now + self.platform_delay();
         let event = Event::PlatformAnswer { request, answer };
-        self.schedule(at, Action::Handle { node, life, event });
+        self.schedule(
+            at,
+            Action::Handle {
+                node,
+                incarnation,
+                event,
+            },
+        );
     }
 
     pub(super) fn tell_watchers(&mut self) {
-        for (node, life) in self.watchers.clone() {
+        for (node, incarnation) in self.watchers.clone() {
             let event = match self.random.random_range(0..10) {
                 0 => WatchEvent::Gap,
                 1 => WatchEvent::Closed,
@@ -157,7 +171,14 @@
             };
             let at = self.now + self.platform_delay();
             let event = Event::PlatformWatch(event);
-            self.schedule(at, Action::Handle { node, life, event });
+            self.schedule(
+                at,
+                Action::Handle {
+                    node,
+                    incarnation,
+                    event,
+                },
+            );
         }
     }
 }
--- a/crates/configuration/tests/simulator/operators.rs
+++ b/crates/configuration/tests/simulator/operators.rs
@@ -1,4 +1,4 @@
-//! Operators of both partners who race each other, each with its own view of versions.
+//! Concurrent operators of both partners, each with its own view of object versions.
 
 use std::collections::BTreeMap;
 
@@ -14,8 +14,8 @@
 use super::scenario::{INITIAL_STATE, principal, put, registers, service, shares};
 
 pub const OPERATORS: usize = 4;
-/// After this time an operator holds its request for lost.
-const PATIENCE: u64 = 12_000_000;
+/// Time in microseconds after which an operator treats its request as lost.
+const REQUEST_TIMEOUT: u64 = 12_000_000;
 const SPLIT: usize = 2;
 
 struct Pending {
@@ -29,16 +29,16 @@
     pub operations: Vec<Recorded>,
     requests: BTreeMap<usize, ChangeRequest>,
     pending: BTreeMap<(usize, Ticket), Pending>,
-    /// Operations of unknown end that an operator sends again.
-    again: BTreeMap<usize, usize>,
+    /// Operations of unknown outcome that an operator retries next.
+    to_retry: BTreeMap<usize, usize>,
     versions: [Option<[u64; 3]>; OPERATORS],
     tickets: u64,
-    /// Highest accepted revision by the time it was heard of.
+    /// Highest accepted revision, by the time at which an operator received the answer.
     accepted: Vec<(u64, Revision)>,
 }
 
 impl Operators {
-    /// The highest revision that an operator had heard to be accepted by `time`.
+    /// The highest revision whose acceptance an operator had received by `time`.
     pub fn accepted_by(&self, time: u64) -> Revision {
         let count = self.accepted.partition_point(|(heard, _)| *heard <= time);
         match count {
@@ -57,7 +57,7 @@
     }
 
     pub fn give_up(&mut self, operator: usize, now: u64) {
-        self.end_unknown(|of, pending| of == operator && now > pending.sent + PATIENCE);
+        self.end_unknown(|of, pending| of == operator && now > pending.sent + REQUEST_TIMEOUT);
     }
 
     fn end_unknown(&mut self, lost: impl Fn(usize, &Pending) -> bool) {
@@ -73,11 +73,11 @@
     fn unknown(&mut self, operator: usize, operation: usize) {
         self.operations[operation].unknown_before = true;
         if self.requests.contains_key(&operation) && operation.is_multiple_of(2) {
-            self.again.insert(operator, operation);
+            self.to_retry.insert(operator, operation);
         }
     }
 
-    /// The next request of an operator: an unknown one again, or a new one.
+    /// The next request of an operator: a retry of an unknown operation, or a new one.
     pub fn next(
         &mut self,
         operator: usize,
@@ -86,7 +86,7 @@
         may_start: bool,
         random: &mut ChaCha8Rng,
     ) -> Option<Event> {
-        let operation = match self.again.remove(&operator) {
+        let operation = match self.to_retry.remove(&operator) {
             Some(operation) => operation,
             None if may_start => self.start(operator, now, random),
             None => return None,
@@ -164,7 +164,7 @@
         };
         let pending = self.pending.remove(&key).expect("a pending request");
         let operator = key.0;
-        self.learn(operator, pending.operation, &answer);
+        self.update_versions(operator, pending.operation, &answer);
         match &answer {
             OperatorAnswer::Unknown => {
                 self.unknown(operator, pending.operation);
@@ -182,7 +182,7 @@
         self.operations[pending.operation].answer = Some((now, answer));
     }
 
-    fn learn(&mut self, operator: usize, operation: usize, answer: &OperatorAnswer) {
+    fn update_versions(&mut self, operator: usize, operation: usize, answer: &OperatorAnswer) {
         let [first, second, split, _] = INITIAL_STATE;
         let versions = self.versions[operator].get_or_insert([first, second, split]);
         let asked = &self.operations[operation].asked;
--- a/crates/configuration/tests/simulator/platform.rs
+++ b/crates/configuration/tests/simulator/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's store as the simulator plays it: down, slow, and answers lost after the effect.
+//! The simulated platform's store. Its faults are injected by the network module.
 
 use std::collections::BTreeMap;
 
@@ -12,7 +12,7 @@
 pub struct Platform {
     pub version: u64,
     pub document: Vec<u8>,
-    /// Which revision each operation made, over the whole run.
+    /// The revision that each operation created, over the complete run.
     pub log: BTreeMap<OperationId, Revision>,
     pub revision: Revision,
     pub machines_version: u64,
@@ -31,7 +31,7 @@
         platform
     }
 
-    /// Lists the only machine in this state.
+    /// Sets the state of the only machine in the list.
     pub fn set_machine(&mut self, state: MachineState) {
         self.machines_version += 1;
         self.machines = vec![Machine {
@@ -42,7 +42,7 @@
         }];
     }
 
-    /// Carries out an operation. The second value says whether the document changed.
+    /// Executes an operation. The second value is whether the document changed.
     pub fn carry_out(&mut self, operation: PlatformOperation) -> (PlatformAnswer, bool) {
         match operation {
             PlatformOperation::Read | PlatformOperation::Watch => {
--- a/crates/configuration/tests/simulator/scenario.rs
+++ b/crates/configuration/tests/simulator/scenario.rs
@@ -1,4 +1,4 @@
-//! The configuration that the simulated operators race on.
+//! The initial configuration, and the objects that operators change concurrently.
 
 #![allow(dead_code, reason = "each test binary uses its part of the scenario")]
 
--- a/crates/membership/examples/compare/keep_alive.rs
+++ b/crates/membership/examples/compare/keep_alive.rs
@@ -1,8 +1,8 @@
 //! The keep-alive algorithms of Zhuang et al., "On Failure Detection Algorithms in Overlay Networks",
-//! and indirect probing of random members, for comparison with the product's detector.
+//! and indirect probing of random members, for comparison with the detector of this crate.
 //!
-//! All use the product's time-outs: quick probes every 100 ms until 850 ms have passed, so that a
-//! freeze of 500 ms is forgiven, and the same rate of probes per node.
+//! All use the timeouts of this crate: quick probes every 100 ms until 850 ms have passed, so that a
+//! pause of 500 ms is tolerated, and the same rate of probes per node.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -15,46 +15,46 @@
 
 use crate::support::simulator::{Input, Output, Participant, Seen};
 
-/// Probes that each node sends, per second, in all strategies and at most in the product.
+/// Probes that each node sends per second; an upper bound for the detector of this crate.
 pub const PROBES_PER_SECOND: f64 = 10.0;
 const QUICK_PROBE: Duration = Duration::from_millis(100);
 const PROBE_TIMEOUT: Duration = Duration::from_millis(150);
 const CONFIRM: Duration = Duration::from_millis(850);
-/// Boosts from different nodes within the window that count as a verdict (the paper's k).
+/// Boosts from different nodes within the window after which a node is declared Dead (k in the paper).
 const BOOSTS: usize = 3;
 const BOOST_WINDOW: Duration = Duration::from_secs(1);
 const INDIRECT_PROBES: usize = 3;
 const GOSSIP_COPIES: u32 = 12;
-/// Bytes of a probe of the product without updates.
+/// Bytes of a probe of this crate without updates.
 const PROBE_BYTES: usize = 32;
 const UPDATE_BYTES: usize = 24;
 
-/// What is shared, and with whom.
+/// Which information is shared, and with which nodes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Sharing {
     /// Nothing: the paper's baseline.
     Nothing,
-    /// Negative information with the own neighbours (SN).
+    /// Negative information with the node's neighbours (SN).
     Negative,
     /// Negative information with the target's back-pointers (SN+BPTR).
     NegativeToBackPointers,
     /// Negative and positive information with the target's back-pointers (SNP+BPTR).
     BothToBackPointers,
-    /// Others are asked to probe, and verdicts are gossiped on probes.
+    /// Indirect probes by other nodes; declarations of Dead are gossiped on probes.
     Indirect,
 }
 
 #[derive(Debug, Clone)]
 pub enum Message {
-    Probe { verdicts: Vec<usize> },
-    Ack { verdicts: Vec<usize> },
+    Probe { dead_nodes: Vec<usize> },
+    Ack { dead_nodes: Vec<usize> },
     Boost { target: usize },
     Positive { target: usize },
-    Ask { target: usize },
-    Vouch { target: usize },
+    IndirectProbe { target: usize },
+    IndirectAck { target: usize },
 }
 
-/// Who probes whom, known to all.
+/// Which nodes probe which, known to all nodes.
 pub struct Neighbours {
     pub of: Vec<Vec<usize>>,
     pub back_pointers: Vec<Vec<usize>>,
@@ -80,8 +80,8 @@
 
 struct Target {
     due: MonotonicTime,
-    silent_since: Option<MonotonicTime>,
-    asked: bool,
+    unanswered_since: Option<MonotonicTime>,
+    indirect_probes_requested: bool,
     boosts: BTreeMap<usize, MonotonicTime>,
     dead: bool,
 }
@@ -95,7 +95,7 @@
     targets: BTreeMap<usize, Target>,
     due: BTreeSet<(MonotonicTime, usize)>,
     gossip: BTreeMap<usize, u32>,
-    asked_by: Vec<(usize, usize)>,
+    indirect_probe_requests: Vec<(usize, usize)>,
     rng: ChaCha8Rng,
 }
 
@@ -112,7 +112,7 @@
             targets: BTreeMap::new(),
             due: BTreeSet::new(),
             gossip: BTreeMap::new(),
-            asked_by: Vec::new(),
+            indirect_probe_requests: Vec::new(),
             rng: ChaCha8Rng::seed_from_u64(seed),
         };
         for target in &neighbours.of[own] {
@@ -121,8 +121,8 @@
             peer.due.insert((due, *target));
             let state = Target {
                 due,
-                silent_since: None,
-                asked: false,
+                unanswered_since: None,
+                indirect_probes_requested: false,
                 boosts: BTreeMap::new(),
                 dead: false,
             };
@@ -153,31 +153,34 @@
         let Some(state) = self.targets.get_mut(&target) else {
             return;
         };
-        let since = *state.silent_since.get_or_insert(now);
-        let silence = now.since(since);
-        let (is_dead, was_asked) = (state.dead, state.asked);
-        if silence >= CONFIRM {
-            state.silent_since = None;
-            state.asked = false;
+        let since = *state.unanswered_since.get_or_insert(now);
+        let unanswered_for = now.since(since);
+        let (is_dead, already_requested) = (state.dead, state.indirect_probes_requested);
+        if unanswered_for >= CONFIRM {
+            state.unanswered_since = None;
+            state.indirect_probes_requested = false;
             if !is_dead {
-                self.conclude(target, now, out);
+                self.declare_dead(target, now, out);
                 self.boost(target, out);
             }
             self.schedule(target, now + interval.max(QUICK_PROBE));
             return;
         }
-        if self.sharing == Sharing::Indirect && silence >= PROBE_TIMEOUT && !was_asked {
-            state.asked = silence >= CONFIRM / 2;
-            self.ask(target, out);
+        if self.sharing == Sharing::Indirect
+            && unanswered_for >= PROBE_TIMEOUT
+            && !already_requested
+        {
+            state.indirect_probes_requested = unanswered_for >= CONFIRM / 2;
+            self.request_indirect_probes(target, out);
         }
-        let verdicts = self.take_gossip();
+        let dead_nodes = self.next_gossip();
         out.push(Output::Send {
             to: target,
-            message: Message::Probe { verdicts },
+            message: Message::Probe { dead_nodes },
         });
         let next = if is_dead { interval } else { QUICK_PROBE };
         if is_dead && let Some(state) = self.targets.get_mut(&target) {
-            state.silent_since = None;
+            state.unanswered_since = None;
         }
         let deadline = since + CONFIRM;
         self.schedule(
@@ -186,7 +189,7 @@
         );
     }
 
-    fn conclude(&mut self, target: usize, now: MonotonicTime, out: &mut Vec<Output<Message>>) {
+    fn declare_dead(&mut self, target: usize, now: MonotonicTime, out: &mut Vec<Output<Message>>) {
         let Some(state) = self.targets.get_mut(&target) else {
             return;
         };
@@ -194,7 +197,7 @@
             return;
         }
         state.dead = true;
-        state.silent_since = None;
+        state.unanswered_since = None;
         state.boosts.clear();
         out.push(Output::Sees {
             subject: target,
@@ -213,10 +216,16 @@
             Sharing::Negative => &self.neighbours.of[self.own],
             _ => &self.neighbours.back_pointers[target],
         };
-        self.tell(receivers, target, Message::Boost { target }, out);
+        self.send_to_all(receivers, target, Message::Boost { target }, out);
     }
 
-    fn tell(&self, to: &[usize], target: usize, message: Message, out: &mut Vec<Output<Message>>) {
+    fn send_to_all(
+        &self,
+        to: &[usize],
+        target: usize,
+        message: Message,
+        out: &mut Vec<Output<Message>>,
+    ) {
         let receivers = to.iter().filter(|to| **to != self.own && **to != target);
         out.extend(receivers.map(|to| Output::Send {
             to: *to,
@@ -224,13 +233,13 @@
         }));
     }
 
-    fn ask(&mut self, target: usize, out: &mut Vec<Output<Message>>) {
+    fn request_indirect_probes(&mut self, target: usize, out: &mut Vec<Output<Message>>) {
         let others = self.neighbours.of[self.own].sample(&mut self.rng, INDIRECT_PROBES);
         let others: Vec<usize> = others.copied().collect();
-        self.tell(&others, target, Message::Ask { target }, out);
+        self.send_to_all(&others, target, Message::IndirectProbe { target }, out);
     }
 
-    fn take_gossip(&mut self) -> Vec<usize> {
+    fn next_gossip(&mut self) -> Vec<usize> {
         let chosen: Vec<usize> = self.gossip.keys().copied().take(6).collect();
         for target in &chosen {
             if let Some(copies) = self.gossip.get_mut(target) {
@@ -241,24 +250,24 @@
         chosen
     }
 
-    fn take_verdicts(
+    fn apply_dead_nodes(
         &mut self,
-        verdicts: &[usize],
+        dead_nodes: &[usize],
         now: MonotonicTime,
         out: &mut Vec<Output<Message>>,
     ) {
-        for target in verdicts {
-            self.conclude(*target, now, out);
+        for target in dead_nodes {
+            self.declare_dead(*target, now, out);
         }
     }
 
-    fn alive(&mut self, target: usize, now: MonotonicTime, out: &mut Vec<Output<Message>>) {
+    fn record_alive(&mut self, target: usize, now: MonotonicTime, out: &mut Vec<Output<Message>>) {
         let next = now + self.interval;
         let Some(state) = self.targets.get_mut(&target) else {
             return;
         };
-        state.silent_since = None;
-        state.asked = false;
+        state.unanswered_since = None;
+        state.indirect_probes_requested = false;
         if std::mem::take(&mut state.dead) {
             out.push(Output::Sees {
                 subject: target,
@@ -269,12 +278,12 @@
         state.boosts.clear();
         if had_boosts && self.sharing == Sharing::BothToBackPointers {
             let receivers = &self.neighbours.back_pointers[target];
-            self.tell(receivers, target, Message::Positive { target }, out);
+            self.send_to_all(receivers, target, Message::Positive { target }, out);
         }
         self.schedule(target, next);
     }
 
-    fn take_boost(
+    fn record_boost(
         &mut self,
         from: usize,
         target: usize,
@@ -287,7 +296,7 @@
         state.boosts.insert(from, now);
         state.boosts.retain(|_, at| now.since(*at) <= BOOST_WINDOW);
         if state.boosts.len() >= BOOSTS.min(self.neighbours.back_pointers[target].len() - 1) {
-            self.conclude(target, now, out);
+            self.declare_dead(target, now, out);
         }
     }
 
@@ -299,44 +308,44 @@
         out: &mut Vec<Output<Message>>,
     ) {
         match message {
-            Message::Probe { verdicts } => {
-                self.take_verdicts(&verdicts, now, out);
-                let verdicts = self.take_gossip();
-                let message = Message::Ack { verdicts };
+            Message::Probe { dead_nodes } => {
+                self.apply_dead_nodes(&dead_nodes, now, out);
+                let dead_nodes = self.next_gossip();
+                let message = Message::Ack { dead_nodes };
                 out.push(Output::Send { to: from, message });
             }
-            Message::Ack { verdicts } => {
-                self.take_verdicts(&verdicts, now, out);
-                self.alive(from, now, out);
-                let asked_by = std::mem::take(&mut self.asked_by);
-                for (requester, target) in asked_by {
+            Message::Ack { dead_nodes } => {
+                self.apply_dead_nodes(&dead_nodes, now, out);
+                self.record_alive(from, now, out);
+                let indirect_probe_requests = std::mem::take(&mut self.indirect_probe_requests);
+                for (requester, target) in indirect_probe_requests {
                     if target == from {
-                        let message = Message::Vouch { target };
+                        let message = Message::IndirectAck { target };
                         out.push(Output::Send {
                             to: requester,
                             message,
                         });
                     } else {
-                        self.asked_by.push((requester, target));
+                        self.indirect_probe_requests.push((requester, target));
                     }
                 }
             }
-            Message::Boost { target } => self.take_boost(from, target, now, out),
+            Message::Boost { target } => self.record_boost(from, target, now, out),
             Message::Positive { target } => {
                 if let Some(state) = self.targets.get_mut(&target) {
                     state.boosts.clear();
                 }
             }
-            Message::Ask { target } => {
-                self.asked_by.push((from, target));
-                let verdicts = Vec::new();
-                let message = Message::Probe { verdicts };
+            Message::IndirectProbe { target } => {
+                self.indirect_probe_requests.push((from, target));
+                let dead_nodes = Vec::new();
+                let message = Message::Probe { dead_nodes };
                 out.push(Output::Send {
                     to: target,
                     message,
                 });
             }
-            Message::Vouch { target } => self.alive(target, now, out),
+            Message::IndirectAck { target } => self.record_alive(target, now, out),
         }
     }
 }
@@ -360,8 +369,8 @@
 
     fn encoded_bytes(message: &Message) -> usize {
         match message {
-            Message::Probe { verdicts } | Message::Ack { verdicts } => {
-                PROBE_BYTES + verdicts.len() * UPDATE_BYTES
+            Message::Probe { dead_nodes } | Message::Ack { dead_nodes } => {
+                PROBE_BYTES + dead_nodes.len() * UPDATE_BYTES
             }
             _ => PROBE_BYTES,
         }
--- a/crates/membership/examples/compare/main.rs
+++ b/crates/membership/examples/compare/main.rs
@@ -1,4 +1,4 @@
-//! Compares ways of detecting failures under virtual time and prints a table.
+//! Compares failure detection strategies in virtual time and prints a table.
 //!
 //! Run it with `make compare-detectors`.
 
@@ -20,22 +20,22 @@
 use support::simulator::{Network, Participant, Seen, Simulator};
 
 const SIZES: [(usize, usize); 4] = [(8, 3), (50, 4), (100, 5), (410, 9)];
-/// Virtual seconds watched at each size, so that all sizes take a similar time to run.
+/// Simulated seconds per size, chosen so that all sizes take a similar time to run.
 const WATCHED_SECONDS: [u64; 4] = [300, 100, 50, 16];
 const KILLS: usize = 12;
 const PARTIAL_DEGREE: usize = 24;
 const FREEZE: Duration = Duration::from_millis(500);
 const FREEZE_EVERY: Duration = Duration::from_secs(10);
 
-/// A way of detecting failures.
+/// A failure detection strategy.
 #[derive(Clone, Copy)]
 enum Strategy {
     /// Every node probes all others.
     Full(Sharing),
     /// Every node probes a bounded number of others.
     Partial(Sharing),
-    /// The product's state machine.
-    Product,
+    /// The membership state machine of this crate.
+    Ridgeworks,
 }
 
 const STRATEGIES: [(&str, Strategy); 8] = [
@@ -52,7 +52,7 @@
     ),
     ("SNP+BPTR, all", Strategy::Full(Sharing::BothToBackPointers)),
     ("indirect, all", Strategy::Full(Sharing::Indirect)),
-    ("ridgeworks", Strategy::Product),
+    ("ridgeworks", Strategy::Ridgeworks),
 ];
 
 #[derive(Default)]
@@ -66,13 +66,13 @@
     false_per_node_hour: [f64; 3],
 }
 
-/// What the figures need besides the simulator itself: who must notice a failure.
-trait Interest {
+/// Determines which nodes must detect a failure.
+trait ObserverSet {
     fn observers(&self, subject: usize, running: &[usize]) -> Vec<usize>;
 }
 
-struct Everyone;
-impl Interest for Everyone {
+struct AllNodes;
+impl ObserverSet for AllNodes {
     fn observers(&self, subject: usize, running: &[usize]) -> Vec<usize> {
         running
             .iter()
@@ -83,7 +83,7 @@
 }
 
 struct BackPointers(Rc<Neighbours>);
-impl Interest for BackPointers {
+impl ObserverSet for BackPointers {
     fn observers(&self, subject: usize, running: &[usize]) -> Vec<usize> {
         let all = self.0.back_pointers[subject].iter();
         all.copied().filter(|node| running.contains(node)).collect()
@@ -108,13 +108,13 @@
     let neighbours = Rc::new(Neighbours::new(nodes, degree.min(nodes - 1), seed));
     let mut simulator = Simulator::new(network(loss), seed);
     for index in 0..nodes {
-        simulator.add_place(index % zones);
+        simulator.add_slot(index % zones);
         simulator.start(index, Peer::new(index, sharing, neighbours.clone(), seed));
     }
     (simulator, BackPointers(neighbours))
 }
 
-/// Messages, bytes and processor time while nothing fails.
+/// Measures messages, bytes and processor time without failures.
 fn measure_cost<P: Participant>(simulator: &mut Simulator<P>, figures: &mut Figures) {
     let seconds = 10;
     simulator.run_for(Duration::from_secs(5));
@@ -134,16 +134,16 @@
     }
 }
 
-/// Kills some nodes, apart in time, without any reset of their links.
+/// Kills some nodes one after another, without any reset of their links.
 fn measure_detection<P: Participant>(
     simulator: &mut Simulator<P>,
-    interest: &impl Interest,
+    observer_set: &impl ObserverSet,
     kills: usize,
     seed: u64,
     figures: &mut Figures,
 ) {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
-    simulator.sightings.clear();
+    simulator.observations.clear();
     let mut killed = Vec::new();
     for _ in 0..kills {
         let running = simulator.running();
@@ -153,18 +153,19 @@
         simulator.run_for(Duration::from_millis(rng.random_range(1500..2500)));
     }
     let nodes = simulator.running().len() + kills;
-    let patience = Duration::from_secs_f64(3.0 + nodes as f64 / keep_alive::PROBES_PER_SECOND);
-    simulator.run_for(patience);
+    let detection_limit =
+        Duration::from_secs_f64(3.0 + nodes as f64 / keep_alive::PROBES_PER_SECOND);
+    simulator.run_for(detection_limit);
     let running = simulator.running();
     for (victim, at) in killed {
-        for observer in interest.observers(victim, &running) {
-            let noticed = simulator.sightings.iter().find(|sighting| {
-                (sighting.observer, sighting.subject) == (observer, victim)
-                    && sighting.state == Seen::Dead
+        for observer in observer_set.observers(victim, &running) {
+            let noticed = simulator.observations.iter().find(|observation| {
+                (observation.observer, observation.subject) == (observer, victim)
+                    && observation.state == Seen::Dead
             });
             match noticed {
-                Some(sighting) => {
-                    let micros = sighting.at.since(at).as_micros();
+                Some(observation) => {
+                    let micros = observation.at.since(at).as_micros();
                     figures
                         .detection_ms
                         .push(u64::try_from(micros / 1000).unwrap_or(u64::MAX));
@@ -175,8 +176,8 @@
     }
 }
 
-/// Dead verdicts on running nodes per node and hour, with freezes if asked for.
-fn false_verdicts<P: Participant>(
+/// Running nodes declared Dead, per node and hour, optionally with freezes.
+fn false_deaths<P: Participant>(
     simulator: &mut Simulator<P>,
     seconds: u64,
     freezes: bool,
@@ -184,10 +185,10 @@
 ) -> f64 {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let nodes = simulator.running().len();
-    simulator.sightings.clear();
+    simulator.observations.clear();
     let start = simulator.now;
     let mut order: Vec<usize> = (0..nodes).collect();
-    // Each in its turn, so that no node is frozen twice in a row: that would be one long freeze.
+    // Round-robin, since two consecutive freezes of one node would be one long freeze.
     order.shuffle(&mut rng);
     let mut next = 0;
     while simulator.now.since(start) < Duration::from_secs(seconds) {
@@ -200,8 +201,8 @@
         };
         simulator.run_for(pause);
     }
-    let sightings = simulator.sightings.iter();
-    let dead = sightings.filter(|sighting| sighting.state == Seen::Dead);
+    let observations = simulator.observations.iter();
+    let dead = observations.filter(|observation| observation.state == Seen::Dead);
     dead.count() as f64 * 3600.0 / (nodes as f64 * seconds as f64)
 }
 
@@ -210,19 +211,19 @@
     let rounds = if nodes < 20 { KILLS as u64 } else { 1 };
     let kills = if nodes < 20 { 1 } else { KILLS };
     match strategy {
-        Strategy::Product => {
+        Strategy::Ridgeworks => {
             for seed in 0..rounds {
                 let mut cluster = Cluster::formed(nodes, zones, network(0.0), seed);
                 if seed == 0 {
                     measure_cost(&mut cluster.simulator, &mut figures);
                 }
                 let simulator = &mut cluster.simulator;
-                measure_detection(simulator, &Everyone, kills, seed, &mut figures);
+                measure_detection(simulator, &AllNodes, kills, seed, &mut figures);
             }
             for (index, loss) in [0.01, 0.05, 0.0].into_iter().enumerate() {
                 let mut cluster = Cluster::formed(nodes, zones, network(loss), 77);
                 figures.false_per_node_hour[index] =
-                    false_verdicts(&mut cluster.simulator, seconds, index == 2, 5);
+                    false_deaths(&mut cluster.simulator, seconds, index == 2, 5);
             }
         }
         Strategy::Full(sharing) | Strategy::Partial(sharing) => {
@@ -231,17 +232,17 @@
                 _ => nodes - 1,
             };
             for seed in 0..rounds {
-                let (mut simulator, interest) = peers(nodes, zones, degree, sharing, 0.0, seed);
+                let (mut simulator, observer_set) = peers(nodes, zones, degree, sharing, 0.0, seed);
                 if seed == 0 {
                     measure_cost(&mut simulator, &mut figures);
                 }
                 simulator.run_for(Duration::from_millis(100 * seed));
-                measure_detection(&mut simulator, &interest, kills, seed, &mut figures);
+                measure_detection(&mut simulator, &observer_set, kills, seed, &mut figures);
             }
             for (index, loss) in [0.01, 0.05, 0.0].into_iter().enumerate() {
                 let (mut simulator, _) = peers(nodes, zones, degree, sharing, loss, 77);
                 figures.false_per_node_hour[index] =
-                    false_verdicts(&mut simulator, seconds, index == 2, 5);
+                    false_deaths(&mut simulator, seconds, index == 2, 5);
             }
         }
     }
@@ -275,7 +276,7 @@
     value.and_then(|value| value.parse().ok()).unwrap_or(0)
 }
 
-/// Time until the nodes that run see exactly those of their side as present.
+/// Runs until `done` holds, for at most 20 simulated seconds; returns the elapsed time.
 fn time_until(cluster: &mut Cluster, mut done: impl FnMut(&Cluster) -> bool) -> Duration {
     let start = cluster.simulator.now;
     let limit = Duration::from_secs(20);
@@ -298,7 +299,7 @@
         .all(|side| one_hash(side) && cluster.seen_present(side[0]) == *side)
 }
 
-fn everyone_agrees(cluster: &Cluster) -> bool {
+fn all_views_agree(cluster: &Cluster) -> bool {
     let running = cluster.simulator.running();
     let first = cluster.membership(running[0]).table_hash();
     let mut hashes = running
@@ -307,8 +308,8 @@
     hashes.all(|hash| hash == first) && cluster.seen_present(running[0]) == running
 }
 
-/// How the product's costs and convergence grow with the number of nodes.
-fn print_slope(nodes: usize, zones: usize) {
+/// Prints how costs and convergence of the state machine grow with the number of nodes.
+fn print_scaling(nodes: usize, zones: usize) {
     const JOINING: usize = 30;
     let before = resident_kib();
     let mut cluster = Cluster::formed(nodes, zones, network(0.0), 3);
@@ -319,7 +320,7 @@
     let cut = time_until(&mut cluster, |cluster| sides_agree(cluster, 1));
     cluster.simulator.run_for(Duration::from_secs(2));
     cluster.simulator.heal();
-    let healed = time_until(&mut cluster, everyone_agrees);
+    let healed = time_until(&mut cluster, all_views_agree);
     let restarted: Vec<usize> = (0..JOINING).map(|index| index * nodes / JOINING).collect();
     for node in &restarted {
         cluster.simulator.kill(*node, true);
@@ -330,7 +331,7 @@
     for node in &restarted {
         cluster.start(*node, &[2]);
     }
-    let joined = time_until(&mut cluster, everyone_agrees);
+    let joined = time_until(&mut cluster, all_views_agree);
     cluster.simulator.run_for(Duration::from_secs(1));
     let bytes: u64 = cluster
         .simulator
@@ -351,20 +352,20 @@
     );
 }
 
-fn print_slopes() {
+fn print_scaling_table() {
     println!();
     println!(
         "| nodes | zones | B/s per node | B/s of the busiest | messages/s per node | CPU µs/s per node | KiB per node | zone cut seen by all, ms | heal seen by all, ms | 30 joins at once seen by all, ms | bytes per node over that and 1 s |"
     );
     println!("|---|---|---|---|---|---|---|---|---|---|---|");
     for (nodes, zones) in [(50, 9), (100, 9), (200, 9), (410, 9)] {
-        print_slope(nodes, zones);
+        print_scaling(nodes, zones);
     }
 }
 
 fn main() {
-    // First, while the process is small, so that its growth shows the memory of the nodes.
-    print_slopes();
+    // First, while the process is small, so that its growth shows the memory used by the nodes.
+    print_scaling_table();
     let ping = MembershipMessage::Ping {
         believed: support::cluster::member(0, 0, 1).claim(),
         updates: Vec::new(),
--- a/crates/membership/src/anti_entropy.rs
+++ b/crates/membership/src/anti_entropy.rs
@@ -1,7 +1,7 @@
-//! Comparison of two members' tables, which heals what dissemination lost.
+//! Anti-entropy: comparison of two members' tables, which repairs updates lost in dissemination.
 //!
-//! One sends the hash of its table; when the other's differs it answers with its claims in pages, and
-//! both then hand over what the other lacks.
+//! One member sends the hash of its table. If it differs from the receiver's, the receiver answers
+//! with its claims in pages, and both then send what the other lacks.
 
 use std::collections::BTreeSet;
 
@@ -14,18 +14,18 @@
 const FIRST_NODE: NodeId = NodeId(0);
 const LAST_NODE: NodeId = NodeId(u64::MAX);
 
-/// What a page shows.
+/// Differences between a page and the local table.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct Comparison {
-    /// Claims of the page that take precedence over the table's, or whose record is missing here.
-    pub newer_there: Vec<NodeClaim>,
+    /// Claims of the page that take precedence over the table's, or whose record the table lacks.
+    pub newer_remote: Vec<NodeClaim>,
     /// Claims of the table that take precedence over the page's.
-    pub newer_here: Vec<NodeClaim>,
-    /// Present members of the table that the page should hold and does not.
-    pub missing_there: Vec<NodeId>,
+    pub newer_local: Vec<NodeClaim>,
+    /// Present members of the table in the page's range that the page does not list.
+    pub missing_remote: Vec<NodeId>,
 }
 
-/// The table as pages that together cover all nodes.
+/// The table as `Digest` messages whose ranges together cover all nodes.
 pub fn digest_pages(table: &MemberTable) -> Vec<MembershipMessage> {
     let claims: Vec<NodeClaim> = table.published_claims().collect();
     let pages: Vec<&[NodeClaim]> = claims.chunks(MAX_CLAIMS_PER_MESSAGE).collect();
@@ -39,8 +39,8 @@
     pages.iter().enumerate().map(page_of).collect()
 }
 
-/// Claims alone, as pages that cover no range.
-pub fn hearsay(claims: &[NodeClaim]) -> Vec<MembershipMessage> {
+/// Claims as `Digest` messages that cover no range.
+pub fn claim_messages(claims: &[NodeClaim]) -> Vec<MembershipMessage> {
     let pages = claims.chunks(MAX_CLAIMS_PER_MESSAGE);
     let message_of = |page: &[NodeClaim]| MembershipMessage::Digest {
         first: LAST_NODE,
@@ -50,8 +50,7 @@
     pages.map(message_of).collect()
 }
 
-/// Compares a page with the table. Departed members that the table has forgotten, or never knew, are
-/// passed over.
+/// Compares a page with the table. Departed members that the table does not contain are skipped.
 pub fn compare(
     table: &MemberTable,
     first: NodeId,
@@ -62,10 +61,10 @@
     for claimed in claims {
         let held = table.published_claim_of(claimed.node);
         match held {
-            None if claimed.claim.state.is_present() => comparison.newer_there.push(*claimed),
+            None if claimed.claim.state.is_present() => comparison.newer_remote.push(*claimed),
             None => {}
-            Some(held) if claimed.claim > held => comparison.newer_there.push(*claimed),
-            Some(held) if claimed.claim < held => comparison.newer_here.push(NodeClaim {
+            Some(held) if claimed.claim > held => comparison.newer_remote.push(*claimed),
+            Some(held) if claimed.claim < held => comparison.newer_local.push(NodeClaim {
                 node: claimed.node,
                 claim: held,
             }),
@@ -74,7 +73,7 @@
     }
     let listed: BTreeSet<NodeId> = claims.iter().map(|claimed| claimed.node).collect();
     let is_covered = |node: NodeId| first <= node && node <= last;
-    comparison.missing_there = table
+    comparison.missing_remote = table
         .present()
         .map(|member| member.node)
         .filter(|node| is_covered(*node) && !listed.contains(node))
@@ -82,7 +81,8 @@
     comparison
 }
 
-/// Whether hearsay of this state is checked with a probe before it is taken.
-pub fn needs_check(state: MemberState) -> bool {
+/// Whether a claim of this state, received in a comparison, is verified by a probe before it is
+/// merged.
+pub fn requires_verification(state: MemberState) -> bool {
     state == MemberState::Dead
 }
--- a/crates/membership/src/config.rs
+++ b/crates/membership/src/config.rs
@@ -2,52 +2,53 @@
 
 use std::time::Duration;
 
-/// Settings; the defaults are those measured in `docs/design/failure-detection.md`.
+/// Settings of the membership protocol. `docs/design/failure-detection.md` gives the figures for the
+/// defaults.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct MembershipConfig {
-    /// How often a monitor makes sure that it heard from a member of its zone.
+    /// Time without a message from a monitored member after which a monitor probes it.
     pub probe_interval: Duration,
-    /// How often a relay makes sure that it heard from the relays of another zone.
+    /// Time without a message from a relay of another zone after which a relay probes it.
     pub relay_probe_interval: Duration,
-    /// How long a probe may stay unanswered before the member is suspected.
+    /// Time after an unanswered probe at which the member is suspected.
     pub probe_timeout: Duration,
-    /// How often a suspected member is probed again.
+    /// Time between probes of an unresponsive member.
     pub suspect_probe_interval: Duration,
-    /// How often others are asked to probe a suspected member.
+    /// Time between requests to others to probe a suspected member.
     pub indirect_probe_interval: Duration,
     /// Time from the first unanswered probe until a member is declared Dead. Must exceed the longest
-    /// freeze that is to be forgiven by more than the delays of network and scheduler.
+    /// tolerated pause of a process by more than the delays of network and scheduler.
     pub confirm_timeout: Duration,
-    /// The same when the member's link was closed: its process ended or its machine restarted.
+    /// The same if the link to the member was closed: its process ended or its machine restarted.
     pub link_closed_confirm_timeout: Duration,
-    /// A timer that runs later than this shows that this node itself was paused.
+    /// A timer that is late by more than this indicates that this process itself was paused.
     pub pause_threshold: Duration,
-    /// By how much the confirmation time grows while this node hears from nobody at all.
+    /// Factor on the confirmation time while this node receives no messages from other members.
     pub isolation_factor: u32,
-    /// Monitors of each member.
+    /// Number of monitors of each member.
     pub monitors: usize,
-    /// Members asked to probe a suspected one.
+    /// Number of members asked to probe a suspected member.
     pub indirect_probes: usize,
-    /// Relays of each zone.
+    /// Number of relays of each zone.
     pub relays_per_zone: usize,
-    /// How long updates are gathered before they go out together.
+    /// Time for which updates are collected before they are sent together.
     pub flush_delay: Duration,
-    /// How often an update is repeated on later probes to other members.
+    /// Number of later probes and answers on which an update is piggybacked.
     pub piggyback_copies: u32,
-    /// How often the table is compared with one other member's.
+    /// Time between comparisons of the table with one other member's.
     pub anti_entropy_interval: Duration,
-    /// The same for a newcomer, which may have missed the joins of others around its own.
+    /// The same during `newcomer_period`, since a new member may have missed concurrent joins.
     pub newcomer_anti_entropy_interval: Duration,
-    /// How often a join is repeated until a seed answers.
+    /// Time between join requests while this node knows no other present member.
     pub join_retry_interval: Duration,
-    /// How often a seed that is no present member is tried.
+    /// Time between join requests to seeds that are not present members.
     pub seed_interval: Duration,
-    /// For how long after its start a node introduces itself with its probes, and takes a claim of
-    /// a later start of its name for a clock that went back rather than for its replacement.
+    /// Time after its start for which a node sends its record with its probes, and treats a claim of
+    /// a later generation of itself as the effect of a clock set back instead of as its replacement.
     pub newcomer_period: Duration,
-    /// How often one Dead member is tried again, so that a healed cut is noticed.
+    /// Time between pings of a Dead member, by which the end of a network partition is detected.
     pub reconnect_interval: Duration,
-    /// How long Dead and Left members stay known.
+    /// Time for which Dead and Left members are kept in the table.
     pub retention: Duration,
 }
 
--- a/crates/membership/src/counters.rs
+++ b/crates/membership/src/counters.rs
@@ -1,11 +1,11 @@
 //! Counters of the membership state machine.
 
-/// What was counted since the start of the process.
+/// Counts since the start of the process.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Counters {
     /// Messages handed to the links.
     pub messages_sent: u64,
-    /// Events of [`crate::Event::Timer`] taken; the host sets one timer for what is due next.
+    /// Handled [`crate::Event::Timer`] events.
     pub timers: u64,
     /// Members that this node suspected.
     pub suspicions: u64,
@@ -13,8 +13,8 @@
     pub deaths_declared: u64,
     /// Claims about this node that it refuted.
     pub refutations: u64,
-    /// Pauses of this process that it noticed.
+    /// Pauses of this process that it detected.
     pub own_pauses: u64,
-    /// Dead claims learned in table comparison that were checked before they were taken.
+    /// Dead claims received in table comparisons that were verified by a probe.
     pub dead_claims_verified: u64,
 }
--- a/crates/membership/src/detector.rs
+++ b/crates/membership/src/detector.rs
@@ -1,9 +1,9 @@
-//! Which members this node probes, and what it concludes from their answers.
+//! Failure detector: which members this node probes, and when it suspects them or declares them Dead.
 //!
-//! A member is probed when nothing was heard from it for an interval. The first probe that stays
-//! unanswered starts a clock: after the probe timeout the member is suspected and others are asked to
-//! probe it; after the confirmation timeout, with no sign of life seen by anybody asked, it is
-//! declared Dead. Any message from the member stops the clock.
+//! A member is probed if no message from it arrived for an interval. The first unanswered probe starts
+//! two timeouts: after the probe timeout the member is suspected and others are asked to probe it;
+//! after the confirmation timeout it is declared Dead, unless one of them received an answer. Any
+//! message from the member cancels both.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,52 +12,52 @@
 
 use crate::config::MembershipConfig;
 
-/// Why this node probes a member. A later variant yields to an earlier one.
+/// Why this node probes a member. An earlier variant takes precedence over a later one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ProbeRole {
-    /// It is one of the member's monitors.
+    /// This node is one of the member's monitors.
     Monitor,
     /// Both are relays of their zones.
     Relay,
-    /// Something speaks against the member; ends with its first sign of life.
+    /// There is evidence that the member has failed; ends with the next message from it.
     Temporary,
 }
 
-/// What spoke against a member first.
+/// Evidence that a member has failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Evidence {
-    /// A probe stayed unanswered, or another node holds the member Dead.
-    Silence,
+    /// A probe was not answered, or another node claims that the member is Dead.
+    Unresponsive,
     /// The link to it was closed.
     LinkClosed,
 }
 
-/// What to do about a member.
+/// An action that [`Detector::poll`] requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Verdict {
-    /// Send it a ping.
+pub enum DetectorAction {
+    /// Send a ping to the member.
     Ping(NodeId),
-    /// Ask others to ping it.
-    AskOthers(NodeId, ProbeRole),
-    /// It did not answer in time.
+    /// Ask others to ping the member.
+    RequestIndirectPings(NodeId, ProbeRole),
+    /// Mark the member as suspected: it did not answer within the probe timeout.
     Suspect(NodeId),
-    /// It did not answer for the whole confirmation time.
+    /// Declare the member Dead: it did not answer within the confirmation timeout.
     Dead(NodeId),
 }
 
 #[derive(Debug, Clone)]
-struct Silence {
+struct Unresponsive {
     since: MonotonicTime,
     evidence: Evidence,
     suspected: bool,
-    ask_at: MonotonicTime,
+    indirect_ping_at: MonotonicTime,
 }
 
 #[derive(Debug, Clone)]
 struct Probe {
     role: ProbeRole,
     ping_at: MonotonicTime,
-    silence: Option<Silence>,
+    unresponsive: Option<Unresponsive>,
 }
 
 /// Probing state of one node.
@@ -65,22 +65,22 @@
 pub struct Detector {
     probes: BTreeMap<NodeId, Probe>,
     polled_at: MonotonicTime,
-    /// When a message came last, from any member, and the one before from another member.
+    /// The last message from any member; `heard_other` is the last one from a different member.
     heard_any: Option<(NodeId, MonotonicTime)>,
     heard_other: Option<(NodeId, MonotonicTime)>,
 }
 
 impl Detector {
-    /// Replaces the standing targets; probes of silent members stay. `stagger` gives each new target the time
-    /// of its first ping.
+    /// Replaces the probed members, except that unresponsive ones stay. `stagger` returns the time of
+    /// a new target's first ping.
     pub fn set_targets(
         &mut self,
         targets: &BTreeMap<NodeId, ProbeRole>,
         mut stagger: impl FnMut() -> MonotonicTime,
     ) {
-        // A member that is silent keeps its clock when rings or relays are worked out anew meanwhile.
+        // The timeouts of an unresponsive member continue when rings or relays are recomputed.
         self.probes
-            .retain(|node, probe| targets.contains_key(node) || probe.silence.is_some());
+            .retain(|node, probe| targets.contains_key(node) || probe.unresponsive.is_some());
         for (node, probe) in &mut self.probes {
             probe.role = targets.get(node).copied().unwrap_or(ProbeRole::Temporary);
         }
@@ -88,12 +88,12 @@
             self.probes.entry(*node).or_insert_with(|| Probe {
                 role: *role,
                 ping_at: stagger(),
-                silence: None,
+                unresponsive: None,
             });
         }
     }
 
-    /// Whether the member is probed at present.
+    /// Whether the member is currently probed.
     pub fn probes(&self, node: NodeId) -> bool {
         self.probes.contains_key(&node)
     }
@@ -103,80 +103,86 @@
         self.probes.remove(&node);
     }
 
-    /// Something speaks against the member: probe it at once. A closed link shortens the time to
-    /// confirm.
-    pub fn doubt(&mut self, node: NodeId, evidence: Evidence, now: MonotonicTime) {
+    /// Records evidence against the member and probes it at once. A closed link shortens the
+    /// confirmation timeout.
+    pub fn add_evidence(&mut self, node: NodeId, evidence: Evidence, now: MonotonicTime) {
         let probe = self.probes.entry(node).or_insert(Probe {
             role: ProbeRole::Temporary,
             ping_at: now,
-            silence: None,
+            unresponsive: None,
         });
         probe.ping_at = now;
-        let silence = probe.silence.get_or_insert(Silence {
+        let unresponsive = probe.unresponsive.get_or_insert(Unresponsive {
             since: now,
             evidence,
             suspected: false,
-            ask_at: now,
+            indirect_ping_at: now,
         });
         if evidence == Evidence::LinkClosed {
-            silence.evidence = evidence;
+            unresponsive.evidence = evidence;
         }
     }
 
-    /// Brings the next ping of a probed member forward.
-    pub fn expedite(&mut self, node: NodeId, now: MonotonicTime) {
+    /// Pings a probed member at the next poll.
+    pub fn ping_now(&mut self, node: NodeId, now: MonotonicTime) {
         if let Some(probe) = self.probes.get_mut(&node) {
             probe.ping_at = probe.ping_at.min(now);
         }
     }
 
-    /// A message came from the member. Returns whether it had been suspected.
+    /// Records a message from the member. Returns whether it was suspected.
     pub fn heard(&mut self, node: NodeId, now: MonotonicTime, config: &MembershipConfig) -> bool {
         match self.heard_any {
             Some((last, _)) if last != node => self.heard_other = self.heard_any,
             _ => {}
         }
         self.heard_any = Some((node, now));
-        self.trust(node, now, config)
+        self.clear_suspicion(node, now, config)
     }
 
-    /// Another node heard from the member. Returns whether it had been suspected.
-    pub fn trust(&mut self, node: NodeId, now: MonotonicTime, config: &MembershipConfig) -> bool {
+    /// Cancels the member's timeouts, since this or another node received a message from it.
+    /// Returns whether it was suspected.
+    pub fn clear_suspicion(
+        &mut self,
+        node: NodeId,
+        now: MonotonicTime,
+        config: &MembershipConfig,
+    ) -> bool {
         let Some(probe) = self.probes.get_mut(&node) else {
             return false;
         };
-        let silence = probe.silence.take();
+        let unresponsive = probe.unresponsive.take();
         probe.ping_at = now + interval(probe.role, config);
         if probe.role == ProbeRole::Temporary {
             self.probes.remove(&node);
         }
-        silence.is_some_and(|silence| silence.suspected)
+        unresponsive.is_some_and(|unresponsive| unresponsive.suspected)
     }
 
-    /// This node itself was paused: nothing that stayed unanswered meanwhile counts.
-    pub fn forgive(&mut self, now: MonotonicTime) {
+    /// Restarts all timeouts after a pause of this process, during which no answer could be received.
+    pub fn restart_timeouts(&mut self, now: MonotonicTime) {
         for probe in self.probes.values_mut() {
             probe.ping_at = now;
-            if let Some(silence) = &mut probe.silence {
-                silence.since = now;
+            if let Some(unresponsive) = &mut probe.unresponsive {
+                unresponsive.since = now;
             }
         }
     }
 
-    /// Since when the member leaves probes unanswered.
-    pub fn silent_since(&self, node: NodeId) -> Option<MonotonicTime> {
-        let silence = self.probes.get(&node)?.silence.as_ref()?;
-        Some(silence.since)
+    /// Since when the member has not answered probes; `None` if it is responsive or not probed.
+    pub fn unresponsive_since(&self, node: NodeId) -> Option<MonotonicTime> {
+        let unresponsive = self.probes.get(&node)?.unresponsive.as_ref()?;
+        Some(unresponsive.since)
     }
 
-    /// Does what is due. `others` is the number of other present members.
+    /// Returns the actions that are due. `others` is the number of other present members.
     pub fn poll(
         &mut self,
         now: MonotonicTime,
         others: usize,
         config: &MembershipConfig,
-    ) -> Vec<Verdict> {
-        let mut verdicts = Vec::new();
+    ) -> Vec<DetectorAction> {
+        let mut actions = Vec::new();
         self.polled_at = now;
         let (heard_any, heard_other) = (self.heard_any, self.heard_other);
         for (node, probe) in &mut self.probes {
@@ -186,64 +192,66 @@
                 recent.any(|(from, at)| from != node && *at >= since)
             };
             let role = probe.role;
-            if let Some(silence) = &mut probe.silence {
-                let is_isolated = others > 1 && !heard_from_another_since(silence.since);
-                if now >= silence.deadline(role, is_isolated, config) {
-                    verdicts.push(Verdict::Dead(*node));
+            if let Some(unresponsive) = &mut probe.unresponsive {
+                let is_isolated = others > 1 && !heard_from_another_since(unresponsive.since);
+                if now >= unresponsive.deadline(role, is_isolated, config) {
+                    actions.push(DetectorAction::Dead(*node));
                     continue;
                 }
-                if silence.suspected || now >= silence.suspect_at(config) {
-                    silence.take_suspicion(*node, role, now, config, &mut verdicts);
+                if unresponsive.suspected || now >= unresponsive.suspect_at(config) {
+                    unresponsive.advance_suspicion(*node, role, now, config, &mut actions);
                 }
             }
             if now >= probe.ping_at {
-                verdicts.push(Verdict::Ping(*node));
+                actions.push(DetectorAction::Ping(*node));
                 probe.ping_at = now + config.suspect_probe_interval;
-                probe.silence.get_or_insert(Silence {
+                probe.unresponsive.get_or_insert(Unresponsive {
                     since: now,
-                    evidence: Evidence::Silence,
+                    evidence: Evidence::Unresponsive,
                     suspected: false,
-                    ask_at: now,
+                    indirect_ping_at: now,
                 });
             }
         }
-        verdicts
+        actions
     }
 
-    /// When [`Detector::poll`] has something to do next.
+    /// When [`Detector::poll`] is due next; `None` if no member is probed.
     pub fn next_timer(&self, config: &MembershipConfig) -> Option<MonotonicTime> {
-        let timers = self.probes.values().map(|probe| match &probe.silence {
-            Some(silence) => probe
-                .ping_at
-                .min(self.silence_timer(silence, probe.role, config)),
+        let timers = self.probes.values().map(|probe| match &probe.unresponsive {
+            Some(unresponsive) => {
+                probe
+                    .ping_at
+                    .min(self.unresponsive_timer(unresponsive, probe.role, config))
+            }
             None => probe.ping_at,
         });
         timers.min()
     }
 
-    fn silence_timer(
+    fn unresponsive_timer(
         &self,
-        silence: &Silence,
+        unresponsive: &Unresponsive,
         role: ProbeRole,
         config: &MembershipConfig,
     ) -> MonotonicTime {
-        if !silence.suspected {
-            return silence.suspect_at(config);
+        if !unresponsive.suspected {
+            return unresponsive.suspect_at(config);
         }
-        let deadline = silence.deadline(role, false, config);
-        // An isolated node is past its deadline; it looks again whenever it asks others.
+        let deadline = unresponsive.deadline(role, false, config);
+        // Past its deadline only if this node is isolated; checked again with every indirect ping.
         if deadline > self.polled_at {
-            silence.ask_at.min(deadline)
+            unresponsive.indirect_ping_at.min(deadline)
         } else {
-            silence.ask_at
+            unresponsive.indirect_ping_at
         }
     }
 }
 
-impl Silence {
+impl Unresponsive {
     fn suspect_at(&self, config: &MembershipConfig) -> MonotonicTime {
         match self.evidence {
-            Evidence::Silence => self.since + config.probe_timeout,
+            Evidence::Unresponsive => self.since + config.probe_timeout,
             Evidence::LinkClosed => self.since,
         }
     }
@@ -252,11 +260,11 @@
         match (role, self.evidence) {
             (ProbeRole::Temporary, Evidence::LinkClosed) => config.confirm_timeout,
             (_, Evidence::LinkClosed) => config.link_closed_confirm_timeout,
-            (_, Evidence::Silence) => config.confirm_timeout,
+            (_, Evidence::Unresponsive) => config.confirm_timeout,
         }
     }
 
-    /// A node that hears from nobody is more likely cut off itself, so it holds its verdict back.
+    /// A node that receives no messages at all is probably isolated itself, so its timeout is longer.
     fn deadline(
         &self,
         role: ProbeRole,
@@ -272,22 +280,22 @@
         self.since + timeout * factor
     }
 
-    fn take_suspicion(
+    fn advance_suspicion(
         &mut self,
         node: NodeId,
         role: ProbeRole,
         now: MonotonicTime,
         config: &MembershipConfig,
-        verdicts: &mut Vec<Verdict>,
+        actions: &mut Vec<DetectorAction>,
     ) {
         if !self.suspected {
             self.suspected = true;
-            self.ask_at = now;
-            verdicts.push(Verdict::Suspect(node));
+            self.indirect_ping_at = now;
+            actions.push(DetectorAction::Suspect(node));
         }
-        if now >= self.ask_at {
-            self.ask_at = now + config.indirect_probe_interval;
-            verdicts.push(Verdict::AskOthers(node, role));
+        if now >= self.indirect_ping_at {
+            self.indirect_ping_at = now + config.indirect_probe_interval;
+            actions.push(DetectorAction::RequestIndirectPings(node, role));
         }
     }
 }
--- a/crates/membership/src/dissemination.rs
+++ b/crates/membership/src/dissemination.rs
@@ -1,5 +1,5 @@
-//! Updates on their way to other members: gathered for a moment, passed on once to the fingers, then
-//! repeated a bounded number of times on probes.
+//! Dissemination of updates: they are collected for a short time, sent once to the fingers, and
+//! piggybacked a bounded number of times on probes and answers.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,33 +8,33 @@
 use crate::config::MembershipConfig;
 use crate::member::{Claim, NodeClaim};
 
-/// Most claims added to one probe or answer.
+/// Maximum number of claims on one probe or answer.
 const MAX_PIGGYBACKED_CLAIMS: usize = 4;
-/// Most claims kept for piggybacking; older ones are left to anti-entropy.
+/// Maximum number of claims kept for piggybacking; further ones are left to anti-entropy.
 const MAX_REPEATED_CLAIMS: usize = 1024;
 
-/// What is due to go to the fingers.
+/// Updates to send to the fingers.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct Batch {
-    /// Claims about members whose record is widely known.
+    /// Claims about members whose record other members already hold.
     pub claims: Vec<NodeClaim>,
-    /// Nodes whose whole record goes out.
+    /// Nodes whose complete record is sent.
     pub records: BTreeSet<NodeId>,
 }
 
 #[derive(Debug)]
-struct Repeated {
+struct PiggybackedClaim {
     claimed: NodeClaim,
     copies_left: u32,
 }
 
-/// Updates waiting to go out.
+/// Updates waiting to be sent.
 #[derive(Debug, Default)]
 pub struct Dissemination {
     claims: BTreeMap<NodeId, Claim>,
     records: BTreeSet<NodeId>,
     flush_at: Option<MonotonicTime>,
-    repeated: Vec<Repeated>,
+    piggybacked: Vec<PiggybackedClaim>,
 }
 
 impl Dissemination {
@@ -42,25 +42,25 @@
     pub fn add_claim(&mut self, claimed: NodeClaim, now: MonotonicTime, config: &MembershipConfig) {
         self.claims.insert(claimed.node, claimed.claim);
         self.schedule(now, config);
-        self.repeated
-            .retain(|repeated| repeated.claimed.node != claimed.node);
-        if self.repeated.len() < MAX_REPEATED_CLAIMS {
+        self.piggybacked
+            .retain(|piggybacked| piggybacked.claimed.node != claimed.node);
+        if self.piggybacked.len() < MAX_REPEATED_CLAIMS {
             let copies_left = config.piggyback_copies;
-            self.repeated.push(Repeated {
+            self.piggybacked.push(PiggybackedClaim {
                 claimed,
                 copies_left,
             });
         }
     }
 
-    /// Queues the whole record of a member that joined or was replaced.
+    /// Queues the complete record of a member that joined or was replaced.
     pub fn add_record(&mut self, node: NodeId, now: MonotonicTime, config: &MembershipConfig) {
         self.claims.remove(&node);
         self.records.insert(node);
         self.schedule(now, config);
     }
 
-    /// What is due, if anything is.
+    /// Returns the queued updates if they are due.
     pub fn take_due(&mut self, now: MonotonicTime) -> Option<Batch> {
         let flush_at = self.flush_at?;
         if flush_at > now {
@@ -69,7 +69,7 @@
         Some(self.take_all())
     }
 
-    /// All that is queued, due or not.
+    /// Returns all queued updates, due or not.
     pub fn take_all(&mut self) -> Batch {
         self.flush_at = None;
         let claims = std::mem::take(&mut self.claims);
@@ -82,20 +82,21 @@
         }
     }
 
-    /// Claims to add to a probe or an answer.
+    /// Returns claims to add to a probe or an answer.
     pub fn piggyback(&mut self) -> Vec<NodeClaim> {
-        let chosen = self.repeated.iter_mut().take(MAX_PIGGYBACKED_CLAIMS);
+        let chosen = self.piggybacked.iter_mut().take(MAX_PIGGYBACKED_CLAIMS);
         let claims = chosen
-            .map(|repeated| {
-                repeated.copies_left = repeated.copies_left.saturating_sub(1);
-                repeated.claimed
+            .map(|piggybacked| {
+                piggybacked.copies_left = piggybacked.copies_left.saturating_sub(1);
+                piggybacked.claimed
             })
             .collect();
-        self.repeated.retain(|repeated| repeated.copies_left > 0);
+        self.piggybacked
+            .retain(|piggybacked| piggybacked.copies_left > 0);
         claims
     }
 
-    /// When [`Dissemination::take_due`] has something.
+    /// When [`Dissemination::take_due`] is due; `None` if nothing is queued.
     pub fn next_timer(&self) -> Option<MonotonicTime> {
         self.flush_at
     }
--- a/crates/membership/src/joining.rs
+++ b/crates/membership/src/joining.rs
@@ -1,4 +1,4 @@
-//! Joining, table comparison and trying Dead members again: what the state machine does regularly.
+//! Periodic activities: contacting seeds, comparing tables and pinging Dead members.
 
 use rand::seq::IndexedRandom;
 use ridgeworks_domain::{MonotonicTime, NodeId};
@@ -9,8 +9,8 @@
 use crate::message::MembershipMessage;
 
 impl Membership {
-    /// Asks the seeds for the table: often while alone, now and then those that are not present, so
-    /// that islands that started apart find each other.
+    /// Sends join requests to the seeds that are not present members: frequently while this node is
+    /// alone, otherwise rarely, so that groups of nodes that started separately merge.
     pub(crate) fn contact_seeds_if_due(&mut self, now: MonotonicTime) {
         if now < self.schedule.seeds_at {
             return;
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Pings one Dead member, so that a healed cut is noticed.
+    /// Pings one Dead member to detect the end of a network partition.
     pub(crate) fn reconnect_if_due(&mut self, now: MonotonicTime) {
         if now < self.schedule.reconnect_at {
             return;
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,7 +1,7 @@
 //! Failure detection, member table and rendezvous hashing, without I/O.
 //!
-//! [`Membership`] is the state machine: typed [`Event`]s in, typed [`Effect`]s out, time passed in.
-//! Nothing that must be safe rests on it: it only says whom to ask first. The design and its
+//! [`Membership`] is a state machine that takes [`Event`]s and the time and returns [`Effect`]s.
+//! Safety does not depend on it: it only determines which node is asked first. The design and its
 //! figures are in `docs/design/failure-detection.md`.
 
 pub mod anti_entropy;
@@ -30,4 +30,4 @@
 pub use member_table::MemberTable;
 pub use membership::Membership;
 pub use message::{MembershipMessage, MessageError};
-pub use ownership_rate::OwnershipRate;
+pub use ownership_rate::OwnershipRateLimiter;
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -1,16 +1,17 @@
-//! A member of the cluster and what can be claimed of it.
+//! Members of the cluster, and claims about their state.
 
 use std::net::SocketAddr;
 
 use ridgeworks_domain::{NodeId, RegionName, ZoneName};
 use rkyv::{Archive, Deserialize, Serialize};
 
-/// Bits of an incarnation that count refutations within one start of a process.
+/// Number of low bits of an incarnation that count refutations within one generation.
 const REFUTATION_BITS: u32 = 16;
 
-/// Orders the lives of one node name. The high bits (the generation) come from the wall clock at
-/// the start of the process, so that a replacement of the same name supersedes its predecessor; the
-/// low bits count how often the process refuted a claim about itself.
+/// Orders the successive processes of one node name, and the claims about each of them. The high bits
+/// (the generation) are the wall clock time at the start of the process, so that a replacement of the
+/// same name supersedes its predecessor; the low bits count how often the process refuted a claim
+/// about itself.
 #[derive(
     Debug,
     Clone,
@@ -39,13 +40,13 @@
         Self(self.0.saturating_add(1))
     }
 
-    /// The first incarnation of the start of a process after this one.
+    /// The first incarnation of the next generation.
     pub fn next_generation(self) -> Self {
         Self((self.generation() + 1) << REFUTATION_BITS)
     }
 
-    /// Which start of a process this belongs to. Name, address, zone and disk are fixed within one
-    /// generation.
+    /// The part that identifies one start of the process. Name, address, zone and disk are fixed
+    /// within one generation.
     pub fn generation(self) -> u64 {
         self.0 >> REFUTATION_BITS
     }
@@ -56,21 +57,21 @@
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Archive, Serialize, Deserialize,
 )]
 pub enum MemberState {
-    /// Answers.
+    /// Answers probes.
     Alive,
-    /// Does not answer this node at the moment. Local to the node that sees it, never merged from
-    /// others; the only thing to do about it is to ask another node first.
+    /// Does not currently answer this node's probes. Local to this node and never merged from others;
+    /// its only effect is that other nodes are asked first.
     Suspect,
-    /// Announced that it is leaving; finishes what it has and takes nothing new.
+    /// Announced that it is leaving; drains its work and accepts no new work.
     Leaving,
-    /// Did not answer for the confirmation time.
+    /// Did not answer within the confirmation timeout.
     Dead,
-    /// Left on purpose.
+    /// Left as planned.
     Left,
 }
 
 impl MemberState {
-    /// Whether the member may be given new work.
+    /// Whether the member is eligible for new work.
     pub fn accepts_work(self) -> bool {
         matches!(self, Self::Alive | Self::Suspect)
     }
@@ -81,49 +82,50 @@
     }
 }
 
-/// What one node says of another: a state at an incarnation. Ordered by precedence.
+/// A claim about a node: its state at an incarnation. Ordered by precedence.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Archive, Serialize, Deserialize,
 )]
 pub struct Claim {
-    /// The incarnation it speaks of.
+    /// The incarnation that the claim is about.
     pub incarnation: Incarnation,
-    /// The state claimed.
+    /// The claimed state.
     pub state: MemberState,
 }
 
-/// A claim about a named node, as dissemination carries it once the node is known.
+/// A claim with the node that it is about. Disseminated instead of the complete record once the node
+/// is known.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Archive, Serialize, Deserialize)]
 pub struct NodeClaim {
-    /// The node spoken of.
+    /// The node that the claim is about.
     pub node: NodeId,
-    /// What is claimed.
+    /// The claim.
     pub claim: Claim,
 }
 
-/// All that is known of a member.
+/// The complete record of a member.
 #[derive(Debug, Clone, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct Member {
     /// Its identifier, derived from `name`.
     pub node: NodeId,
     /// Its configured name.
     pub name: String,
-    /// Which life of that name this is.
+    /// Incarnation of the process of that name.
     pub incarnation: Incarnation,
-    /// Where other nodes dial it.
+    /// Address that other nodes connect to.
     pub address: SocketAddr,
     /// Its zone.
     pub zone: ZoneName,
     /// Its region.
     pub region: RegionName,
-    /// Whether it carries the replica role.
+    /// Whether it has the replica role.
     pub has_disk: bool,
     /// Its state.
     pub state: MemberState,
 }
 
 impl Member {
-    /// The state and incarnation, without the rest.
+    /// The claim that this record makes.
     pub fn claim(&self) -> Claim {
         Claim {
             incarnation: self.incarnation,
@@ -131,7 +133,7 @@
         }
     }
 
-    /// The claim with the node it speaks of.
+    /// The claim that this record makes, with its node.
     pub fn node_claim(&self) -> NodeClaim {
         NodeClaim {
             node: self.node,
--- a/crates/membership/src/member_table.rs
+++ b/crates/membership/src/member_table.rs
@@ -1,7 +1,8 @@
-//! What a node knows of all members: a state-based join of the records it heard of.
+//! A node's table of all members, merged from the records and claims that it received.
 //!
-//! Merging is commutative, associative and idempotent, so updates may be lost, repeated and
-//! reordered. [`MemberState::Suspect`] is not merged: it is this node's own mark on an Alive member.
+//! Merging is commutative, associative and idempotent (a state-based CRDT), so updates may be lost,
+//! repeated and reordered. [`MemberState::Suspect`] is not merged; it is a local mark on an Alive
+//! member.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,21 +12,21 @@
 
 use crate::member::{Claim, Member, MemberState, NodeClaim};
 
-/// What merging a record or a claim did.
+/// Result of merging a record or a claim.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Merge {
     /// The table changed.
     Changed {
-        /// The state held before, `None` when the node was not known.
+        /// The previous state; `None` if the node was not known.
         old_state: Option<MemberState>,
-        /// Whether the member joined or was replaced, so that others need its whole record.
+        /// Whether the member joined or was replaced, so that others need its complete record.
         new_generation: bool,
     },
-    /// The table held the same.
+    /// The table already held the same.
     Same,
-    /// The table holds something that takes precedence.
+    /// The table's record takes precedence.
     Stale,
-    /// The claim speaks of a node or a generation whose record is not known.
+    /// The claim is about a node or a generation whose record is not known.
     RecordMissing,
 }
 
@@ -42,7 +43,7 @@
 }
 
 impl MemberTable {
-    /// Merges a whole record.
+    /// Merges a complete record.
     pub fn merge_record(&mut self, member: Member, now: MonotonicTime) -> Merge {
         let member = published(member);
         let Some(entry) = self.entries.get_mut(&member.node) else {
@@ -94,13 +95,13 @@
         }
     }
 
-    /// Marks an Alive member as not answering. Returns whether that changed its state.
+    /// Marks an Alive member as Suspect. Returns whether that changed its state.
     pub fn suspect(&mut self, node: NodeId) -> bool {
         self.exchange_state(node, MemberState::Alive, MemberState::Suspect)
     }
 
-    /// Takes the mark of [`MemberTable::suspect`] back. Returns whether that changed its state.
-    pub fn trust(&mut self, node: NodeId) -> bool {
+    /// Reverts [`MemberTable::suspect`]. Returns whether that changed its state.
+    pub fn clear_suspicion(&mut self, node: NodeId) -> bool {
         self.exchange_state(node, MemberState::Suspect, MemberState::Alive)
     }
 
@@ -114,22 +115,22 @@
         }
     }
 
-    /// The member, if it is known.
+    /// The member's record, including this node's own suspicion.
     pub fn get(&self, node: NodeId) -> Option<&Member> {
         self.entries.get(&node).map(|entry| &entry.member)
     }
 
-    /// All known members in order of node.
+    /// All known members, present or departed, in order of node.
     pub fn iter(&self) -> impl Iterator<Item = &Member> {
         self.entries.values().map(|entry| &entry.member)
     }
 
-    /// Members that take part, in order of node.
+    /// Present members in order of node.
     pub fn present(&self) -> impl Iterator<Item = &Member> {
         self.iter().filter(|member| member.state.is_present())
     }
 
-    /// What is published of each known member, in order of node.
+    /// Claims about all known members as sent to other nodes, in order of node.
     pub fn published_claims(&self) -> impl Iterator<Item = NodeClaim> {
         self.iter().map(|member| NodeClaim {
             node: member.node,
@@ -137,13 +138,13 @@
         })
     }
 
-    /// What is published of one member.
+    /// The claim about one member as sent to other nodes.
     pub fn published_claim_of(&self, node: NodeId) -> Option<Claim> {
         self.get(node).map(published_claim)
     }
 
-    /// Hash over what is published of the present members. Departed ones are left out, because nodes
-    /// forget them at different times.
+    /// Hash of the published claims about the present members. Departed members are excluded, because
+    /// nodes remove them at different times.
     pub fn hash(&self) -> u64 {
         let mut hasher = Xxh3::new();
         for member in self.present() {
@@ -155,23 +156,23 @@
         hasher.digest()
     }
 
-    /// Drops members that departed more than `retention` ago and returns their nodes.
-    pub fn forget_departed(&mut self, now: MonotonicTime, retention: Duration) -> Vec<NodeId> {
+    /// Removes members that departed at least `retention` ago and returns their nodes.
+    pub fn remove_departed(&mut self, now: MonotonicTime, retention: Duration) -> Vec<NodeId> {
         let is_due = |entry: &Entry| {
             entry
                 .departed_at
                 .is_some_and(|departed| now.since(departed) >= retention)
         };
-        let forgotten: Vec<NodeId> = self
+        let removed: Vec<NodeId> = self
             .entries
             .iter()
             .filter(|(_, entry)| is_due(entry))
             .map(|(node, _)| *node)
             .collect();
-        for node in &forgotten {
+        for node in &removed {
             self.entries.remove(node);
         }
-        forgotten
+        removed
     }
 }
 
@@ -199,12 +200,12 @@
     }
 }
 
-/// What other nodes may be told of the member: all but this node's own suspicion.
+/// The claim about the member as sent to other nodes, without this node's own suspicion.
 pub fn published_claim(member: &Member) -> Claim {
     published_state(member.claim())
 }
 
-/// The record as other nodes may be told of it.
+/// The record as sent to other nodes, without this node's own suspicion.
 pub fn published(mut member: Member) -> Member {
     member.state = published_claim(&member).state;
     member
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -1,6 +1,6 @@
-//! The membership state machine: its parts and its timers.
+//! The membership state machine: its components and timers.
 //!
-//! Nothing here survives a crash: a restarted process joins again with a later incarnation.
+//! No state is durable: a restarted process joins again with a later incarnation.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -20,12 +20,12 @@
 use crate::relay;
 use crate::topology::Topology;
 
-/// How often departed members are looked through for those to forget.
-const FORGET_INTERVAL: Duration = Duration::from_secs(60);
-/// The next timer of a member that has left.
+/// Time between removals of departed members whose retention time has passed.
+const REMOVE_DEPARTED_INTERVAL: Duration = Duration::from_secs(60);
+/// Result of [`Membership::next_timer`] after this node has left.
 const NEVER: MonotonicTime = MonotonicTime { micros: u64::MAX };
 
-/// A ping that another node asked for.
+/// A ping that another node requested.
 #[derive(Debug)]
 pub(crate) struct IndirectRequest {
     pub(crate) target: NodeId,
@@ -39,10 +39,10 @@
     pub(crate) seeds_at: MonotonicTime,
     pub(crate) anti_entropy_at: MonotonicTime,
     pub(crate) reconnect_at: MonotonicTime,
-    forget_at: MonotonicTime,
+    remove_departed_at: MonotonicTime,
 }
 
-/// One node's view of the cluster, and its part in keeping the others' views right.
+/// The membership protocol of one node, with the node's view of the cluster.
 #[derive(Debug)]
 pub struct Membership {
     pub(crate) config: MembershipConfig,
@@ -55,12 +55,12 @@
     pub(crate) detector: Detector,
     pub(crate) dissemination: Dissemination,
     pub(crate) schedule: Schedule,
-    /// Dead claims heard of members held present, which are being checked.
-    pub(crate) rumours: BTreeMap<NodeId, Claim>,
+    /// Dead claims about present members that are being verified.
+    pub(crate) unverified_deaths: BTreeMap<NodeId, Claim>,
     pub(crate) indirect_requests: Vec<IndirectRequest>,
-    /// When a Dead member that spoke was last asked to refute.
-    pub(crate) challenged_at: BTreeMap<NodeId, MonotonicTime>,
-    /// When all members of a zone were last probed, since its relays were silent or came back.
+    /// When a Dead member that sent a message was last asked to refute the claim.
+    pub(crate) refutation_requested_at: BTreeMap<NodeId, MonotonicTime>,
+    /// When all members of a zone were last probed because its relays became unresponsive or returned.
     pub(crate) zone_probed_at: BTreeMap<ZoneName, MonotonicTime>,
     pub(crate) counters: Counters,
     topology_is_stale: bool,
@@ -69,8 +69,8 @@
 }
 
 impl Membership {
-    /// A node that knows itself and the addresses of some others. `seed` starts its generator of
-    /// random numbers.
+    /// Creates the state machine of a node that knows only itself and the addresses of some seeds.
+    /// `seed` initialises the random number generator.
     pub fn new(
         config: MembershipConfig,
         own: Member,
@@ -85,7 +85,7 @@
             seeds_at: now,
             anti_entropy_at: now + config.newcomer_anti_entropy_interval,
             reconnect_at: now + config.reconnect_interval,
-            forget_at: now + FORGET_INTERVAL,
+            remove_departed_at: now + REMOVE_DEPARTED_INTERVAL,
         };
         let mut membership = Self {
             config,
@@ -98,29 +98,29 @@
             detector: Detector::default(),
             dissemination: Dissemination::default(),
             schedule,
-            rumours: BTreeMap::new(),
+            unverified_deaths: BTreeMap::new(),
             indirect_requests: Vec::new(),
-            challenged_at: BTreeMap::new(),
+            refutation_requested_at: BTreeMap::new(),
             zone_probed_at: BTreeMap::new(),
             counters: Counters::default(),
             topology_is_stale: false,
             has_left: false,
             effects: Vec::new(),
         };
-        membership.arrange(now);
+        membership.rebuild_topology(now);
         membership
     }
 
-    /// Takes an event in and returns what must be done.
+    /// Handles one event and returns the effects to carry out, in order.
     pub fn handle(&mut self, event: Event, now: MonotonicTime) -> Vec<Effect> {
         if self.has_left {
             return Vec::new();
         }
-        self.notice_pause(now);
+        self.detect_own_pause(now);
         match event {
             Event::Timer => self.counters.timers += 1,
             Event::Message { from, message } => self.on_message(from, message, now),
-            Event::PeerActivity { node } => self.on_sign_of_life(node, now),
+            Event::PeerActivity { node } => self.on_activity(node, now),
             Event::LinkClosed { node } => self.on_link_closed(node, now),
             Event::Leave => self.set_own_state(MemberState::Leaving, now),
             Event::Left => self.leave(now),
@@ -129,7 +129,7 @@
         std::mem::take(&mut self.effects)
     }
 
-    /// When [`Event::Timer`] is due next.
+    /// When the host must send [`Event::Timer`] next.
     pub fn next_timer(&self) -> MonotonicTime {
         if self.has_left {
             return NEVER;
@@ -139,7 +139,7 @@
             Some(schedule.seeds_at),
             Some(schedule.anti_entropy_at),
             Some(schedule.reconnect_at),
-            Some(schedule.forget_at),
+            Some(schedule.remove_departed_at),
             self.detector.next_timer(&self.config),
             self.dissemination.next_timer(),
         ];
@@ -148,23 +148,23 @@
 
     /// This node's own record.
     pub fn own(&self) -> &Member {
-        self.table
-            .get(self.own_node)
-            .expect("the own record is put in at the start and never departs before the node does")
+        self.table.get(self.own_node).expect(
+            "the own record is inserted at the start and is never removed while the node runs",
+        )
     }
 
-    /// All known members, this node among them, by node.
+    /// All known members, including this node, in order of node.
     pub fn members(&self) -> impl Iterator<Item = &Member> {
         self.table.iter()
     }
 
-    /// One member, if it is known.
+    /// The record of one member, if it is known.
     pub fn member(&self, node: NodeId) -> Option<&Member> {
         self.table.get(node)
     }
 
-    /// Known members, present or departed, that the replica hints of a run's identifier may mean, by
-    /// hint in the order of the hints. A hint may match several members, or none any more.
+    /// Known members, present or departed, that match each replica hint in a run's identifier, in the
+    /// order of the hints. A hint may match several members or none.
     pub fn replicas_of(&self, run: RunId) -> Vec<Vec<&Member>> {
         let hints = run.replica_hints();
         let members_of = |hint: ridgeworks_domain::run_id::ReplicaHint| {
@@ -174,34 +174,34 @@
         hints.into_iter().map(members_of).collect()
     }
 
-    /// What was counted since the start.
+    /// Counts since the start of the process.
     pub fn counters(&self) -> Counters {
         self.counters
     }
 
-    /// Hash of what is published of the present members: equal on nodes that agree.
+    /// Hash of the published claims about the present members; equal on nodes whose views agree.
     pub fn table_hash(&self) -> u64 {
         self.table.hash()
     }
 
-    /// A timer that runs late by much shows that this process did not run, so that what stayed
-    /// unanswered is nobody else's fault.
-    fn notice_pause(&mut self, now: MonotonicTime) {
+    /// Detects a pause of this process by a late timer, and restarts all timeouts: missing answers are
+    /// then no evidence against other members.
+    fn detect_own_pause(&mut self, now: MonotonicTime) {
         let latest = self.next_timer() + self.config.pause_threshold;
         if now > latest {
             self.counters.own_pauses += 1;
-            self.detector.forgive(now);
+            self.detector.restart_timeouts(now);
         }
     }
 
     fn run_due(&mut self, now: MonotonicTime) {
-        self.arrange_if_stale(now);
+        self.rebuild_topology_if_stale(now);
         self.probe_due(now);
         self.contact_seeds_if_due(now);
         self.compare_tables_if_due(now);
         self.reconnect_if_due(now);
-        self.forget_if_due(now);
-        self.arrange_if_stale(now);
+        self.remove_departed_if_due(now);
+        self.rebuild_topology_if_stale(now);
         if let Some(batch) = self.dissemination.take_due(now) {
             self.send_to_fingers(batch);
         }
@@ -214,16 +214,16 @@
         self.has_left = true;
     }
 
-    fn arrange_if_stale(&mut self, now: MonotonicTime) {
+    fn rebuild_topology_if_stale(&mut self, now: MonotonicTime) {
         if std::mem::take(&mut self.topology_is_stale) {
-            self.arrange(now);
+            self.rebuild_topology(now);
         }
     }
 
-    /// Works out rings, relays and the nodes to probe from the table.
-    fn arrange(&mut self, now: MonotonicTime) {
+    /// Recomputes rings, relays and the nodes to probe from the table.
+    fn rebuild_topology(&mut self, now: MonotonicTime) {
         self.topology = Topology::of(self.table.present(), self.config.relays_per_zone);
-        let mut targets = relay::targets_of(&self.topology, self.own_node);
+        let mut targets = relay::relay_targets(&self.topology, self.own_node);
         let monitored = self
             .topology
             .monitored_by(self.own_node, self.config.monitors);
@@ -234,19 +234,19 @@
             .set_targets(&targets, || now + interval.mul_f64(rng.random::<f64>()));
     }
 
-    fn forget_if_due(&mut self, now: MonotonicTime) {
-        if now < self.schedule.forget_at {
+    fn remove_departed_if_due(&mut self, now: MonotonicTime) {
+        if now < self.schedule.remove_departed_at {
             return;
         }
-        self.schedule.forget_at = now + FORGET_INTERVAL;
-        for node in self.table.forget_departed(now, self.config.retention) {
-            self.challenged_at.remove(&node);
+        self.schedule.remove_departed_at = now + REMOVE_DEPARTED_INTERVAL;
+        for node in self.table.remove_departed(now, self.config.retention) {
+            self.refutation_requested_at.remove(&node);
             self.effects.push(Effect::MemberForgotten { node });
         }
     }
 
-    /// Passes a change on to others.
-    pub(crate) fn pass_on(&mut self, node: NodeId, new_generation: bool, now: MonotonicTime) {
+    /// Queues a change for dissemination.
+    pub(crate) fn disseminate(&mut self, node: NodeId, new_generation: bool, now: MonotonicTime) {
         if new_generation {
             self.dissemination.add_record(node, now, &self.config);
         } else if let Some(claim) = self.table.published_claim_of(node) {
@@ -255,7 +255,7 @@
         }
     }
 
-    /// Follows up on a change that merging made, and reports it.
+    /// Updates dependent state after a merge that changed the table, and reports the change.
     pub(crate) fn after_change(
         &mut self,
         node: NodeId,
@@ -269,9 +269,9 @@
         let claim = published_claim(&member);
         let was_present = old_state.is_some_and(MemberState::is_present);
         self.topology_is_stale |= new_generation || was_present != claim.state.is_present();
-        self.rumours.remove(&node);
+        self.unverified_deaths.remove(&node);
         if claim.state.is_present() {
-            self.challenged_at.remove(&node);
+            self.refutation_requested_at.remove(&node);
         } else {
             self.detector.remove(node);
         }
--- a/crates/membership/src/message.rs
+++ b/crates/membership/src/message.rs
@@ -12,15 +12,15 @@
 
 use crate::member::{Claim, Member, NodeClaim};
 
-/// Most bytes of one encoded message.
+/// Maximum size of one encoded message.
 pub const MAX_MESSAGE_BYTES: usize = 8 * 1024;
-/// Most claims in one message, so that it stays below [`MAX_MESSAGE_BYTES`].
+/// Maximum number of claims in one message, so that it stays below [`MAX_MESSAGE_BYTES`].
 pub const MAX_CLAIMS_PER_MESSAGE: usize = 256;
-/// Most nodes in one message, so that it stays below [`MAX_MESSAGE_BYTES`].
+/// Maximum number of nodes in one message, so that it stays below [`MAX_MESSAGE_BYTES`].
 pub const MAX_NODES_PER_MESSAGE: usize = 512;
-/// Most bytes of member records that are gathered in one message.
+/// Maximum size of the member records in one message.
 const MAX_RECORD_BYTES_PER_MESSAGE: usize = 6 * 1024;
-/// Bytes of an encoded member record besides its texts, rounded up.
+/// Size of an encoded member record without its strings, rounded up.
 const RECORD_BASE_BYTES: usize = 112;
 
 /// Why a message could not be encoded or decoded.
@@ -28,7 +28,7 @@
 pub enum MessageError {
     /// The bytes are not a membership message.
     Malformed,
-    /// The message could not be written.
+    /// The message could not be serialised.
     Unwritable,
     /// The message is longer than [`MAX_MESSAGE_BYTES`]; holds its length.
     TooLong(usize),
@@ -49,50 +49,51 @@
 
 impl std::error::Error for MessageError {}
 
-/// A message between members. All may be lost, repeated or reordered.
+/// A message between members. Messages may be lost, repeated or reordered.
 #[derive(Debug, Clone, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub enum MembershipMessage {
-    /// Asks for an answer.
+    /// Requests an [`MembershipMessage::Ack`].
     Ping {
-        /// What the sender holds of the receiver, so that the receiver can refute it.
+        /// The sender's claim about the receiver, which the receiver may refute.
         believed: Claim,
-        /// Updates passed on.
+        /// Piggybacked updates.
         updates: Vec<NodeClaim>,
     },
     /// Answers a ping.
     Ack {
-        /// What the sender says of itself.
+        /// The sender's claim about itself.
         own: Claim,
-        /// Updates passed on.
+        /// Piggybacked updates.
         updates: Vec<NodeClaim>,
     },
-    /// Asks the receiver to ping another member and to report if it answers.
+    /// Requests that the receiver pings another member and reports an answer.
     IndirectPing {
         /// The member to ping.
         target: NodeId,
     },
-    /// The member answered a ping that was sent after [`MembershipMessage::IndirectPing`] came.
+    /// The member answered a ping that was sent after [`MembershipMessage::IndirectPing`] arrived.
     IndirectAck {
         /// The member that answered.
         target: NodeId,
-        /// What it said of itself.
+        /// The member's claim about itself.
         claim: Claim,
     },
-    /// Fresh claims, to be passed on at once.
+    /// New claims, to be disseminated further.
     Updates {
-        /// What changed.
+        /// The claims.
         claims: Vec<NodeClaim>,
     },
-    /// Member records: new members to be passed on at once, or answers to a pull.
+    /// Member records: new members, or answers to a join, a pull or a digest.
     Records {
         /// The records.
         members: Vec<Member>,
-        /// Whether these are news, to be passed on; otherwise they are hearsay.
+        /// Whether the records are merged and disseminated further at once. Otherwise they are not
+        /// disseminated further, and a Dead record of a present member is verified first.
         fresh: bool,
     },
-    /// A new member asks for the table.
+    /// A new member announces itself and requests the table.
     Join {
-        /// Its record, boxed so that the other messages stay small.
+        /// Record of the new member, boxed to keep the enum small.
         member: Box<Member>,
     },
     /// Hash of the sender's table, for comparison.
@@ -100,23 +101,23 @@
         /// Hash over all present members.
         hash: u64,
     },
-    /// One page of the sender's table. Its claims are hearsay: a receiver checks a Dead one itself.
+    /// One page of the sender's table. The receiver verifies a Dead claim itself before it merges it.
     Digest {
-        /// First node that the page covers; after `last` when it covers no range.
+        /// First node that the page covers; greater than `last` if it covers no range.
         first: NodeId,
         /// Last node that the page covers.
         last: NodeId,
-        /// What the sender holds, by node.
+        /// The sender's claims in order of node.
         claims: Vec<NodeClaim>,
     },
-    /// Asks for the records of these nodes.
+    /// Requests the records of these nodes.
     Pull {
         /// The nodes.
         nodes: Vec<NodeId>,
     },
 }
 
-/// Splits records into as many messages as the bound on their size takes.
+/// Splits records into messages that respect the maximum size.
 pub fn records_messages(members: Vec<Member>, fresh: bool) -> Vec<MembershipMessage> {
     let mut messages = Vec::new();
     let mut page = Vec::new();
@@ -140,7 +141,7 @@
 }
 
 impl MembershipMessage {
-    /// The message as bytes.
+    /// Encodes the message; fails if it is longer than [`MAX_MESSAGE_BYTES`].
     pub fn encode(&self) -> Result<Vec<u8>, MessageError> {
         let bytes = rkyv::to_bytes::<ArchiveError>(self).map_err(|_| MessageError::Unwritable)?;
         if bytes.len() > MAX_MESSAGE_BYTES {
@@ -149,7 +150,7 @@
         Ok(bytes.into_vec())
     }
 
-    /// Reads a message back. The bytes need no alignment.
+    /// Decodes a message. The bytes need no alignment.
     pub fn decode(bytes: &[u8]) -> Result<Self, MessageError> {
         if bytes.len() > MAX_MESSAGE_BYTES {
             return Err(MessageError::TooLong(bytes.len()));
--- a/crates/membership/src/ownership_rate.rs
+++ b/crates/membership/src/ownership_rate.rs
@@ -1,7 +1,7 @@
-//! A bound on how fast runs are moved when members come and go.
+//! Rate limit for moving runs between owners when members join or leave.
 //!
-//! Moving a run costs a prepare on its replicas. A token bucket lets a small burst through at once
-//! (one lost node's runs that are in use) and the rest at a steady rate.
+//! Moving a run costs a prepare on its replicas. A token bucket admits a small burst at once, such as
+//! the runs in use of one lost node, and the rest at a steady rate.
 
 use std::time::Duration;
 
@@ -9,18 +9,18 @@
 
 const MICROS_PER_SECOND: u64 = 1_000_000;
 
-/// A token bucket over virtual or real time. One token moves one run.
+/// A token bucket. One token permits the move of one run.
 #[derive(Debug, Clone)]
-pub struct OwnershipRate {
+pub struct OwnershipRateLimiter {
     moves_per_second: u32,
     burst: u32,
-    /// Tokens in units of a millionth.
+    /// Available tokens in millionths.
     micro_tokens: u64,
     refilled_at: MonotonicTime,
 }
 
-impl OwnershipRate {
-    /// A full bucket of `burst` moves, refilled at `moves_per_second`.
+impl OwnershipRateLimiter {
+    /// Creates a full bucket of `burst` moves, refilled at `moves_per_second`.
     pub fn new(moves_per_second: u32, burst: u32, now: MonotonicTime) -> Self {
         Self {
             moves_per_second,
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Takes up to `wanted` moves and returns how many may be made now.
+    /// Takes up to `wanted` tokens and returns how many runs may be moved now.
     pub fn take(&mut self, wanted: u32, now: MonotonicTime) -> u32 {
         self.refill(now);
         let available = self.micro_tokens / MICROS_PER_SECOND;
@@ -39,7 +39,7 @@
         u32::try_from(granted).unwrap_or(wanted)
     }
 
-    /// When the next move may be made, `None` when the rate is zero and the bucket empty.
+    /// When the next run may be moved; `None` if the bucket is empty and never refilled.
     pub fn next_move_at(&self) -> Option<MonotonicTime> {
         let missing = MICROS_PER_SECOND.saturating_sub(self.micro_tokens);
         if missing == 0 {
--- a/crates/membership/src/probing.rs
+++ b/crates/membership/src/probing.rs
@@ -1,9 +1,9 @@
-//! What the state machine does about members that answer or do not.
+//! Probing: reactions of the state machine to members that answer or do not answer.
 
 use rand::seq::IndexedRandom;
 use ridgeworks_domain::{MonotonicTime, NodeId, ZoneName};
 
-use crate::detector::{Evidence, ProbeRole, Verdict};
+use crate::detector::{DetectorAction, Evidence, ProbeRole};
 use crate::member::{Claim, MemberState, NodeClaim};
 use crate::member_table::Merge;
 use crate::membership::{IndirectRequest, Membership};
@@ -13,40 +13,42 @@
 impl Membership {
     pub(crate) fn probe_due(&mut self, now: MonotonicTime) {
         let others = self.topology.len().saturating_sub(1);
-        for verdict in self.detector.poll(now, others, &self.config) {
-            match verdict {
-                Verdict::Ping(node) => self.ping_target(node, now),
-                Verdict::AskOthers(node, role) => self.ask_others(node, role),
-                Verdict::Suspect(node) => self.suspect(node, now),
-                Verdict::Dead(node) => self.declare_dead(node, now),
+        for action in self.detector.poll(now, others, &self.config) {
+            match action {
+                DetectorAction::Ping(node) => self.ping_target(node, now),
+                DetectorAction::RequestIndirectPings(node, role) => {
+                    self.request_indirect_pings(node, role)
+                }
+                DetectorAction::Suspect(node) => self.suspect(node, now),
+                DetectorAction::Dead(node) => self.declare_dead(node, now),
             }
         }
-        self.probe_silent_zones(now);
+        self.probe_unresponsive_zones(now);
     }
 
-    /// Any message from a node shows that it lives.
-    pub(crate) fn on_sign_of_life(&mut self, node: NodeId, now: MonotonicTime) {
+    /// Handles the fact that any message arrived from a node, which shows that it is alive.
+    pub(crate) fn on_activity(&mut self, node: NodeId, now: MonotonicTime) {
         let state = self.table.get(node).map(|member| member.state);
         match state {
-            Some(MemberState::Dead) => self.challenge(node, now),
+            Some(MemberState::Dead) => self.request_refutation(node, now),
             Some(MemberState::Left) | None => {}
             Some(_) => {
                 self.detector.heard(node, now, &self.config);
-                self.trust(node);
+                self.clear_suspicion(node);
             }
         }
     }
 
-    /// The link to a member was closed by the other end or could not be dialled.
+    /// Handles a link that was closed by the other end or could not be opened.
     pub(crate) fn on_link_closed(&mut self, node: NodeId, now: MonotonicTime) {
         let member = self.table.get(node);
         let is_present = member.is_some_and(|member| member.state.is_present());
         if is_present && node != self.own_node {
-            self.detector.doubt(node, Evidence::LinkClosed, now);
+            self.detector.add_evidence(node, Evidence::LinkClosed, now);
         }
     }
 
-    /// Another node asks to ping a member on its behalf.
+    /// Handles another node's request to ping a member.
     pub(crate) fn on_indirect_ping(
         &mut self,
         requester: NodeId,
@@ -66,7 +68,7 @@
                 node: target,
                 claim: held,
             };
-            self.send_all(requester, crate::anti_entropy::hearsay(&[claimed]));
+            self.send_all(requester, crate::anti_entropy::claim_messages(&[claimed]));
             return;
         }
         self.indirect_requests
@@ -77,16 +79,16 @@
             expires_at: now + self.config.confirm_timeout,
         });
         self.ping(target);
-        self.detector.expedite(target, now);
+        self.detector.ping_now(target, now);
     }
 
-    /// A member answered a ping: those who asked for it hear so.
+    /// Handles the answer to a ping, and forwards it to the nodes that requested the ping.
     pub(crate) fn on_ack(&mut self, from: NodeId, own: Claim, now: MonotonicTime) {
         let claimed = NodeClaim {
             node: from,
             claim: own,
         };
-        self.take_claims(from, &[claimed], true, now);
+        self.apply_claims(from, &[claimed], true, now);
         let requests = std::mem::take(&mut self.indirect_requests);
         let (answered, waiting): (Vec<_>, Vec<_>) = requests
             .into_iter()
@@ -101,7 +103,7 @@
         }
     }
 
-    /// Another node got an answer from a member that this one asked it to ping.
+    /// Handles the report that a member answered an indirect ping.
     pub(crate) fn on_indirect_ack(
         &mut self,
         from: NodeId,
@@ -113,33 +115,35 @@
             node: target,
             claim,
         };
-        self.take_claims(from, &[claimed], true, now);
-        self.detector.trust(target, now, &self.config);
-        self.trust(target);
+        self.apply_claims(from, &[claimed], true, now);
+        self.detector.clear_suspicion(target, now, &self.config);
+        self.clear_suspicion(target);
     }
 
-    /// Pings a member of which another holds that it is Dead, before that is taken over.
-    pub(crate) fn check_rumour(&mut self, claimed: NodeClaim, now: MonotonicTime) {
+    /// Verifies another node's claim that a member is Dead by probing the member.
+    pub(crate) fn verify_death(&mut self, claimed: NodeClaim, now: MonotonicTime) {
         self.counters.dead_claims_verified += 1;
-        self.rumours.insert(claimed.node, claimed.claim);
+        self.unverified_deaths.insert(claimed.node, claimed.claim);
         if self.detector.probes(claimed.node) {
-            self.detector.expedite(claimed.node, now);
+            self.detector.ping_now(claimed.node, now);
         } else {
-            self.detector.doubt(claimed.node, Evidence::Silence, now);
+            self.detector
+                .add_evidence(claimed.node, Evidence::Unresponsive, now);
         }
     }
 
-    /// Asks a member that is held Dead, and yet spoke, to refute; and tries the others of its zone.
-    fn challenge(&mut self, node: NodeId, now: MonotonicTime) {
-        let last = self.challenged_at.get(&node);
+    /// Pings a Dead member that sent a message, so that it refutes the claim, and the other Dead
+    /// members of its zone, which may have returned too.
+    fn request_refutation(&mut self, node: NodeId, now: MonotonicTime) {
+        let last = self.refutation_requested_at.get(&node);
         if last.is_some_and(|last| now.since(*last) < self.config.suspect_probe_interval) {
             return;
         }
-        self.challenged_at.insert(node, now);
+        self.refutation_requested_at.insert(node, now);
         self.ping(node);
         let zone = self.table.get(node).map(|member| member.zone.clone());
         let Some(zone) = zone else { return };
-        if !self.may_probe_zone(&zone, now) {
+        if !self.try_start_zone_probe(&zone, now) {
             return;
         }
         let dead = self.table.iter().filter(|member| {
@@ -151,8 +155,8 @@
         }
     }
 
-    fn trust(&mut self, node: NodeId) {
-        if self.table.trust(node) {
+    fn clear_suspicion(&mut self, node: NodeId) {
+        if self.table.clear_suspicion(node) {
             self.report_state(node, MemberState::Suspect);
         }
     }
@@ -183,10 +187,13 @@
         let Some(held) = self.table.published_claim_of(node) else {
             return;
         };
-        // A rumour may speak of a later incarnation than the one held.
-        let rumoured = self.rumours.get(&node).map(|claim| claim.incarnation);
+        // The unverified claim may be about a later incarnation than the table's.
+        let unverified = self
+            .unverified_deaths
+            .get(&node)
+            .map(|claim| claim.incarnation);
         let claim = Claim {
-            incarnation: held.incarnation.max(rumoured.unwrap_or_default()),
+            incarnation: held.incarnation.max(unverified.unwrap_or_default()),
             state: MemberState::Dead,
         };
         if let Merge::Changed {
@@ -196,7 +203,7 @@
         {
             self.counters.deaths_declared += 1;
             self.after_change(node, old_state, new_generation);
-            self.pass_on(node, new_generation, now);
+            self.disseminate(node, new_generation, now);
         }
     }
 
@@ -209,23 +216,23 @@
         self.send_ping(node, updates);
     }
 
-    /// Pings a member without updates, which a member that may be gone would swallow.
+    /// Pings a member without piggybacked updates, which would be lost if the member has failed.
     pub(crate) fn ping(&mut self, node: NodeId) {
         self.send_ping(node, Vec::new());
     }
 
     fn send_ping(&mut self, node: NodeId, updates: Vec<NodeClaim>) {
-        let rumoured = self.rumours.get(&node).copied();
-        let believed = rumoured.or(self.table.published_claim_of(node));
+        let unverified = self.unverified_deaths.get(&node).copied();
+        let believed = unverified.or(self.table.published_claim_of(node));
         if let Some(believed) = believed {
             self.send(node, MembershipMessage::Ping { believed, updates });
         }
     }
 
-    fn ask_others(&mut self, target: NodeId, role: ProbeRole) {
+    fn request_indirect_pings(&mut self, target: NodeId, role: ProbeRole) {
         let count = match role {
             ProbeRole::Monitor | ProbeRole::Relay => self.config.indirect_probes,
-            // Many nodes may doubt the same member at once, and its monitors see to it anyway.
+            // Many nodes may probe the same member temporarily, and its monitors probe it anyway.
             ProbeRole::Temporary => self.config.indirect_probes.min(2),
         };
         for helper in self.choose_helpers(target, count) {
@@ -233,8 +240,8 @@
         }
     }
 
-    /// Others that may reach the target: one of its monitors, one in a third zone, one near by, and
-    /// more of its monitors.
+    /// Chooses members that may reach the target: one of its monitors, a relay of a third zone, the
+    /// other monitors, and random members.
     fn choose_helpers(&mut self, target: NodeId, count: usize) -> Vec<NodeId> {
         let others: Vec<NodeId> = self.topology.order().to_vec();
         let third = relay::third_zone_relays(&self.topology, self.own_node, target);
@@ -258,33 +265,33 @@
         nodes.sample(&mut self.rng, nodes.len()).copied().collect()
     }
 
-    /// Probes every member of a zone all of whose relays are silent.
-    fn probe_silent_zones(&mut self, now: MonotonicTime) {
+    /// Probes all members of each zone whose relays are all unresponsive.
+    fn probe_unresponsive_zones(&mut self, now: MonotonicTime) {
         let own_zone = self.topology.zone_of(self.own_node).cloned();
-        let silent: Vec<ZoneName> = self
+        let unresponsive: Vec<ZoneName> = self
             .topology
             .zones()
-            .filter(|zone| Some(*zone) != own_zone.as_ref() && self.is_silent(zone, now))
+            .filter(|zone| Some(*zone) != own_zone.as_ref() && self.is_unresponsive(zone, now))
             .cloned()
             .collect();
-        for zone in silent {
-            if self.may_probe_zone(&zone, now) {
+        for zone in unresponsive {
+            if self.try_start_zone_probe(&zone, now) {
                 let members = self.topology.zone(&zone).to_vec();
                 self.probe_at_once(members, now);
             }
         }
     }
 
-    fn is_silent(&self, zone: &ZoneName, now: MonotonicTime) -> bool {
+    fn is_unresponsive(&self, zone: &ZoneName, now: MonotonicTime) -> bool {
         let relays = self.topology.relays(zone);
-        let is_silent = |node: &NodeId| {
-            let since = self.detector.silent_since(*node);
+        let is_unresponsive = |node: &NodeId| {
+            let since = self.detector.unresponsive_since(*node);
             since.is_some_and(|since| now.since(since) >= self.config.probe_timeout)
         };
-        !relays.is_empty() && relays.iter().all(is_silent)
+        !relays.is_empty() && relays.iter().all(is_unresponsive)
     }
 
-    fn may_probe_zone(&mut self, zone: &ZoneName, now: MonotonicTime) -> bool {
+    fn try_start_zone_probe(&mut self, zone: &ZoneName, now: MonotonicTime) -> bool {
         let last = self.zone_probed_at.get(zone);
         let is_due = last.is_none_or(|last| now.since(*last) >= self.config.confirm_timeout);
         if is_due {
@@ -296,7 +303,8 @@
     fn probe_at_once(&mut self, nodes: Vec<NodeId>, now: MonotonicTime) {
         for node in nodes {
             if !self.detector.probes(node) {
-                self.detector.doubt(node, Evidence::Silence, now);
+                self.detector
+                    .add_evidence(node, Evidence::Unresponsive, now);
             }
         }
     }
--- a/crates/membership/src/receiving.rs
+++ b/crates/membership/src/receiving.rs
@@ -1,8 +1,8 @@
-//! What the state machine does with messages and the claims in them.
+//! Handling of received messages and the claims in them.
 
 use ridgeworks_domain::{MonotonicTime, NodeId};
 
-use crate::anti_entropy::{self, compare, digest_pages, hearsay};
+use crate::anti_entropy::{self, claim_messages, compare, digest_pages};
 use crate::member::{Claim, Member, MemberState, NodeClaim};
 use crate::member_table::Merge;
 use crate::membership::Membership;
@@ -24,14 +24,16 @@
             }
             MembershipMessage::Ack { own, updates } => {
                 self.on_ack(from, own, now);
-                self.take_claims(from, &updates, true, now);
+                self.apply_claims(from, &updates, true, now);
             }
             MembershipMessage::IndirectPing { target } => self.on_indirect_ping(from, target, now),
             MembershipMessage::IndirectAck { target, claim } => {
                 self.on_indirect_ack(from, target, claim, now);
             }
-            MembershipMessage::Updates { claims } => self.take_claims(from, &claims, true, now),
-            MembershipMessage::Records { members, fresh } => self.take_records(members, fresh, now),
+            MembershipMessage::Updates { claims } => self.apply_claims(from, &claims, true, now),
+            MembershipMessage::Records { members, fresh } => {
+                self.apply_records(members, fresh, now)
+            }
             MembershipMessage::Join { member } => self.on_join(*member, now),
             MembershipMessage::TableHash { hash } => {
                 if hash != self.table.hash() {
@@ -48,7 +50,7 @@
                 self.send_all(from, records_messages(records, true));
             }
         }
-        self.on_sign_of_life(from, now);
+        self.on_activity(from, now);
     }
 
     fn on_ping(
@@ -58,8 +60,8 @@
         updates: &[NodeClaim],
         now: MonotonicTime,
     ) {
-        self.take_own_claim(believed, now);
-        self.take_claims(from, updates, true, now);
+        self.handle_own_claim(believed, now);
+        self.apply_claims(from, updates, true, now);
         let own = self.own().claim();
         let updates = self.dissemination.piggyback();
         self.send(from, MembershipMessage::Ack { own, updates });
@@ -70,9 +72,9 @@
         if joining == self.own_node {
             return;
         }
-        self.take_records(vec![member], true, now);
+        self.apply_records(vec![member], true, now);
         let records = self.published_records(self.known_nodes().into_iter());
-        // The table may hold another address, if the newcomer's clock is behind its predecessor's.
+        // The table holds the predecessor's address if the new member's clock is behind.
         for message in records_messages(records, false) {
             self.send_to(joining, address, message);
         }
@@ -91,14 +93,14 @@
         now: MonotonicTime,
     ) {
         let comparison = compare(&self.table, first, last, claims);
-        self.send_all(from, hearsay(&comparison.newer_here));
-        let records = self.published_records(comparison.missing_there.into_iter());
+        self.send_all(from, claim_messages(&comparison.newer_local));
+        let records = self.published_records(comparison.missing_remote.into_iter());
         self.send_all(from, records_messages(records, true));
-        self.take_claims(from, &comparison.newer_there, false, now);
+        self.apply_claims(from, &comparison.newer_remote, false, now);
     }
 
-    /// Merges claims. Those that are not `fresh` are hearsay, of which Dead ones are checked first.
-    pub(crate) fn take_claims(
+    /// Merges claims. Unless `fresh`, a claim that a present member is Dead is verified first.
+    pub(crate) fn apply_claims(
         &mut self,
         from: NodeId,
         claims: &[NodeClaim],
@@ -108,9 +110,9 @@
         let mut missing = Vec::new();
         for claimed in claims {
             if claimed.node == self.own_node {
-                self.take_own_claim(claimed.claim, now);
-            } else if !fresh && self.is_rumour(*claimed) {
-                self.check_rumour(*claimed, now);
+                self.handle_own_claim(claimed.claim, now);
+            } else if !fresh && self.is_unverified_death(*claimed) {
+                self.verify_death(*claimed, now);
             } else if self.merge_claim(*claimed, now) == Merge::RecordMissing {
                 missing.push(claimed.node);
             }
@@ -131,14 +133,15 @@
         merge
     }
 
-    /// Merges whole records. Those that are not `fresh` are hearsay.
-    fn take_records(&mut self, members: Vec<Member>, fresh: bool, now: MonotonicTime) {
+    /// Merges complete records. Unless `fresh`, they are not disseminated further, and a record that
+    /// declares a present member Dead is verified first.
+    fn apply_records(&mut self, members: Vec<Member>, fresh: bool, now: MonotonicTime) {
         for member in members {
             let claimed = member.node_claim();
             if claimed.node == self.own_node {
-                self.take_own_claim(claimed.claim, now);
-            } else if !fresh && self.is_rumour(claimed) {
-                self.check_rumour(claimed, now);
+                self.handle_own_claim(claimed.claim, now);
+            } else if !fresh && self.is_unverified_death(claimed) {
+                self.verify_death(claimed, now);
             } else {
                 let merge = self.table.merge_record(member, now);
                 self.after_merge(claimed.node, merge, fresh, now);
@@ -146,35 +149,36 @@
         }
     }
 
-    fn after_merge(&mut self, node: NodeId, merge: Merge, pass_on: bool, now: MonotonicTime) {
+    fn after_merge(&mut self, node: NodeId, merge: Merge, disseminate: bool, now: MonotonicTime) {
         if let Merge::Changed {
             old_state,
             new_generation,
         } = merge
         {
             self.after_change(node, old_state, new_generation);
-            if pass_on {
-                self.pass_on(node, new_generation, now);
+            if disseminate {
+                self.disseminate(node, new_generation, now);
             }
         }
     }
 
-    /// Whether the claim would make a present member Dead on hearsay.
-    fn is_rumour(&self, claimed: NodeClaim) -> bool {
+    /// Whether the claim would make a present member Dead without verification by this node.
+    fn is_unverified_death(&self, claimed: NodeClaim) -> bool {
         let held = self.table.published_claim_of(claimed.node);
         let speaks_against = held.is_some_and(|held| {
-            let same_life = held.incarnation.generation() == claimed.claim.incarnation.generation();
-            held.state.is_present() && claimed.claim > held && same_life
+            let same_generation =
+                held.incarnation.generation() == claimed.claim.incarnation.generation();
+            held.state.is_present() && claimed.claim > held && same_generation
         });
-        speaks_against && anti_entropy::needs_check(claimed.claim.state)
+        speaks_against && anti_entropy::requires_verification(claimed.claim.state)
     }
 
-    /// Refutes a claim about this node that is not true.
-    pub(crate) fn take_own_claim(&mut self, claim: Claim, now: MonotonicTime) {
+    /// Refutes a false claim about this node, or reports that a later process supersedes it.
+    pub(crate) fn handle_own_claim(&mut self, claim: Claim, now: MonotonicTime) {
         let own = self.own().claim();
-        let is_later_life = claim.incarnation.generation() > own.incarnation.generation();
+        let is_later_generation = claim.incarnation.generation() > own.incarnation.generation();
         let is_newcomer = now.since(self.started_at) < self.config.newcomer_period;
-        if is_later_life && claim.state.is_present() && !is_newcomer {
+        if is_later_generation && claim.state.is_present() && !is_newcomer {
             let by = claim.incarnation;
             self.emit(crate::event::Effect::Superseded { by });
             return;
@@ -183,8 +187,8 @@
         let is_refutable = says_departed && claim.incarnation >= own.incarnation;
         if is_refutable || claim.incarnation > own.incarnation {
             self.counters.refutations += 1;
-            // A later start has another record, so that a claim alone must not pass for it.
-            let incarnation = if is_later_life {
+            // The record of a later generation may differ, so the refutation needs its own generation.
+            let incarnation = if is_later_generation {
                 claim.incarnation.next_generation()
             } else {
                 claim.incarnation.next()
--- a/crates/membership/src/relay.rs
+++ b/crates/membership/src/relay.rs
@@ -1,9 +1,9 @@
-//! Probing between zones, which a few relays of each zone do on its behalf.
+//! Probing between zones by a few relays of each zone.
 //!
-//! Each pair of zones is looked after by one relay on either side, chosen alike by both, so that either
-//! one's probes serve both. When a relay falls silent the others of its zone are probed too, and when
-//! all of them are silent, every member of that zone: a zone that is cut off so loses all its members
-//! within one more confirmation time.
+//! Each pair of zones is served by one relay on either side, chosen identically by both, so that the
+//! probes of either relay serve both. If a relay becomes unresponsive, the other relays of its zone
+//! are probed too, and if all of them are unresponsive, all members of that zone. The members of a
+//! zone that is partitioned off are thus declared Dead within one more confirmation timeout.
 
 use std::collections::BTreeMap;
 
@@ -13,21 +13,22 @@
 use crate::detector::ProbeRole;
 use crate::topology::Topology;
 
-/// The relays of other zones that `own_node` probes; none if it is not a relay.
-pub fn targets_of(topology: &Topology, own_node: NodeId) -> BTreeMap<NodeId, ProbeRole> {
+/// The relays of other zones that `own_node` probes; empty if it is not a relay.
+pub fn relay_targets(topology: &Topology, own_node: NodeId) -> BTreeMap<NodeId, ProbeRole> {
     let Some(own_zone) = topology.zone_of(own_node) else {
         return BTreeMap::new();
     };
     let other_zones = topology.zones().filter(|zone| *zone != own_zone);
-    let looked_after = other_zones.filter(|other| {
+    let served_zones = other_zones.filter(|other| {
         let relay = relay_towards(topology, own_zone, other);
         relay == Some(own_node)
     });
-    let counterparts = looked_after.filter_map(|other| relay_towards(topology, other, own_zone));
+    let counterparts = served_zones.filter_map(|other| relay_towards(topology, other, own_zone));
     counterparts.map(|node| (node, ProbeRole::Relay)).collect()
 }
 
-/// A relay of a third zone, which may reach a member that `own_node` cannot reach.
+/// One relay of each zone other than those of `own_node` and `target`. It may reach a target that
+/// `own_node` cannot reach.
 pub fn third_zone_relays(topology: &Topology, own_node: NodeId, target: NodeId) -> Vec<NodeId> {
     let own_zone = topology.zone_of(own_node);
     let target_zone = topology.zone_of(target);
@@ -37,7 +38,7 @@
     relays.copied().collect()
 }
 
-/// The relay of `zone` that looks after its pair with `other`.
+/// The relay of `zone` that probes zone `other`.
 fn relay_towards(topology: &Topology, zone: &ZoneName, other: &ZoneName) -> Option<NodeId> {
     let relays = topology.relays(zone);
     let hash_of = |zone: &ZoneName| xxh3_64(zone.as_str().as_bytes());
--- a/crates/membership/src/rendezvous.rs
+++ b/crates/membership/src/rendezvous.rs
@@ -1,8 +1,9 @@
-//! Rendezvous hashing: which members to ask first for a run, a service or a zone.
+//! Rendezvous hashing: ranks the members for a run, a service or a zone.
 //!
 //! Every member gets a score from the key and its own identifier; the highest score comes first. A
-//! member that joins or leaves so moves only the keys that it wins or had won, and the keys of a
-//! lost member spread over all others. The choice is only a hint: ballots and fencing tokens decide.
+//! member that joins or leaves thus moves only the keys for which it ranks first, and the keys of a
+//! lost member spread over all others. The ranking is only a hint; safety relies on ballots and
+//! fencing tokens.
 
 use ridgeworks_domain::run_id::REPLICAS_PER_RUN;
 use ridgeworks_domain::{NodeId, RegionName, RunId, ServiceName, ZoneName};
@@ -15,13 +16,13 @@
 const DISPATCHER_SEED: u64 = 3;
 const RELAY_SEED: u64 = 4;
 
-/// The members, best first for `key`, all with equal weight.
+/// Ranks members for `key`, best first, with equal weights.
 pub fn rank<'a>(key: u128, members: impl Iterator<Item = &'a Member>) -> Vec<&'a Member> {
     rank_seeded(key, 0, members)
 }
 
-/// The members, best first for `key`, where a member's chance to be first is in proportion to its
-/// weight. Members of weight zero or below are left out.
+/// Ranks members for `key`, best first, such that a member's probability to be first is proportional
+/// to its weight. Members of weight zero or below are excluded.
 pub fn rank_weighted<'a>(
     key: u128,
     members: impl Iterator<Item = &'a Member>,
@@ -39,15 +40,15 @@
     scored.into_iter().map(|(_, member)| member).collect()
 }
 
-/// Weights for [`rank_weighted`] that give each zone the same part of the keys, whatever its number
-/// of members.
+/// Weight for [`rank_weighted`] that gives each zone the same share of the keys, independent of its
+/// number of members.
 pub fn equal_zone_weight(members: &[&Member], member: &Member) -> f64 {
     let in_zone = members.iter().filter(|other| other.zone == member.zone);
     1.0 / in_zone.count().max(1) as f64
 }
 
-/// Whom to ask for a run, best first: members that accept work. A suspected member keeps its
-/// place, since a short freeze must not move a run.
+/// Candidates for the owner of a run, best first: members that accept work. A suspected member keeps
+/// its rank, since a short pause must not move a run.
 pub fn run_owner_candidates<'a>(
     run: RunId,
     members: impl Iterator<Item = &'a Member>,
@@ -56,9 +57,9 @@
     rank_seeded(run.0, OWNER_SEED, eligible)
 }
 
-/// The replicas of a new run: members with a disk, spread over as many zones as there are, in the
-/// region `near` where that costs no spread. `key` is any number unique to the run. Fewer than
-/// [`REPLICAS_PER_RUN`] are returned when there are not enough.
+/// Chooses the replicas of a new run: members with a disk, spread over as many zones as possible, and
+/// in the region `near` if that does not reduce the spread. `key` is any number unique to the run.
+/// Returns fewer than [`REPLICAS_PER_RUN`] if there are not enough eligible members.
 pub fn replicas_for_new_run<'a>(
     key: u128,
     near: &RegionName,
@@ -81,7 +82,7 @@
     chosen
 }
 
-/// Whom to ask for the dispatcher of one group of a service's back ends, best first.
+/// Candidates for the dispatcher of one group of a service's back ends, best first.
 pub fn dispatcher_candidates<'a>(
     service: &ServiceName,
     group: u32,
@@ -92,7 +93,7 @@
     rank_seeded(key, DISPATCHER_SEED, eligible)
 }
 
-/// The dispatcher of one group of a service's back ends, `None` when no member accepts work.
+/// The dispatcher of one group of a service's back ends; `None` if no member accepts work.
 pub fn dispatcher_for<'a>(
     service: &ServiceName,
     group: u32,
@@ -102,7 +103,7 @@
     candidates.first().copied()
 }
 
-/// The `count` present members of a zone that probe and relay on its behalf.
+/// The `count` present members of a zone that probe other zones as its relays.
 pub fn relays_of<'a>(
     zone: &ZoneName,
     members: impl Iterator<Item = &'a Member>,
@@ -141,8 +142,8 @@
     xxh3_64(&bytes)
 }
 
-/// Weighted rendezvous: an exponential variate of the weight's rate; the smallest wins, so its
-/// negative is the score.
+/// Weighted rendezvous hashing: the negative of an exponential variate whose rate is the weight. The
+/// smallest variate, and so the highest score, wins.
 fn weighted_score(hash: u64, weight: f64) -> f64 {
     let uniform = (hash as f64 + 1.0) / (u64::MAX as f64 + 2.0);
     uniform.ln() / weight
--- a/crates/membership/src/topology.rs
+++ b/crates/membership/src/topology.rs
@@ -1,9 +1,9 @@
-//! Who probes whom and who passes updates to whom, worked out alike by every node from its table.
+//! Which nodes probe and update each other, computed identically by every node from its table.
 //!
-//! Node identifiers are hashes of names, so their order is a random ring. Within a zone every member
-//! is monitored by its predecessors on the zone's ring. Those monitors are its back-pointers in the
-//! sense of Zhuang et al., "On Failure Detection Algorithms in Overlay Networks": the nodes that
-//! suspicion of the member concerns first, and any node can name them without keeping state.
+//! Node identifiers are hashes of names, so their order forms a random ring. Within a zone, every
+//! member is monitored by its predecessors on the zone's ring. These monitors are its back-pointers in
+//! the sense of Zhuang et al., "On Failure Detection Algorithms in Overlay Networks": the nodes that a
+//! suspicion of the member concerns first, which any node can compute without additional state.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,7 +12,7 @@
 use crate::member::Member;
 use crate::rendezvous;
 
-/// The present members as rings.
+/// Rings and relays of the present members.
 #[derive(Debug, Clone, Default)]
 pub struct Topology {
     order: Vec<NodeId>,
@@ -22,7 +22,7 @@
 }
 
 impl Topology {
-    /// Arranges the members given, which must be the present ones.
+    /// Computes the topology; `members` must be the present members.
     pub fn of<'a>(members: impl Iterator<Item = &'a Member>, relays_per_zone: usize) -> Self {
         let members: Vec<&Member> = members.collect();
         let mut topology = Self::default();
@@ -58,7 +58,7 @@
         &self.order
     }
 
-    /// Zone of a present member.
+    /// Zone of a member; `None` if it is not present.
     pub fn zone_of(&self, node: NodeId) -> Option<&ZoneName> {
         self.zone_of.get(&node)
     }
@@ -73,13 +73,13 @@
         self.zones.keys()
     }
 
-    /// Relays of a zone, the first ranked first.
+    /// Relays of a zone, highest ranked first.
     pub fn relays(&self, zone: &ZoneName) -> &[NodeId] {
         self.relays.get(zone).map_or(&[], Vec::as_slice)
     }
 
-    /// The nodes that monitor `node`: its predecessors in its zone and, where the zone is too small,
-    /// those on the ring of all members.
+    /// The nodes that monitor `node`: its predecessors on its zone's ring and, if the zone has too few
+    /// members, predecessors on the ring of all members.
     pub fn monitors_of(&self, node: NodeId, count: usize) -> Vec<NodeId> {
         let Some(zone) = self.zone_of.get(&node) else {
             return Vec::new();
@@ -112,14 +112,14 @@
         targets
     }
 
-    /// The members that `node` passes records to: those at distances of powers of two on the ring of
-    /// all members, so that any member is reached over a number of hops logarithmic in their number.
+    /// The members that `node` sends updates to: those at distances of powers of two on the ring of
+    /// all members, so that an update reaches every member in a logarithmic number of hops.
     pub fn fingers_of(&self, node: NodeId) -> Vec<NodeId> {
         fingers(&self.order, node)
     }
 
-    /// As [`Topology::fingers_of`], on the ring of the node's zone. Verdicts go to these as well, so
-    /// that they spread in a zone whose other fingers are cut off.
+    /// As [`Topology::fingers_of`], on the ring of the node's zone. Claims are sent to these as well,
+    /// so that they spread within a zone that is partitioned off.
     pub fn zone_fingers_of(&self, node: NodeId) -> Vec<NodeId> {
         let zone = self.zone_of.get(&node);
         zone.map_or_else(Vec::new, |zone| fingers(&self.zones[zone], node))
--- a/crates/membership/tests/identity.rs
+++ b/crates/membership/tests/identity.rs
@@ -1,4 +1,4 @@
-//! Replaced machines, clocks that went back and processes that were superseded.
+//! Replaced machines, clocks set back, and processes superseded by a later start.
 
 mod support;
 
@@ -16,7 +16,7 @@
     Membership::new(config, own, Vec::new(), 7, MonotonicTime::ZERO)
 }
 
-/// Member 0, which knows a member 1 that started at [`OLD_START_MS`].
+/// Returns member 0, which knows a member 1 that started at [`OLD_START_MS`].
 fn knows_an_old_member() -> Membership {
     let mut membership = start(member(0, 0, 1));
     let old = member(1, 0, OLD_START_MS);
@@ -29,8 +29,8 @@
 }
 
 #[test]
-fn a_replacement_whose_clock_is_behind_is_answered_and_prevails() {
-    let mut knowing = knows_an_old_member();
+fn a_replacement_whose_clock_is_behind_supersedes_its_predecessor() {
+    let mut existing = knows_an_old_member();
     let mut replacement = member(1, 0, OLD_START_MS - 5_000);
     replacement.address.set_port(4242);
     let (node, address) = (replacement.node, replacement.address);
@@ -40,7 +40,7 @@
     };
     let from = node;
     let now = MonotonicTime::ZERO + Duration::from_millis(10);
-    let answers = knowing.handle(Event::Message { from, message }, now);
+    let answers = existing.handle(Event::Message { from, message }, now);
     let records = answers.into_iter().find_map(|effect| match effect {
         Effect::Send {
             address: to,
@@ -49,7 +49,7 @@
         } if to == address => Some(MembershipMessage::Records { members, fresh }),
         _ => None,
     });
-    let from = knowing.own().node;
+    let from = existing.own().node;
     let message = records.expect("the newcomer is answered at its own address");
     joining.handle(Event::Message { from, message }, now);
     let raised = joining.own();
--- a/crates/membership/tests/member_table.rs
+++ b/crates/membership/tests/member_table.rs
@@ -1,4 +1,4 @@
-//! Merging records is a join: any order and any repetition give the same table.
+//! Merging records is commutative and idempotent: any order and repetition give the same table.
 
 mod support;
 
@@ -16,7 +16,7 @@
     MemberState::Left,
 ];
 
-/// A record out of a small space, so that conflicts are frequent.
+/// A record from a small value space, so that conflicts are frequent.
 #[derive(Debug, Clone)]
 struct Record(Member);
 
@@ -109,12 +109,12 @@
     let hour = std::time::Duration::from_secs(3600);
     table.merge_record(departed, MonotonicTime::ZERO);
     assert_eq!(
-        table.forget_departed(MonotonicTime::ZERO + hour, hour * 2),
+        table.remove_departed(MonotonicTime::ZERO + hour, hour * 2),
         Vec::<NodeId>::new()
     );
     assert!(table.get(node).is_some());
     assert_eq!(
-        table.forget_departed(MonotonicTime::ZERO + hour * 2, hour * 2),
+        table.remove_departed(MonotonicTime::ZERO + hour * 2, hour * 2),
         [node]
     );
     assert!(table.get(node).is_none());
--- a/crates/membership/tests/message.rs
+++ b/crates/membership/tests/message.rs
@@ -1,4 +1,4 @@
-//! Messages read back as they were written, stay small and refuse what is not theirs.
+//! Encoding of messages: round trips, the size limit, and rejection of malformed bytes.
 
 mod support;
 
@@ -10,27 +10,27 @@
 use ridgeworks_membership::{MembershipMessage, MessageError, NodeClaim};
 use support::cluster::member;
 
-fn reads_back(message: &MembershipMessage) -> bool {
+fn round_trips(message: &MembershipMessage) -> bool {
     let bytes = message.encode().unwrap();
     MembershipMessage::decode(&bytes).as_ref() == Ok(message)
 }
 
 #[test]
-fn full_pages_read_back_and_stay_below_the_bound() {
+fn full_pages_round_trip_below_the_size_limit() {
     let claims: Vec<NodeClaim> = (0..MAX_CLAIMS_PER_MESSAGE)
         .map(|index| member(index, 0, 9).node_claim())
         .collect();
     let nodes = (0..MAX_NODES_PER_MESSAGE as u64).map(NodeId).collect();
-    assert!(reads_back(&MembershipMessage::Pull { nodes }));
-    assert!(reads_back(&MembershipMessage::Updates {
+    assert!(round_trips(&MembershipMessage::Pull { nodes }));
+    assert!(round_trips(&MembershipMessage::Updates {
         claims: claims.clone()
     }));
-    assert!(reads_back(&MembershipMessage::Digest {
+    assert!(round_trips(&MembershipMessage::Digest {
         first: NodeId(0),
         last: NodeId(9),
         claims
     }));
-    assert!(reads_back(&MembershipMessage::Join {
+    assert!(round_trips(&MembershipMessage::Join {
         member: Box::new(member(1, 2, 3))
     }));
 }
@@ -45,10 +45,10 @@
         let members: Vec<_> = (0..usize::from(count)).map(named).collect();
         let messages = records_messages(members, true);
         let sizes = messages.iter().map(|message| message.encode().unwrap().len());
-        messages.iter().all(reads_back) && sizes.max().unwrap_or(0) <= MAX_MESSAGE_BYTES
+        messages.iter().all(round_trips) && sizes.max().unwrap_or(0) <= MAX_MESSAGE_BYTES
     }
 
-    fn damaged_bytes_read_as_a_message_or_as_malformed(position: usize, value: u8) -> bool {
+    fn damaged_bytes_decode_to_a_message_or_malformed(position: usize, value: u8) -> bool {
         let message = MembershipMessage::Join { member: Box::new(member(1, 2, 3)) };
         let mut bytes = message.encode().unwrap();
         let position = position % bytes.len();
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn foreign_and_oversized_bytes_are_refused() {
+fn malformed_and_oversized_bytes_are_rejected() {
     assert_eq!(MembershipMessage::decode(&[]), Err(MessageError::Malformed));
     assert_eq!(
         MembershipMessage::decode(&[0xff; 64]),
--- a/crates/membership/tests/own_pauses.rs
+++ b/crates/membership/tests/own_pauses.rs
@@ -1,4 +1,4 @@
-//! A node that was paused or cut off itself holds its verdicts back.
+//! A node that was itself paused or isolated doesn't declare other members Dead too early.
 
 mod support;
 
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn a_pause_with_a_probe_in_flight_blames_nobody() {
+fn a_pause_with_a_probe_in_flight_declares_nobody_dead() {
     let mut now = MonotonicTime::ZERO;
     let mut membership = knows_two_others(now);
     loop {
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn without_a_pause_the_same_silence_is_a_verdict() {
+fn without_a_pause_unanswered_probes_declare_members_dead() {
     let mut membership = knows_two_others(MonotonicTime::ZERO);
     let end = MonotonicTime::ZERO + Duration::from_secs(5);
     while membership.next_timer() < end {
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn a_node_that_hears_nobody_waits_longer_before_it_blames() {
+fn an_isolated_node_waits_longer_before_it_declares_others_dead() {
     for seed in 0..8 {
         let mut cluster = Cluster::formed(4, 4, Network::default(), seed);
         cluster.simulator.cut_off(1);
--- a/crates/membership/tests/rendezvous.rs
+++ b/crates/membership/tests/rendezvous.rs
@@ -1,4 +1,4 @@
-//! Rendezvous hashing moves little, spreads evenly and keeps replicas apart.
+//! Rendezvous hashing: few keys move, load is spread evenly, replicas are in different zones.
 
 mod support;
 
@@ -22,7 +22,7 @@
         .collect()
 }
 
-/// Spreads run numbers over the whole space of identifiers.
+/// Spreads run numbers over the complete space of identifiers.
 fn run(number: u128) -> RunId {
     RunId(xxhash_rust::xxh3::xxh3_128(&number.to_le_bytes()))
 }
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn thirty_joins_move_only_their_part() {
+fn thirty_joins_move_only_their_share_of_runs() {
     let all = cluster(410, ZONES);
     let before = owners(&all[..380]);
     let after = owners(&all);
@@ -68,25 +68,26 @@
         .filter(|member| member.state == MemberState::Dead)
         .map(|member| member.node)
         .collect();
-    let mut taken: BTreeMap<NodeId, usize> = BTreeMap::new();
+    let mut gained: BTreeMap<NodeId, usize> = BTreeMap::new();
     for (before, after) in before.iter().zip(owners(&members)) {
         assert_eq!(lost.contains(before), *before != after);
         if *before != after {
-            *taken.entry(after).or_default() += 1;
+            *gained.entry(after).or_default() += 1;
         }
     }
-    let total: usize = taken.values().sum();
+    let total: usize = gained.values().sum();
     let survivors = members.len() - lost.len();
     let mean = total as f64 / survivors as f64;
-    let most = taken.values().copied().max().unwrap();
+    let most = gained.values().copied().max().unwrap();
     println!("{total} runs over {survivors} survivors: mean {mean:.2}, most {most}");
-    // Balls in bins: with a mean of 2.4, ten or more on one of 365 nodes has a chance below 1%.
+    // Balls into bins: with a mean of 2.4, the probability of ten or more on any of 365 nodes is
+    // below 1%.
     assert!(most <= 10, "most {most}, mean {mean}");
-    assert!(taken.len() > survivors * 4 / 5);
+    assert!(gained.len() > survivors * 4 / 5);
 }
 
 #[test]
-fn a_run_does_not_move_for_a_suspicion_and_moves_for_a_leave() {
+fn a_run_moves_when_its_owner_leaves_but_not_on_suspicion() {
     let mut members = cluster(8, 3);
     let owner = run_owner_candidates(run(1), members.iter())[0].node;
     let index = members
@@ -119,7 +120,7 @@
 }
 
 #[test]
-fn weights_give_small_zones_the_same_part() {
+fn weights_give_small_zones_the_same_share() {
     let mut members = cluster(20, 1);
     members.extend((20..25).map(|index| member(index, 1, 1)));
     let all: Vec<&Member> = members.iter().collect();
@@ -131,7 +132,7 @@
 }
 
 #[test]
-fn relays_are_few_and_spread_on_loss() {
+fn a_lost_relay_is_replaced_by_the_next_ranked_member() {
     let mut members = cluster(30, 3);
     let zone = members[0].zone.clone();
     let relays = relays_of(&zone, members.iter(), 2);
--- a/crates/membership/tests/schedules.rs
+++ b/crates/membership/tests/schedules.rs
@@ -1,5 +1,5 @@
-//! Random schedules of kills, freezes, cuts, restarts, loss and duplication: afterwards all running
-//! nodes agree, and no schedule without kill or cut has a Dead verdict.
+//! Random schedules of kills, pauses, partitions, restarts, loss and duplication. Afterwards the views
+//! of all running nodes agree, and without a kill or partition no node is declared Dead.
 
 mod support;
 
@@ -15,8 +15,8 @@
 const THREADS: u64 = 3;
 const STEPS: usize = 6;
 const ZONES: usize = 3;
-/// Time after the last fault within which all must agree.
-const SETTLING: Duration = Duration::from_secs(15);
+/// Time after the last fault within which all views must agree.
+const CONVERGENCE_TIME: Duration = Duration::from_secs(15);
 
 struct Schedule {
     cluster: Cluster,
@@ -49,11 +49,11 @@
             self.cluster.simulator.run_for(Duration::from_millis(pause));
         }
         self.cluster.simulator.heal();
-        // Long enough for every verdict that is still under way.
-        self.cluster.simulator.run_for(SETTLING / 5);
-        let end = self.cluster.simulator.now + SETTLING;
-        while !self.cluster.agrees() && self.cluster.simulator.now < end {
-            self.cluster.simulator.run_for(SETTLING / 10);
+        // Long enough for every pending confirmation timeout.
+        self.cluster.simulator.run_for(CONVERGENCE_TIME / 5);
+        let end = self.cluster.simulator.now + CONVERGENCE_TIME;
+        while !self.cluster.views_agree() && self.cluster.simulator.now < end {
+            self.cluster.simulator.run_for(CONVERGENCE_TIME / 10);
         }
     }
 
@@ -64,7 +64,7 @@
         let running = self.cluster.simulator.running();
         match fault {
             0 | 1 => {
-                // One freeze at a time: two in a row would be one longer than is forgiven.
+                // Two consecutive freezes would exceed the longest tolerated pause.
                 self.cluster.simulator.run_for(Duration::from_millis(700));
                 self.cluster
                     .simulator
@@ -98,9 +98,9 @@
 fn check(seed: u64) {
     let mut schedule = Schedule::new(seed);
     schedule.run();
-    assert!(schedule.cluster.agrees(), "views differ, seed {seed}");
+    assert!(schedule.cluster.views_agree(), "views differ, seed {seed}");
     if !schedule.may_kill {
-        assert_eq!(schedule.cluster.dead_sightings(), [], "seed {seed}");
+        assert_eq!(schedule.cluster.dead_observations(), [], "seed {seed}");
     }
 }
 
--- a/crates/membership/tests/simulation.rs
+++ b/crates/membership/tests/simulation.rs
@@ -1,4 +1,4 @@
-//! Clusters of the state machine under virtual time: kills, freezes, cuts, joins and replacements.
+//! Simulated clusters in virtual time: kills, pauses, partitions, joins and replacements.
 
 mod support;
 
@@ -7,7 +7,7 @@
 use support::cluster::Cluster;
 use support::simulator::{Input, Network, Seen};
 
-/// Time within which all survivors agree that a node is dead.
+/// Time within which all survivors agree that a killed node is Dead.
 const DETECTION_BOUND: Duration = Duration::from_millis(1200);
 const FREEZE: Duration = Duration::from_millis(500);
 
@@ -20,9 +20,9 @@
             cluster.simulator.run_for(wait);
             let victim = (seed as usize * 5) % nodes;
             cluster.simulator.kill(victim, false);
-            let took = cluster.time_until_all_see(victim, Seen::Dead, DETECTION_BOUND);
-            assert!(took.is_some(), "{nodes} nodes, seed {seed}");
-            assert!(cluster.agrees(), "{nodes} nodes, seed {seed}");
+            let elapsed = cluster.time_until_all_see(victim, Seen::Dead, DETECTION_BOUND);
+            assert!(elapsed.is_some(), "{nodes} nodes, seed {seed}");
+            assert!(cluster.views_agree(), "{nodes} nodes, seed {seed}");
         }
     }
 }
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn a_frozen_node_is_never_dead_and_blames_nobody() {
+fn a_short_freeze_causes_no_dead_declaration() {
     for nodes in [3, 8, 50] {
         for seed in 0..8 {
             let mut cluster = Cluster::formed(nodes, 3, Network::default(), seed);
@@ -44,30 +44,34 @@
                 cluster.simulator.freeze((round * 7) % nodes, FREEZE);
                 cluster.simulator.run_for(Duration::from_millis(900));
             }
-            assert_eq!(cluster.dead_sightings(), [], "{nodes} nodes, seed {seed}");
+            assert_eq!(
+                cluster.dead_observations(),
+                [],
+                "{nodes} nodes, seed {seed}"
+            );
         }
     }
 }
 
 #[test]
-fn a_node_that_slept_for_long_blames_nobody_and_comes_back() {
+fn a_node_paused_for_long_declares_nobody_dead_and_returns() {
     for seed in 0..8 {
         let mut cluster = Cluster::formed(8, 3, Network::default(), seed);
         cluster.simulator.freeze(3, Duration::from_secs(10));
         cluster.simulator.run_for(Duration::from_secs(9));
         assert_eq!(cluster.sees(0, 3), Some(Seen::Dead));
         cluster.simulator.run_for(Duration::from_secs(3));
-        assert!(cluster.agrees(), "seed {seed}");
-        let blamed = cluster.dead_sightings();
+        assert!(cluster.views_agree(), "seed {seed}");
+        let declared_dead = cluster.dead_observations();
         assert!(
-            blamed.iter().all(|(_, subject)| *subject == 3),
-            "seed {seed}: {blamed:?}"
+            declared_dead.iter().all(|(_, subject)| *subject == 3),
+            "seed {seed}: {declared_dead:?}"
         );
     }
 }
 
 #[test]
-fn a_zone_that_is_cut_off_is_dead_to_the_others_and_returns() {
+fn a_partitioned_zone_is_declared_dead_and_returns() {
     for (nodes, zones) in [(8, 3), (50, 4), (50, 9)] {
         for seed in 0..4 {
             let mut cluster = Cluster::formed(nodes, zones, Network::default(), seed);
@@ -83,10 +87,14 @@
             }
             cluster.simulator.run_for(Duration::from_secs(5));
             cluster.simulator.heal();
-            cluster.simulator.sightings.clear();
+            cluster.simulator.observations.clear();
             cluster.simulator.run_for(Duration::from_secs(5));
-            assert!(cluster.agrees(), "{nodes} nodes, seed {seed}");
-            assert_eq!(cluster.dead_sightings(), [], "{nodes} nodes, seed {seed}");
+            assert!(cluster.views_agree(), "{nodes} nodes, seed {seed}");
+            assert_eq!(
+                cluster.dead_observations(),
+                [],
+                "{nodes} nodes, seed {seed}"
+            );
         }
     }
 }
@@ -97,19 +105,19 @@
         let mut cluster = Cluster::formed(12, 3, Network::default(), seed);
         cluster.simulator.cut(0, 1);
         cluster.simulator.run_for(Duration::from_secs(10));
-        assert_eq!(cluster.dead_sightings(), [], "seed {seed}");
+        assert_eq!(cluster.dead_observations(), [], "seed {seed}");
     }
 }
 
 #[test]
-fn a_node_joins_with_one_seed_and_leaves_on_purpose() {
+fn a_node_joins_with_one_seed_and_leaves() {
     let mut cluster = Cluster::new(9, 3, Network::default(), 5);
     for index in 0..9 {
         cluster.start(index, &[index.saturating_sub(1)]);
     }
     cluster.simulator.run_for(Duration::from_secs(5));
-    assert!(cluster.agrees());
-    cluster.simulator.sightings.clear();
+    assert!(cluster.views_agree());
+    cluster.simulator.observations.clear();
     cluster.simulator.inject(6, Input::Leave);
     cluster.simulator.run_for(Duration::from_millis(100));
     assert_eq!(cluster.sees(2, 6), Some(Seen::Leaving));
@@ -117,8 +125,8 @@
     cluster.simulator.run_for(Duration::from_millis(100));
     assert_eq!(cluster.sees(2, 6), Some(Seen::Left));
     cluster.simulator.run_for(Duration::from_secs(5));
-    assert!(cluster.agrees());
-    assert_eq!(cluster.dead_sightings(), []);
+    assert!(cluster.views_agree());
+    assert_eq!(cluster.dead_observations(), []);
 }
 
 #[test]
@@ -130,14 +138,14 @@
         cluster.simulator.run_for(Duration::from_millis(200));
         cluster.start(2, &[5]);
         cluster.simulator.run_for(Duration::from_secs(3));
-        assert!(cluster.agrees());
+        assert!(cluster.views_agree());
         assert!(cluster.membership(2).own().incarnation > before);
-        assert_eq!(cluster.dead_sightings(), []);
+        assert_eq!(cluster.dead_observations(), []);
     }
 }
 
 #[test]
-fn islands_that_started_apart_find_each_other() {
+fn clusters_that_started_separately_merge() {
     let mut cluster = Cluster::new(6, 3, Network::default(), 9);
     for index in 0..3 {
         cluster.start(index, &[0, 3]);
@@ -147,18 +155,18 @@
         cluster.start(index, &[3]);
     }
     cluster.simulator.run_for(Duration::from_secs(20));
-    assert!(cluster.agrees());
+    assert!(cluster.views_agree());
 }
 
 #[test]
-fn verdicts_stay_right_under_loss() {
+fn detection_is_correct_under_message_loss() {
     let network = Network {
         loss: 0.05,
         ..Network::default()
     };
     let mut cluster = Cluster::formed(50, 4, network, 3);
     cluster.simulator.run_for(Duration::from_secs(60));
-    assert_eq!(cluster.dead_sightings(), []);
+    assert_eq!(cluster.dead_observations(), []);
     cluster.simulator.kill(17, false);
     let bound = Duration::from_millis(1500);
     assert!(cluster.time_until_all_see(17, Seen::Dead, bound).is_some());
@@ -172,7 +180,7 @@
         cluster.start(index, &[0]);
     }
     cluster.simulator.run_for(Duration::from_secs(6));
-    assert!(cluster.agrees());
+    assert!(cluster.views_agree());
     for node in cluster.simulator.running() {
         let largest = cluster.simulator.cost(node).largest_message;
         assert!(largest > 0 && largest < 8 * 1024, "{largest}");
--- a/crates/membership/tests/support/cluster.rs
+++ b/crates/membership/tests/support/cluster.rs
@@ -1,4 +1,4 @@
-//! A simulated cluster of the product's own state machine.
+//! A simulated cluster of [`Membership`] state machines.
 
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -12,14 +12,14 @@
 
 use super::simulator::{Input, Network, Output, Participant, Seen, Simulator};
 
-/// Zones that make up one region.
+/// Number of zones per region.
 const ZONES_PER_REGION: usize = 3;
 
 pub fn name_of(index: usize) -> String {
     format!("node-{index}")
 }
 
-/// The record of node number `index`, started at `start_ms`.
+/// The record of node `index`, started at `start_ms`.
 pub fn member(index: usize, zone: usize, start_ms: u64) -> Member {
     let name = name_of(index);
     Member {
@@ -53,7 +53,7 @@
     }
 }
 
-/// [`Membership`] as the simulator drives it.
+/// Adapts [`Membership`] to the simulator.
 pub struct Node {
     pub membership: Membership,
     index_of: BTreeMap<NodeId, usize>,
@@ -118,28 +118,28 @@
 pub struct Cluster {
     pub simulator: Simulator<Node>,
     pub config: MembershipConfig,
-    places: usize,
+    slots: usize,
     seed: u64,
 }
 
 impl Cluster {
-    /// A cluster whose nodes are not started yet.
-    pub fn new(places: usize, zones: usize, network: Network, seed: u64) -> Self {
+    /// Creates a cluster whose nodes are not started yet.
+    pub fn new(slots: usize, zones: usize, network: Network, seed: u64) -> Self {
         let mut simulator = Simulator::new(network, seed);
-        for index in 0..places {
-            simulator.add_place(index % zones);
+        for index in 0..slots {
+            simulator.add_slot(index % zones);
         }
         Self {
             simulator,
             config: MembershipConfig::default(),
-            places,
+            slots,
             seed,
         }
     }
 
-    /// A cluster in which all nodes have joined and agree.
-    pub fn formed(places: usize, zones: usize, network: Network, seed: u64) -> Self {
-        let mut cluster = Self::formed_early(places, zones, network, seed);
+    /// Creates a cluster in which all nodes have joined and their views agree.
+    pub fn formed(slots: usize, zones: usize, network: Network, seed: u64) -> Self {
+        let mut cluster = Self::formed_early(slots, zones, network, seed);
         cluster
             .simulator
             .run_for(MembershipConfig::default().newcomer_period);
@@ -147,17 +147,17 @@
         cluster
     }
 
-    /// As [`Cluster::formed`], with nodes that still count as newcomers.
-    pub fn formed_early(places: usize, zones: usize, network: Network, seed: u64) -> Self {
+    /// As [`Cluster::formed`], with nodes that are still within their newcomer period.
+    pub fn formed_early(slots: usize, zones: usize, network: Network, seed: u64) -> Self {
         let loss = network.loss;
-        let mut cluster = Self::new(places, zones, network, seed);
+        let mut cluster = Self::new(slots, zones, network, seed);
         cluster.simulator.network.loss = 0.0;
-        for index in 0..places {
+        for index in 0..slots {
             cluster.start(index, &[0]);
             cluster.simulator.run_for(Duration::from_millis(3));
         }
         cluster.simulator.run_for(Duration::from_secs(1));
-        let everyone: Vec<usize> = (0..places).collect();
+        let everyone: Vec<usize> = (0..slots).collect();
         for observer in &everyone {
             assert_eq!(
                 cluster.seen_present(*observer),
@@ -166,11 +166,11 @@
             );
         }
         cluster.simulator.network.loss = loss;
-        cluster.simulator.sightings.clear();
+        cluster.simulator.observations.clear();
         cluster
     }
 
-    /// Starts, or starts again, the node of this number.
+    /// Starts or restarts a node.
     pub fn start(&mut self, index: usize, seeds: &[usize]) {
         let now = self.simulator.now;
         let start_ms = 1_000_000 + now.micros / 1000;
@@ -179,7 +179,7 @@
         let seeds = seeds.map(|seed| address(*seed)).collect();
         let seed = self.seed.wrapping_mul(1_000_003).wrapping_add(index as u64) ^ start_ms;
         let membership = Membership::new(self.config.clone(), member, seeds, seed, now);
-        let indices = 0..self.places;
+        let indices = 0..self.slots;
         let index_of = indices.map(|index| (NodeId::from_name(&name_of(index)), index));
         let node = Node {
             membership,
@@ -197,9 +197,9 @@
         view(&self.simulator, observer, subject)
     }
 
-    /// The nodes that one node sees present, in order of number.
+    /// The nodes that one node sees as present, in order of index.
     pub fn seen_present(&self, observer: usize) -> Vec<usize> {
-        let subjects = 0..self.places;
+        let subjects = 0..self.slots;
         subjects
             .filter(|subject| {
                 let state = self.sees(observer, *subject);
@@ -208,7 +208,7 @@
             .collect()
     }
 
-    /// Runs until all running nodes see the subject in this state; returns the time it took.
+    /// Runs until all running nodes see the subject in this state; returns the elapsed time.
     pub fn time_until_all_see(
         &mut self,
         subject: usize,
@@ -225,18 +225,18 @@
     }
 
     /// Whether all running nodes see exactly the running nodes as present.
-    pub fn agrees(&self) -> bool {
+    pub fn views_agree(&self) -> bool {
         let running = self.simulator.running();
         running
             .iter()
             .all(|observer| self.seen_present(*observer) == running)
     }
 
-    /// Dead sightings of nodes, as (observer, subject).
-    pub fn dead_sightings(&self) -> Vec<(usize, usize)> {
-        let sightings = self.simulator.sightings.iter();
-        let dead = sightings.filter(|sighting| sighting.state == Seen::Dead);
-        dead.map(|sighting| (sighting.observer, sighting.subject))
+    /// Observations of nodes as Dead, as (observer, subject).
+    pub fn dead_observations(&self) -> Vec<(usize, usize)> {
+        let observations = self.simulator.observations.iter();
+        let dead = observations.filter(|observation| observation.state == Seen::Dead);
+        dead.map(|observation| (observation.observer, observation.subject))
             .collect()
     }
 }
--- a/crates/membership/tests/support/mod.rs
+++ b/crates/membership/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Parts that the tests and the comparison share. Each test binary uses some of them.
+//! Shared by the tests and the `compare` example. Each binary uses a part of it.
 #![allow(dead_code, reason = "not every test binary uses every part")]
 
 pub mod cluster;
--- a/crates/membership/tests/support/simulator.rs
+++ b/crates/membership/tests/support/simulator.rs
@@ -1,4 +1,4 @@
-//! A deterministic simulator of nodes and links under virtual time.
+//! A deterministic simulator of nodes and links in virtual time.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeSet, BinaryHeap};
@@ -8,7 +8,7 @@
 use rand_chacha::ChaCha8Rng;
 use ridgeworks_domain::MonotonicTime;
 
-/// What a node sees of another.
+/// The state in which a node sees another.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Seen {
     Alive,
@@ -18,14 +18,14 @@
     Left,
 }
 
-/// What a participant asks for.
+/// An output of a participant.
 #[derive(Debug, Clone)]
 pub enum Output<M> {
     Send { to: usize, message: M },
     Sees { subject: usize, state: Seen },
 }
 
-/// What a participant is given.
+/// An input of a participant.
 #[derive(Debug, Clone)]
 pub enum Input<M> {
     Timer,
@@ -47,22 +47,22 @@
     fn encoded_bytes(message: &Self::Message) -> usize;
 }
 
-/// Bytes of Ethernet, IP and TCP headers and of a frame length, added to each message.
+/// Bytes of Ethernet, IP and TCP headers and of the frame length, added to each message.
 pub const HEADER_BYTES: usize = 70;
 
-/// Timers in a row that may be due again at once before the state machine counts as stuck.
-const MAX_TIMERS_STANDING_STILL: u32 = 20;
+/// Consecutive timers without progress of time after which the state machine counts as stuck.
+const MAX_STALLED_TIMERS: u32 = 20;
 
-/// How links behave.
+/// Behaviour of links.
 #[derive(Debug, Clone)]
 pub struct Network {
     pub delay_in_zone: Duration,
     pub delay_between_zones: Duration,
-    /// Largest random addition to each delay.
+    /// Maximum random addition to each delay.
     pub jitter: Duration,
     /// Probability that a message is lost.
     pub loss: f64,
-    /// Probability that a message arrives twice.
+    /// Probability that a message is duplicated.
     pub duplication: f64,
 }
 
@@ -78,16 +78,16 @@
     }
 }
 
-/// One change in what a node sees.
+/// One change of a node's view of another.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Sighting {
+pub struct Observation {
     pub at: MonotonicTime,
     pub observer: usize,
     pub subject: usize,
     pub state: Seen,
 }
 
-/// What one node spent.
+/// Resources used by one node.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Cost {
     pub messages: u64,
@@ -99,17 +99,17 @@
 struct Node<P: Participant> {
     participant: Option<P>,
     zone: usize,
-    life: u32,
+    incarnation: u32,
     frozen_until: MonotonicTime,
     backlog: Vec<Input<P::Message>>,
     timer_at: MonotonicTime,
-    timers_standing_still: u32,
+    stalled_timers: u32,
     cost: Cost,
     peers: BTreeSet<usize>,
 }
 
-enum Happening<M> {
-    Timer { node: usize, life: u32 },
+enum Scheduled<M> {
+    Timer { node: usize, incarnation: u32 },
     Arrival { to: usize, input: Input<M> },
     Thaw { node: usize },
 }
@@ -117,7 +117,7 @@
 struct Queued<M> {
     at: MonotonicTime,
     order: u64,
-    happening: Happening<M>,
+    scheduled: Scheduled<M>,
 }
 
 impl<M> PartialEq for Queued<M> {
@@ -141,8 +141,8 @@
 pub struct Simulator<P: Participant> {
     pub now: MonotonicTime,
     pub network: Network,
-    pub sightings: Vec<Sighting>,
-    /// Whether messages are encoded for their size, which takes most of a run's time.
+    pub observations: Vec<Observation>,
+    /// Whether messages are encoded to measure their size, which takes most of a run's time.
     pub counts_bytes: bool,
     nodes: Vec<Node<P>>,
     queue: BinaryHeap<Reverse<Queued<P::Message>>>,
@@ -156,7 +156,7 @@
         Self {
             now: MonotonicTime::ZERO,
             network,
-            sightings: Vec::new(),
+            observations: Vec::new(),
             counts_bytes: false,
             nodes: Vec::new(),
             queue: BinaryHeap::new(),
@@ -166,16 +166,16 @@
         }
     }
 
-    /// Adds a place for a node in a zone; it is empty until [`Simulator::start`].
-    pub fn add_place(&mut self, zone: usize) -> usize {
+    /// Adds a slot for a node in a zone; it is empty until [`Simulator::start`].
+    pub fn add_slot(&mut self, zone: usize) -> usize {
         self.nodes.push(Node {
             participant: None,
             zone,
-            life: 0,
+            incarnation: 0,
             frozen_until: MonotonicTime::ZERO,
             backlog: Vec::new(),
             timer_at: MonotonicTime::ZERO,
-            timers_standing_still: 0,
+            stalled_timers: 0,
             cost: Cost::default(),
             peers: BTreeSet::new(),
         });
@@ -184,15 +184,15 @@
 
     pub fn start(&mut self, node: usize, participant: P) {
         let timer_at = participant.next_timer();
-        let place = &mut self.nodes[node];
-        place.participant = Some(participant);
-        place.life += 1;
-        place.timer_at = timer_at;
-        let life = place.life;
-        self.push(timer_at, Happening::Timer { node, life });
+        let slot = &mut self.nodes[node];
+        slot.participant = Some(participant);
+        slot.incarnation += 1;
+        slot.timer_at = timer_at;
+        let incarnation = slot.incarnation;
+        self.push(timer_at, Scheduled::Timer { node, incarnation });
     }
 
-    /// Ends a process. With `resets`, its machine stays up and closes the links.
+    /// Kills a process. With `resets`, its machine stays up and closes the links.
     pub fn kill(&mut self, node: usize, resets: bool) {
         self.nodes[node].participant = None;
         self.nodes[node].backlog.clear();
@@ -202,20 +202,20 @@
             if resets && !self.is_cut(node, peer) {
                 let at = self.now + self.delay(node, peer);
                 let input = Input::LinkClosed { node };
-                self.push(at, Happening::Arrival { to: peer, input });
+                self.push(at, Scheduled::Arrival { to: peer, input });
             }
         }
     }
 
     pub fn freeze(&mut self, node: usize, duration: Duration) {
         let until = self.now + duration;
-        let place = &mut self.nodes[node];
-        place.frozen_until = place.frozen_until.max(until);
-        let at = place.frozen_until;
-        self.push(at, Happening::Thaw { node });
+        let slot = &mut self.nodes[node];
+        slot.frozen_until = slot.frozen_until.max(until);
+        let at = slot.frozen_until;
+        self.push(at, Scheduled::Thaw { node });
     }
 
-    /// Cuts a zone off from all others.
+    /// Partitions a zone from all others.
     pub fn cut_off(&mut self, zone: usize) {
         for other in 0..self.zone_count() {
             self.cut(zone, other);
@@ -269,9 +269,9 @@
         }
     }
 
-    /// Gives a running node an input at once.
+    /// Delivers an input to a running node immediately.
     pub fn inject(&mut self, node: usize, input: Input<P::Message>) {
-        self.push(self.now, Happening::Arrival { to: node, input });
+        self.push(self.now, Scheduled::Arrival { to: node, input });
     }
 
     pub fn run_for(&mut self, duration: Duration) {
@@ -279,12 +279,12 @@
         self.run_until(end, |_| false);
     }
 
-    /// Runs until `done` holds or the time has come; returns whether `done` held.
+    /// Runs until `done` holds or `end` is reached; returns whether `done` held.
     pub fn run_until(&mut self, end: MonotonicTime, mut done: impl FnMut(&Self) -> bool) -> bool {
         let mut seen = usize::MAX;
         loop {
-            if self.sightings.len() != seen {
-                seen = self.sightings.len();
+            if self.observations.len() != seen {
+                seen = self.observations.len();
                 if done(self) {
                     return true;
                 }
@@ -295,35 +295,35 @@
             }
             if let Some(Reverse(next)) = self.queue.pop() {
                 self.now = self.now.max(next.at);
-                self.carry_out(next.happening);
+                self.carry_out(next.scheduled);
             }
         }
         self.now = end;
         done(self)
     }
 
-    fn carry_out(&mut self, happening: Happening<P::Message>) {
-        match happening {
-            Happening::Timer { node, life } => {
-                let place = &self.nodes[node];
-                let is_current = place.life == life && place.timer_at <= self.now;
+    fn carry_out(&mut self, scheduled: Scheduled<P::Message>) {
+        match scheduled {
+            Scheduled::Timer { node, incarnation } => {
+                let slot = &self.nodes[node];
+                let is_current = slot.incarnation == incarnation && slot.timer_at <= self.now;
                 if is_current && !self.is_frozen(node) {
                     self.deliver(node, Input::Timer);
                 }
             }
-            Happening::Arrival { to, input } if self.is_frozen(to) => {
+            Scheduled::Arrival { to, input } if self.is_frozen(to) => {
                 self.nodes[to].backlog.push(input);
             }
-            Happening::Arrival { to, input } => self.deliver(to, input),
-            Happening::Thaw { node } if !self.is_frozen(node) => {
-                // A process that wakes may run its timers before it reads what has arrived.
+            Scheduled::Arrival { to, input } => self.deliver(to, input),
+            Scheduled::Thaw { node } if !self.is_frozen(node) => {
+                // A resumed process may run its timers before it reads the messages that arrived.
                 self.deliver(node, Input::Timer);
                 let backlog = std::mem::take(&mut self.nodes[node].backlog);
                 for input in backlog {
                     self.deliver(node, input);
                 }
             }
-            Happening::Thaw { .. } => {}
+            Scheduled::Thaw { .. } => {}
         }
     }
 
@@ -333,37 +333,37 @@
 
     fn deliver(&mut self, node: usize, input: Input<P::Message>) {
         let now = self.now;
-        let place = &mut self.nodes[node];
-        let Some(participant) = &mut place.participant else {
+        let slot = &mut self.nodes[node];
+        let Some(participant) = &mut slot.participant else {
             return;
         };
         let is_last = matches!(input, Input::Left);
         let is_timer = matches!(input, Input::Timer);
         let started = Instant::now();
         let outputs = participant.handle(input, now);
-        place.cost.wall += started.elapsed();
+        slot.cost.wall += started.elapsed();
         let timer_at = participant.next_timer().max(now);
-        let stands_still = is_timer && timer_at <= now;
-        place.timers_standing_still += 1;
-        if !stands_still {
-            place.timers_standing_still = 0;
+        let is_stalled = is_timer && timer_at <= now;
+        slot.stalled_timers += 1;
+        if !is_stalled {
+            slot.stalled_timers = 0;
         }
-        let is_stuck = place.timers_standing_still >= MAX_TIMERS_STANDING_STILL;
+        let is_stuck = slot.stalled_timers >= MAX_STALLED_TIMERS;
         assert!(!is_stuck, "timer of node {node} stands still at {now:?}");
-        place.timer_at = timer_at;
-        let life = place.life;
-        self.push(timer_at, Happening::Timer { node, life });
+        slot.timer_at = timer_at;
+        let incarnation = slot.incarnation;
+        self.push(timer_at, Scheduled::Timer { node, incarnation });
         for output in outputs {
-            self.take_output(node, output);
+            self.apply_output(node, output);
         }
         if is_last {
             self.kill(node, true);
         }
     }
 
-    fn take_output(&mut self, node: usize, output: Output<P::Message>) {
+    fn apply_output(&mut self, node: usize, output: Output<P::Message>) {
         match output {
-            Output::Sees { subject, state } => self.sightings.push(Sighting {
+            Output::Sees { subject, state } => self.observations.push(Observation {
                 at: self.now,
                 observer: node,
                 subject,
@@ -393,7 +393,7 @@
             let at = self.now + self.delay(from, to);
             let message = message.clone();
             let input = Input::Message { from, message };
-            self.push(at, Happening::Arrival { to, input });
+            self.push(at, Scheduled::Arrival { to, input });
         }
     }
 
@@ -411,13 +411,13 @@
         self.cut_zones.contains(&zones)
     }
 
-    fn push(&mut self, at: MonotonicTime, happening: Happening<P::Message>) {
+    fn push(&mut self, at: MonotonicTime, scheduled: Scheduled<P::Message>) {
         self.order += 1;
         let order = self.order;
         self.queue.push(Reverse(Queued {
             at,
             order,
-            happening,
+            scheduled,
         }));
     }
 }
