--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -385,7 +385,7 @@
 }
 
 impl GossipSources for Gateway {
-    fn load(&self) -> LoadReport {
+    fn load_report(&self) -> LoadReport {
         let placement = self.placement.borrow();
         let report = placement.report(self.now());
         let open = report.open.into_iter();
@@ -400,7 +400,7 @@
         None
     }
 
-    fn on_load(&self, from: &str, load: LoadReport) {
+    fn on_load_report(&self, from: &str, load: LoadReport) {
         let now = self.now();
         let open = load
             .open
--- a/crates/replica/src/handle.rs
+++ b/crates/replica/src/handle.rs
@@ -197,7 +197,7 @@
 }
 
 impl GossipSources for ReplicaHandle {
-    fn load(&self) -> LoadReport {
+    fn load_report(&self) -> LoadReport {
         LoadReport::default()
     }
 
@@ -205,7 +205,7 @@
         self.status()
     }
 
-    fn on_load(&self, _from: &str, _load: LoadReport) {}
+    fn on_load_report(&self, _from: &str, _load: LoadReport) {}
 
     fn on_prefill(&self, _read: PrefillRecord) {}
 
--- a/crates/resident/src/drain_handler.rs
+++ b/crates/resident/src/drain_handler.rs
@@ -9,10 +9,10 @@
 use crate::store_watch::WatchHandler;
 use crate::view::{Source, View};
 
-/// Applies orders to drain zones.
+/// Applies the zone-drain objects to the view.
 ///
-/// A zone is drained while an object of its name exists, whatever its fields hold: to send nothing to the zone is the safe
-/// reading of an invalid order. An order that is being deleted counts until it is gone.
+/// A zone is drained while an object of its name exists, whatever the object's fields contain: for an invalid object it is safest
+/// to send the zone no new requests. An object that is being deleted counts until it is gone.
 pub struct DrainHandler {
     view: Rc<View>,
 }
@@ -25,10 +25,10 @@
 
 impl WatchHandler for DrainHandler {
     fn on_list(&self, objects: Vec<Object>, list_revision: u64) {
-        let orders = objects
+        let drains = objects
             .into_iter()
             .map(|object| (object.name, object.revision));
-        let table = ZoneDrains::listed(orders.collect(), list_revision);
+        let table = ZoneDrains::listed(drains.collect(), list_revision);
         self.view.adopt_drains(table, Source::Store);
     }
 
--- a/crates/resident/src/http_client.rs
+++ b/crates/resident/src/http_client.rs
@@ -23,7 +23,8 @@
 /// Why a connection could not be established; no request was sent.
 #[derive(Debug)]
 pub enum ConnectError {
-    /// The server refused the connection or is unreachable.
+    /// Connecting failed, for example because the server refused the connection or is unreachable, or a socket option could not
+    /// be set.
     Refused(io::Error),
     /// The server did not answer in time.
     TimedOut,
--- a/crates/resident/src/http_server.rs
+++ b/crates/resident/src/http_server.rs
@@ -22,7 +22,7 @@
 /// An HTTP response with a text body.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TextResponse {
-    /// Status of the response.
+    /// HTTP status code.
     pub status: StatusCode,
     /// Media type of the body.
     pub content_type: &'static str,
--- a/crates/resident/src/logging.rs
+++ b/crates/resident/src/logging.rs
@@ -112,8 +112,8 @@
             text.extend_from_slice(&more);
             count += 1;
         }
-        // The process keeps running when its output has been closed.
         let mut output = std::io::stdout().lock();
+        // Write errors are ignored, so that the process keeps running when its output has been closed.
         let _ = output.write_all(&text).and_then(|()| output.flush());
         counters.flushed.fetch_add(count, Ordering::AcqRel);
     }
--- a/crates/resident/src/node.rs
+++ b/crates/resident/src/node.rs
@@ -67,9 +67,9 @@
     pub traffic: Option<Rc<Traffic>>,
     /// Heartbeats.
     pub gossip: Rc<Gossip>,
-    /// Whether this node watches the store itself.
+    /// Whether this node watches the configuration and the engines in the store, and the timings of these watches.
     pub watch_control: Rc<WatchControl>,
-    /// Whether it watches the drains of zones: they have a bound of their own, and so other timings.
+    /// The same for the drains of zones, which have a bound of their own, and so other timings.
     drain_watch_control: Rc<WatchControl>,
     /// The settings as last read from the file.
     current_settings: RefCell<NodeSettings>,
@@ -298,7 +298,8 @@
         }
     }
 
-    /// Reads the replica sets and their revision from the store; `None` when the store doesn't answer or the object can't be decoded.
+    /// Reads the replica sets and their revision from the store; `None` when the call fails, when its outcome is neither done nor
+    /// not found, or when the object can't be decoded.
     pub async fn read_replica_sets(&self) -> Option<RegisteredReplicaSets> {
         let call = read(ObjectKind::ReplicaSets, REPLICA_SET_NAME);
         let answer = self.store.call(call, STORE_CALL_TIMEOUT).await.ok()?;
@@ -412,7 +413,8 @@
         }
     }
 
-    /// Fetches a seed's view until a configuration is known.
+    /// Fetches a seed's view, at most `MAX_ATTEMPTS` times, until the seed has replied and the routes are known, or until the
+    /// routes and the replica sets are known from elsewhere.
     async fn fetch_view_from(self: Rc<Self>, seed: SocketAddr) {
         const MAX_ATTEMPTS: usize = 20;
         for _ in 0..MAX_ATTEMPTS {
--- a/crates/resident/src/peer/confirmation_query.rs
+++ b/crates/resident/src/peer/confirmation_query.rs
@@ -49,12 +49,12 @@
     /// Starts a query to a node with these ages and returns its number; `None` where a query is pending or the other node's
     /// confirmations are not recent enough. One part is enough, since each is confirmed by its own call to the store.
     pub fn start(&self, parts: &[ConfirmationAges], now: Duration) -> Option<u64> {
-        let gains = parts.iter().any(|ages| self.gains(*ages));
+        let is_fresher = parts.iter().any(|ages| self.is_peer_fresher(*ages));
         let is_free = self
             .pending
             .get()
             .is_none_or(|pending| now.saturating_sub(pending.sent_at) > REPLY_TIMEOUT);
-        if !gains || !is_free {
+        if !is_fresher || !is_free {
             return None;
         }
         let number = self.last.get() + 1;
@@ -66,10 +66,11 @@
         Some(number)
     }
 
-    fn gains(&self, ages: ConfirmationAges) -> bool {
+    /// Whether the other node's confirmation is more recent than this node's by more than the minimum gain.
+    fn is_peer_fresher(&self, ages: ConfirmationAges) -> bool {
         ages.peer.is_some_and(|peer| {
-            let least = peer + self.min_gain;
-            ages.own.is_none_or(|own| own > least)
+            let min_age = peer + self.min_gain;
+            ages.own.is_none_or(|own| own > min_age)
         })
     }
 
--- a/crates/resident/src/peer/encoding.rs
+++ b/crates/resident/src/peer/encoding.rs
@@ -28,11 +28,11 @@
 /// Parts of a message that protocol version 0 doesn't have.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Section {
-    /// Beside a configuration.
+    /// Sent with a configuration: its parts that protocol version 0 doesn't have.
     Configuration(ConfigurationExtras),
-    /// Beside changes of engines.
+    /// Sent with changes of engines: their warm-up times.
     EngineWarmUps(Vec<EngineWarmUp>),
-    /// Beside confirmations, a request for a view, or its reply.
+    /// Sent with confirmations, a request for a view, or the reply to it.
     ZoneDrains(DrainSection),
 }
 
@@ -93,15 +93,15 @@
     /// The message for the body: this one, or for an extension message one that is harmless to a node of protocol version 0.
     fn body(&self) -> Cow<'_, Self>;
 
-    /// Replaces the decoded body by the extension message that was sent beside it.
+    /// Replaces the decoded body by the extension message that was sent with it.
     fn set_extension(&mut self, extension: Self::Extension);
 
-    /// Parts that are sent beside the body.
+    /// Parts that are sent in sections, outside the body.
     fn sections(&self) -> Vec<Section> {
         Vec::new()
     }
 
-    /// Adds the parts that were sent beside the body by a node of this protocol version.
+    /// Adds the parts that were sent in sections by a node of this protocol version.
     fn set_sections(&mut self, _protocol: u16, _sections: Vec<Section>) {}
 }
 
@@ -257,7 +257,7 @@
 }
 
 impl ViewUpdate {
-    /// An omitted section says that this node doesn't have these parts.
+    /// A section is omitted if the update lacks what it belongs to, or if this node doesn't know the section's parts.
     fn sections(&self) -> Vec<Section> {
         let configuration = self.configuration.as_ref().filter(|_| self.has_extras);
         let extras = configuration.map(|configuration| configuration.extras());
--- a/crates/resident/src/peer/extension.rs
+++ b/crates/resident/src/peer/extension.rs
@@ -1,6 +1,6 @@
 //! Extension messages, whose kinds nodes of protocol version 0 don't know.
 //!
-//! Each is sent as a section beside a body that is harmless to those nodes. Every node answers a request of an unknown kind with
+//! Each is sent as a section, with a body that is harmless to those nodes. Every node answers a request of an unknown kind with
 //! `Unsupported`, so that the requester goes on without it (`docs/design/versions.md`, "A new kind of message").
 #![allow(
     missing_docs,
--- a/crates/resident/src/peer/frame.rs
+++ b/crates/resident/src/peer/frame.rs
@@ -119,7 +119,8 @@
 }
 
 impl<'a> Frame<'a> {
-    /// Splits the sections, in their order.
+    /// Splits the section bytes into sections, in the order of the frame. Fails with [`FrameError::Section`] where one extends past
+    /// the end.
     pub fn sections(&self) -> Result<Vec<RawSection<'a>>, FrameError> {
         let mut rest = self.sections;
         let mut sections = Vec::new();
@@ -147,6 +148,6 @@
 
 /// Checksum of all bytes but its own.
 fn checksum(bytes: &[u8]) -> u64 {
-    let before = xxh3_64(&bytes[..CHECKSUM_AT]);
-    xxh3_64(&bytes[HEADER_BYTES..]) ^ before.rotate_left(1)
+    let header_hash = xxh3_64(&bytes[..CHECKSUM_AT]);
+    xxh3_64(&bytes[HEADER_BYTES..]) ^ header_hash.rotate_left(1)
 }
--- a/crates/resident/src/peer/gossip.rs
+++ b/crates/resident/src/peer/gossip.rs
@@ -44,9 +44,9 @@
 const ROUNDS_PER_NAMING: usize = 8;
 /// For this long after its start a node names others in every heartbeat, so that the nodes of a starting fleet find each other.
 const NAMING_START: Duration = Duration::from_secs(5);
-/// Most engines in a heartbeat, so that it fits in one packet.
+/// Maximum number of engines in a heartbeat, so that it fits in one packet.
 const MAX_LOAD_ENTRIES: usize = 56;
-/// Most services in a heartbeat.
+/// Maximum number of services in a heartbeat.
 const MAX_SERVICE_ENTRIES: usize = 16;
 const MAX_DATAGRAM: usize = 8 * 1024;
 /// Delay before a change is announced, so that changes in quick succession go out together.
@@ -59,15 +59,15 @@
 /// Supplies the role's part of heartbeats and handles that of other nodes.
 pub trait GossipSources: 'static {
     /// This node's observations of the engines.
-    fn load(&self) -> LoadReport;
+    fn load_report(&self) -> LoadReport;
     /// This node's replica, if it runs one.
     fn replica(&self) -> Option<ReplicaStatus>;
     /// Handles another node's observations of the engines; `from` is its name.
-    fn on_load(&self, from: &str, load: LoadReport);
-    /// Records a prefill of a prompt whose directory node this is.
+    fn on_load_report(&self, from: &str, load: LoadReport);
+    /// Records a prefill that another node reports to this node as the directory node of the prompt.
     fn on_prefill(&self, prefill: PrefillRecord);
     /// The most recently recorded prefill of a prompt whose last part has this hash.
-    fn find_prefill(&self, part: u64) -> Option<PrefillRecord>;
+    fn find_prefill(&self, last_part_hash: u64) -> Option<PrefillRecord>;
 }
 
 /// Sends and receives heartbeats.
@@ -184,7 +184,7 @@
         replicas.cloned().collect()
     }
 
-    /// Whether this node is one of those that watch the store.
+    /// This node's watcher role, from the gateways that it knows.
     pub fn watcher_role(&self, now: Duration) -> WatcherRole {
         let members = self.members.borrow();
         // Nodes whose views this one refuses don't count as watchers.
@@ -235,8 +235,9 @@
         self.send_to(self.targets(), sources).await;
     }
 
-    /// Sends a heartbeat to a few nodes at once after a change. They fetch the change and announce it in turn, so it spreads faster
-    /// than by periodic heartbeats. In a small fleet every gateway watches the store itself.
+    /// Sends a heartbeat to a few random nodes after a change, without waiting for the next interval. They fetch the change and
+    /// announce it in turn, so it spreads faster than by periodic heartbeats. While fewer than [`LARGE_FLEET_GATEWAYS`] other nodes
+    /// are known nothing is sent, since in a small fleet every gateway watches the store itself.
     async fn announce_change(&self, sources: &impl GossipSources) {
         if self.members.borrow().len() < LARGE_FLEET_GATEWAYS {
             return;
@@ -251,11 +252,11 @@
             .await;
     }
 
-    /// Addresses of at most this many other nodes, chosen at random.
-    fn random_members(&self, most: usize) -> Vec<SocketAddr> {
+    /// Addresses of at most `max_count` other nodes, chosen at random.
+    fn random_members(&self, max_count: usize) -> Vec<SocketAddr> {
         let members = self.members.borrow();
         let all: Vec<&Member> = members.iter().collect();
-        let some = all.sample(&mut rand::rng(), most);
+        let some = all.sample(&mut rand::rng(), max_count);
         some.map(|member| member.info.address).collect()
     }
 
@@ -301,7 +302,7 @@
     }
 
     fn heartbeat(&self, sources: &impl GossipSources, should_name_members: bool) -> Heartbeat {
-        let mut load = sources.load();
+        let mut load = sources.load_report();
         load.open.truncate(MAX_LOAD_ENTRIES);
         load.suspects.truncate(MAX_SUSPECTS);
         load.services.truncate(MAX_SERVICE_ENTRIES);
@@ -400,7 +401,7 @@
             self.query_if_fresher(&heartbeat.confirmations, from, now)
                 .await;
         }
-        sources.on_load(&heartbeat.from.name, heartbeat.load);
+        sources.on_load_report(&heartbeat.from.name, heartbeat.load);
     }
 
     /// Queries a node whose view seems to have been confirmed more recently than this node's.
@@ -416,10 +417,10 @@
             peer: age(reported.engines_unconfirmed_ms).filter(|_| has_engines),
         };
         let drains = &self.view.drains;
-        let reported_drains = reported.drains.and_then(|known| known.unconfirmed_ms);
+        let drains_unconfirmed_ms = reported.drains.and_then(|known| known.unconfirmed_ms);
         let drains = ConfirmationAges {
             own: drains.confirmation_age(),
-            peer: age(reported_drains).filter(|_| drains.are_used()),
+            peer: age(drains_unconfirmed_ms).filter(|_| drains.are_used()),
         };
         let ages = [configuration, engines, drains];
         if let Some(number) = self.confirmation_query.start(&ages, now) {
--- a/crates/resident/src/peer/gossip/prefill_directory.rs
+++ b/crates/resident/src/peer/gossip/prefill_directory.rs
@@ -86,22 +86,33 @@
 
     /// Asks a directory node for the most recent prefill of a prompt whose last part has this hash; `None` where it has none or
     /// doesn't reply in time.
-    pub async fn query_prefill(&self, node: SocketAddr, part: u64) -> Option<PrefillRecord> {
+    pub async fn query_prefill(
+        &self,
+        node: SocketAddr,
+        last_part_hash: u64,
+    ) -> Option<PrefillRecord> {
         let (number, reply) = self.queries.start();
-        self.send(node, &Datagram::FindRead { number, part }).await;
+        self.send(
+            node,
+            &Datagram::FindRead {
+                number,
+                part: last_part_hash,
+            },
+        )
+        .await;
         let received = tokio::time::timeout(QUERY_TIMEOUT, reply).await;
         self.queries.forget(number);
         received.ok()?.ok()?
     }
 
     /// Address of the directory node for prompts whose last part has this hash; `None` where it is this node.
-    pub fn directory_node(&self, part: u64) -> Option<SocketAddr> {
+    pub fn directory_node(&self, last_part_hash: u64) -> Option<SocketAddr> {
         let now = self.clock.now();
         let members = self.members.borrow();
         let alive = members.iter().filter(|member| {
             !member.info.is_replica && member.is_alive(now, DIRECTORY_NODE_TIMEOUT)
         });
-        let rank = |name: &str| xxh3_64_with_seed(name.as_bytes(), part);
+        let rank = |name: &str| xxh3_64_with_seed(name.as_bytes(), last_part_hash);
         let best = alive.max_by_key(|member| rank(&member.info.name))?;
         (rank(&best.info.name) > rank(&self.me.name)).then_some(best.info.address)
     }
--- a/crates/resident/src/peer/link.rs
+++ b/crates/resident/src/peer/link.rs
@@ -29,7 +29,8 @@
 /// A link without a request or a reply for this long is closed.
 const IDLE_LIMIT: Duration = Duration::from_secs(20);
 
-/// Why a request to another node has no reply. The node may have executed it.
+/// Why a request to another node has no reply. The node may have executed it, even after `Unreachable` and `Full`: when a silent
+/// link is replaced, a request that was sent on it is sent again, and the error may be that of the second attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LinkError {
     /// No connection could be established.
--- a/crates/resident/src/peer/links.rs
+++ b/crates/resident/src/peer/links.rs
@@ -22,7 +22,7 @@
 /// How long a link with pending replies may be silent before it is checked. Without the check, requests on a silent connection would
 /// time out for as long as the process runs.
 const SILENCE: Duration = Duration::from_millis(350);
-/// Least time between the start or a check of a link and its next check.
+/// Minimum time between the start or a check of a link and its next check.
 const MIN_CHECK_INTERVAL: Duration = Duration::from_secs(2);
 /// Timeout of a check.
 const CHECK_TIMEOUT: Duration = Duration::from_secs(2);
@@ -61,9 +61,9 @@
     }
 }
 
-/// How long a node with this slowest recent reply may be silent before its link is checked; at least `least`.
-pub fn silence_timeout(slowest_reply: Duration, least: Duration) -> Duration {
-    least.max(slowest_reply * SLOWEST_REPLY_FACTOR)
+/// How long a node with this slowest recent reply may be silent before its link is checked; at least `min_timeout`.
+pub fn silence_timeout(slowest_reply: Duration, min_timeout: Duration) -> Duration {
+    min_timeout.max(slowest_reply * SLOWEST_REPLY_FACTOR)
 }
 
 struct Peer {
@@ -93,15 +93,15 @@
 /// All links of a node.
 #[derive(Default)]
 pub struct PeerLinks {
-    table: Rc<Table>,
+    table: Rc<LinkTable>,
 }
 
 impl PeerLinks {
     /// Links whose bytes are counted in `traffic`; `None` counts nothing.
     pub fn counting(traffic: Option<Rc<Traffic>>) -> Self {
-        let table = Table {
+        let table = LinkTable {
             traffic,
-            ..Table::default()
+            ..LinkTable::default()
         };
         Self {
             table: Rc::new(table),
@@ -152,13 +152,13 @@
 }
 
 #[derive(Default)]
-struct Table {
+struct LinkTable {
     peers: RefCell<HashMap<SocketAddr, Peer>>,
     replaced: Cell<u64>,
     traffic: Option<Rc<Traffic>>,
 }
 
-impl Table {
+impl LinkTable {
     fn send(
         &self,
         to: SocketAddr,
--- a/crates/resident/src/peer/message.rs
+++ b/crates/resident/src/peer/message.rs
@@ -170,14 +170,14 @@
     pub unconfirmed_ms: Option<u64>,
 }
 
-/// Section about the drains of zones, beside the body of another message.
+/// Section about the drains of zones, sent with the body of another message.
 #[derive(Debug, Clone, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub enum DrainSection {
-    /// Beside [`Confirmations`]: version of the sender's drains.
+    /// Sent with [`Confirmations`]: version of the sender's drains.
     Known(KnownDrains),
-    /// Beside [`PeerRequest::FetchView`]: the requester uses drains.
+    /// Sent with [`PeerRequest::FetchView`]: the requester uses drains.
     Wanted,
-    /// Beside [`PeerReply::View`]: the sender's drains.
+    /// Sent with [`PeerReply::View`]: the sender's drains.
     Told(DrainSnapshot),
 }
 
@@ -223,7 +223,7 @@
     pub services: Vec<ServiceSummary>,
 }
 
-/// State that a node sends to others a few times a second.
+/// State that a node sends to some others at each heartbeat interval and after changes.
 #[derive(Debug, Clone, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct Heartbeat {
     /// The sender.
@@ -248,7 +248,7 @@
 /// Messages over UDP. They may be lost, so no safety property depends on them.
 #[derive(Debug, Clone, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub enum Datagram {
-    /// Sent a few times a second.
+    /// Sent at each heartbeat interval and after changes.
     Heartbeat(Box<Heartbeat>),
     /// Tells a prompt's directory node that an engine processes the prompt.
     Read(PrefillRecord),
--- a/crates/resident/src/peer/mod.rs
+++ b/crates/resident/src/peer/mod.rs
@@ -34,7 +34,7 @@
 
 use tokio_util::codec::LengthDelimitedCodec;
 
-/// Longest frame; a longer one closes the connection.
+/// Maximum size of a frame; a larger one closes the connection.
 const MAX_FRAME_BYTES: usize = 64 * 1024 * 1024;
 
 fn codec() -> LengthDelimitedCodec {
--- a/crates/resident/src/peer/rejected.rs
+++ b/crates/resident/src/peer/rejected.rs
@@ -7,7 +7,7 @@
 
 use super::encoding::{MessageError, MessageKind};
 
-/// Most pairs of a node and a kind that are logged.
+/// Maximum number of pairs of a node and a message kind that are logged; messages of further pairs are only counted.
 const MAX_LOGGED_SOURCES: usize = 1_024;
 
 /// Counters of rejected messages.
--- a/crates/resident/src/peer/server.rs
+++ b/crates/resident/src/peer/server.rs
@@ -18,7 +18,7 @@
 use super::rejected::REJECTED;
 use crate::http_client::configure_socket;
 
-/// Most in-flight requests of a connection; no more are read until replies have been sent.
+/// Maximum number of in-flight requests of a connection; no more are read until replies have been sent.
 const MAX_IN_FLIGHT_REQUESTS: usize = 256;
 /// A connection without a request for this long is closed, since it may have fallen silent without an error and would
 /// stay open for ever. Longer than the idle limit of the requester.
--- a/crates/resident/src/peer/targets.rs
+++ b/crates/resident/src/peer/targets.rs
@@ -17,10 +17,11 @@
 
 /// Number of nodes in rotation that get a heartbeat at each interval.
 pub const FAN_OUT: usize = 8;
-/// How many of them are in other zones where there are too many nodes for a few rounds. Requests mostly stay in the zone of their
-/// gateway, so state of its own zone matters most to it, and traffic between zones costs more.
+/// Minimum number of them in other zones, as far as there are so many, where more than `UNWEIGHTED_ROUNDS` rounds are needed to
+/// reach all nodes. Requests mostly stay in the zone of their gateway, so state of its own zone matters most to it, and traffic
+/// between zones costs more.
 const REMOTE_ZONE_FAN_OUT: usize = 3;
-/// Up to as many nodes as this many rounds reach, zones are not weighted.
+/// Zones are not weighted where this many rounds reach all nodes.
 const UNWEIGHTED_ROUNDS: usize = 2;
 /// Number of replicas in rotation that a replica sends to at each interval while no set is known.
 const REPLICA_FAN_OUT: usize = 8;
@@ -48,7 +49,8 @@
                 .map(|member| member.info.address)
                 .collect();
             if groups.iter().count() > 1 {
-                // Here the offset grows by the number of replicas that get a heartbeat.
+                // `offset` grows by `FAN_OUT` at each interval; this rotation advances by `OTHER_GROUP_FAN_OUT`, the number of
+                // its targets.
                 let offset = offset / FAN_OUT * OTHER_GROUP_FAN_OUT;
                 targets.extend(round_robin(&other_groups, offset, OTHER_GROUP_FAN_OUT));
             } else {
@@ -62,8 +64,8 @@
     targets
 }
 
-/// The next nodes in rotation. Where there are more than two rounds of them, nodes in `me`'s zone get most of the places, as far
-/// as there are enough of them.
+/// The next nodes in rotation. Where more than `UNWEIGHTED_ROUNDS` rounds are needed to reach all, nodes in `me`'s zone get most of
+/// the places, as far as there are enough of them.
 fn zone_weighted(me: &MemberInfo, others: Vec<&Member>, offset: usize) -> Vec<SocketAddr> {
     if others.len() <= UNWEIGHTED_ROUNDS * FAN_OUT {
         return round_robin(&others, offset, FAN_OUT);
@@ -71,8 +73,8 @@
     let (near, far): (Vec<&Member>, Vec<&Member>) = others
         .into_iter()
         .partition(|member| member.info.zone == me.zone);
-    let far_least = far.len().min(REMOTE_ZONE_FAN_OUT);
-    let near_count = near.len().min(FAN_OUT - far_least);
+    let min_far_count = far.len().min(REMOTE_ZONE_FAN_OUT);
+    let near_count = near.len().min(FAN_OUT - min_far_count);
     let rounds = offset / FAN_OUT;
     let mut targets = round_robin(&near, rounds * near_count, near_count);
     let far_count = FAN_OUT - near_count;
@@ -96,8 +98,8 @@
     if own.is_empty() { all } else { own }
 }
 
-fn round_robin(members: &[&Member], offset: usize, most: usize) -> Vec<SocketAddr> {
+fn round_robin(members: &[&Member], offset: usize, max_count: usize) -> Vec<SocketAddr> {
     let count = members.len();
-    let places = (0..count.min(most)).map(|index| offset.wrapping_add(index) % count);
+    let places = (0..count.min(max_count)).map(|index| offset.wrapping_add(index) % count);
     places.map(|place| members[place].info.address).collect()
 }
--- a/crates/resident/src/settings.rs
+++ b/crates/resident/src/settings.rs
@@ -73,7 +73,7 @@
     pub contact_ms: f64,
     /// Time within which a configuration has to be in force everywhere, in milliseconds.
     pub configuration_ms: f64,
-    /// Number of machines with a disk that may be lost at once.
+    /// Number of machines with a disk that may be lost at the same time.
     pub lost_machines: u32,
     /// Time after which no request with a revoked key may run, whatever its gateway has learned, in milliseconds; `None`
     /// where that is not guaranteed.
@@ -295,7 +295,8 @@
         SocketAddr::new(self.address, self.peer_port)
     }
 
-    /// Addresses of the seeds' links and heartbeats, without this node's own.
+    /// Addresses of the links and heartbeats of the other seeds: their configured IP addresses with this node's `peer_port`. The
+    /// ports in `seeds` are ignored.
     pub fn seed_peers(&self) -> Vec<SocketAddr> {
         let others = self.seeds.iter().filter(|seed| seed.ip() != self.address);
         others
@@ -324,59 +325,69 @@
         let is_gateway = self.role == Role::Gateway;
         check(self.name.is_empty(), SettingsFault::Empty("name"));
         check(self.peer_port == 0, SettingsFault::Empty("peer_port"));
-        let no_memory = self.limits.memory_mb == 0;
-        check(no_memory, SettingsFault::Empty("limits.memory_mb"));
-        let no_callers = is_gateway && self.listen.callers.is_none();
-        check(no_callers, SettingsFault::Missing("listen.callers"));
-        let no_readiness = is_gateway && self.listen.readiness.is_none();
-        check(no_readiness, SettingsFault::Missing("listen.readiness"));
-        let no_folder = !is_gateway && self.data_folder.is_none();
-        check(no_folder, SettingsFault::Missing("data_folder"));
+        let is_memory_limit_zero = self.limits.memory_mb == 0;
+        check(
+            is_memory_limit_zero,
+            SettingsFault::Empty("limits.memory_mb"),
+        );
+        let lacks_callers = is_gateway && self.listen.callers.is_none();
+        check(lacks_callers, SettingsFault::Missing("listen.callers"));
+        let lacks_readiness = is_gateway && self.listen.readiness.is_none();
+        check(lacks_readiness, SettingsFault::Missing("listen.readiness"));
+        let lacks_data_folder = !is_gateway && self.data_folder.is_none();
+        check(lacks_data_folder, SettingsFault::Missing("data_folder"));
         let is_non_negative = |value: f64| value.is_finite() && value >= 0.0;
-        let bad_grace = !is_non_negative(self.bounds.grace_s);
-        check(bad_grace, SettingsFault::InvalidTime("bounds.grace_s"));
-        let bad_contact = !is_non_negative(self.bounds.contact_ms);
-        check(bad_contact, SettingsFault::InvalidTime("bounds.contact_ms"));
+        let is_grace_invalid = !is_non_negative(self.bounds.grace_s);
+        check(
+            is_grace_invalid,
+            SettingsFault::InvalidTime("bounds.grace_s"),
+        );
+        let is_contact_invalid = !is_non_negative(self.bounds.contact_ms);
+        check(
+            is_contact_invalid,
+            SettingsFault::InvalidTime("bounds.contact_ms"),
+        );
         let configuration_ms = self.bounds.configuration_ms;
-        let bad_bound = !is_non_negative(configuration_ms) || configuration_ms == 0.0;
+        let is_configuration_bound_invalid =
+            !is_non_negative(configuration_ms) || configuration_ms == 0.0;
         check(
-            bad_bound,
+            is_configuration_bound_invalid,
             SettingsFault::InvalidTime("bounds.configuration_ms"),
         );
         let is_positive = |value: f64| is_non_negative(value) && value > 0.0;
-        let bad_removal = !self.bounds.key_removal_ms.is_none_or(is_positive);
+        let is_key_removal_invalid = !self.bounds.key_removal_ms.is_none_or(is_positive);
         check(
-            bad_removal,
+            is_key_removal_invalid,
             SettingsFault::InvalidTime("bounds.key_removal_ms"),
         );
-        let bad_drain = !self.bounds.zone_drain_ms.is_none_or(is_positive);
+        let is_zone_drain_invalid = !self.bounds.zone_drain_ms.is_none_or(is_positive);
         check(
-            bad_drain,
+            is_zone_drain_invalid,
             SettingsFault::NotPositive("bounds.zone_drain_ms"),
         );
-        let bad_factor = !self.bounds.warm_up_factor.is_none_or(is_positive);
+        let is_warm_up_factor_invalid = !self.bounds.warm_up_factor.is_none_or(is_positive);
         check(
-            bad_factor,
+            is_warm_up_factor_invalid,
             SettingsFault::NotPositive("bounds.warm_up_factor"),
         );
-        let bad_warm_slack = !self.bounds.warm_up_slack.is_none_or(is_non_negative);
+        let is_warm_up_slack_invalid = !self.bounds.warm_up_slack.is_none_or(is_non_negative);
         check(
-            bad_warm_slack,
+            is_warm_up_slack_invalid,
             SettingsFault::NegativeNumber("bounds.warm_up_slack"),
         );
-        let bad_window = !is_positive(self.bounds.quota_window_s);
+        let is_quota_window_invalid = !is_positive(self.bounds.quota_window_s);
         check(
-            bad_window,
+            is_quota_window_invalid,
             SettingsFault::InvalidTime("bounds.quota_window_s"),
         );
-        let bad_overshoot = !is_non_negative(self.bounds.quota_overshoot);
+        let is_quota_overshoot_invalid = !is_non_negative(self.bounds.quota_overshoot);
         check(
-            bad_overshoot,
+            is_quota_overshoot_invalid,
             SettingsFault::NegativeNumber("bounds.quota_overshoot"),
         );
-        let bad_slack = !is_non_negative(self.bounds.quota_slack);
+        let is_quota_slack_invalid = !is_non_negative(self.bounds.quota_slack);
         check(
-            bad_slack,
+            is_quota_slack_invalid,
             SettingsFault::NegativeNumber("bounds.quota_slack"),
         );
         if let Some(text) = &self.listen.metrics {
--- a/crates/resident/src/store_client.rs
+++ b/crates/resident/src/store_client.rs
@@ -16,7 +16,7 @@
 use crate::http_client::{ConnectError, Connection, connect};
 
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(800);
-/// Most idle connections that are kept.
+/// Maximum number of idle connections that are kept.
 const MAX_IDLE: usize = 3;
 /// How long a connection may be idle and still be reused. It may fall silent without an error meanwhile, and a new connection
 /// costs less than a call that times out. Consecutive calls of a watch come within this time.
--- a/crates/resident/src/store_watch.rs
+++ b/crates/resident/src/store_watch.rs
@@ -28,20 +28,21 @@
 const CHANGE_COALESCING_DELAY: Duration = Duration::from_millis(200);
 /// Time that the store may take to answer beyond the wait of the request.
 pub(crate) const REPLY_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Timeout of a probe. Together with the longest backoff it stays below the configuration bound after an outage of the
+/// Timeout of a probe. Together with the maximum backoff it stays below the configuration bound after an outage of the
 /// store; a slow store takes up to half a second.
 const PROBE_TIMEOUT: Duration = Duration::from_secs(1);
-/// Wait of a probe: the least that a watch can have.
+/// Wait of a probe: the minimum that a watch can have.
 const PROBE_WAIT: Duration = Duration::from_millis(1);
 const FIRST_BACKOFF: Duration = Duration::from_millis(50);
-/// Longest backoff of a node that has no list yet, and so can't work.
+/// Maximum backoff of a node that has no list yet, and so can't work.
 const MAX_FIRST_LIST_BACKOFF: Duration = Duration::from_millis(200);
 
 /// Why a list or a watch failed.
 #[derive(Debug)]
 enum WatchError {
     Failure(StoreFailure),
-    Outcome(StoreOutcome),
+    /// The outcome is not [`StoreOutcome::Done`].
+    UnexpectedOutcome(StoreOutcome),
     Answer(MalformedStoreResponse),
 }
 
@@ -49,10 +50,10 @@
     fn name(&self) -> &'static str {
         match self {
             Self::Failure(failure) => failure.name(),
-            Self::Outcome(StoreOutcome::Throttled) => "throttled",
-            Self::Outcome(StoreOutcome::NotDone) => "unavailable",
-            Self::Outcome(StoreOutcome::HistoryGone) => "history_gone",
-            Self::Outcome(_) => "refused",
+            Self::UnexpectedOutcome(StoreOutcome::Throttled) => "throttled",
+            Self::UnexpectedOutcome(StoreOutcome::NotDone) => "unavailable",
+            Self::UnexpectedOutcome(StoreOutcome::HistoryGone) => "history_gone",
+            Self::UnexpectedOutcome(_) => "refused",
             Self::Answer(_) => "unreadable",
         }
     }
@@ -62,7 +63,7 @@
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Failure(failure) => failure.fmt(formatter),
-            Self::Outcome(outcome) => write!(formatter, "the store answered {outcome:?}"),
+            Self::UnexpectedOutcome(outcome) => write!(formatter, "the store answered {outcome:?}"),
             Self::Answer(error) => error.fmt(formatter),
         }
     }
@@ -82,7 +83,8 @@
     fn on_events(&self, events: Vec<ObjectEvent>, complete_at: u64);
     /// The store confirmed that the known objects were the newest `age` ago.
     fn on_confirmed(&self, age: Duration);
-    /// The store confirmed the known objects beside an open watch or after an outage, which other nodes may need to learn at once.
+    /// The store confirmed the known objects beside an open watch or after an outage, which other nodes may need to
+    /// learn immediately.
     fn on_probe_confirmed(&self) {}
     /// Revision up to which all changes are known, also from other nodes; `None` before the first list.
     fn known_revision(&self) -> Option<u64> {
@@ -264,7 +266,7 @@
         self.revision = Some(batch.at.max(revision));
         let has_changes = !batch.events.is_empty();
         self.handler.on_events(batch.events, batch.at);
-        // Confirmed before the delay, so that other parts of the node see it at once.
+        // Confirmed before the delay, so that other parts of the node see it immediately.
         self.on_confirmed(as_of);
         if has_changes {
             tokio::time::sleep(CHANGE_COALESCING_DELAY).await;
@@ -293,7 +295,10 @@
     }
 
     async fn on_error(&mut self, error: &WatchError) {
-        if matches!(error, WatchError::Outcome(StoreOutcome::HistoryGone)) {
+        if matches!(
+            error,
+            WatchError::UnexpectedOutcome(StoreOutcome::HistoryGone)
+        ) {
             log::info!(
                 target: "dependency",
                 kind:? = self.kind;
@@ -315,19 +320,19 @@
             );
         }
         self.failures += 1;
-        let longest = match self.revision {
+        let max_backoff = match self.revision {
             Some(_) => self.control.timings().max_backoff,
             None => MAX_FIRST_LIST_BACKOFF,
         };
-        tokio::time::sleep(backoff(self.failures, longest)).await;
+        tokio::time::sleep(backoff(self.failures, max_backoff)).await;
     }
 }
 
-/// Exponential backoff with jitter, so that nodes don't retry all at once.
-fn backoff(failures: u32, longest: Duration) -> Duration {
+/// Exponential backoff with jitter, so that nodes don't all retry at the same time.
+fn backoff(failures: u32, max_backoff: Duration) -> Duration {
     let grown = FIRST_BACKOFF.saturating_mul(1 << failures.min(6));
     grown
-        .min(longest)
+        .min(max_backoff)
         .mul_f64(rand::rng().random_range(0.5..1.0))
 }
 
@@ -340,11 +345,12 @@
     let answer = answer.map_err(WatchError::Failure)?;
     match answer.outcome {
         StoreOutcome::Done => Ok(answer.body),
-        outcome => Err(WatchError::Outcome(outcome)),
+        outcome => Err(WatchError::UnexpectedOutcome(outcome)),
     }
 }
 
-/// Lists all objects of a kind, page by page; the list and the watch from the returned revision on miss no change.
+/// Lists all objects of a kind, page by page. Returns the revision of the first page: a watch that starts there returns every
+/// change that the list may lack.
 async fn list_objects(
     store: &StoreClient,
     kind: ObjectKind,
--- a/crates/resident/src/traffic.rs
+++ b/crates/resident/src/traffic.rs
@@ -15,7 +15,7 @@
 use prometheus_client::metrics::counter::ConstCounter;
 use ridgeworks_routing::ZoneRegions;
 
-/// Most machines whose distances are kept; beyond it all are dropped and learned again.
+/// Maximum number of machines whose distances are kept; beyond it all are dropped and learned again.
 const MAX_MACHINES: usize = 4_096;
 
 /// What bytes are sent for.
--- a/crates/resident/src/view/drains.rs
+++ b/crates/resident/src/view/drains.rs
@@ -170,8 +170,8 @@
         for (zone, revision) in changes {
             // True for a drain that began and ended since the known table. If another node has already reported the end,
             // `complete_at` is not newer, and it isn't applied again.
-            let was_never_known = !known.is_drained(zone) && !next.is_drained(zone);
-            if revision.is_none() && was_never_known && complete_at > known.at() {
+            let is_drained_in_neither = !known.is_drained(zone) && !next.is_drained(zone);
+            if revision.is_none() && is_drained_in_neither && complete_at > known.at() {
                 self.drains.on_restored(zone);
                 has_unseen_end = true;
             }
--- a/crates/resident/src/watch_handlers.rs
+++ b/crates/resident/src/watch_handlers.rs
@@ -158,7 +158,7 @@
 #[derive(Debug)]
 pub struct OverdueConfirmationLog {
     bound: Duration,
-    /// The longest age since the bound was exceeded; `None` within the bound.
+    /// Greatest age of the last confirmation observed since it exceeded the bound; `None` while it is within the bound.
     overdue: Option<Duration>,
 }
 
@@ -184,11 +184,11 @@
                 );
             }
             self.overdue = self.overdue.max(Some(age));
-        } else if let Some(longest) = self.overdue.take() {
+        } else if let Some(max_age) = self.overdue.take() {
             log::info!(
                 target: "belief",
                 version = version,
-                unconfirmed_ms = whole_ms(longest);
+                unconfirmed_ms = whole_ms(max_age);
                 "configuration confirmed again"
             );
         }
--- a/crates/resident/src/watch_policy.rs
+++ b/crates/resident/src/watch_policy.rs
@@ -16,51 +16,50 @@
 
 /// With this many other gateways or more, only some gateways watch.
 pub const LARGE_FLEET_GATEWAYS: usize = 12;
-/// Watching gateways in a large fleet, over all zones.
-const WATCHERS: usize = 6;
-/// Least number of watching gateways in each zone.
-const WATCHERS_PER_ZONE: usize = 2;
+/// Number of watching gateways in a large fleet, divided evenly among the zones and rounded up in each.
+const TARGET_WATCHERS: usize = 6;
+/// Minimum number of watching gateways in each zone, as far as it has so many.
+const MIN_WATCHERS_PER_ZONE: usize = 2;
 /// A node silent for this long is left out of the choice of watchers.
 const SILENT_AFTER: Duration = Duration::from_secs(20);
-/// Time after its start in which a node collects heartbeats before it relies on its watcher role. A shorter time makes nodes of a
-/// large fleet take it for a small one.
+/// Time after its start in which a node collects heartbeats before it relies on its watcher role. With a shorter time,
+/// nodes of a large fleet would not yet know enough gateways to recognize it as large, and all would watch.
 const SETTLING: Duration = Duration::from_millis(1_200);
-/// A node without a view first queries the store after this delay plus a part of the spread that is decided by the hash of its
-/// name.
+/// A node without a view first queries the store after this delay plus up to `FIRST_QUERY_SPREAD`, by the hash of its name.
 const FIRST_QUERY_DELAY: Duration = Duration::from_millis(30);
 const FIRST_QUERY_SPREAD: Duration = Duration::from_millis(300);
-/// Delay and spread of a node's first query where a seed replies. The seeds query the store themselves, so that a starting
-/// fleet doesn't query it all at once.
+/// Like `FIRST_QUERY_DELAY` and `FIRST_QUERY_SPREAD`, for a node to which a seed has replied. The seeds query the store
+/// themselves, so that the nodes of a starting fleet don't all query it at the same time.
 const SEEDED_QUERY_DELAY: Duration = Duration::from_secs(1);
 const SEEDED_QUERY_SPREAD: Duration = Duration::from_secs(1);
-/// Fraction of the configuration bound after which a view counts as stale, and the spread, of which a part decided by the hash
-/// of the node's name is added.
+/// Fraction of the configuration bound after which a view counts as stale, plus up to `STALE_SPREAD`, by the hash of the node's
+/// name.
 const STALE_FRACTION: f64 = 0.6;
 const STALE_SPREAD: f64 = 0.2;
-/// Fraction of the configuration bound for which a watch in a large fleet waits at most, and the spread, of which a part
-/// decided by the hash of the node's name is subtracted. The spread keeps watches that ended together at a change from ending
-/// together again, so that some watcher's view is always fresh.
+/// Fraction of the configuration bound for which a watch in a large fleet waits at most, minus up to `WAIT_SPREAD`, by the hash
+/// of the node's name. The spread keeps watches that ended together at a change from ending together again, so that some
+/// watcher's view is always fresh.
 const WAIT_FRACTION: f64 = 0.6;
 const WAIT_SPREAD: f64 = 0.15;
 /// How long a node keeps watching after its view was stale.
 const WATCH_TIME_AFTER_STALE_VIEW: Duration = Duration::from_secs(10);
 /// Wait of a watch in a small fleet, where nothing depends on the end of the wait.
 const LONG_WAIT: Duration = Duration::from_secs(8);
-/// Fraction of the configuration bound after which a node of a small fleet probes the store beside its watches, and the spread,
-/// of which a part decided by the hash of the node's name is added. The spread lets mostly one node probe and tell the others.
+/// Fraction of the configuration bound after which a node of a small fleet probes the store beside its watches, plus up to
+/// `PROBE_SPREAD`, by the hash of the node's name. The spread lets mostly one node probe and tell the others.
 /// Without the probe, a watch whose connection has silent delays changes past the bound.
 const PROBE_FRACTION: f64 = 0.4;
 const PROBE_SPREAD: f64 = 0.2;
-/// Fraction and spread for the probes of a node in a large fleet, where watches return before that.
+/// Like `PROBE_FRACTION` and `PROBE_SPREAD`, for a large fleet. Higher, so that a working watch ends before the probe is due.
 const LARGE_PROBE_FRACTION: f64 = 0.7;
 const LARGE_PROBE_SPREAD: f64 = 0.1;
 /// Time without a confirmation after which the store is probed for orders to retire a machine. Longer than for other kinds of
 /// objects, since carrying out such an order takes seconds anyway.
 const RETIREMENT_PROBE_DELAY: Duration = Duration::from_secs(3);
-/// Longest backoff while the store doesn't answer: short enough for a retry and its reply within the configuration bound.
+/// Maximum backoff while the store doesn't answer: short enough for a retry and its reply within the configuration bound.
 const MAX_BACKOFF: Duration = Duration::from_millis(800);
-/// Longest backoff of nodes with the role `Other`, which learn of changes from other nodes, so that a large fleet doesn't retry
-/// all at once.
+/// Maximum backoff of nodes with the role `Other`, which learn of changes from other nodes, so that the nodes of a
+/// large fleet don't all retry at the same time.
 const MAX_OTHER_BACKOFF: Duration = Duration::from_millis(2_400);
 
 /// Whether a node is one of those that watch the store.
@@ -96,7 +95,9 @@
         .collect();
     zones.sort_unstable();
     zones.dedup();
-    let wanted = WATCHERS.div_ceil(zones.len()).max(WATCHERS_PER_ZONE);
+    let wanted = TARGET_WATCHERS
+        .div_ceil(zones.len())
+        .max(MIN_WATCHERS_PER_ZONE);
     let mine = xxh3_64(name.as_bytes());
     let before = gateways
         .iter()
@@ -199,7 +200,7 @@
     pub wait: Duration,
     /// Time without a confirmation after which the store is probed beside an open watch.
     pub probe_after: Duration,
-    /// Longest backoff while the store doesn't answer.
+    /// Maximum backoff while the store doesn't answer.
     pub max_backoff: Duration,
 }
 
@@ -249,7 +250,7 @@
         self.timings.get()
     }
 
-    /// Returns at once if the node already watches.
+    /// Returns immediately if the node already watches.
     pub async fn wait_until_watching(&self) {
         let mut receiver = self.should_watch.subscribe();
         // Can't fail: `self` holds the sender.
--- a/crates/resident/tests/mixed_versions.rs
+++ b/crates/resident/tests/mixed_versions.rs
@@ -198,7 +198,7 @@
 struct IdleRole;
 
 impl GossipSources for IdleRole {
-    fn load(&self) -> LoadReport {
+    fn load_report(&self) -> LoadReport {
         LoadReport::default()
     }
 
@@ -206,7 +206,7 @@
         None
     }
 
-    fn on_load(&self, _from: &str, _load: LoadReport) {}
+    fn on_load_report(&self, _from: &str, _load: LoadReport) {}
 
     fn on_prefill(&self, _prefill: PrefillRecord) {}
 
--- a/crates/resident/tests/pending_queries.rs
+++ b/crates/resident/tests/pending_queries.rs
@@ -17,7 +17,7 @@
 fn abandoned_queries_are_removed() {
     let queries = PendingQueries::default();
     for _ in 0..10_000 {
-        // The caller gives up at once.
+        // The caller gives up immediately.
         drop(queries.start());
     }
     assert!(queries.len() <= 64, "{} queries", queries.len());
--- a/crates/resident/tests/support/idle_node.rs
+++ b/crates/resident/tests/support/idle_node.rs
@@ -26,7 +26,7 @@
 }
 
 impl GossipSources for IdleRole {
-    fn load(&self) -> LoadReport {
+    fn load_report(&self) -> LoadReport {
         LoadReport::default()
     }
 
@@ -34,7 +34,7 @@
         None
     }
 
-    fn on_load(&self, _from: &str, _load: LoadReport) {}
+    fn on_load_report(&self, _from: &str, _load: LoadReport) {}
 
     fn on_prefill(&self, _read: PrefillRecord) {}
 
