--- a/crates/gateway/src/entry.rs
+++ b/crates/gateway/src/entry.rs
@@ -12,7 +12,7 @@
 use hyper::body::Incoming;
 use ridgeworks_platform::read_metadata;
 use ridgeworks_routing::{
-    CallMetadata, CallerLimits, Refusal, RefusalReason, Residency, Route, RouteTable, Tenant,
+    CallMetadata, ClientLimits, Refusal, RefusalReason, Residency, Route, RouteTable, Tenant,
 };
 use tokio::time::Instant;
 
@@ -27,7 +27,7 @@
 /// How long reading a request body may take.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 /// Limits before any configuration is known.
-const DEFAULT_LIMITS: CallerLimits = CallerLimits {
+const DEFAULT_LIMITS: ClientLimits = ClientLimits {
     max_header_bytes: 16 * 1024,
     max_body_bytes: 4 * 1024 * 1024,
     header_timeout_ms: 3_000,
@@ -35,7 +35,7 @@
 };
 
 /// The client limits of the current configuration.
-pub fn client_limits(gateway: &Gateway) -> CallerLimits {
+pub fn client_limits(gateway: &Gateway) -> ClientLimits {
     let routes = gateway.node.view.routes();
     routes.map_or(DEFAULT_LIMITS, |routes| routes.limits())
 }
--- a/crates/gateway/tests/support/mod.rs
+++ b/crates/gateway/tests/support/mod.rs
@@ -10,7 +10,7 @@
 use ridgeworks_resident::node::Node;
 use ridgeworks_resident::settings::NodeSettings;
 use ridgeworks_routing::{
-    CallerLimits, RequestKind, Residency, Route, RouteConfiguration, Service, WeightedService,
+    ClientLimits, RequestKind, Residency, Route, RouteConfiguration, Service, WeightedService,
 };
 
 /// Settings of a gateway at this address, with extra lines in `[bounds]`.
@@ -85,7 +85,7 @@
             model: None,
             warm_up: None,
         }],
-        limits: CallerLimits {
+        limits: ClientLimits {
             max_header_bytes: 16_384,
             max_body_bytes: 65_536,
             header_timeout_ms: 3_000,
--- a/crates/resident/tests/support/idle_node.rs
+++ b/crates/resident/tests/support/idle_node.rs
@@ -10,7 +10,7 @@
 };
 use ridgeworks_resident::settings::NodeSettings;
 use ridgeworks_resident::view::Source;
-use ridgeworks_routing::{CallerLimits, PrefillRecord, RouteConfiguration};
+use ridgeworks_routing::{ClientLimits, PrefillRecord, RouteConfiguration};
 use tokio::sync::oneshot;
 
 /// Version of the node's configuration.
@@ -59,7 +59,7 @@
         version: VERSION,
         routes: Vec::new(),
         services: Vec::new(),
-        limits: CallerLimits {
+        limits: ClientLimits {
             max_header_bytes: 1,
             max_body_bytes: 1,
             header_timeout_ms: 1,
--- a/crates/resident/tests/support/samples.rs
+++ b/crates/resident/tests/support/samples.rs
@@ -13,7 +13,7 @@
     PeerRequest, PrepareRequest, RelayedRequest, ReplicaStatus, ViewPosition, ViewUpdate,
 };
 use ridgeworks_routing::{
-    CallerLimits, Engine, EngineChanges, EngineEntry, EngineState, KeyDigest, ModelEngine,
+    ClientLimits, Engine, EngineChanges, EngineEntry, EngineState, KeyDigest, ModelEngine,
     PrefillRecord, PromptPart, RateLimit, Removal, ReportedOutcomes, RequestKind, Residency, Route,
     RouteConfiguration, Service, ServiceSummary, Tenant, WeightedService,
 };
@@ -318,7 +318,7 @@
         version: 42,
         routes: routes.collect(),
         services: vec![models, tools],
-        limits: CallerLimits {
+        limits: ClientLimits {
             max_header_bytes: 16_384,
             max_body_bytes: 1_048_576,
             header_timeout_ms: 5_000,
--- a/crates/routing/src/configuration.rs
+++ b/crates/routing/src/configuration.rs
@@ -105,7 +105,7 @@
 
 /// Limits on what clients send.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Archive, Serialize, Deserialize)]
-pub struct CallerLimits {
+pub struct ClientLimits {
     /// Size of a request's header section, in bytes.
     pub max_header_bytes: u64,
     /// Size of a request's body, in bytes.
@@ -123,7 +123,7 @@
     pub version: u64,
     pub routes: Vec<Route>,
     pub services: Vec<Service>,
-    pub limits: CallerLimits,
+    pub limits: ClientLimits,
     /// `None` if requests need no key.
     pub tenants: Option<Vec<Tenant>>,
 }
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -28,7 +28,7 @@
 mod zone_drains;
 
 pub use configuration::{
-    CallerLimits, ConfigurationExtras, ModelEngine, RequestKind, Route, RouteConfiguration,
+    ClientLimits, ConfigurationExtras, ModelEngine, RequestKind, Route, RouteConfiguration,
     Service, WeightedService,
 };
 pub use eligibility::{
--- a/crates/routing/src/route_table.rs
+++ b/crates/routing/src/route_table.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-use crate::configuration::{CallerLimits, Route, RouteConfiguration, Service};
+use crate::configuration::{ClientLimits, Route, RouteConfiguration, Service};
 use crate::tenants::{KeyDigest, Tenant, TenantTable};
 use crate::warm_up::WarmUpLimit;
 
@@ -18,7 +18,7 @@
     /// Routes by host, those with the longest prefix first.
     routes: HashMap<String, Vec<Arc<Route>>>,
     services: HashMap<String, Arc<Service>>,
-    limits: CallerLimits,
+    limits: ClientLimits,
     tenants: Option<TenantTable>,
 }
 
@@ -50,7 +50,7 @@
         self.version
     }
 
-    pub fn limits(&self) -> CallerLimits {
+    pub fn limits(&self) -> ClientLimits {
         self.limits
     }
 
--- a/crates/routing/tests/support/mod.rs
+++ b/crates/routing/tests/support/mod.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use ridgeworks_routing::{
-    CallerLimits, Engine, EngineEntry, EngineState, EngineTable, Forecast, Placement,
+    ClientLimits, Engine, EngineEntry, EngineState, EngineTable, Forecast, Placement,
     PlacementRequest, PromptPart, RequestKind, Residency, Route, RouteConfiguration,
     WeightedService,
 };
@@ -68,7 +68,7 @@
         version: 1,
         routes,
         services: Vec::new(),
-        limits: CallerLimits {
+        limits: ClientLimits {
             max_header_bytes: 16_384,
             max_body_bytes: 65_536,
             header_timeout_ms: 3_000,
