--- a/crates/node/src/configuration/mod.rs
+++ b/crates/node/src/configuration/mod.rs
@@ -1,8 +1,8 @@
-//! The configuration role: keeps the configuration in force and takes the operators' changes.
+//! The configuration role: replicates the configuration in force and applies operators' changes.
 
 mod platform_client;
 mod platform_watch;
 mod role;
 
 pub use platform_client::{PlatformClient, PlatformEvent};
-pub use role::{ConfigurationOutputs, ConfigurationRoleActor, OperatorAnswers};
+pub use role::{ConfigurationOutputs, ConfigurationRoleActor, OperatorCallback};
--- a/crates/node/src/configuration/platform_client.rs
+++ b/crates/node/src/configuration/platform_client.rs
@@ -1,4 +1,4 @@
-//! Client of the platform's object service. Each operation has a thread of its own.
+//! HTTP client of the platform's object service. Each operation runs on its own thread.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -29,17 +29,17 @@
 const TOO_MANY_REQUESTS: u16 = 429;
 const UNAVAILABLE: u16 = 503;
 
-/// News of the platform for the actor thread.
+/// Results of platform operations and watch events, posted to the actor thread.
 #[derive(Debug)]
 pub enum PlatformEvent {
-    /// The answer to an operation.
+    /// Result of an operation started with [`PlatformClient::perform`].
     Answer {
-        /// Number of the operation.
+        /// Id that was passed to [`PlatformClient::perform`].
         request: RequestId,
-        /// The answer.
+        /// Result; `Lost` if the operation may have taken effect.
         answer: PlatformAnswer,
     },
-    /// Something that the watch reported.
+    /// An event of the current watch.
     Watch(WatchEvent),
 }
 
@@ -80,13 +80,13 @@
     Gone,
 }
 
-/// The list of machines at one version.
+/// The platform's list of machines at one version.
 pub(super) struct MachineListing {
     pub(super) version: u64,
     pub(super) machines: Vec<Machine>,
 }
 
-/// Client of the platform.
+/// Cheap to clone; all clones share the watch generation.
 #[derive(Clone)]
 pub struct PlatformClient {
     agent: Agent,
@@ -96,7 +96,7 @@
 }
 
 impl PlatformClient {
-    /// A client of the platform at an address, which reports to `mailbox`.
+    /// Creates a client that posts results and watch events to `mailbox`.
     pub fn new(address: SocketAddr, mailbox: Mailbox<ThreadMessage>) -> Self {
         let agent = Agent::config_builder()
             .http_status_as_error(false)
@@ -110,7 +110,8 @@
         }
     }
 
-    /// Carries out an operation; its answer comes through the mailbox.
+    /// Runs an operation on a new thread and posts its result to the mailbox. A watch posts events
+    /// instead, and replaces the previous watch.
     pub fn perform(&self, request: RequestId, operation: PlatformOperation) {
         let client = self.clone();
         let started = spawn_detached("platform-call", THREAD_STACK_BYTES, move || {
@@ -139,7 +140,7 @@
         format!("http://{}{path}", self.address)
     }
 
-    /// Whether no later watch has replaced this one.
+    /// False once a later watch has started.
     pub(super) fn is_current_watch(&self, generation: u64) -> bool {
         self.watch_generation.load(Ordering::SeqCst) == generation
     }
@@ -203,7 +204,7 @@
             .build();
         let mut response = match request.send(document) {
             Ok(response) => response,
-            Err(error) => return unanswered(&error),
+            Err(error) => return answer_for_failed_swap(&error),
         };
         match response.status().as_u16() {
             CONFLICT => PlatformAnswer::VersionMismatch,
@@ -222,17 +223,17 @@
     }
 
     fn list_machines(&self) -> Option<MachineListing> {
-        machines_in(&self.read_machines()?)
+        parse_machines(&self.read_machines()?)
     }
 
-    /// The list of machines, unless its version is the known one. Reading the version alone spares
-    /// the work of taking the whole list in.
+    /// Returns the list of machines, or `None` if the request fails or the version equals `known`.
+    /// Parses the version first, which is cheaper than parsing an unchanged list.
     pub(super) fn list_machines_unless(&self, known: Option<u64>) -> Option<MachineListing> {
         let body = self.read_machines()?;
         let found: VersionAnswer = serde_json::from_slice(&body).ok()?;
         match known == Some(found.version) {
             true => None,
-            false => machines_in(&body),
+            false => parse_machines(&body),
         }
     }
 
@@ -247,7 +248,7 @@
     }
 }
 
-fn machines_in(body: &[u8]) -> Option<MachineListing> {
+fn parse_machines(body: &[u8]) -> Option<MachineListing> {
     let answer: MachinesAnswer = serde_json::from_slice(body).ok()?;
     Some(MachineListing {
         version: answer.version,
@@ -255,7 +256,7 @@
     })
 }
 
-fn unanswered(error: &ureq::Error) -> PlatformAnswer {
+fn answer_for_failed_swap(error: &ureq::Error) -> PlatformAnswer {
     match error {
         ureq::Error::ConnectionFailed => PlatformAnswer::Unavailable,
         ureq::Error::Io(error) if error.kind() == std::io::ErrorKind::ConnectionRefused => {
@@ -265,7 +266,8 @@
     }
 }
 
-// A machine whose name cannot name a back end is left out; the platform lists others as well.
+// Returns `None` if the name is not a valid back-end name: the platform also lists machines that
+// are not back ends.
 fn machine(listed: ListedMachine) -> Option<Machine> {
     let backend = Backend {
         name: BackendName::new(listed.name.clone()).ok()?,
--- a/crates/node/src/configuration/platform_watch.rs
+++ b/crates/node/src/configuration/platform_watch.rs
@@ -1,4 +1,4 @@
-//! Watches the platform: one thread follows the objects, another reads the list of machines.
+//! Watches the platform: one thread streams object changes, another polls the list of machines.
 
 use std::io::{BufRead, BufReader};
 use std::thread;
@@ -12,10 +12,10 @@
 
 use super::platform_client::{OBJECT_KIND, PlatformClient, PlatformEvent};
 
-const MACHINES_INTERVAL: Duration = Duration::from_millis(250);
-const LIST_TIMEOUT: Duration = Duration::from_secs(2);
-/// The platform no longer keeps the changes after the asked version.
-const GONE: u16 = 410;
+const MACHINE_POLL_INTERVAL: Duration = Duration::from_millis(250);
+const LISTING_TIMEOUT: Duration = Duration::from_secs(2);
+/// Status of a watch whose start version has been compacted.
+const HTTP_GONE: u16 = 410;
 const THREAD_STACK_BYTES: usize = 256 * 1024;
 
 #[derive(Deserialize)]
@@ -45,7 +45,8 @@
     Compacted {},
 }
 
-/// Follows the objects until the connection ends or a later watch replaces this one.
+/// Runs until the object stream ends or a later watch replaces this one. Posts `Closed` only in the
+/// first case.
 pub(super) fn run(client: &PlatformClient, generation: u64) {
     let machines_client = client.clone();
     let started = spawn_detached("platform-machines", THREAD_STACK_BYTES, move || {
@@ -67,7 +68,7 @@
     let Ok(response) = client.agent().get(url).call() else {
         return;
     };
-    if response.status().as_u16() == GONE {
+    if response.status().as_u16() == HTTP_GONE {
         client.post(PlatformEvent::Watch(WatchEvent::Gap));
     }
     if !response.status().is_success() {
@@ -90,11 +91,11 @@
     }
 }
 
-/// Reports the document as it stands and gives the store's version to watch from.
+/// Posts the current document and returns the store version to watch from, or `None` on failure.
 fn report_objects(client: &PlatformClient) -> Option<u64> {
     let url = client.url(&format!("/objects?kind={OBJECT_KIND}"));
     let request = client.agent().get(url).config();
-    let request = request.timeout_global(Some(LIST_TIMEOUT)).build();
+    let request = request.timeout_global(Some(LISTING_TIMEOUT)).build();
     let mut response = request.call().ok()?;
     if !response.status().is_success() {
         return None;
@@ -137,6 +138,6 @@
                 machines: listing.machines,
             }));
         }
-        thread::sleep(MACHINES_INTERVAL);
+        thread::sleep(MACHINE_POLL_INTERVAL);
     }
 }
--- a/crates/node/src/configuration/role.rs
+++ b/crates/node/src/configuration/role.rs
@@ -1,4 +1,4 @@
-//! Actor of the configuration role.
+//! Actor that runs the configuration state machine and applies its effects.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -21,34 +21,35 @@
 use crate::replica::NodeStore;
 use crate::router::{Incoming, Outgoing};
 
-/// Hands the answer back to where an operator's request came from.
-pub type OperatorAnswers = Box<dyn FnOnce(OperatorAnswer)>;
+/// Called once with the answer to an operator's request.
+pub type OperatorCallback = Box<dyn FnOnce(OperatorAnswer)>;
 
-/// Where the role's effects go.
+/// Destinations of the role's effects.
 pub struct ConfigurationOutputs {
-    /// Messages to other nodes.
+    /// Messages to the configuration roles of other nodes.
     pub outgoing: Fwd<Outgoing>,
-    /// A newer configuration is in force.
+    /// Receives each newer configuration that comes into force.
     pub in_force: Fwd<Arc<ConfigurationSet>>,
-    /// A newer list of machines is known.
+    /// Receives each newer list of machines.
     pub machines: Fwd<Arc<MachineList>>,
-    /// Counters of the role.
+    /// Readiness, revision and counters of the role are published here.
     pub metrics: Arc<Metrics>,
 }
 
-/// The configuration role.
+/// Actor of the configuration role. `platform` is `None` where the node has no platform to talk to,
+/// `store` where it keeps no voter state.
 pub struct ConfigurationRoleActor {
     clock: Clock,
     state: Rc<RefCell<ConfigurationRole>>,
     platform: Option<PlatformClient>,
     store: Option<NodeStore>,
     outputs: ConfigurationOutputs,
-    operators: HashMap<Ticket, OperatorAnswers>,
+    pending_answers: HashMap<Ticket, OperatorCallback>,
     next_ticket: u64,
 }
 
 impl ConfigurationRoleActor {
-    /// Starts the role on a state machine that the directory shares.
+    /// Starts the role. `state` is shared with the directory, which reads it.
     pub fn init(
         cx: CX![],
         clock: Clock,
@@ -63,7 +64,7 @@
             platform,
             store,
             outputs,
-            operators: HashMap::new(),
+            pending_answers: HashMap::new(),
             next_ticket: 0,
         };
         role.tick(cx);
@@ -71,7 +72,7 @@
         Some(role)
     }
 
-    /// Takes a message from another node.
+    /// Handles a message from another node; messages of other roles are ignored.
     pub fn receive(&mut self, _cx: CX![], incoming: Incoming) {
         if let NodeMessage::Configuration(message) = incoming.message {
             let from = incoming.from;
@@ -79,7 +80,7 @@
         }
     }
 
-    /// Takes news of the platform.
+    /// Handles a result or watch event of the platform.
     pub fn platform(&mut self, _cx: CX![], event: PlatformEvent) {
         match event {
             PlatformEvent::Answer { request, answer } => {
@@ -89,7 +90,8 @@
         }
     }
 
-    /// Takes the news that a write is durable. As for the replica role, a failed one is fatal.
+    /// Handles the completion of a write of voter state. A failed write stops the actor, as in the
+    /// replica role.
     pub fn durable(&mut self, cx: CX![], write: u64, result: Result<(), StoreError>) {
         match result {
             Ok(()) => self.handle(Event::Flushed { write }),
@@ -97,27 +99,27 @@
         }
     }
 
-    /// Takes the present members, from which relays are chosen.
+    /// Updates the present members, from which relays are chosen.
     pub fn members(&mut self, _cx: CX![], members: Vec<Member>) {
         self.handle(Event::Members(members));
     }
 
-    /// Takes an operator's change.
-    pub fn change(&mut self, _cx: CX![], request: ChangeRequest, answers: OperatorAnswers) {
-        let ticket = self.open_ticket(answers);
+    /// Submits an operator's change to the configuration.
+    pub fn change(&mut self, _cx: CX![], request: ChangeRequest, callback: OperatorCallback) {
+        let ticket = self.open_ticket(callback);
         self.handle(Event::Change { ticket, request });
     }
 
-    /// Takes an operator's wish to read the newest configuration.
-    pub fn read(&mut self, _cx: CX![], answers: OperatorAnswers) {
-        let ticket = self.open_ticket(answers);
+    /// Reads the newest configuration for an operator.
+    pub fn read(&mut self, _cx: CX![], callback: OperatorCallback) {
+        let ticket = self.open_ticket(callback);
         self.handle(Event::Read { ticket });
     }
 
-    fn open_ticket(&mut self, answers: OperatorAnswers) -> Ticket {
+    fn open_ticket(&mut self, callback: OperatorCallback) -> Ticket {
         self.next_ticket += 1;
         let ticket = Ticket(self.next_ticket);
-        self.operators.insert(ticket, answers);
+        self.pending_answers.insert(ticket, callback);
         ticket
     }
 
@@ -130,14 +132,14 @@
         after!(PUBLISH_INTERVAL, [cx], publish());
     }
 
-    /// Readiness is a change of state, so it is logged as well as counted.
-    fn note_ready(&self, ready: bool) {
+    /// Publishes readiness as a metric and logs the transition.
+    fn publish_readiness(&self, ready: bool) {
         let revision = self.state.borrow().last_known().revision().0;
         self.outputs.metrics.ready.set(i64::from(ready));
         log::info!("ready={ready} revision={revision}");
     }
 
-    fn note_revision(&self, set: &ConfigurationSet) {
+    fn publish_revision(&self, set: &ConfigurationSet) {
         let revision = i64::try_from(set.revision().0).unwrap_or(i64::MAX);
         self.outputs.metrics.configuration_revision.set(revision);
     }
@@ -162,7 +164,7 @@
                 self.outputs.outgoing.fwd(Outgoing { to, message });
             }
             Effect::Platform { request, operation } => {
-                // Without a platform operations stay unanswered, as if it were down.
+                // Without a platform, operations stay unanswered, as during a platform outage.
                 if let Some(platform) = &self.platform {
                     platform.perform(request, operation);
                 }
@@ -173,16 +175,16 @@
                 }
             }
             Effect::Answer { ticket, answer } => {
-                if let Some(answers) = self.operators.remove(&ticket) {
-                    answers(answer);
+                if let Some(callback) = self.pending_answers.remove(&ticket) {
+                    callback(answer);
                 }
             }
             Effect::InForce(set) => {
-                self.note_revision(&set);
+                self.publish_revision(&set);
                 self.outputs.in_force.fwd(set);
             }
             Effect::Machines(machines) => self.outputs.machines.fwd(machines),
-            Effect::Ready(ready) => self.note_ready(ready),
+            Effect::Ready(ready) => self.publish_readiness(ready),
         }
     }
 }
--- a/crates/node/src/directory/mod.rs
+++ b/crates/node/src/directory/mod.rs
@@ -1,4 +1,5 @@
-//! What the roles of a node look up: the configuration in force and the members of the cluster.
+//! Lookups shared by the roles of a node: the configuration in force, cluster members and the
+//! placement of runs and services.
 
 mod partners;
 mod replicas;
@@ -22,10 +23,10 @@
 use crate::clock::Clock;
 use crate::settings::BootstrapPartner;
 
-/// All back ends of a service form one group until a service outgrows a dispatcher.
-const SINGLE_GROUP: u32 = 0;
+/// Each service has one dispatcher for all of its back ends.
+const DISPATCHER_GROUP: u32 = 0;
 
-/// Shared by the roles, which all run on the actor thread.
+/// A handle to state shared by the roles, which all run on the actor thread.
 #[derive(Clone)]
 pub struct Directory {
     clock: Clock,
@@ -38,7 +39,8 @@
 }
 
 impl Directory {
-    /// A directory over the state of two roles.
+    /// Creates a directory that reads the state of the configuration role and of the membership
+    /// role.
     pub fn new(
         clock: Clock,
         configuration: Rc<RefCell<ConfigurationRole>>,
@@ -57,23 +59,24 @@
         }
     }
 
-    /// The process's clock.
+    /// The clock that all roles of this process use.
     pub fn clock(&self) -> Clock {
         self.clock
     }
 
-    /// The configuration in force, or a refusal when this node cannot prove that it is the newest.
+    /// The configuration in force, or a refusal if this node cannot prove that its configuration is
+    /// the newest.
     pub fn in_force(&self) -> Result<Arc<ConfigurationSet>, Refusal> {
         let role = self.configuration.borrow();
         role.in_force(self.clock.now()).cloned()
     }
 
-    /// The last configuration known, for work that was accepted already.
+    /// The newest configuration this node has seen, for work that has already been accepted.
     pub fn last_known(&self) -> Arc<ConfigurationSet> {
         self.configuration.borrow().last_known().clone()
     }
 
-    /// The name of this node.
+    /// This node's member name.
     pub fn own_name(&self) -> String {
         self.membership.borrow().own().name.clone()
     }
@@ -84,14 +87,14 @@
         self.dispatcher_of(service) == Some(own)
     }
 
-    /// Whether a node is there, as far as this node knows.
+    /// Whether this node's membership view lists a node as present.
     pub fn is_present(&self, node: NodeId) -> bool {
         let membership = self.membership.borrow();
         let member = membership.member(node);
         member.is_some_and(|member| member.state.is_present())
     }
 
-    /// Whether a majority of these nodes is there, as far as this node knows.
+    /// Whether this node's membership view lists a majority of these nodes as present.
     pub fn is_majority_present(&self, nodes: impl Iterator<Item = NodeId>) -> bool {
         let mut all = 0;
         let mut present = 0;
@@ -102,7 +105,7 @@
         present * 2 > all
     }
 
-    /// Nodes to ask for a run, best first.
+    /// Nodes that may own a run, in rendezvous order, the preferred one first.
     pub fn owner_candidates(&self, run: RunId) -> Vec<NodeId> {
         let membership = self.membership.borrow();
         rendezvous::run_owner_candidates(run, membership.members())
@@ -111,7 +114,7 @@
             .collect()
     }
 
-    /// The last owner of a run while it is there, else the node that is to own it next.
+    /// The last owner of a run if it is present, otherwise the node that should take the run over.
     pub fn owner_or_candidate(&self, run: RunId, last_owner: NodeId) -> Option<NodeId> {
         if self.is_present(last_owner) {
             return Some(last_owner);
@@ -119,7 +122,7 @@
         self.owner_of(run)
     }
 
-    /// Whether a node has been down for this long, as far as this node knows.
+    /// Whether this node has seen a node as absent for at least `time`.
     pub fn is_absent_for(&self, node: NodeId, time: Duration) -> bool {
         let now = self.clock.now();
         let absent_since = self.absent_since.borrow();
@@ -127,8 +130,8 @@
         since.is_some_and(|since| now.since(*since) >= time)
     }
 
-    /// Notes whether a member is there.
-    pub fn note_presence(&self, node: NodeId, present: bool) {
+    /// Records whether a member is present, and since when it has been absent.
+    pub fn record_presence(&self, node: NodeId, present: bool) {
         let mut absent_since = self.absent_since.borrow_mut();
         if present {
             absent_since.remove(&node);
@@ -138,25 +141,25 @@
         }
     }
 
-    /// The node to ask first for a run.
+    /// The preferred owner of a run; `None` if no member is eligible.
     pub fn owner_of(&self, run: RunId) -> Option<NodeId> {
         self.owner_candidates(run).first().copied()
     }
 
-    /// The node that dispatches the calls of a service.
+    /// The node that dispatches the calls of a service; `None` if no member is eligible.
     pub fn dispatcher_of(&self, service: &ServiceName) -> Option<NodeId> {
         let membership = self.membership.borrow();
-        rendezvous::dispatcher_for(service, SINGLE_GROUP, membership.members())
+        rendezvous::dispatcher_for(service, DISPATCHER_GROUP, membership.members())
             .map(|member| member.node)
     }
 
-    /// Where a node listens for links.
+    /// The address at which a member accepts links; `None` if the node is no member.
     pub fn address_of(&self, node: NodeId) -> Option<SocketAddr> {
         let membership = self.membership.borrow();
         membership.member(node).map(|member| member.address)
     }
 
-    /// Nodes that are leaving and may still own runs with calls in progress.
+    /// Members that are leaving and may still own runs with in-flight calls.
     pub fn leaving_nodes(&self) -> BTreeSet<NodeId> {
         let membership = self.membership.borrow();
         membership
@@ -166,7 +169,8 @@
             .collect()
     }
 
-    /// Whether a back end is gone for good, as far as the platform tells.
+    /// Whether the platform lists a back end as gone for good. False for a back end that the
+    /// configuration names.
     pub fn is_gone(&self, backend: &BackendName) -> bool {
         let role = self.configuration.borrow();
         if role.last_known().backend(backend).is_some() {
@@ -184,7 +188,7 @@
         leaving && !is_disabled(Safeguard::Leaving)
     }
 
-    /// All members as they are now.
+    /// A snapshot of all members.
     pub fn members(&self) -> Vec<Member> {
         self.membership.borrow().members().cloned().collect()
     }
--- a/crates/node/src/directory/partners.rs
+++ b/crates/node/src/directory/partners.rs
@@ -1,4 +1,4 @@
-//! Who may ask for what, by the configuration and the settings of this node.
+//! Authentication of partners and authorization for programs.
 
 use ridgeworks_configuration::ConfigurationSet;
 use ridgeworks_domain::{PartnerName, ProgramName, Refusal, RefusalReason};
@@ -6,7 +6,8 @@
 use super::Directory;
 
 impl Directory {
-    /// The partner whose token has this digest.
+    /// Returns the partner whose token has this digest, by the configuration in force. Refuses
+    /// unknown tokens, and all tokens while no configuration is in force.
     pub fn authenticate(&self, token_sha256: &str) -> Result<PartnerName, Refusal> {
         self.authenticate_in(&*self.in_force()?, token_sha256)
     }
@@ -22,7 +23,7 @@
         }
     }
 
-    /// A partner of the settings counts only while the configuration does not hold it.
+    /// A bootstrap partner from the settings is ignored once the configuration names that partner.
     fn authenticate_bootstrap(
         &self,
         set: &ConfigurationSet,
@@ -36,14 +37,14 @@
             .ok_or(Refusal::permanent(RefusalReason::Unauthenticated))
     }
 
-    /// The partner whose token has this digest, by the last configuration known: an operator must be
-    /// able to act also where this node cannot prove that its configuration is the newest. What it
-    /// does is checked against the newest one.
+    /// Returns the partner whose token has this digest, by the last known configuration: an
+    /// operator must be able to act even if this node cannot prove that its configuration is the
+    /// newest. The operation itself is checked against the newest configuration.
     pub fn authenticate_operator(&self, token_sha256: &str) -> Result<PartnerName, Refusal> {
         self.authenticate_in(&self.last_known(), token_sha256)
     }
 
-    /// Refuses a program that does not exist or belongs to the other partner.
+    /// Refuses a program that does not exist or belongs to another partner.
     pub fn check_program(
         &self,
         partner: &PartnerName,
--- a/crates/node/src/directory/replicas.rs
+++ b/crates/node/src/directory/replicas.rs
@@ -1,4 +1,5 @@
-//! The replicas of runs: those that a new run gets, those that its number names, those that replace others.
+//! Placement of run replicas: choice for new runs, lookup by run id, and replacement of lost
+//! replicas.
 
 use ridgeworks_domain::run_id::REPLICAS_PER_RUN;
 use ridgeworks_domain::{NodeId, Refusal, RefusalReason, RunId, ZoneName};
@@ -8,21 +9,22 @@
 
 use super::Directory;
 
-/// What a run is opened with besides its program.
+/// Id and replica set of a run that is about to be opened.
 pub struct NewRun {
-    /// Its number.
+    /// Id that names the nodes of `replicas`.
     pub run: RunId,
-    /// Its replicas, whose identities were read before the number was drawn.
+    /// Stores of the replicas. Their identities were known before the id was generated.
     pub replicas: Vec<ReplicaId>,
 }
 
 impl Directory {
-    /// Notes the identity of a replica's store.
-    pub fn note_identity(&self, identity: ReplicaId) {
+    /// Records the identity of a replica's store, replacing an earlier one of the same node.
+    pub fn record_identity(&self, identity: ReplicaId) {
         self.identities.borrow_mut().insert(identity.node, identity);
     }
 
-    /// A new run number, and the replicas that it names.
+    /// Generates a run id and the replica set that it names. Refuses with a retry delay if too few
+    /// nodes with a known store are eligible.
     pub fn new_run(&self) -> Result<NewRun, Refusal> {
         let unique: u64 = rand::random();
         let membership = self.membership.borrow();
@@ -46,7 +48,7 @@
         })
     }
 
-    /// The known nodes that a run's number names as its replicas.
+    /// Members with a disk that the run id names as replicas.
     pub fn replicas_of(&self, run: RunId) -> Vec<NodeId> {
         let hints = run.replica_hints();
         let membership = self.membership.borrow();
@@ -58,13 +60,13 @@
             .collect()
     }
 
-    /// The replicas that a run's number names, without those that are known to be down.
+    /// Like [`Self::replicas_of`], without nodes that are not present.
     pub fn present_replicas_of(&self, run: RunId) -> Vec<NodeId> {
         let replicas = self.replicas_of(run).into_iter();
         replicas.filter(|node| self.is_present(*node)).collect()
     }
 
-    /// All present nodes with a disk.
+    /// Present members with a disk.
     pub fn present_disk_nodes(&self) -> Vec<NodeId> {
         let membership = self.membership.borrow();
         let present = membership.members();
@@ -72,14 +74,15 @@
         present.map(|member| member.node).collect()
     }
 
-    /// Whether a replica's node came back with another store.
-    pub fn has_other_store(&self, replica: ReplicaId) -> bool {
+    /// Whether the replica's node is now known with a different store.
+    pub fn has_replaced_store(&self, replica: ReplicaId) -> bool {
         let identities = self.identities.borrow();
         let known = identities.get(&replica.node);
         known.is_some_and(|known| !known.same_acceptor(replica))
     }
 
-    /// The store to take the place of a lost replica: in a zone that the rest of the set does not have, where there is one.
+    /// Chooses a store to replace a lost replica, preferably in a zone that no remaining replica is
+    /// in. `None` if no eligible node is left.
     pub fn replacement_for(
         &self,
         run: RunId,
@@ -88,18 +91,18 @@
     ) -> Option<ReplicaId> {
         let identities = self.identities.borrow();
         let membership = self.membership.borrow();
-        let taken = members.iter().filter(|member| **member != lost);
-        let taken = taken.filter_map(|member| membership.member(member.node));
-        let taken: Vec<&ZoneName> = taken.map(|member| &member.zone).collect();
-        let free = membership.members().filter(|member| {
+        let occupied = members.iter().filter(|member| **member != lost);
+        let occupied = occupied.filter_map(|member| membership.member(member.node));
+        let occupied: Vec<&ZoneName> = occupied.map(|member| &member.zone).collect();
+        let candidates = membership.members().filter(|member| {
             let in_set = members.iter().any(|replica| replica.node == member.node);
             member.has_disk && member.state == MemberState::Alive && !in_set
         });
-        let known = free.filter_map(|member| Some((member, identities.get(&member.node)?)));
+        let known = candidates.filter_map(|member| Some((member, identities.get(&member.node)?)));
         let best = known.min_by_key(|(member, _)| {
-            let shares_zone = taken.contains(&&member.zone);
-            let spread = xxh3_128(&(run.0 ^ u128::from(member.node.0)).to_le_bytes());
-            (shares_zone, spread)
+            let shares_zone = occupied.contains(&&member.zone);
+            let tie_break = xxh3_128(&(run.0 ^ u128::from(member.node.0)).to_le_bytes());
+            (shares_zone, tie_break)
         });
         best.map(|(_, identity)| *identity)
     }
--- a/crates/node/src/dispatcher/backend_list.rs
+++ b/crates/node/src/dispatcher/backend_list.rs
@@ -1,4 +1,4 @@
-//! The back ends of a service, joined from the configuration and the platform's list of machines.
+//! Merges the back ends of a service from the configuration and the platform's list of machines.
 
 use std::collections::BTreeMap;
 
@@ -8,17 +8,18 @@
 use ridgeworks_domain::{BackendName, ServiceName};
 use ridgeworks_scheduling::Event;
 
-/// A back end and whether it takes new calls.
+/// A back end and its drain state.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ListedBackend {
-    /// The back end.
+    /// Name, service, address, zone and slots.
     pub backend: Backend,
-    /// Whether it is leaving.
+    /// A leaving back end takes no new calls.
     pub leaving: bool,
 }
 
-/// All back ends of a service. The platform's word goes before the configuration's.
-pub fn backends_of(
+/// All back ends of a service. For a back end in both sources, the platform's entry overrides the
+/// configuration's.
+pub fn merge_backends(
     service: &ServiceName,
     configuration: &ConfigurationSet,
     machines: &MachineList,
@@ -49,8 +50,8 @@
     listed
 }
 
-/// What the dispatcher is told when the back ends offered to it change.
-pub fn changes(
+/// Events that bring the dispatcher from one set of back ends to another.
+pub fn backend_events(
     before: &BTreeMap<BackendName, ListedBackend>,
     after: &BTreeMap<BackendName, ListedBackend>,
 ) -> Vec<Event> {
--- a/crates/node/src/dispatcher/context_sweep.rs
+++ b/crates/node/src/dispatcher/context_sweep.rs
@@ -1,7 +1,8 @@
 //! Finds contexts of runs that ended without this dispatcher's knowledge.
 //!
-//! No I/O: listings of engines and answers of replicas come in, questions and releases go out. Nothing here is
-//! durable; a dispatcher that takes over begins with the next listings. Costs are in `docs/design/sweeps.md`.
+//! This module does no I/O: it takes engine listings and replica answers, and returns queries and
+//! contexts to release. Its state is not durable; a new dispatcher rebuilds it from the next
+//! listings. Costs are in `docs/design/sweeps.md`.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -9,58 +10,58 @@
 use ridgeworks_domain::run_id::MAJORITY_OF_REPLICAS;
 use ridgeworks_domain::{BackendName, MonotonicTime, NodeId, RunId};
 
-/// A run is not asked about for this long after a question, or after a call that it made here.
-pub const ASK_INTERVAL: Duration = Duration::from_secs(2);
-/// A run that no replica holds may be in the course of being opened for this long.
+/// Minimum time between a query about a run, or a call of that run, and the next query about it.
+pub const QUERY_INTERVAL: Duration = Duration::from_secs(2);
+/// A run unknown to its replicas may still be opening for this long after it was first listed.
 pub const OPENING_TIMEOUT: Duration = Duration::from_secs(60);
-/// Most runs in one question; 16 bytes each.
-pub const MAX_RUNS_PER_QUESTION: usize = 512;
-/// Most runs asked about in one step of the sweep.
+/// Maximum number of runs in one query; 16 bytes each.
+pub const MAX_RUNS_PER_QUERY: usize = 512;
+/// Maximum number of runs queried in one sweep step.
 pub const MAX_RUNS_PER_STEP: usize = 32_768;
-/// Most runs whose contexts are released in one step of the sweep.
+/// Maximum number of runs whose contexts are released in one sweep step.
 pub const MAX_RELEASES_PER_STEP: usize = 256;
 
-/// Replicas that must hold nothing of a run before it counts as forgotten.
-const FORGOTTEN_BY: usize = MAJORITY_OF_REPLICAS;
+/// Replicas that must not know a run before its contexts are released.
+const FORGOTTEN_QUORUM: usize = MAJORITY_OF_REPLICAS;
 
-/// Asks one replica which of these runs are closed for good.
+/// A query to one replica: which of these runs have ended or are unknown to it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Question {
-    /// The node of the replica.
+pub struct ReplicaQuery {
+    /// Node of the queried replica.
     pub to: NodeId,
-    /// The runs.
+    /// At most [`MAX_RUNS_PER_QUERY`] runs.
     pub runs: Vec<RunId>,
 }
 
-/// An ended run and the engines that hold context of it.
+/// An ended run and the engines that still hold its context.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EndedContext {
-    /// The run.
+    /// The ended run.
     pub run: RunId,
-    /// The engines.
+    /// Engines at which the context must be released.
     pub backends: Vec<BackendName>,
 }
 
 #[derive(Debug)]
-struct SweptRun {
+struct TrackedRun {
     backends: BTreeSet<BackendName>,
     first_seen: MonotonicTime,
-    quiet_until: MonotonicTime,
-    questions: usize,
-    unknown_at: BTreeSet<NodeId>,
+    next_query_at: MonotonicTime,
+    queries_sent: usize,
+    unknown_to: BTreeSet<NodeId>,
     ended: bool,
 }
 
-/// The contexts at the engines of one service.
+/// Contexts held by the engines of one service.
 #[derive(Debug, Default)]
 pub struct ContextSweep {
     listed: BTreeMap<BackendName, BTreeSet<RunId>>,
-    runs: BTreeMap<RunId, SweptRun>,
+    runs: BTreeMap<RunId, TrackedRun>,
     last_asked: Option<RunId>,
 }
 
 impl ContextSweep {
-    /// Takes everything that an engine holds.
+    /// Replaces the recorded contents of an engine by a complete listing.
     pub fn listing(
         &mut self,
         now: MonotonicTime,
@@ -73,58 +74,63 @@
             self.forget(*run, backend);
         }
         for run in &runs {
-            let swept = self.runs.entry(*run).or_insert_with(|| SweptRun::new(now));
-            swept.backends.insert(backend.clone());
+            let tracked = self
+                .runs
+                .entry(*run)
+                .or_insert_with(|| TrackedRun::new(now));
+            tracked.backends.insert(backend.clone());
         }
         self.listed.insert(backend.clone(), runs);
     }
 
-    /// Forgets an engine that is gone.
+    /// Removes an engine that is no longer listed.
     pub fn backend_gone(&mut self, backend: &BackendName) {
         for run in self.listed.remove(backend).unwrap_or_default() {
             self.forget(run, backend);
         }
     }
 
-    /// Notes that a run makes a call here, so that it need not be asked about for a time.
-    pub fn used(&mut self, now: MonotonicTime, run: RunId) {
-        if let Some(swept) = self.runs.get_mut(&run) {
-            swept.quiet_until = now + ASK_INTERVAL;
+    /// Records a call of the run, which defers the next query about it by [`QUERY_INTERVAL`].
+    pub fn mark_active(&mut self, now: MonotonicTime, run: RunId) {
+        if let Some(tracked) = self.runs.get_mut(&run) {
+            tracked.next_query_at = now + QUERY_INTERVAL;
         }
     }
 
-    /// Questions that are due. A run's replicas are asked in turn, as one that is down or behind says nothing.
-    pub fn questions(
+    /// Returns the queries that are due. A run's replicas are queried in rotation, because one that
+    /// is down or behind gives no answer.
+    pub fn queries(
         &mut self,
         now: MonotonicTime,
         replicas_of: impl Fn(RunId) -> Vec<NodeId>,
-    ) -> Vec<Question> {
+    ) -> Vec<ReplicaQuery> {
         let mut by_replica: BTreeMap<NodeId, Vec<RunId>> = BTreeMap::new();
         for run in self.due(now) {
-            let Some(swept) = self.runs.get_mut(&run) else {
+            let Some(tracked) = self.runs.get_mut(&run) else {
                 continue;
             };
-            swept.quiet_until = now + ASK_INTERVAL;
+            tracked.next_query_at = now + QUERY_INTERVAL;
             let replicas = replicas_of(run);
-            let turn = swept.questions.checked_rem(replicas.len());
+            let turn = tracked.queries_sent.checked_rem(replicas.len());
             let Some(replica) = turn.and_then(|turn| replicas.get(turn)) else {
                 continue;
             };
-            swept.questions += 1;
+            tracked.queries_sent += 1;
             by_replica.entry(*replica).or_default().push(run);
         }
         let split = by_replica.into_iter().flat_map(|(to, runs)| {
             let parts: Vec<Vec<RunId>> = runs
-                .chunks(MAX_RUNS_PER_QUESTION)
+                .chunks(MAX_RUNS_PER_QUERY)
                 .map(<[RunId]>::to_vec)
                 .collect();
-            parts.into_iter().map(move |runs| Question { to, runs })
+            parts.into_iter().map(move |runs| ReplicaQuery { to, runs })
         });
         split.collect()
     }
 
-    /// Takes a replica's answer: runs whose end is committed there, and runs of which it holds nothing. One replica
-    /// is enough for an end; a run that nobody ended counts as ended only once a majority has forgotten it.
+    /// Handles a replica's answer: runs whose end is committed there, and runs unknown to it. One
+    /// replica suffices for a committed end; otherwise a run counts as ended only if it is unknown
+    /// to a majority of its replicas after [`OPENING_TIMEOUT`].
     pub fn answer(
         &mut self,
         now: MonotonicTime,
@@ -133,28 +139,29 @@
         unknown: &[RunId],
     ) {
         for run in ended {
-            if let Some(swept) = self.runs.get_mut(run) {
-                swept.ended = true;
+            if let Some(tracked) = self.runs.get_mut(run) {
+                tracked.ended = true;
             }
         }
         for run in unknown {
-            let Some(swept) = self.runs.get_mut(run) else {
+            let Some(tracked) = self.runs.get_mut(run) else {
                 continue;
             };
-            swept.unknown_at.insert(replica);
-            let old = now.since(swept.first_seen) >= OPENING_TIMEOUT;
-            swept.ended |= old && swept.unknown_at.len() >= FORGOTTEN_BY;
+            tracked.unknown_to.insert(replica);
+            let old = now.since(tracked.first_seen) >= OPENING_TIMEOUT;
+            tracked.ended |= old && tracked.unknown_to.len() >= FORGOTTEN_QUORUM;
         }
     }
 
-    /// Ended runs whose contexts are to be released now. One that an engine lists again is found anew.
+    /// Removes and returns up to [`MAX_RELEASES_PER_STEP`] ended runs. A run that an engine lists
+    /// again is tracked anew.
     pub fn take_ended(&mut self) -> Vec<EndedContext> {
-        let ended = self.runs.iter().filter(|(_, swept)| swept.ended);
+        let ended = self.runs.iter().filter(|(_, tracked)| tracked.ended);
         let ended: Vec<EndedContext> = ended
             .take(MAX_RELEASES_PER_STEP)
-            .map(|(run, swept)| EndedContext {
+            .map(|(run, tracked)| EndedContext {
                 run: *run,
-                backends: swept.backends.iter().cloned().collect(),
+                backends: tracked.backends.iter().cloned().collect(),
             })
             .collect();
         for context in &ended {
@@ -168,16 +175,17 @@
         ended
     }
 
-    /// Contexts that are known at the engines.
+    /// Total number of contexts, counted once for each engine that holds one.
     pub fn context_count(&self) -> usize {
         self.listed.values().map(BTreeSet::len).sum()
     }
 
-    /// Runs to ask about, going on after the last one asked, so that none is left out for long.
+    /// Runs due for a query. If there are too many for one step, continues after the last run of
+    /// the previous step, so that no run is starved.
     fn due(&mut self, now: MonotonicTime) -> Vec<RunId> {
         let last = self.last_asked;
-        let is_due = |swept: &SweptRun| !swept.ended && now >= swept.quiet_until;
-        let due = self.runs.iter().filter(|(_, swept)| is_due(swept));
+        let is_due = |tracked: &TrackedRun| !tracked.ended && now >= tracked.next_query_at;
+        let due = self.runs.iter().filter(|(_, tracked)| is_due(tracked));
         let mut due: Vec<RunId> = due.map(|(run, _)| *run).collect();
         if due.len() > MAX_RUNS_PER_STEP {
             let start = due.partition_point(|run| Some(*run) <= last);
@@ -189,24 +197,24 @@
     }
 
     fn forget(&mut self, run: RunId, backend: &BackendName) {
-        let Some(swept) = self.runs.get_mut(&run) else {
+        let Some(tracked) = self.runs.get_mut(&run) else {
             return;
         };
-        swept.backends.remove(backend);
-        if swept.backends.is_empty() {
+        tracked.backends.remove(backend);
+        if tracked.backends.is_empty() {
             self.runs.remove(&run);
         }
     }
 }
 
-impl SweptRun {
+impl TrackedRun {
     fn new(now: MonotonicTime) -> Self {
         Self {
             backends: BTreeSet::new(),
             first_seen: now,
-            quiet_until: now,
-            questions: 0,
-            unknown_at: BTreeSet::new(),
+            next_query_at: now,
+            queries_sent: 0,
+            unknown_to: BTreeSet::new(),
             ended: false,
         }
     }
--- a/crates/node/src/dispatcher/effects.rs
+++ b/crates/node/src/dispatcher/effects.rs
@@ -1,4 +1,4 @@
-//! Carries out what the dispatcher of a service asks for.
+//! Applies the effects of a service's scheduler.
 
 use std::net::SocketAddr;
 
@@ -35,10 +35,10 @@
                     },
                     valid_for_ms: whole_millis(valid_for),
                 };
-                self.note_and_answer(service, answer);
+                self.record_and_answer(service, answer);
             }
             Effect::Refuse { ticket, refusal } => {
-                self.note_and_answer(service, DispatcherAnswer::Refused { ticket, refusal });
+                self.record_and_answer(service, DispatcherAnswer::Refused { ticket, refusal });
             }
             Effect::Preempt { ticket, .. } => self.answer(DispatcherAnswer::Preempt { ticket }),
             Effect::Retain {
@@ -60,12 +60,13 @@
                     self.polls.list_cache(backend);
                 }
             }
-            // Context moves are switched off in the dispatcher's settings.
+            // Context moves are disabled in the dispatcher's settings.
             Effect::MoveContext { .. } => {}
         }
     }
 
-    /// Tells an engine to drop the context of a run.
+    /// Sends an engine the request to release a run's context; does nothing if the back end is not
+    /// listed.
     pub(super) fn release_context(&self, service: &ServiceName, run: RunId, backend: &BackendName) {
         if let Some(address) = self.address(service, backend) {
             self.outputs.backends.release_context(run, address);
@@ -77,10 +78,10 @@
         group.backend(backend).map(|backend| backend.address)
     }
 
-    fn note_and_answer(&mut self, service: &ServiceName, answer: DispatcherAnswer) {
+    fn record_and_answer(&mut self, service: &ServiceName, answer: DispatcherAnswer) {
         let now = self.clock.now();
         if let Some(group) = self.groups.get_mut(service) {
-            group.note_answer(&answer, now);
+            group.record_answer(&answer, now);
         }
         self.answer(answer);
     }
--- a/crates/node/src/dispatcher/engine_poll.rs
+++ b/crates/node/src/dispatcher/engine_poll.rs
@@ -1,4 +1,4 @@
-//! Polls back ends for what they publish: health, load and cache events. A thread for each.
+//! Polls the health, load and cache events of back ends, with one thread for each back end.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -19,46 +19,48 @@
 use crate::thread_message::ThreadMessage;
 
 const POLL_INTERVAL: Duration = Duration::from_millis(250);
-/// Every so many polls the whole cache is listed, for events that were lost and runs that ended unnoticed.
+/// The whole cache is listed at every such poll, which recovers from lost events and finds contexts
+/// of ended runs.
 const POLLS_PER_LISTING: u32 = 8;
 const POLL_TIMEOUT: Duration = Duration::from_secs(1);
 const THREAD_STACK_BYTES: usize = 256 * 1024;
 const TOKENS_PER_BLOCK: u64 = 16;
 
-/// What a poll brought.
+/// A result of polling one back end.
 #[derive(Debug)]
-pub enum EngineNews {
-    /// Load of an engine.
+pub enum EngineUpdate {
+    /// Current load of an engine, from every poll but the first.
     Load(LoadReport),
-    /// A change in an engine's cache.
+    /// A context was stored in or evicted from an engine's cache.
     Cache(CacheEvent),
-    /// Everything that an engine's cache holds.
+    /// Complete contents of an engine's cache.
     Listing(CacheListing),
-    /// The back end says itself that it is leaving.
+    /// The back end's health response says that it is leaving.
     Leaving(BackendName),
-    /// The back end was asked for the first time, whether it answered or not.
-    Checked {
-        /// The back end.
+    /// The first poll of the back end finished, successfully or not.
+    Probed {
+        /// Name of the polled back end.
         backend: BackendName,
-        /// Its load, if it told any. Calls that are let in with the back end are held to what its memory holds.
+        /// Load of the engine; `None` if the back end is no engine or did not answer. It must reach
+        /// the scheduler before the held calls, which have to fit into the engine's memory.
         load: Option<LoadReport>,
     },
-    /// Which start of the back end answers.
+    /// Identifies the process of the back end that answered.
     Instance {
-        /// The back end.
+        /// Name of the polled back end.
         backend: BackendName,
-        /// Number of the start.
+        /// Changes when the back end restarts.
         instance: u64,
     },
 }
 
-/// What a poll brought, for the dispatcher of a service.
+/// An update and the service whose dispatcher it is for.
 #[derive(Debug)]
 pub struct EngineReport {
-    /// The service.
+    /// Service of the polled back end.
     pub service: ServiceName,
-    /// The news.
-    pub news: EngineNews,
+    /// Result of the poll.
+    pub update: EngineUpdate,
 }
 
 #[derive(Deserialize)]
@@ -111,14 +113,14 @@
     tokens: u64,
 }
 
-/// The polls that run.
+/// Running poll threads, by back end.
 pub struct EnginePolls {
     mailbox: Mailbox<ThreadMessage>,
     running: BTreeMap<BackendName, Arc<AtomicBool>>,
 }
 
 impl EnginePolls {
-    /// No polls; reports go to `mailbox`.
+    /// Starts no thread yet; reports of later polls are posted to `mailbox`.
     pub fn new(mailbox: Mailbox<ThreadMessage>) -> Self {
         Self {
             mailbox,
@@ -126,7 +128,8 @@
         }
     }
 
-    /// Starts to poll a back end, unless it is polled already.
+    /// Starts polling a back end. Does nothing if it is already polled; if the thread cannot be
+    /// started, a later call tries again.
     pub fn start(&mut self, backend: &Backend, kind: ServiceKind) {
         if self.running.contains_key(&backend.name) {
             return;
@@ -139,17 +142,17 @@
         }
     }
 
-    /// Stops the poll of a back end that is gone.
+    /// Stops polling a back end; its thread exits before its next poll.
     pub fn stop(&mut self, backend: &BackendName) {
         if let Some(stopped) = self.running.remove(backend) {
             stopped.store(true, Ordering::Relaxed);
         }
     }
 
-    /// Reads what an engine's cache holds, on a thread of its own.
+    /// Lists an engine's cache once, on a separate thread.
     pub fn list_cache(&self, backend: &Backend) {
         let poll = self.poll(backend, ServiceKind::Model, Arc::default());
-        // A listing that fails is asked for again at the next gap.
+        // A failed listing is requested again at the next gap in the events.
         let _ = spawn_detached("engine-list", THREAD_STACK_BYTES, move || poll.list());
     }
 
@@ -190,9 +193,9 @@
             let load = self.poll_load();
             if polls == 0 {
                 let backend = self.backend.name.clone();
-                self.report(EngineNews::Checked { backend, load });
+                self.report(EngineUpdate::Probed { backend, load });
             } else if let Some(load) = load {
-                self.report(EngineNews::Load(load));
+                self.report(EngineUpdate::Load(load));
             }
             if self.kind == ServiceKind::Model {
                 next_event = self.poll_events(next_event);
@@ -211,14 +214,14 @@
         let backend = self.backend.name.clone();
         if let Some(instance) = health.instance {
             let backend = backend.clone();
-            self.report(EngineNews::Instance { backend, instance });
+            self.report(EngineUpdate::Instance { backend, instance });
         }
         if health.status == HealthStatus::Leaving && !is_disabled(Safeguard::Leaving) {
-            self.report(EngineNews::Leaving(backend));
+            self.report(EngineUpdate::Leaving(backend));
         }
     }
 
-    /// What an engine says of its load; nothing where the back end is no engine or does not answer.
+    /// Returns `None` if the back end is no engine or does not answer.
     fn poll_load(&self) -> Option<LoadReport> {
         if self.kind != ServiceKind::Model {
             return None;
@@ -237,7 +240,7 @@
             return from;
         };
         for event in page.events {
-            self.report(EngineNews::Cache(CacheEvent {
+            self.report(EngineUpdate::Cache(CacheEvent {
                 backend: self.backend.name.clone(),
                 number: event.number,
                 change: match event.kind {
@@ -252,7 +255,8 @@
     }
 
     fn list(&self) {
-        // The number is read first: events after it may be in the listing too, which does no harm.
+        // The event number is read before the contexts: the listing may then include later events,
+        // which is harmless, but misses none.
         let Some(page) = self.get::<EventPage>(&format!("/cache/events?from={}", u64::MAX)) else {
             return;
         };
@@ -263,7 +267,7 @@
             run: context.run,
             tokens: context.tokens,
         });
-        self.report(EngineNews::Listing(CacheListing {
+        self.report(EngineUpdate::Listing(CacheListing {
             backend: self.backend.name.clone(),
             number: page.next.saturating_sub(1),
             contexts: contexts.collect(),
@@ -276,9 +280,9 @@
         response.body_mut().read_json().ok()
     }
 
-    fn report(&self, news: EngineNews) {
+    fn report(&self, update: EngineUpdate) {
         let service = self.backend.service.clone();
         self.mailbox
-            .post(ThreadMessage::Engine(EngineReport { service, news }));
+            .post(ThreadMessage::Engine(EngineReport { service, update }));
     }
 }
--- a/crates/node/src/dispatcher/group.rs
+++ b/crates/node/src/dispatcher/group.rs
@@ -1,4 +1,4 @@
-//! One service's dispatcher with what the node knows around it.
+//! The scheduler of one service with its requests, back ends and sweep state.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
@@ -10,21 +10,22 @@
     Dispatcher, DispatcherSettings, Effect, Event, LoadReport, QueuedCall, Ticket,
 };
 
-use super::backend_list::{ListedBackend, backends_of, changes};
-use super::checked_backends::CheckedBackends;
+use super::backend_list::{ListedBackend, backend_events, merge_backends};
 use super::context_sweep::ContextSweep;
 use super::message::DispatcherAnswer;
 use super::partner_shares::partner_settings;
+use super::probed_backends::ProbedBackends;
 use super::status::{LastReports, ServiceStatus, queues};
 use crate::metrics::ServiceMetrics;
 
-/// A repeated request is answered as the first one for this long after its end.
-const REMEMBERED_END: Duration = Duration::from_secs(10);
-/// A group that another node dispatches is dropped after it was not asked for this long. Owners that learn of the
-/// change late are served meanwhile.
-pub const UNUSED_GROUP_TIME: Duration = Duration::from_secs(2);
+/// Ended tickets are kept for this long, so that a late repeat of a request is not taken for a new
+/// one.
+const ENDED_TICKET_RETENTION: Duration = Duration::from_secs(10);
+/// A group whose service another node dispatches is dropped after it has been unused for this long.
+/// Until then it serves owners that have not yet learned of the change.
+pub const UNUSED_GROUP_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What became of a request for a slot.
+/// State of a request for a slot.
 enum TicketState {
     Queued,
     Granted {
@@ -35,7 +36,7 @@
     Ended(MonotonicTime),
 }
 
-/// The dispatcher of one service.
+/// The dispatcher of one service on this node.
 pub struct DispatcherGroup {
     service: ServiceName,
     dispatcher: Dispatcher,
@@ -43,30 +44,31 @@
     tickets: HashMap<Ticket, TicketState>,
     metrics: ServiceMetrics,
     contexts: ContextSweep,
-    checked: CheckedBackends,
-    /// What the dispatcher was told of.
-    offered: BTreeMap<BackendName, ListedBackend>,
-    /// Calls that came before the back ends were asked.
-    held: Vec<(QueuedCall, MonotonicTime)>,
+    probed: ProbedBackends,
+    /// The probed back ends, as last reported to the scheduler.
+    known_backends: BTreeMap<BackendName, ListedBackend>,
+    /// Calls that arrived before the initial probes completed, with their arrival times.
+    held_calls: Vec<(QueuedCall, MonotonicTime)>,
     reports: LastReports,
-    /// Attempts at back ends that the dispatcher was not told of.
-    running_unseen: Vec<(QueuedCall, BackendName)>,
-    /// Since when another node dispatches and nobody asks here.
+    /// Running attempts at back ends that the scheduler does not know yet.
+    deferred_attempts: Vec<(QueuedCall, BackendName)>,
+    /// Start of the time in which another node has been the dispatcher and this group has been
+    /// unused.
     unused_since: Option<MonotonicTime>,
 }
 
-/// What is to be done about a request that may have come before.
-pub enum Repeat {
-    /// It is new.
+/// How to handle a request that may be a repeat.
+pub enum RequestDisposition {
+    /// Not seen before; enqueue it.
     New,
-    /// It waits or has ended.
-    Nothing,
-    /// It was answered so.
-    Answered(DispatcherAnswer),
+    /// Already queued, running or ended.
+    Ignore,
+    /// Already granted; send this answer again.
+    Resend(DispatcherAnswer),
 }
 
 impl DispatcherGroup {
-    /// A dispatcher without back ends.
+    /// Creates a group without back ends; [`Self::update`] adds them.
     pub fn new(service: ServiceName, metrics: ServiceMetrics) -> Self {
         let settings = DispatcherSettings {
             seed: rand::random(),
@@ -79,65 +81,67 @@
             tickets: HashMap::new(),
             metrics,
             contexts: ContextSweep::default(),
-            checked: CheckedBackends::default(),
-            offered: BTreeMap::new(),
-            held: Vec::new(),
+            probed: ProbedBackends::default(),
+            known_backends: BTreeMap::new(),
+            held_calls: Vec::new(),
             reports: LastReports::default(),
-            running_unseen: Vec::new(),
+            deferred_attempts: Vec::new(),
             unused_since: None,
         }
     }
 
-    /// The service as operators see it.
+    /// Back ends, queues and in-flight grants, for operators.
     pub fn status(&self, now: MonotonicTime) -> ServiceStatus {
         let waiting = self.dispatcher.waiting();
         let waiting = waiting.map(|waiting| (&waiting.call, waiting.enqueued_at));
-        let held = self.held.iter().map(|(call, since)| (call, *since));
+        let held_calls = self.held_calls.iter().map(|(call, since)| (call, *since));
         let listed = self.listed.values();
         ServiceStatus {
             service: self.service.clone(),
-            backends: listed.map(|listed| self.reports.of(listed, now)).collect(),
-            queues: queues(waiting.chain(held), now),
+            backends: listed
+                .map(|listed| self.reports.status_of(listed, now))
+                .collect(),
+            queues: queues(waiting.chain(held_calls), now),
             in_flight: self.dispatcher.in_flight(),
             cache_event_age: self.reports.cache_event_age(now),
         }
     }
 
-    /// A back end by name.
+    /// Looks up a listed back end; `None` if it is not listed.
     pub fn backend(&self, name: &BackendName) -> Option<&Backend> {
         self.listed.get(name).map(|listed| &listed.backend)
     }
 
-    /// The contexts at the engines, for the sweep.
+    /// State of the sweep for contexts of ended runs.
     pub fn contexts(&mut self) -> &mut ContextSweep {
         &mut self.contexts
     }
 
-    /// The back ends that are listed now.
+    /// All listed back ends, including those not probed yet.
     pub fn listed(&self) -> impl Iterator<Item = &ListedBackend> {
         self.listed.values()
     }
 
-    /// Tells whether a request came before, and notes it where it did not.
-    pub fn note_request(&mut self, ticket: Ticket, now: MonotonicTime) -> Repeat {
+    /// Records a request and returns whether it is new or a repeat.
+    pub fn record_request(&mut self, ticket: Ticket, now: MonotonicTime) -> RequestDisposition {
         self.unused_since = None;
         match self.tickets.get(&ticket) {
             None => {
                 self.tickets.insert(ticket, TicketState::Queued);
-                Repeat::New
+                RequestDisposition::New
             }
             Some(TicketState::Granted {
                 answer,
                 valid_until,
-            }) => Repeat::Answered(answer.valid_until(*valid_until, now)),
+            }) => RequestDisposition::Resend(answer.with_validity_until(*valid_until, now)),
             Some(TicketState::Queued | TicketState::Running | TicketState::Ended(_)) => {
-                Repeat::Nothing
+                RequestDisposition::Ignore
             }
         }
     }
 
-    /// Notes the answer to a request.
-    pub fn note_answer(&mut self, answer: &DispatcherAnswer, now: MonotonicTime) {
+    /// Records the answer to a request and counts grants and refusals.
+    pub fn record_answer(&mut self, answer: &DispatcherAnswer, now: MonotonicTime) {
         match answer {
             DispatcherAnswer::Granted {
                 ticket,
@@ -153,14 +157,15 @@
             }
             DispatcherAnswer::Refused { ticket, .. } => {
                 self.metrics.refusals.inc();
-                self.note_end(*ticket, now);
+                self.record_end(*ticket, now);
             }
             DispatcherAnswer::Preempt { .. } => {}
         }
     }
 
-    /// Notes an attempt that another dispatcher granted. Tells whether it is news.
-    pub fn note_running(&mut self, ticket: Ticket) -> bool {
+    /// Records an attempt that another dispatcher granted. Returns false if the ticket is already
+    /// known.
+    pub fn record_running(&mut self, ticket: Ticket) -> bool {
         if self.tickets.contains_key(&ticket) {
             return false;
         }
@@ -168,37 +173,38 @@
         true
     }
 
-    /// Notes whether this node is the dispatcher. Tells whether the group is used no more.
-    pub fn note_ownership(&mut self, now: MonotonicTime, own: bool) -> bool {
-        let asked = !self.held.is_empty() || self.dispatcher.queued() > 0;
+    /// Updates whether this node is the service's dispatcher. Returns true once the group has been
+    /// unused for [`UNUSED_GROUP_TIMEOUT`] and should be dropped.
+    pub fn update_ownership(&mut self, now: MonotonicTime, own: bool) -> bool {
+        let asked = !self.held_calls.is_empty() || self.dispatcher.queued() > 0;
         if own || asked {
             self.unused_since = None;
             return false;
         }
         let since = *self.unused_since.get_or_insert(now);
-        now.since(since) >= UNUSED_GROUP_TIME
+        now.since(since) >= UNUSED_GROUP_TIMEOUT
     }
 
-    /// Takes the group's figures back; it is dropped next.
-    pub fn withdraw(&self) {
+    /// Resets the group's gauges; called before the group is dropped.
+    pub fn reset_gauges(&self) {
         self.metrics.queued.set(0);
         self.metrics.in_flight.set(0);
     }
 
-    /// Notes that a request is over.
-    pub fn note_end(&mut self, ticket: Ticket, now: MonotonicTime) {
+    /// Records that a request was cancelled, refused or completed.
+    pub fn record_end(&mut self, ticket: Ticket, now: MonotonicTime) {
         self.tickets.insert(ticket, TicketState::Ended(now));
     }
 
-    /// Forgets requests that ended some time ago.
+    /// Removes tickets that ended longer ago than the retention time.
     pub fn forget_ended(&mut self, now: MonotonicTime) {
         self.tickets.retain(|_, state| match state {
-            TicketState::Ended(ended) => now.since(*ended) < REMEMBERED_END,
+            TicketState::Ended(ended) => now.since(*ended) < ENDED_TICKET_RETENTION,
             TicketState::Queued | TicketState::Granted { .. } | TicketState::Running => true,
         });
     }
 
-    /// Publishes the length of the queue and what is in flight.
+    /// Publishes the gauges of queued calls and in-flight grants.
     pub fn publish(&self) {
         let count = |count: usize| i64::try_from(count).unwrap_or(i64::MAX);
         self.metrics.queued.set(count(self.dispatcher.queued()));
@@ -207,77 +213,84 @@
             .set(count(self.dispatcher.in_flight()));
     }
 
-    /// Takes an event.
+    /// Passes an event to the scheduler. Calls are held until the initial probes complete, and
+    /// running attempts until their back end is known.
     pub fn handle(&mut self, now: MonotonicTime, event: Event) -> Vec<Effect> {
-        self.reports.note(now, &event);
+        self.reports.record(now, &event);
         match event {
-            Event::Enqueue(call) if !self.checked.is_complete(now, &self.listed) => {
-                self.held.push((call, now));
+            Event::Enqueue(call) if !self.probed.is_complete(now, &self.listed) => {
+                self.held_calls.push((call, now));
                 return Vec::new();
             }
-            Event::AttemptRunning { call, backend } if !self.offered.contains_key(&backend) => {
-                self.running_unseen.push((call, backend));
+            Event::AttemptRunning { call, backend }
+                if !self.known_backends.contains_key(&backend) =>
+            {
+                self.deferred_attempts.push((call, backend));
                 return Vec::new();
             }
-            Event::Cancel(ticket) => self.held.retain(|(call, _)| call.ticket != ticket),
+            Event::Cancel(ticket) => self.held_calls.retain(|(call, _)| call.ticket != ticket),
             Event::AttemptEnded(end) => {
-                self.running_unseen
+                self.deferred_attempts
                     .retain(|(call, _)| call.ticket != end.ticket);
             }
-            Event::OwnerLost(owner) => self.forget_owner(owner),
+            Event::OwnerLost(owner) => self.remove_requests_of_owner(owner),
             _ => {}
         }
         let mut effects = self.dispatcher.handle(now, event);
-        effects.extend(self.let_in(now));
+        effects.extend(self.release_held_calls(now));
         effects
     }
 
-    fn forget_owner(&mut self, owner: NodeId) {
-        self.held.retain(|(call, _)| call.ticket.owner != owner);
-        self.running_unseen
+    fn remove_requests_of_owner(&mut self, owner: NodeId) {
+        self.held_calls
             .retain(|(call, _)| call.ticket.owner != owner);
-        // An owner that was only cut off asks and tells again.
+        self.deferred_attempts
+            .retain(|(call, _)| call.ticket.owner != owner);
+        // An owner that was only disconnected sends its requests and running attempts again.
         self.tickets.retain(|ticket, _| ticket.owner != owner);
     }
 
-    /// Notes that a back end was asked whether it is leaving; one that is has been reported before. Its load comes before
-    /// the calls that waited for it: with the default memory in its place three contexts ran where two fit, in 5 of 88 runs of
-    /// a test beside ten busy processes.
-    pub fn note_checked(
+    /// Records that the first probe of a back end finished; if it is leaving, that has been
+    /// reported before. The load is applied before held calls are released: otherwise they would be
+    /// admitted against the default memory size, and more contexts could run than fit.
+    pub fn record_probe(
         &mut self,
         now: MonotonicTime,
         name: &BackendName,
         load: Option<LoadReport>,
     ) -> Vec<Effect> {
-        self.checked.insert(name);
-        let mut effects = self.offer(now);
+        self.probed.insert(name);
+        let mut effects = self.sync_backends(now);
         if let Some(load) = load {
             let event = Event::LoadReport(load);
-            self.reports.note(now, &event);
+            self.reports.record(now, &event);
             effects.extend(self.dispatcher.handle(now, event));
         }
-        effects.extend(self.let_in(now));
+        effects.extend(self.release_held_calls(now));
         effects
     }
 
-    /// Hands on the calls that were held back, once it is known which back ends are leaving.
-    fn let_in(&mut self, now: MonotonicTime) -> Vec<Effect> {
-        if self.held.is_empty() || !self.checked.is_complete(now, &self.listed) {
+    /// Enqueues the held calls once the initial probes have completed.
+    fn release_held_calls(&mut self, now: MonotonicTime) -> Vec<Effect> {
+        if self.held_calls.is_empty() || !self.probed.is_complete(now, &self.listed) {
             return Vec::new();
         }
-        let held = std::mem::take(&mut self.held).into_iter();
-        held.flat_map(|(call, _)| self.dispatcher.handle(now, Event::Enqueue(call)))
+        let held_calls = std::mem::take(&mut self.held_calls).into_iter();
+        held_calls
+            .flat_map(|(call, _)| self.dispatcher.handle(now, Event::Enqueue(call)))
             .collect()
     }
 
-    /// Tells the dispatcher of the back ends as they are now.
-    fn offer(&mut self, now: MonotonicTime) -> Vec<Effect> {
-        let offered = self.checked.of(&self.listed);
-        let mut events = changes(&self.offered, &offered);
-        self.offered = offered;
-        let seen =
-            |(_, backend): &mut (QueuedCall, BackendName)| self.offered.contains_key(backend);
-        let running = self.running_unseen.extract_if(.., seen);
+    /// Reports changes of the probed back ends to the scheduler, and the attempts that were
+    /// deferred for them.
+    fn sync_backends(&mut self, now: MonotonicTime) -> Vec<Effect> {
+        let known_backends = self.probed.probed_among(&self.listed);
+        let mut events = backend_events(&self.known_backends, &known_backends);
+        self.known_backends = known_backends;
+        let seen = |(_, backend): &mut (QueuedCall, BackendName)| {
+            self.known_backends.contains_key(backend)
+        };
+        let running = self.deferred_attempts.extract_if(.., seen);
         events.extend(running.map(|(call, backend)| Event::AttemptRunning { call, backend }));
         let events = events.into_iter();
         events
@@ -285,8 +298,7 @@
             .collect()
     }
 
-    /// Takes up the shares and back ends as they are now. Gives the effects, and the back ends that
-    /// are gone.
+    /// Applies the current partner shares and back ends.
     pub fn update(
         &mut self,
         now: MonotonicTime,
@@ -296,7 +308,7 @@
         let mut update = GroupUpdate::default();
         let shares = Event::SharesChanged(partner_settings(configuration));
         update.effects.extend(self.dispatcher.handle(now, shares));
-        let listed = backends_of(&self.service, configuration, machines);
+        let listed = merge_backends(&self.service, configuration, machines);
         let gone = self
             .listed
             .keys()
@@ -304,20 +316,20 @@
         update.gone = gone.cloned().collect();
         for name in &update.gone {
             self.contexts.backend_gone(name);
-            self.checked.remove(name);
+            self.probed.remove(name);
             self.reports.remove(name);
         }
         self.listed = listed;
-        update.effects.extend(self.offer(now));
+        update.effects.extend(self.sync_backends(now));
         update
     }
 }
 
-/// What follows from an update of a group.
+/// Result of [`DispatcherGroup::update`].
 #[derive(Default)]
 pub struct GroupUpdate {
-    /// Effects of the dispatcher.
+    /// Effects of the scheduler, to be applied by the caller.
     pub effects: Vec<Effect>,
-    /// Back ends that are no longer listed.
+    /// Back ends that are no longer listed and need no polling.
     pub gone: Vec<BackendName>,
 }
--- a/crates/node/src/dispatcher/message.rs
+++ b/crates/node/src/dispatcher/message.rs
@@ -13,35 +13,34 @@
 use ridgeworks_scheduling::{AttemptEnd, Priority, QueuedCall, Ticket};
 use rkyv::{Archive, Deserialize, Serialize};
 
-/// A request for a slot, as it travels. Times are relative: clocks of nodes are unrelated.
+/// A request for a slot, as sent between nodes. Times are relative because nodes have unrelated
+/// clocks.
 #[derive(Debug, Clone, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct SlotRequest {
-    /// Names the request and its owner.
+    /// Identifies the request and its owner.
     pub ticket: Ticket,
-    /// The run.
     pub run: RunId,
-    /// The caller's key of the call.
+    /// Key that the caller gave the call.
     pub key: CallKey,
-    /// The partner whose share pays.
+    /// Partner whose share is charged.
     pub partner: PartnerName,
-    /// Priority class.
     pub priority: Priority,
-    /// What the whole run has used so far.
+    /// Cost of the whole run so far.
     pub attained_service: Cost,
     /// Tokens of the whole prompt.
     pub prompt_tokens: u64,
-    /// Upper bound of generated tokens.
+    /// Upper bound on generated tokens.
     pub max_output_tokens: u64,
-    /// Time until the answer must be there, in milliseconds.
+    /// Time left until the answer is due, in milliseconds; `None` without a deadline.
     pub deadline_in_ms: Option<u64>,
-    /// Whether the attempt may be cancelled in favour of an urgent call.
+    /// Whether the attempt may be preempted by an urgent call.
     pub preemptible: bool,
-    /// Time that earlier, preempted attempts of the call spent in queues, in milliseconds.
+    /// Time that earlier, preempted attempts of the call spent queued, in milliseconds.
     pub waited_ms: u64,
 }
 
 impl SlotRequest {
-    /// The request on the dispatcher's own clock.
+    /// Converts the relative times to the dispatcher's clock.
     pub fn queued_call(self, now: MonotonicTime) -> QueuedCall {
         QueuedCall {
             ticket: self.ticket,
@@ -62,66 +61,47 @@
     }
 }
 
-/// What an owner tells a dispatcher.
+/// A message from the owner of a run to a dispatcher.
 #[derive(Debug, Clone, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub enum DispatcherCommand {
-    /// Asks for a slot; repeated until it is answered.
+    /// Requests a slot; the owner repeats it until it is answered.
     Enqueue {
-        /// The service.
         service: ServiceName,
-        /// The request.
         request: SlotRequest,
     },
-    /// Gives up a request, or gives back its slot unused.
+    /// Cancels a queued request, or returns its granted slot unused.
     Cancel {
-        /// The service.
         service: ServiceName,
-        /// The request.
         ticket: Ticket,
     },
-    /// The dispatch entry is durable and the back end is being called.
+    /// The dispatch entry is durable and the attempt has started.
     Started {
-        /// The service.
         service: ServiceName,
-        /// The request.
         ticket: Ticket,
     },
-    /// Another dispatcher granted the slot of an attempt that runs. Repeating it does no harm.
+    /// Reports a running attempt whose slot another dispatcher granted. Idempotent.
     Running {
-        /// The service.
         service: ServiceName,
-        /// The request that was granted.
         request: SlotRequest,
-        /// Where the attempt runs.
         backend: BackendName,
     },
-    /// The attempt is over.
+    /// The attempt ended.
     Ended {
-        /// The service.
         service: ServiceName,
-        /// How it ended.
         end: AttemptEnd,
     },
-    /// The run waits for a tool or a sub-agent before its next call here.
+    /// The run waits for a tool or a sub-agent before its next call of this service.
     RunPaused {
-        /// The service.
         service: ServiceName,
-        /// The run.
         run: RunId,
-        /// What it waits for.
+        /// Service that the run waits for.
         tool: ServiceName,
     },
-    /// The run ended; nothing of it may stay in any engine.
-    RunEnded {
-        /// The service.
-        service: ServiceName,
-        /// The run.
-        run: RunId,
-    },
+    /// The run ended; all engines must release its context.
+    RunEnded { service: ServiceName, run: RunId },
 }
 
 impl DispatcherCommand {
-    /// The service it is about.
     pub fn service(&self) -> &ServiceName {
         match self {
             Self::Enqueue { service, .. }
@@ -135,37 +115,29 @@
     }
 }
 
-/// What a dispatcher answers.
+/// A message from a dispatcher to the owner of a run.
 #[derive(Debug, Clone, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub enum DispatcherAnswer {
-    /// The call may go to this back end.
+    /// The call may be sent to this back end.
     Granted {
-        /// The request.
         ticket: Ticket,
-        /// The back end.
         backend: BackendName,
-        /// Its address.
         address: BackendAddress,
-        /// The attempt starts within this time after the answer came, in milliseconds, or not at all. The
-        /// dispatcher keeps the slot twice as long, so both messages together may be under way for that time.
+        /// The attempt must start within this time of receiving the grant, in milliseconds, or not
+        /// at all. The dispatcher reserves the slot for twice as long, which allows the same time
+        /// again for the transit of the grant and of `Started` together.
         valid_for_ms: u64,
     },
-    /// The call gets no slot.
     Refused {
-        /// The request.
         ticket: Ticket,
-        /// Why, and when coming back helps.
+        /// Reason, and the delay after which a retry may succeed.
         refusal: Refusal,
     },
-    /// The running attempt should be cancelled in favour of an urgent call.
-    Preempt {
-        /// The request.
-        ticket: Ticket,
-    },
+    /// The owner should cancel the running attempt in favour of an urgent call.
+    Preempt { ticket: Ticket },
 }
 
 impl DispatcherAnswer {
-    /// The request that it answers.
     pub fn ticket(&self) -> Ticket {
         match self {
             Self::Granted { ticket, .. }
@@ -174,8 +146,9 @@
         }
     }
 
-    /// The same answer sent again at `now`: a grant is valid for what is left until `until`.
-    pub fn valid_until(&self, until: MonotonicTime, now: MonotonicTime) -> Self {
+    /// Copies the answer for sending again at `now`: a grant is valid for the time left until
+    /// `until`.
+    pub fn with_validity_until(&self, until: MonotonicTime, now: MonotonicTime) -> Self {
         let mut answer = self.clone();
         if let Self::Granted { valid_for_ms, .. } = &mut answer {
             *valid_for_ms = whole_millis(until.since(now));
@@ -184,7 +157,7 @@
     }
 }
 
-/// A time in whole milliseconds, rounded down.
+/// Rounds down; saturates at `u64::MAX`.
 pub fn whole_millis(time: Duration) -> u64 {
     u64::try_from(time.as_millis()).unwrap_or(u64::MAX)
 }
--- a/crates/node/src/dispatcher/partner_shares.rs
+++ b/crates/node/src/dispatcher/partner_shares.rs
@@ -1,9 +1,10 @@
-//! The shares of the partners, read from the configuration.
+//! Derives the scheduler's partner settings from the configuration.
 
 use ridgeworks_configuration::ConfigurationSet;
 use ridgeworks_scheduling::PartnerSettings;
 
-/// The partners as the dispatcher takes them. One that the split does not name gets an equal part.
+/// One entry for each partner. A partner that the pool split does not name gets an equal share,
+/// 1000 permille divided by the number of partners.
 pub fn partner_settings(configuration: &ConfigurationSet) -> Vec<PartnerSettings> {
     let split = configuration.pool_split();
     let partners = configuration.partners();
--- a/crates/node/src/dispatcher/role.rs
+++ b/crates/node/src/dispatcher/role.rs
@@ -1,4 +1,4 @@
-//! Actor of the dispatcher role.
+//! Actor that runs the dispatchers of this node's services.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -10,8 +10,8 @@
 use ridgeworks_scheduling::{Event, LoadReport, Ticket};
 use stakker::{CX, Fwd, after};
 
-use super::engine_poll::{EngineNews, EnginePolls, EngineReport};
-use super::group::{DispatcherGroup, Repeat};
+use super::engine_poll::{EnginePolls, EngineReport, EngineUpdate};
+use super::group::{DispatcherGroup, RequestDisposition};
 use super::message::{DispatcherCommand, SlotRequest};
 use super::status::ServiceStatus;
 use crate::clock::Clock;
@@ -24,17 +24,17 @@
 
 const TICK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Where the role's effects go.
+/// Destinations of the role's effects.
 pub struct DispatcherOutputs {
-    /// Messages to owners.
+    /// Answers to owners and queries to replicas.
     pub outgoing: Fwd<Outgoing>,
-    /// Calls of back ends.
+    /// Sends engines requests to retain or release contexts.
     pub backends: Arc<BackendClient>,
-    /// Counters of the role.
+    /// Metrics of each service are published here.
     pub metrics: Arc<Metrics>,
 }
 
-/// The dispatcher role.
+/// Actor of the dispatcher role, with one group for each service.
 pub struct DispatcherRole {
     pub(super) clock: Clock,
     pub(super) directory: Directory,
@@ -42,12 +42,12 @@
     pub(super) polls: EnginePolls,
     machines: Arc<MachineList>,
     pub(super) groups: BTreeMap<ServiceName, DispatcherGroup>,
-    /// Which start of each back end answered last.
+    /// Process instance of each back end that answered last.
     pub(super) instances: BTreeMap<BackendName, u64>,
 }
 
 impl DispatcherRole {
-    /// Starts the role without any queue.
+    /// Starts the role without groups; they are created on demand.
     pub fn init(
         cx: CX![],
         directory: Directory,
@@ -68,10 +68,10 @@
         Some(role)
     }
 
-    /// Takes a message from an owner.
+    /// Handles a command of an owner or a replica's answer; messages of other roles are ignored.
     pub fn receive(&mut self, _cx: CX![], incoming: Incoming) {
         match incoming.message {
-            NodeMessage::ToDispatcher(command) => self.command(command),
+            NodeMessage::ToDispatcher(command) => self.handle_command(command),
             NodeMessage::EndedRunsAnswer {
                 service,
                 ended,
@@ -81,18 +81,18 @@
         }
     }
 
-    /// Takes a newer configuration.
+    /// Applies a newer configuration to all groups.
     pub fn in_force(&mut self, _cx: CX![], _configuration: Arc<ConfigurationSet>) {
         self.update_groups();
     }
 
-    /// Takes a newer list of machines.
+    /// Applies a newer list of machines to all groups.
     pub fn machines(&mut self, _cx: CX![], machines: Arc<MachineList>) {
         self.machines = machines;
         self.update_groups();
     }
 
-    /// Takes the news that a node is gone.
+    /// Reports the loss of a node, and so of its owners, to all groups.
     pub fn node_lost(&mut self, _cx: CX![], node: NodeId) {
         let services: Vec<ServiceName> = self.groups.keys().cloned().collect();
         for service in services {
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Answers an operator who asks for back ends and queues.
+    /// Sends an operator the back ends and queues of all services.
     pub fn report_status(&mut self, _cx: CX![], replies: Sender<OperatorReply>) {
         let now = self.clock.now();
         let configuration = self.directory.last_known();
@@ -112,23 +112,23 @@
             }
             status.push(service);
         }
-        // An operator that left is told nothing.
+        // Sending fails if the operator has disconnected, which needs no handling.
         let _ = replies.send(OperatorReply::Services(status));
     }
 
-    /// Takes news of a polled back end.
+    /// Handles an update from polling a back end.
     pub fn engine(&mut self, _cx: CX![], report: EngineReport) {
-        self.note_listing(&report);
-        let event = match report.news {
-            EngineNews::Load(load) => Event::LoadReport(load),
-            EngineNews::Cache(event) => Event::CacheEvent(event),
-            EngineNews::Listing(listing) => Event::CacheListing(listing),
-            EngineNews::Leaving(backend) => Event::BackendLeaving(backend),
-            EngineNews::Checked { backend, load } => {
-                self.note_checked(&report.service, &backend, load);
+        self.record_listing(&report);
+        let event = match report.update {
+            EngineUpdate::Load(load) => Event::LoadReport(load),
+            EngineUpdate::Cache(event) => Event::CacheEvent(event),
+            EngineUpdate::Listing(listing) => Event::CacheListing(listing),
+            EngineUpdate::Leaving(backend) => Event::BackendLeaving(backend),
+            EngineUpdate::Probed { backend, load } => {
+                self.record_probe(&report.service, &backend, load);
                 return;
             }
-            EngineNews::Instance { backend, instance } => {
+            EngineUpdate::Instance { backend, instance } => {
                 self.instances.insert(backend, instance);
                 return;
             }
@@ -136,7 +136,7 @@
         self.handle(&report.service, event);
     }
 
-    fn note_checked(
+    fn record_probe(
         &mut self,
         service: &ServiceName,
         backend: &BackendName,
@@ -146,24 +146,24 @@
         let Some(group) = self.groups.get_mut(service) else {
             return;
         };
-        let effects = group.note_checked(now, backend, load);
+        let effects = group.record_probe(now, backend, load);
         self.carry_out(service, effects);
     }
 
-    fn command(&mut self, command: DispatcherCommand) {
+    fn handle_command(&mut self, command: DispatcherCommand) {
         let service = command.service().clone();
         let now = self.clock.now();
         match command {
             DispatcherCommand::Enqueue { request, .. } => {
                 let ticket = request.ticket;
                 if self.is_new(&service, ticket) {
-                    self.note_use(&service, request.run);
+                    self.mark_run_active(&service, request.run);
                     let call = request.queued_call(now);
                     self.handle(&service, Event::Enqueue(call));
                 }
             }
             DispatcherCommand::Cancel { ticket, .. } => {
-                self.note_end(&service, ticket);
+                self.record_end(&service, ticket);
                 self.handle(&service, Event::Cancel(ticket));
             }
             DispatcherCommand::Started { ticket, .. } => {
@@ -171,9 +171,9 @@
             }
             DispatcherCommand::Running {
                 request, backend, ..
-            } => self.running(&service, request, backend),
+            } => self.record_running_attempt(&service, request, backend),
             DispatcherCommand::Ended { end, .. } => {
-                self.note_end(&service, end.ticket);
+                self.record_end(&service, end.ticket);
                 self.handle(&service, Event::AttemptEnded(end));
             }
             DispatcherCommand::RunPaused { run, tool, .. } => {
@@ -185,14 +185,19 @@
         }
     }
 
-    fn running(&mut self, service: &ServiceName, request: SlotRequest, backend: BackendName) {
+    fn record_running_attempt(
+        &mut self,
+        service: &ServiceName,
+        request: SlotRequest,
+        backend: BackendName,
+    ) {
         let now = self.clock.now();
         self.ensure_group(service);
         let Some(group) = self.groups.get_mut(service) else {
             return;
         };
-        if group.note_running(request.ticket) {
-            self.note_use(service, request.run);
+        if group.record_running(request.ticket) {
+            self.mark_run_active(service, request.run);
             let call = request.queued_call(now);
             self.handle(service, Event::AttemptRunning { call, backend });
         }
@@ -201,14 +206,15 @@
     fn is_new(&mut self, service: &ServiceName, ticket: Ticket) -> bool {
         let now = self.clock.now();
         self.ensure_group(service);
-        // The owner may have a newer configuration. It asks again, and gives up by its own one.
+        // No group means that only the owner's configuration has the service. The owner repeats the
+        // request, and gives up according to its own configuration.
         let Some(group) = self.groups.get_mut(service) else {
             return false;
         };
-        match group.note_request(ticket, now) {
-            Repeat::New => true,
-            Repeat::Nothing => false,
-            Repeat::Answered(answer) => {
+        match group.record_request(ticket, now) {
+            RequestDisposition::New => true,
+            RequestDisposition::Ignore => false,
+            RequestDisposition::Resend(answer) => {
                 self.answer(answer);
                 false
             }
@@ -226,19 +232,19 @@
         self.update_group(service);
     }
 
-    fn note_end(&mut self, service: &ServiceName, ticket: Ticket) {
+    fn record_end(&mut self, service: &ServiceName, ticket: Ticket) {
         let now = self.clock.now();
         if let Some(group) = self.groups.get_mut(service) {
-            group.note_end(ticket, now);
+            group.record_end(ticket, now);
         }
     }
 
-    /// Drops the groups that another node dispatches now, once no owner asks here any more.
+    /// Drops groups of services that another node dispatches, once they are unused.
     fn drop_unused_groups(&mut self, now: MonotonicTime) {
         let mut unused = Vec::new();
         for (service, group) in &mut self.groups {
             let own = self.directory.is_own_service(service);
-            if group.note_ownership(now, own) {
+            if group.update_ownership(now, own) {
                 unused.push(service.clone());
             }
         }
@@ -250,8 +256,8 @@
                 self.polls.stop(&listed.backend.name);
                 self.instances.remove(&listed.backend.name);
             }
-            group.withdraw();
-            log::info!("service={service} dispatched elsewhere");
+            group.reset_gauges();
+            log::info!("service={service} is dispatched by another node; dropped its unused group");
         }
     }
 
@@ -270,7 +276,7 @@
             return;
         };
         let update = group.update(now, &configuration, &self.machines);
-        // Of a service that is no longer configured only the health matters.
+        // For a service that is no longer configured, only health is polled, as for tools.
         let kind = kind.unwrap_or(ServiceKind::Tool);
         for listed in group.listed() {
             self.polls.start(&listed.backend, kind);
--- a/crates/node/src/dispatcher/status.rs
+++ b/crates/node/src/dispatcher/status.rs
@@ -1,4 +1,4 @@
-//! A service as operators see it: its queues, and what its engines reported last.
+//! Status of a service for operators: its queues and the last reports of its engines.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,46 +10,48 @@
 
 use super::backend_list::ListedBackend;
 
-/// The back ends and the queues of one service.
+/// Status of one service.
 #[derive(Debug, Clone)]
 pub struct ServiceStatus {
-    /// The service.
+    /// Service that this node dispatches.
     pub service: ServiceName,
-    /// Its back ends.
+    /// All listed back ends.
     pub backends: Vec<BackendStatus>,
-    /// Calls that wait for a slot, by partner and priority.
+    /// Calls waiting for a slot, by partner and priority.
     pub queues: Vec<QueueStatus>,
-    /// Grants that have not ended.
+    /// Number of grants that have not ended.
     pub in_flight: usize,
-    /// Age of the newest cache event.
+    /// Age of the newest cache event of any engine; `None` before the first.
     pub cache_event_age: Option<Duration>,
 }
 
-/// A back end and its last report.
+/// A back end and its last load report.
 #[derive(Debug, Clone)]
 pub struct BackendStatus {
-    /// The back end.
+    /// Back end and drain state.
     pub listed: ListedBackend,
-    /// What it reported, and how long ago.
+    /// Last load report and its age; `None` before the first.
     pub load: Option<(LoadReport, Duration)>,
 }
 
-/// The calls of one partner and priority.
+/// Waiting calls of one partner and priority.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct QueueStatus {
-    /// The partner.
+    /// Partner that makes the calls.
     pub partner: PartnerName,
-    /// Priority of the calls.
+    /// Priority shared by the calls.
     pub priority: Priority,
-    /// The partner's classes of this priority.
+    /// Names of the partner's priority classes with this priority; filled by
+    /// [`Self::name_classes`].
     pub classes: Vec<String>,
-    /// Calls that wait.
+    /// Number of waiting calls.
     pub length: usize,
-    /// How long the oldest one has waited here.
+    /// Time that the oldest call has waited at this dispatcher.
     pub oldest_age: Duration,
 }
 
-/// Sums calls up by partner and priority. Each comes with the time since when it waits.
+/// Groups waiting calls by partner and priority. Each call comes with the time at which it was
+/// enqueued.
 pub fn queues<'a>(
     calls: impl Iterator<Item = (&'a QueuedCall, MonotonicTime)>,
     now: MonotonicTime,
@@ -73,7 +75,7 @@
 }
 
 impl QueueStatus {
-    /// Names the classes: requests for slots carry only what the order depends on.
+    /// Fills in the class names from the configuration: requests for slots carry only the priority.
     pub fn name_classes(&mut self, configuration: &ConfigurationSet) {
         let priority = self.priority;
         let same = |class: &&PriorityClass| {
@@ -92,7 +94,7 @@
     }
 }
 
-/// What engines reported last, and when that came.
+/// Last load report of each engine and time of the newest cache event.
 #[derive(Debug, Default)]
 pub struct LastReports {
     loads: BTreeMap<BackendName, (LoadReport, MonotonicTime)>,
@@ -100,8 +102,8 @@
 }
 
 impl LastReports {
-    /// Notes what an event tells of an engine.
-    pub fn note(&mut self, now: MonotonicTime, event: &Event) {
+    /// Records load reports and cache events; ignores other events.
+    pub fn record(&mut self, now: MonotonicTime, event: &Event) {
         match event {
             Event::LoadReport(load) => {
                 let name = load.backend.clone();
@@ -112,13 +114,13 @@
         }
     }
 
-    /// Forgets a back end that is gone.
+    /// Removes a back end that is no longer listed.
     pub fn remove(&mut self, name: &BackendName) {
         self.loads.remove(name);
     }
 
-    /// A back end with its last report.
-    pub fn of(&self, listed: &ListedBackend, now: MonotonicTime) -> BackendStatus {
+    /// Combines a back end with its last load report.
+    pub fn status_of(&self, listed: &ListedBackend, now: MonotonicTime) -> BackendStatus {
         let load = self.loads.get(&listed.backend.name);
         BackendStatus {
             listed: listed.clone(),
@@ -126,7 +128,7 @@
         }
     }
 
-    /// Age of the newest cache event.
+    /// Age of the newest cache event of any engine; `None` before the first.
     pub fn cache_event_age(&self, now: MonotonicTime) -> Option<Duration> {
         self.cache_event.map(|at| now.since(at))
     }
--- a/crates/node/src/dispatcher/sweep.rs
+++ b/crates/node/src/dispatcher/sweep.rs
@@ -1,4 +1,4 @@
-//! Lets no engine keep the context of a run that ended, whoever should have told.
+//! Periodically releases engine contexts of ended runs, also where no owner reported the end.
 
 use std::time::Duration;
 
@@ -6,18 +6,17 @@
 use ridgeworks_scheduling::Event;
 use stakker::{CX, after};
 
-use super::engine_poll::{EngineNews, EngineReport};
+use super::engine_poll::{EngineReport, EngineUpdate};
 use super::role::DispatcherRole;
 use crate::message::NodeMessage;
 use crate::router::Outgoing;
 
-/// Time between two steps of the sweep.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(500);
 
 impl DispatcherRole {
-    /// Takes a step: asks replicas about contexts, and releases those of ended runs.
+    /// Runs one sweep step: queries replicas about listed runs and releases contexts of ended ones.
     pub(super) fn sweep(&mut self, cx: CX![]) {
-        self.take_up_services();
+        self.start_owned_services();
         let services: Vec<ServiceName> = self.groups.keys().cloned().collect();
         for service in services {
             if self.directory.is_own_service(&service) {
@@ -28,10 +27,10 @@
         after!(SWEEP_INTERVAL, [cx], sweep());
     }
 
-    /// Notes what an engine holds.
-    pub(super) fn note_listing(&mut self, report: &EngineReport) {
+    /// Records the contexts of an engine's cache listing; ignores other updates.
+    pub(super) fn record_listing(&mut self, report: &EngineReport) {
         let now = self.clock.now();
-        let EngineNews::Listing(listing) = &report.news else {
+        let EngineUpdate::Listing(listing) = &report.update else {
             return;
         };
         if let Some(group) = self.groups.get_mut(&report.service) {
@@ -40,15 +39,15 @@
         }
     }
 
-    /// Notes that a run makes a call.
-    pub(super) fn note_use(&mut self, service: &ServiceName, run: RunId) {
+    /// Defers the next query about a run that makes a call.
+    pub(super) fn mark_run_active(&mut self, service: &ServiceName, run: RunId) {
         let now = self.clock.now();
         if let Some(group) = self.groups.get_mut(service) {
-            group.contexts().used(now, run);
+            group.contexts().mark_active(now, run);
         }
     }
 
-    /// Takes a replica's answer.
+    /// Handles a replica's answer to a query about ended runs.
     pub(super) fn ended_runs(
         &mut self,
         from: NodeId,
@@ -62,9 +61,9 @@
         }
     }
 
-    /// Back ends of a service are followed from the moment that this node becomes its dispatcher, also before the first
-    /// call comes: contexts at its engines may be of runs that ended before.
-    fn take_up_services(&mut self) {
+    /// Starts polling back ends as soon as this node becomes the dispatcher of a model service,
+    /// before the first call: engines may hold contexts of runs that ended earlier.
+    fn start_owned_services(&mut self) {
         let configuration = self.directory.last_known();
         for service in configuration.services() {
             if service.kind == ServiceKind::Model && self.directory.is_own_service(&service.name) {
@@ -80,12 +79,12 @@
         };
         let directory = &self.directory;
         let replicas_of = |run| directory.present_replicas_of(run);
-        for question in group.contexts().questions(now, replicas_of) {
+        for query in group.contexts().queries(now, replicas_of) {
             let message = NodeMessage::EndedRunsQuery {
                 service: service.clone(),
-                runs: question.runs,
+                runs: query.runs,
             };
-            let to = question.to;
+            let to = query.to;
             self.outputs.outgoing.fwd(Outgoing { to, message });
         }
     }
@@ -95,7 +94,7 @@
             return;
         };
         for context in group.contexts().take_ended() {
-            // The scheduler forgets it too, and releases what is stored of it later.
+            // The scheduler also drops the run, and releases contexts of it that are stored later.
             self.handle(service, Event::RunEnded(context.run));
             for backend in &context.backends {
                 self.release_context(service, context.run, backend);
--- a/crates/node/src/member_changes.rs
+++ b/crates/node/src/member_changes.rs
@@ -50,7 +50,7 @@
         }
         let node = member.node;
         self.directory
-            .note_presence(node, member.state.is_present());
+            .record_presence(node, member.state.is_present());
         let lost = matches!(member.state, MemberState::Dead | MemberState::Left);
         // A node that came back with a new incarnation has lost what its predecessor held.
         let replaced = old_state.is_some() && member.state == MemberState::Alive;
--- a/crates/node/src/owner/role.rs
+++ b/crates/node/src/owner/role.rs
@@ -178,7 +178,7 @@
 
     fn reply(&mut self, from: NodeId, reply: Reply) {
         if let Reply::Identity { replica } = reply {
-            self.directory.note_identity(replica);
+            self.directory.record_identity(replica);
             return;
         }
         if let Some(run) = reply.run() {
--- a/crates/node/src/replica/sweep.rs
+++ b/crates/node/src/replica/sweep.rs
@@ -108,14 +108,14 @@
         members.iter().any(|member| {
             let absent = self.sweeps.directory.is_absent_for(member.node, dead_time);
             let replacement = || self.sweeps.directory.replacement_for(run, members, *member);
-            self.sweeps.directory.has_other_store(*member) || absent && replacement().is_some()
+            self.sweeps.directory.has_replaced_store(*member) || absent && replacement().is_some()
         })
     }
 
     /// Said here, where it is decided by: the owner may not have heard of the new store yet when it is asked to look.
     fn log_changed_stores(&self, run: RunId, members: &[ReplicaId]) {
         for member in members {
-            if self.sweeps.directory.has_other_store(*member) {
+            if self.sweeps.directory.has_replaced_store(*member) {
                 let node = member.node.0;
                 log::info!("run={run} replica={node} has another store");
             }
--- a/crates/node/tests/adoption_sweep.rs
+++ b/crates/node/tests/adoption_sweep.rs
@@ -1,4 +1,4 @@
-//! How often owners are asked for runs that lack something, under virtual time.
+//! Tests the rate of adoption requests to owners with virtual time.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn a_step_is_bounded_and_the_next_ones_bring_the_rest() {
+fn steps_are_bounded_and_together_cover_all_runs() {
     let runs = || (0..150).map(RunId);
     let mut sweep = AdoptionSweep::default();
     let mut asked = Vec::new();
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn repeats_for_a_run_become_rare_and_a_settled_run_is_forgotten() {
+fn repeats_back_off_and_settled_run_is_removed() {
     let run = RunId(1);
     let mut sweep = AdoptionSweep::default();
     let mut asked_at = Vec::new();
--- a/crates/node/tests/dispatcher_change.rs
+++ b/crates/node/tests/dispatcher_change.rs
@@ -1,4 +1,4 @@
-//! Attempts that run when the dispatcher changes go on taking up their slots at the next one.
+//! Running attempts keep occupying their slots after a dispatcher failover.
 
 mod support;
 
@@ -9,13 +9,13 @@
 use support::{Cluster, eventually};
 
 const WITHIN: Duration = Duration::from_secs(20);
-/// Long enough to be running throughout the test, at one token each step.
+/// Long enough to run throughout the test, at one token per step.
 const LONG_ANSWER: u32 = 4_000;
 const STEP: Duration = Duration::from_millis(10);
 const CALLS: usize = 3;
 
-/// Runs whose owner isn't the dispatcher.
-fn open_elsewhere(cluster: &Cluster, dispatcher: usize) -> Vec<RunId> {
+/// Opens runs whose owner is another node than the dispatcher.
+fn open_runs_with_other_owner(cluster: &Cluster, dispatcher: usize) -> Vec<RunId> {
     let mut runs = Vec::new();
     while runs.len() < CALLS {
         let run = cluster.open();
@@ -27,13 +27,13 @@
 }
 
 #[test]
-fn the_next_dispatcher_is_told_of_running_attempts() {
+fn new_dispatcher_counts_running_attempts_after_failover() {
     let mut options = EngineOptions::local("engine-1");
     options.answer_tokens = 2 * LONG_ANSWER as usize;
     options.costs.base = STEP;
     let mut cluster = Cluster::start(vec![options]);
     let first = cluster.dispatcher();
-    for run in open_elsewhere(&cluster, first) {
+    for run in open_runs_with_other_owner(&cluster, first) {
         cluster.begin_call(run, LONG_ANSWER);
     }
     eventually("all calls run", WITHIN, || {
@@ -41,9 +41,13 @@
     });
     cluster.nodes[first].kill();
     let others: Vec<usize> = (0..3).filter(|node| *node != first).collect();
-    let took = eventually("the next dispatcher counts them", WITHIN, || {
-        let mut others = others.iter();
-        others.any(|node| cluster.in_flight(*node) == Some(CALLS))
-    });
-    println!("counted after {took:?}");
+    let took = eventually(
+        "the new dispatcher counts the running attempts",
+        WITHIN,
+        || {
+            let mut others = others.iter();
+            others.any(|node| cluster.in_flight(*node) == Some(CALLS))
+        },
+    );
+    println!("running attempts counted after {took:?}");
 }
--- a/crates/node/tests/engine_memory.rs
+++ b/crates/node/tests/engine_memory.rs
@@ -1,4 +1,4 @@
-//! No engine memory stays tied up by runs that have ended, whoever should have told the engine.
+//! Engines release contexts of ended runs even if events are lost or the dispatcher fails.
 
 mod support;
 
@@ -10,17 +10,17 @@
 use serde_json::Value;
 use support::{Cluster, eventually};
 
-/// What the users were promised.
+/// Bound promised to users on how long an engine keeps an ended run's context.
 const WITHIN: Duration = Duration::from_secs(10);
 
-/// Reads a context out of an engine.
+/// Exports a run's context from an engine.
 fn export(cluster: &Cluster, engine: SocketAddr, run: RunId) -> Value {
     let url = format!("http://{engine}/contexts/{run}/export");
     let mut answer = cluster.agent().post(&url).send_empty().unwrap();
     answer.body_mut().read_json().unwrap()
 }
 
-/// Stores a context, as an attempt does that ends late.
+/// Stores a context as an attempt does that ends after its run.
 fn store_late(cluster: &Cluster, engine: SocketAddr, run: RunId, context: &Value) {
     let url = format!("http://{engine}/contexts/{run}");
     let answer = cluster.agent().put(&url).send_json(context).unwrap();
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn contexts_of_ended_runs_go_without_events_and_without_the_dispatcher() {
+fn contexts_of_ended_runs_are_released_without_events_and_after_failover() {
     let mut options = EngineOptions::local("engine-1");
     options.cache_event_gap_every = Some(1);
     let mut cluster = Cluster::start(vec![options]);
@@ -41,22 +41,22 @@
     }
     let context = export(&cluster, engine, ended);
     cluster.close(ended);
-    eventually("the release at the end", WITHIN, || {
+    eventually("the context is released when its run ends", WITHIN, || {
         cluster.contexts(0).len() == 1
     });
 
     store_late(&cluster, engine, ended, &context);
-    let took = eventually("a late store is released", WITHIN, || {
+    let took = eventually("a context stored late is released", WITHIN, || {
         cluster.contexts(0).len() == 1
     });
-    println!("late store released after {took:?}");
+    println!("context stored late was released after {took:?}");
 
     let dispatcher = cluster.dispatcher();
     cluster.nodes[dispatcher].kill();
     store_late(&cluster, engine, ended, &context);
-    let took = eventually("the next dispatcher releases", WITHIN, || {
+    let took = eventually("the new dispatcher releases the context", WITHIN, || {
         cluster.contexts(0).len() == 1
     });
-    println!("released by the next dispatcher after {took:?}");
+    println!("released by the new dispatcher after {took:?}");
     assert_eq!(cluster.contexts(0), vec![open.to_string()]);
 }
--- a/crates/node/tests/leaving_backends.rs
+++ b/crates/node/tests/leaving_backends.rs
@@ -1,11 +1,12 @@
-//! A dispatcher that knows only the platform's late list gives no work to a back end that is leaving.
+//! A new dispatcher, which knows only the platform's lagging list, sends no calls to a leaving back
+//! end.
 
 use ridgeworks_configuration::{ConfigurationSet, Machine, MachineList, MachineState};
 use ridgeworks_domain::objects::Backend;
 use ridgeworks_domain::{
     BackendName, CallKey, Cost, MonotonicTime, NodeId, PartnerName, RunId, ServiceName, ZoneName,
 };
-use ridgeworks_node::dispatcher::{DispatcherGroup, LONGEST_CHECK, SlotRequest};
+use ridgeworks_node::dispatcher::{DispatcherGroup, PROBE_TIMEOUT, SlotRequest};
 use ridgeworks_node::metrics::Metrics;
 use ridgeworks_scheduling::{Effect, Event, LoadReport, Priority, QueuedCall, Ticket};
 
@@ -34,8 +35,8 @@
     }
 }
 
-/// A dispatcher that has just taken over, with a list of two live back ends.
-fn taken_over() -> DispatcherGroup {
+/// A new dispatcher with two back ends listed as live and not yet probed.
+fn group_with_unprobed_backends() -> DispatcherGroup {
     let mut group = DispatcherGroup::new(service(), Metrics::default().service(&service()));
     let mut machines = MachineList::default();
     machines.observe(1, vec![machine("e1"), machine("e2")]);
@@ -79,8 +80,8 @@
 }
 
 #[test]
-fn no_grant_goes_to_a_back_end_that_was_not_asked_itself() {
-    let mut group = taken_over();
+fn calls_are_held_until_back_ends_are_probed_and_skip_leaving_ones() {
+    let mut group = group_with_unprobed_backends();
     let mut effects = Vec::new();
     for number in 0..6 {
         effects.extend(group.handle(NOW, Event::Enqueue(call(number))));
@@ -90,35 +91,35 @@
         "neither granted nor refused: {effects:?}"
     );
     effects.extend(group.handle(NOW, Event::BackendLeaving(name("e1"))));
-    effects.extend(group.note_checked(NOW, &name("e1"), None));
-    effects.extend(group.note_checked(NOW, &name("e2"), None));
+    effects.extend(group.record_probe(NOW, &name("e1"), None));
+    effects.extend(group.record_probe(NOW, &name("e2"), None));
     assert_eq!(granted(&effects), vec!["e2"; 6]);
 }
 
 #[test]
-fn a_call_that_is_given_up_meanwhile_gets_no_grant() {
-    let mut group = taken_over();
+fn cancelled_held_call_gets_no_grant() {
+    let mut group = group_with_unprobed_backends();
     group.handle(NOW, Event::Enqueue(call(1)));
     let ticket = call(1).ticket;
     group.handle(NOW, Event::Cancel(ticket));
-    group.note_checked(NOW, &name("e1"), None);
-    let effects = group.note_checked(NOW, &name("e2"), None);
+    group.record_probe(NOW, &name("e1"), None);
+    let effects = group.record_probe(NOW, &name("e2"), None);
     assert!(granted(&effects).is_empty());
 }
 
 #[test]
-fn a_back_end_that_cannot_be_asked_holds_calls_up_for_a_bounded_time() {
-    let mut group = taken_over();
+fn unreachable_back_end_holds_calls_no_longer_than_the_probe_timeout() {
+    let mut group = group_with_unprobed_backends();
     group.handle(NOW, Event::Enqueue(call(1)));
-    assert!(granted(&group.note_checked(NOW, &name("e2"), None)).is_empty());
-    let effects = group.handle(NOW + LONGEST_CHECK, Event::Tick);
+    assert!(granted(&group.record_probe(NOW, &name("e2"), None)).is_empty());
+    let effects = group.handle(NOW + PROBE_TIMEOUT, Event::Tick);
     assert_eq!(granted(&effects), ["e2"]);
 }
 
-/// Three calls that came before the engine's first load all ran, with the default memory of 200,000 tokens in place of its
-/// 16,384, of which three quarters hold two of them.
+/// Guards against admitting held calls against the default memory size: three quarters of the
+/// engine's 16,384 tokens fit only two of the three calls, the default of 200,000 tokens fits all.
 #[test]
-fn calls_that_waited_for_a_back_end_are_held_to_its_memory() {
+fn held_calls_respect_the_memory_reported_by_the_probe() {
     let mut group = DispatcherGroup::new(service(), Metrics::default().service(&service()));
     let mut machines = MachineList::default();
     machines.observe(1, vec![machine("e1")]);
@@ -134,6 +135,6 @@
         waiting: 0,
         cache_capacity_tokens: 16_384,
     };
-    let effects = group.note_checked(NOW, &name("e1"), Some(load));
+    let effects = group.record_probe(NOW, &name("e1"), Some(load));
     assert_eq!(granted(&effects), ["e1", "e1"]);
 }
--- a/crates/node/tests/preemption.rs
+++ b/crates/node/tests/preemption.rs
@@ -1,4 +1,4 @@
-//! Urgent calls do not wait behind routine ones, also when those hold all slots.
+//! Urgent calls preempt routine calls when those hold all routine slots.
 
 mod support;
 
@@ -12,25 +12,26 @@
 
 const WITHIN: Duration = Duration::from_secs(20);
 const STEP: Duration = Duration::from_millis(200);
-/// A routine answer takes eight seconds.
+/// Tokens of a routine answer, which takes eight seconds.
 const ANSWER: u32 = 40;
-/// Slots of the engine but for the one that is kept for urgent calls.
+/// Slots of the engine without the one reserved for urgent calls.
 const ROUTINE: usize = 7;
-/// More than the slot that is kept.
+/// More calls than reserved slots.
 const URGENT: usize = 3;
-/// Long enough that urgent calls one after the other in the slot that is kept would be late.
+/// Tokens; long enough that urgent calls would exceed `LONGEST_WAIT` if they ran one after another
+/// in the reserved slot.
 const URGENT_ANSWER: u32 = 10;
-/// The step under way and the messages between busy processes.
+/// Allows for the step in progress and for messages between busy processes.
 const LONGEST_WAIT: Duration = Duration::from_secs(1);
 
-/// Makes a call that may be repeated; answers how long it took.
+/// Starts a repeatable call and returns its duration, or `None` if it got no answer.
 fn begin(cluster: &Cluster, run: RunId, max_tokens: u32) -> JoinHandle<Option<Duration>> {
     let edge = cluster.nodes[cluster.owner(run)].edge;
     thread::spawn(move || {
         let agent: Agent = Agent::config_builder().build().into();
         let start = Instant::now();
         let headers = [("x-ridgeworks-repeatable", "true")];
-        // A node may refuse until it has the configuration.
+        // A node may refuse calls until it has the configuration.
         let call = || chat_with(&agent, edge, run, 1, max_tokens, &headers);
         let answer = support::ask_until_answered(call);
         answer.map(|_| start.elapsed())
@@ -38,7 +39,7 @@
 }
 
 #[test]
-fn urgent_calls_take_slots_from_routine_ones_which_are_made_again() {
+fn urgent_calls_preempt_routine_calls_which_are_retried() {
     let mut options = EngineOptions::local("engine-1");
     options.answer_tokens = 2 * ANSWER as usize;
     options.costs.base = STEP;
@@ -50,7 +51,7 @@
         .iter()
         .map(|run| begin(&cluster, *run, ANSWER))
         .collect();
-    eventually("all routine slots are taken", WITHIN, || {
+    eventually("all routine slots are occupied", WITHIN, || {
         cluster.in_flight(dispatcher) == Some(ROUTINE)
     });
     let urgent_calls: Vec<_> = urgent
@@ -60,7 +61,7 @@
     for call in urgent_calls {
         let took = call.join().unwrap().expect("an answer");
         let waited = took.saturating_sub(STEP * URGENT_ANSWER);
-        println!("urgent call waited {waited:?} beside its own steps");
+        println!("urgent call waited {waited:?} in addition to its own steps");
         assert!(waited < LONGEST_WAIT, "{waited:?}");
     }
     for call in routine_calls {
--- a/crates/node/tests/running_attempts.rs
+++ b/crates/node/tests/running_attempts.rs
@@ -1,4 +1,5 @@
-//! What a dispatcher knows of attempts that another one granted, and how long its own grants are good for.
+//! Tests how a dispatcher records attempts granted by another one, the validity of resent grants
+//! and the expiry of unused groups.
 
 use std::time::Duration;
 
@@ -9,7 +10,7 @@
     ServiceName, ZoneName,
 };
 use ridgeworks_node::dispatcher::{
-    DispatcherAnswer, DispatcherGroup, Repeat, SlotRequest, UNUSED_GROUP_TIME,
+    DispatcherAnswer, DispatcherGroup, RequestDisposition, SlotRequest, UNUSED_GROUP_TIMEOUT,
 };
 use ridgeworks_node::metrics::Metrics;
 use ridgeworks_scheduling::{
@@ -17,7 +18,7 @@
 };
 
 const NOW: MonotonicTime = MonotonicTime { micros: 1_000_000 };
-/// One of the engine's eight slots is kept for urgent calls.
+/// One of the engine's eight slots is reserved for urgent calls.
 const ROUTINE_SLOTS: u64 = 7;
 
 fn engine() -> BackendName {
@@ -70,8 +71,9 @@
     request.queued_call(NOW)
 }
 
-/// Tells a dispatcher that took over of as many attempts, and asks it for as many slots as there are.
-fn grants_beside(running: u64, events: Vec<Event>) -> usize {
+/// Reports `running` attempts to a new dispatcher, requests every routine slot, and returns the
+/// number of grants.
+fn grants_with_running_attempts(running: u64, events: Vec<Event>) -> usize {
     let mut group = group();
     for number in 0..running {
         let call = call(number);
@@ -84,7 +86,7 @@
     for event in events {
         group.handle(NOW, event);
     }
-    let effects = group.note_checked(NOW, &engine(), None);
+    let effects = group.record_probe(NOW, &engine(), None);
     let granted = |effect: &&Effect| matches!(effect, Effect::Grant { .. });
     effects.iter().filter(granted).count()
 }
@@ -98,37 +100,46 @@
 }
 
 #[test]
-fn attempts_that_run_take_their_slots_before_any_call_is_granted() {
-    assert_eq!(grants_beside(0, vec![]), 7);
-    assert_eq!(grants_beside(5, vec![]), 2);
-    assert_eq!(grants_beside(ROUTINE_SLOTS, vec![]), 0);
+fn running_attempts_occupy_slots_before_calls_are_granted() {
+    assert_eq!(grants_with_running_attempts(0, vec![]), 7);
+    assert_eq!(grants_with_running_attempts(5, vec![]), 2);
+    assert_eq!(grants_with_running_attempts(ROUTINE_SLOTS, vec![]), 0);
 }
 
 #[test]
-fn attempts_that_ended_before_the_back_end_was_known_take_none() {
-    assert_eq!(grants_beside(5, vec![ended(0), ended(1)]), 4);
-    assert_eq!(grants_beside(5, vec![Event::OwnerLost(NodeId(1))]), 0);
+fn attempts_that_end_before_the_probe_occupy_no_slot() {
+    assert_eq!(grants_with_running_attempts(5, vec![ended(0), ended(1)]), 4);
+    assert_eq!(
+        grants_with_running_attempts(5, vec![Event::OwnerLost(NodeId(1))]),
+        0
+    );
     let all_lost = vec![Event::OwnerLost(NodeId(1)), Event::Enqueue(call(200))];
     assert_eq!(
-        grants_beside(5, all_lost),
+        grants_with_running_attempts(5, all_lost),
         1,
-        "the last owner's calls alone"
+        "only the call enqueued after the loss"
     );
 }
 
 #[test]
-fn news_of_an_attempt_counts_once_and_not_after_its_end() {
+fn running_attempt_is_recorded_once_and_not_after_its_end() {
     let mut group = group();
-    assert!(group.note_running(ticket(1)));
-    assert!(!group.note_running(ticket(1)), "a repeat");
-    group.note_end(ticket(1), NOW);
-    assert!(!group.note_running(ticket(1)), "a repeat that came late");
+    assert!(group.record_running(ticket(1)));
+    assert!(!group.record_running(ticket(1)), "a repeated report");
+    group.record_end(ticket(1), NOW);
+    assert!(
+        !group.record_running(ticket(1)),
+        "a repeated report after the end"
+    );
     group.handle(NOW, Event::OwnerLost(NodeId(1)));
-    assert!(group.note_running(ticket(1)), "the owner was only cut off");
+    assert!(
+        group.record_running(ticket(1)),
+        "the owner was only disconnected"
+    );
 }
 
 #[test]
-fn a_grant_that_is_sent_again_is_valid_for_what_is_left() {
+fn resent_grant_is_valid_for_the_remaining_time() {
     let mut group = group();
     let answer = DispatcherAnswer::Granted {
         ticket: ticket(1),
@@ -139,30 +150,33 @@
         },
         valid_for_ms: 1_000,
     };
-    group.note_request(ticket(1), NOW);
-    group.note_answer(&answer, NOW);
+    group.record_request(ticket(1), NOW);
+    group.record_answer(&answer, NOW);
     for (after, left) in [(0, 1_000), (300, 700), (1_000, 0), (5_000, 0)] {
         let now = NOW + Duration::from_millis(after);
-        let Repeat::Answered(DispatcherAnswer::Granted { valid_for_ms, .. }) =
-            group.note_request(ticket(1), now)
+        let RequestDisposition::Resend(DispatcherAnswer::Granted { valid_for_ms, .. }) =
+            group.record_request(ticket(1), now)
         else {
-            panic!("not answered again");
+            panic!("the grant was not sent again");
         };
         assert_eq!(valid_for_ms, left);
     }
 }
 
 #[test]
-fn a_group_that_another_node_dispatches_is_dropped_once_nobody_asks() {
+fn group_without_ownership_expires_once_its_queue_is_empty() {
     let mut group = group();
-    let dropped_at = NOW + UNUSED_GROUP_TIME;
+    let dropped_at = NOW + UNUSED_GROUP_TIMEOUT;
     group.handle(NOW, Event::Enqueue(call(1)));
-    assert!(!group.note_ownership(NOW, false));
-    assert!(!group.note_ownership(dropped_at, false), "a call waits");
+    assert!(!group.update_ownership(NOW, false));
+    assert!(
+        !group.update_ownership(dropped_at, false),
+        "a call is queued"
+    );
     group.handle(dropped_at, Event::Cancel(ticket(1)));
-    assert!(!group.note_ownership(dropped_at, false));
-    assert!(!group.note_ownership(dropped_at + UNUSED_GROUP_TIME, true));
-    let later = dropped_at + UNUSED_GROUP_TIME * 2;
-    assert!(!group.note_ownership(later, false));
-    assert!(group.note_ownership(later + UNUSED_GROUP_TIME, false));
+    assert!(!group.update_ownership(dropped_at, false));
+    assert!(!group.update_ownership(dropped_at + UNUSED_GROUP_TIMEOUT, true));
+    let later = dropped_at + UNUSED_GROUP_TIMEOUT * 2;
+    assert!(!group.update_ownership(later, false));
+    assert!(group.update_ownership(later + UNUSED_GROUP_TIMEOUT, false));
 }
--- a/crates/node/tests/working_set.rs
+++ b/crates/node/tests/working_set.rs
@@ -1,4 +1,4 @@
-//! Contexts that do not fit into an engine's memory together wait for one another, in the daemon too.
+//! Calls wait in a running cluster if their contexts do not fit into an engine's memory together.
 
 mod support;
 
@@ -8,9 +8,9 @@
 use support::{Cluster, eventually};
 
 const WITHIN: Duration = Duration::from_secs(15);
-/// 16,384 tokens.
+/// Engine memory in blocks; equals 16,384 tokens.
 const BLOCKS: u64 = 1_024;
-/// Two contexts of this size fit into three quarters of the memory, three don't.
+/// Tokens of an answer. Three quarters of the memory fit two such contexts, but not three.
 const ANSWER: u32 = 5_000;
 
 #[test]
