--- a/crates/node/src/dispatcher/engine_poll.rs
+++ b/crates/node/src/dispatcher/engine_poll.rs
@@ -19,8 +19,8 @@
 use crate::thread_message::ThreadMessage;
 
 const POLL_INTERVAL: Duration = Duration::from_millis(250);
-/// The whole cache is listed at every such poll, which recovers from lost events and finds contexts
-/// of ended runs.
+/// Number of polls per listing of the whole cache. Listings recover from lost events and find
+/// contexts of ended runs.
 const POLLS_PER_LISTING: u32 = 8;
 const POLL_TIMEOUT: Duration = Duration::from_secs(1);
 const THREAD_STACK_BYTES: usize = 256 * 1024;
--- a/crates/node/src/dispatcher/group.rs
+++ b/crates/node/src/dispatcher/group.rs
@@ -176,8 +176,8 @@
     /// Updates whether this node is the service's dispatcher. Returns true once the group has been
     /// unused for [`UNUSED_GROUP_TIMEOUT`] and should be dropped.
     pub fn update_ownership(&mut self, now: MonotonicTime, own: bool) -> bool {
-        let asked = !self.held_calls.is_empty() || self.dispatcher.queued() > 0;
-        if own || asked {
+        let has_queued_calls = !self.held_calls.is_empty() || self.dispatcher.queued() > 0;
+        if own || has_queued_calls {
             self.unused_since = None;
             return false;
         }
@@ -287,10 +287,10 @@
         let known_backends = self.probed.probed_among(&self.listed);
         let mut events = backend_events(&self.known_backends, &known_backends);
         self.known_backends = known_backends;
-        let seen = |(_, backend): &mut (QueuedCall, BackendName)| {
+        let is_known = |(_, backend): &mut (QueuedCall, BackendName)| {
             self.known_backends.contains_key(backend)
         };
-        let running = self.deferred_attempts.extract_if(.., seen);
+        let running = self.deferred_attempts.extract_if(.., is_known);
         events.extend(running.map(|(call, backend)| Event::AttemptRunning { call, backend }));
         let events = events.into_iter();
         events
--- a/crates/node/src/dispatcher/message.rs
+++ b/crates/node/src/dispatcher/message.rs
@@ -98,7 +98,11 @@
         tool: ServiceName,
     },
     /// The run ended; all engines must release its context.
-    RunEnded { service: ServiceName, run: RunId },
+    RunEnded {
+        service: ServiceName,
+        /// Run whose contexts at the engines of `service` are to be released.
+        run: RunId,
+    },
 }
 
 impl DispatcherCommand {
@@ -134,7 +138,10 @@
         refusal: Refusal,
     },
     /// The owner should cancel the running attempt in favour of an urgent call.
-    Preempt { ticket: Ticket },
+    Preempt {
+        /// Ticket of the attempt to cancel.
+        ticket: Ticket,
+    },
 }
 
 impl DispatcherAnswer {
