--- a/crates/records/src/chain_read.rs
+++ b/crates/records/src/chain_read.rs
@@ -1,8 +1,8 @@
 //! Reads a turn with all turns before it, on the gateway's side.
 //!
-//! Records never change, so any replica that has a record may return it. That a turn doesn't exist
-//! takes replies of a majority of the voters: at least one of them knows any later set, and rejects
-//! the request.
+//! Records never change, so any replica that has a record may return it. A turn
+//! counts as missing only once a majority of the voters has returned it as missing. If there is a
+//! later set, at least one voter of any such majority knows it and rejects the request.
 
 use std::collections::BTreeSet;
 
--- a/crates/records/src/change_log.rs
+++ b/crates/records/src/change_log.rs
@@ -20,8 +20,8 @@
     pub change: u64,
 }
 
-/// Number of the last change of one record; `None` before the first one.
-pub(crate) type ChangeNumber = Option<u64>;
+/// Number of the last change of one record; `None` before its first change.
+pub(crate) type LastChange = Option<u64>;
 
 /// The keys of all records in the order of their last changes.
 #[derive(Debug, Clone, Default)]
@@ -41,7 +41,7 @@
 
     /// Appends a change of the record with this key in place of its earlier one; `last` becomes the
     /// number of the change.
-    pub fn log_change(&mut self, last: &mut ChangeNumber, key: impl FnOnce() -> RecordKey) {
+    pub fn log_change(&mut self, last: &mut LastChange, key: impl FnOnce() -> RecordKey) {
         let earlier = last.and_then(|last| self.keys.remove(&last));
         self.newest += 1;
         self.keys.insert(self.newest, earlier.unwrap_or_else(key));
@@ -49,7 +49,7 @@
     }
 
     /// Removes the last change of a record that is deleted.
-    pub fn remove_change(&mut self, last: ChangeNumber) {
+    pub fn remove_change(&mut self, last: LastChange) {
         if let Some(last) = last {
             self.keys.remove(&last);
         }
--- a/crates/records/src/identifiers.rs
+++ b/crates/records/src/identifiers.rs
@@ -71,7 +71,7 @@
         Self(with_tenant(tenant, id))
     }
 
-    /// The client's own identifier, for logs.
+    /// The turn's identifier as the client sent it, without the tenant's name; for logs.
     pub fn request(&self) -> &str {
         let own = self.0.rsplit(TENANT_SEPARATOR).next();
         own.unwrap_or(&self.0)
--- a/crates/records/src/ledger.rs
+++ b/crates/records/src/ledger.rs
@@ -1,7 +1,7 @@
 //! The ledger of a program's tokens.
 //!
-//! A turn reserves the most tokens that it may generate before it runs, and is settled at the
-//! number that it did generate. Of two settlements the greater one counts, so copies at different
+//! Before a turn runs, it reserves the largest number of tokens that it may generate; afterwards it
+//! is settled with the number that it generated. Of two settlements the greater one counts, so copies at different
 //! replicas can be merged in any order, and reusing a turn's identifier can't lower its charge.
 
 use std::collections::BTreeMap;
--- a/crates/records/src/message.rs
+++ b/crates/records/src/message.rs
@@ -38,11 +38,13 @@
 /// Request to a replica.
 #[derive(Debug, Clone, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub enum ReplicaRequest {
-    /// Merges an entry into a program's ledger and returns the whole ledger.
+    /// Reserves tokens for a turn: merges its entry into the program's ledger and returns the whole
+    /// ledger.
     Charge {
         /// The program's group.
         group: GroupId,
-        /// Epoch of the set by which the sender counts replies; the replica rejects any other.
+        /// Epoch of the replica set whose quorum the sender counts. The replica rejects a request
+        /// with any other epoch.
         epoch: Epoch,
         program: ProgramId,
         /// The turn that the tokens are reserved for.
@@ -57,14 +59,16 @@
     Settle {
         /// The group of all these programs.
         group: GroupId,
-        /// Epoch of the set by which the sender counts replies; the replica rejects any other.
+        /// Epoch of the replica set whose quorum the sender counts. The replica rejects a request
+        /// with any other epoch.
         epoch: Epoch,
         settlements: Vec<Settlement>,
     },
     Append {
         /// The group of the turn's program.
         group: GroupId,
-        /// Epoch of the set by which the sender counts replies; the replica rejects any other.
+        /// Epoch of the replica set whose quorum the sender counts. The replica rejects a request
+        /// with any other epoch.
         epoch: Epoch,
         record: TurnRecord,
         /// How long the record is kept, in milliseconds.
@@ -74,8 +78,8 @@
     ReadChain {
         /// The group of the turn's program.
         group: GroupId,
-        /// Epoch of the set by which the sender counts replies; the replica rejects any other,
-        /// unless it has the newest turn.
+        /// Epoch of the replica set whose quorum the sender counts. The replica rejects a request
+        /// with any other epoch, unless it has the newest turn.
         epoch: Epoch,
         /// The newest turn.
         turn: TurnId,
@@ -122,7 +126,7 @@
 pub enum ReplicaReply {
     /// The entry is durable; holds the ledger as this replica knows it.
     Charged {
-        /// All entries of the program.
+        /// The program's ledger on this replica, with the entry merged.
         ledger: ProgramLedger,
     },
     /// The requested change is durable.
--- a/crates/records/src/plan.rs
+++ b/crates/records/src/plan.rs
@@ -31,7 +31,7 @@
     Prepare {
         /// The replicas that have to copy.
         new_members: Vec<Replica>,
-        /// The set to write once they have copied.
+        /// The joint set to write once the new members have copied the group's records.
         change: ReplicaSet,
     },
     /// Write this set to the register.
--- a/crates/records/src/replica.rs
+++ b/crates/records/src/replica.rs
@@ -10,7 +10,7 @@
 
 use rkyv::{Archive, Deserialize, Serialize};
 
-use crate::change_log::{ChangeLog, ChangeNumber};
+use crate::change_log::{ChangeLog, LastChange};
 use crate::groups::{GroupId, ReplicaGroups};
 use crate::identifiers::{Epoch, ProgramId, RecordKey, ReplicaId, TurnId};
 use crate::ledger::{LedgerEntry, ProgramLedger};
@@ -60,14 +60,13 @@
 pub struct Handled {
     pub changes: Vec<Change>,
     pub reply: ReplicaReply,
-    /// What the reply has to wait for.
     pub wait: Wait,
 }
 
 /// What a reply has to wait for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Wait {
-    No,
+    Nothing,
     /// All changes so far, which have to be written at once.
     Durable,
     /// All changes so far, which may be written together with later ones.
@@ -79,7 +78,7 @@
         Self {
             changes: Vec::new(),
             reply,
-            wait: Wait::No,
+            wait: Wait::Nothing,
         }
     }
 
@@ -97,7 +96,7 @@
     value: T,
     expires_at_ms: u64,
     group: GroupId,
-    last_change: ChangeNumber,
+    last_change: LastChange,
 }
 
 impl<T> Retained<T> {
@@ -116,7 +115,7 @@
     copied: BTreeMap<GroupId, Epoch>,
     turns: BTreeMap<TurnId, Retained<TurnRecord>>,
     ledgers: BTreeMap<ProgramId, Retained<ProgramLedger>>,
-    changes: BTreeMap<GroupId, ChangeLog>,
+    change_logs: BTreeMap<GroupId, ChangeLog>,
     turn_bytes: usize,
     max_total_turn_bytes: usize,
     /// Whether some records of the disk aren't restored yet.
@@ -137,7 +136,7 @@
             copied: BTreeMap::new(),
             turns: BTreeMap::new(),
             ledgers: BTreeMap::new(),
-            changes: BTreeMap::new(),
+            change_logs: BTreeMap::new(),
             turn_bytes: 0,
             max_total_turn_bytes,
             is_restoring: false,
@@ -161,8 +160,8 @@
         groups.map_or(Epoch::default(), ReplicaGroups::epoch)
     }
 
-    /// Number of turns and of ledgers.
-    pub fn counts(&self) -> (usize, usize) {
+    /// Number of turns, and number of ledgers.
+    pub fn turn_and_ledger_counts(&self) -> (usize, usize) {
         (self.turns.len(), self.ledgers.len())
     }
 
@@ -226,8 +225,8 @@
     pub fn expire(&mut self, now_ms: u64) -> Vec<Change> {
         let mut changes = Vec::new();
         let turn_bytes = &mut self.turn_bytes;
-        let logs = &mut self.changes;
-        let mut remove_from_log = |group: GroupId, last_change: ChangeNumber| {
+        let logs = &mut self.change_logs;
+        let mut remove_from_log = |group: GroupId, last_change: LastChange| {
             if let Some(log) = logs.get_mut(&group) {
                 log.remove_change(last_change);
             }
@@ -298,7 +297,7 @@
         expires_at_ms: u64,
     ) -> Handled {
         let change = self.merge_entry(group, &program, turn, entry, expires_at_ms);
-        let retained = ledger_entry(&mut self.ledgers, group, program, expires_at_ms);
+        let retained = ledger_or_insert(&mut self.ledgers, group, program, expires_at_ms);
         let ledger = retained.value.clone();
         let reply = ReplicaReply::Charged { ledger };
         Handled::durable(change.into_iter().collect(), reply)
@@ -357,14 +356,14 @@
         expires_at_ms: u64,
         merge: impl FnOnce(&mut ProgramLedger) -> bool,
     ) -> Option<Change> {
-        let retained = ledger_entry(&mut self.ledgers, group, program.clone(), expires_at_ms);
+        let retained = ledger_or_insert(&mut self.ledgers, group, program.clone(), expires_at_ms);
         let has_changed = merge(&mut retained.value);
         retained.expires_at_ms = retained.expires_at_ms.max(expires_at_ms);
         if !has_changed {
             return None;
         }
         let key = || RecordKey::Ledger(program.clone());
-        let log = change_log(&mut self.changes, self.log_id, retained.group);
+        let log = change_log(&mut self.change_logs, self.log_id, retained.group);
         log.log_change(&mut retained.last_change, key);
         let stored = StoredRecord::Ledger(
             program.clone(),
@@ -394,7 +393,7 @@
             .get(&turn)
             .and_then(|retained| retained.last_change);
         let key = || RecordKey::Turn(turn.clone());
-        change_log(&mut self.changes, self.log_id, group).log_change(&mut last_change, key);
+        change_log(&mut self.change_logs, self.log_id, group).log_change(&mut last_change, key);
         let retained = Retained {
             value: record,
             expires_at_ms,
@@ -436,7 +435,7 @@
         .or_insert_with(|| ChangeLog::with_id(log_id))
 }
 
-fn ledger_entry(
+fn ledger_or_insert(
     ledgers: &mut BTreeMap<ProgramId, Retained<ProgramLedger>>,
     group: GroupId,
     program: ProgramId,
--- a/crates/records/src/replica/copying.rs
+++ b/crates/records/src/replica/copying.rs
@@ -73,7 +73,7 @@
         after: Option<ListPosition>,
         now_ms: u64,
     ) -> Listing {
-        let log = change_log(&mut self.changes, self.log_id, group);
+        let log = change_log(&mut self.change_logs, self.log_id, group);
         let (keys, next) = log.page(after, LISTING_PAGE);
         let mut turns = Vec::new();
         let mut ledgers = Vec::new();
--- a/crates/records/src/replica/restoring.rs
+++ b/crates/records/src/replica/restoring.rs
@@ -1,6 +1,6 @@
 //! Restoring records from the disk while requests are handled.
 
-use super::{ReplicaState, StoredRecord, ledger_entry};
+use super::{ReplicaState, StoredRecord, ledger_or_insert};
 use crate::groups::{GroupId, ReplicaGroups};
 use crate::identifiers::{ProgramId, RecordKey, TurnId};
 use crate::message::ReplicaRequest;
@@ -13,7 +13,7 @@
     }
 
     /// Begins restoring. Records that a request needs are restored first
-    /// ([`Self::missing_record`]), the others as they are read. Until the end, the replica reports
+    /// ([`Self::unrestored_record`]), the others as they are read. Until the end, the replica reports
     /// a turn as missing only if it was looked up on the disk.
     pub fn begin_restoring(&mut self) {
         self.is_restoring = true;
@@ -39,27 +39,27 @@
 
     /// The next record that has to be restored, or marked as absent, before this request is
     /// handled; `None` when the request can be handled.
-    pub fn missing_record(&self, request: &ReplicaRequest) -> Option<RecordKey> {
+    pub fn unrestored_record(&self, request: &ReplicaRequest) -> Option<RecordKey> {
         if !self.is_restoring {
             return None;
         }
         match request {
-            ReplicaRequest::Charge { program, .. } => self.missing_ledger(program),
+            ReplicaRequest::Charge { program, .. } => self.unrestored_ledger(program),
             ReplicaRequest::Settle { settlements, .. } => {
                 let mut programs = settlements.iter().map(|settlement| &settlement.program);
-                programs.find_map(|program| self.missing_ledger(program))
+                programs.find_map(|program| self.unrestored_ledger(program))
             }
-            ReplicaRequest::ReadChain { turn, .. } => self.missing_turn(turn),
+            ReplicaRequest::ReadChain { turn, .. } => self.unrestored_turn(turn),
             _ => None,
         }
     }
 
-    fn missing_ledger(&self, program: &ProgramId) -> Option<RecordKey> {
+    fn unrestored_ledger(&self, program: &ProgramId) -> Option<RecordKey> {
         let is_known = !self.is_restoring_ledgers || self.ledgers.contains_key(program);
         (!is_known).then(|| RecordKey::Ledger(program.clone()))
     }
 
-    fn missing_turn(&self, newest: &TurnId) -> Option<RecordKey> {
+    fn unrestored_turn(&self, newest: &TurnId) -> Option<RecordKey> {
         let mut next = Some(newest);
         while let Some(turn) = next {
             match self.turns.get(turn) {
@@ -80,7 +80,7 @@
             // An empty ledger that expires at once marks the program as known.
             RecordKey::Ledger(program) => {
                 let group = self.group_of(&program);
-                ledger_entry(&mut self.ledgers, group, program, 0);
+                ledger_or_insert(&mut self.ledgers, group, program, 0);
             }
         }
     }
--- a/crates/records/src/replica_set.rs
+++ b/crates/records/src/replica_set.rs
@@ -156,10 +156,11 @@
     /// Incoming replicas that have to copy what a read quorum of the voters holds before the change
     /// may be completed.
     ///
-    /// An acknowledged write is held by a majority of the voters. Where the new members that copy
-    /// it make up for the voters that leave, a majority of the incoming replicas holds it, and the
-    /// staying voters need no copy, which would load them further. Where the set shrinks, all
-    /// incoming replicas copy.
+    /// An acknowledged write is held by a majority of the voters, some of which may leave. If the
+    /// incoming replicas tolerate at least as many failures as the voters, it is enough that the
+    /// new members copy: a majority of the incoming replicas then holds the write. The staying
+    /// voters need no copy, which would load them further. If the incoming replicas tolerate fewer
+    /// failures, all of them copy.
     pub fn copiers(&self) -> Vec<&Replica> {
         let Some(incoming) = &self.incoming else {
             return Vec::new();
--- a/crates/records/tests/restoring.rs
+++ b/crates/records/tests/restoring.rs
@@ -73,9 +73,9 @@
 fn a_reservation_needs_the_ledger_of_its_program() {
     let mut state = replica();
     let key = RecordKey::Ledger(ProgramId("p".to_owned()));
-    assert_eq!(state.missing_record(&charge("t-2")), Some(key));
+    assert_eq!(state.unrestored_record(&charge("t-2")), Some(key));
     state.restore(ledger("t-1", 7));
-    assert_eq!(state.missing_record(&charge("t-2")), None);
+    assert_eq!(state.unrestored_record(&charge("t-2")), None);
     let ReplicaReply::Charged { ledger } = state.handle(charge("t-2"), NOW_MS).reply else {
         panic!("the ledger is known");
     };
@@ -86,10 +86,10 @@
 fn restoring_a_ledger_keeps_later_reservations() {
     let mut state = replica();
     let key = state
-        .missing_record(&charge("t-2"))
+        .unrestored_record(&charge("t-2"))
         .expect("a missing ledger");
     state.mark_absent(key);
-    assert_eq!(state.missing_record(&charge("t-2")), None);
+    assert_eq!(state.unrestored_record(&charge("t-2")), None);
     state.handle(charge("t-2"), NOW_MS);
     // Read from the disk before the reservation, restored after it.
     state.restore(ledger("t-1", 7));
@@ -108,11 +108,11 @@
         turn: TurnId("t-2".to_owned()),
     };
     let key = |turn: &str| Some(RecordKey::Turn(TurnId(turn.to_owned())));
-    assert_eq!(state.missing_record(&request), key("t-2"));
+    assert_eq!(state.unrestored_record(&request), key("t-2"));
     state.restore(StoredRecord::Turn(turn("t-2", Some("t-1")), EXPIRES_AT_MS));
-    assert_eq!(state.missing_record(&request), key("t-1"));
+    assert_eq!(state.unrestored_record(&request), key("t-1"));
     state.mark_absent(RecordKey::Turn(TurnId("t-1".to_owned())));
-    assert_eq!(state.missing_record(&request), None);
+    assert_eq!(state.unrestored_record(&request), None);
     let ReplicaReply::Chain { records, missing } = read(&mut state, "t-2") else {
         panic!("the end of the chain is known");
     };
@@ -191,13 +191,13 @@
     if let ReplicaRequest::Charge { program, .. } = &mut other {
         *program = ProgramId("new".to_owned());
     }
-    assert_eq!(state.missing_record(&other), None);
+    assert_eq!(state.unrestored_record(&other), None);
     let turn = TurnId("t-1".to_owned());
     let epoch = Epoch(3);
     let group = GroupId(0);
     let read = ReplicaRequest::ReadChain { group, epoch, turn };
     assert!(
-        state.missing_record(&read).is_some(),
+        state.unrestored_record(&read).is_some(),
         "turns are not restored yet"
     );
 }
--- a/crates/records/tests/simulator/mod.rs
+++ b/crates/records/tests/simulator/mod.rs
@@ -16,11 +16,12 @@
     NoSync,
     /// One replica without a record counts as proof that there is none.
     NoReadMajority,
-    /// A change of a set is completed without a copy.
+    /// A set change completes without a copy.
     NoCopy,
     /// Replicas accept requests of any epoch.
     NoEpochs,
-    /// A change is completed with what new members copied before it, without the changes since.
+    /// A set change completes with the records that new members copied before the joint step,
+    /// without waiting until records that changed since are copied.
     NoRest,
     /// Positions in a replica's change log stay valid after a restart.
     NoLives,
--- a/crates/records/tests/simulator/storage.rs
+++ b/crates/records/tests/simulator/storage.rs
@@ -82,8 +82,8 @@
     pub positions: BTreeMap<(GroupId, ReplicaId), ListPosition>,
     /// Copies requested before the set of a group changes: the epoch, and when the request expires.
     pub copy_requests: BTreeMap<GroupId, (Epoch, u64)>,
-    /// By group, the epoch at which this node recently held all records that a read quorum of the
-    /// voters holds.
+    /// For each group that this node is to join: the epoch of the set for which its latest complete
+    /// copy from a read quorum of the voters was made, before the set changes.
     pub prepared: BTreeMap<GroupId, Epoch>,
     disabled: DisabledMechanism,
 }
@@ -161,7 +161,7 @@
             self.unsynced.push_back((self.submitted, handled.changes));
         }
         let (to, operation) = reply_to?;
-        let waits = handled.wait != Wait::No && self.disabled != DisabledMechanism::NoSync;
+        let waits = handled.wait != Wait::Nothing && self.disabled != DisabledMechanism::NoSync;
         if waits && self.durable < self.submitted {
             self.waiting.push_back(WaitingReply {
                 batch: self.submitted,
--- a/crates/records/tests/simulator/world/changes.rs
+++ b/crates/records/tests/simulator/world/changes.rs
@@ -9,7 +9,7 @@
         if !self.storage[node].running || self.partitioned.contains(&node) {
             return;
         }
-        self.read_register(node);
+        self.adopt_registered_sets(node);
         let Some(groups) = self.storage[node].state.groups().cloned() else {
             self.create_initial_sets(node);
             return;
@@ -32,7 +32,7 @@
             self.register = (!is_empty).then_some(groups);
             self.outcome.set_changes += u64::from(!is_empty);
         }
-        self.read_register(node);
+        self.adopt_registered_sets(node);
     }
 
     fn change_set(
@@ -71,7 +71,7 @@
         self.outcome.set_changes += 1;
         self.changed_at.insert(group, self.now);
         self.register = Some(registered.with_set(group, change));
-        self.read_register(node);
+        self.adopt_registered_sets(node);
     }
 
     /// Asks new members to copy before the set of a group changes; some requests are lost.
@@ -120,11 +120,11 @@
     }
 
     fn prepared(&self, group: GroupId, epoch: Epoch) -> BTreeSet<ReplicaId> {
-        let ready = self
+        let prepared = self
             .storage
             .iter()
             .filter(|storage| storage.running && storage.prepared.get(&group) == Some(&epoch));
-        ready.map(|storage| storage.state.id()).collect()
+        prepared.map(|storage| storage.state.id()).collect()
     }
 
     pub(super) fn observe(&self, storage: &SimulatedNode) -> StorageNode {
@@ -150,7 +150,7 @@
     }
 
     /// Has a storage node adopt the sets of the register and begin the copies that are due.
-    pub(super) fn read_register(&mut self, node: usize) {
+    pub(super) fn adopt_registered_sets(&mut self, node: usize) {
         let Some(groups) = self.register.clone() else {
             return;
         };
--- a/crates/replica/src/actor.rs
+++ b/crates/replica/src/actor.rs
@@ -34,14 +34,14 @@
 /// Delay before a failed disk is opened again.
 const REOPEN_DELAY: Duration = Duration::from_millis(400);
 
-/// Event from a thread that does disk I/O. `opening` numbers the openings of the disk, so that
-/// events of an earlier one can be told apart.
+/// Event from a thread that does disk I/O. The actor ignores events whose `opening` isn't its
+/// current one: they belong to a disk that has failed since.
 pub enum DiskEvent {
     /// A batch is durable, or has failed and will not be acknowledged.
     Committed {
-        /// The opening of the disk that the batch belongs to.
+        /// Value of `ReplicaActor::opening` when the batch was submitted.
         opening: u64,
-        /// Number of the batch within this opening.
+        /// Number of the batch since the disk was opened, from 1.
         batch: u64,
         /// Whether the batch is durable.
         is_durable: bool,
@@ -50,14 +50,14 @@
     Opened(Box<Result<OpenedDisk, DiskError>>),
     /// Records were read from the disk.
     Records {
-        /// The opening of the disk that the records belong to.
+        /// Value of `ReplicaActor::opening` when reading began.
         opening: u64,
         /// Some of the records, in the order of their keys.
         records: Vec<StoredRecord>,
     },
     /// All records were read, or reading failed.
     AllRead {
-        /// The opening of the disk that was read.
+        /// Value of `ReplicaActor::opening` when reading began.
         opening: u64,
         /// The error if reading failed.
         outcome: Result<(), DiskError>,
@@ -123,7 +123,7 @@
     /// Restores the records that a request needs and that aren't restored yet.
     fn restore_for(&mut self, request: &ReplicaRequest) -> Result<(), DiskError> {
         let mut last = None;
-        while let Some(key) = self.state.missing_record(request) {
+        while let Some(key) = self.state.unrestored_record(request) {
             // Restoring a record stored under the wrong key would never satisfy the request, and
             // the loop wouldn't end.
             if last.replace(key.clone()).as_ref() == Some(&key) {
@@ -142,7 +142,7 @@
 pub struct ReplicaActor {
     parts: ReplicaParts,
     disk: Option<DiskSession>,
-    /// Number of openings of the disk; tells apart events of an earlier one.
+    /// Incremented whenever the disk is opened or fails; events with an earlier value are ignored.
     opening: u64,
     submitted: u64,
     durable: u64,
@@ -402,7 +402,7 @@
             return;
         }
         disk.state.finish_restoring();
-        let (turns, ledgers) = disk.state.counts();
+        let (turns, ledgers) = disk.state.turn_and_ledger_counts();
         log::info!(
             target: "dependency",
             turns = turns,
@@ -485,7 +485,7 @@
             return;
         };
         let is_durable = self.pending.is_empty() && self.durable == self.submitted;
-        if wait == Wait::No || is_durable {
+        if wait == Wait::Nothing || is_durable {
             send(reply_sender, reply);
             return;
         }
@@ -610,7 +610,7 @@
         let Some(disk) = &self.disk else {
             return;
         };
-        let (turns, ledgers) = disk.state.counts();
+        let (turns, ledgers) = disk.state.turn_and_ledger_counts();
         let to_gauge = |value: usize| i64::try_from(value).unwrap_or(i64::MAX);
         let metrics = &self.parts.metrics;
         metrics.turns.set(to_gauge(turns));
--- a/crates/replica/src/coordinator.rs
+++ b/crates/replica/src/coordinator.rs
@@ -29,8 +29,8 @@
 const TICK_INTERVAL: Duration = Duration::from_millis(200);
 /// Additional delay per rank before a node acts.
 const RANK_DELAY: Duration = Duration::from_millis(400);
-/// How long new members copy before the set changes even if they haven't caught up: until the
-/// change, the group tolerates one failure less.
+/// How long a set change waits until the new members are prepared: until the change, the group
+/// tolerates one failure less.
 const PREPARE_TIMEOUT: Duration = Duration::from_secs(10);
 /// How long a joint set waits for live replicas that haven't finished copying.
 const COPY_TIMEOUT: Duration = Duration::from_millis(2_500);
@@ -133,7 +133,7 @@
             log::info!(
                 target: "belief",
                 watches = is_due;
-                "started or stopped watching for retirements"
+                "updated whether this node watches for retirements"
             );
         }
     }
@@ -238,7 +238,7 @@
                     group = group.0,
                     epoch = set.epoch.0,
                     waited_ms = whole_ms(now.saturating_sub(since));
-                    "new members did not catch up in time; changing the replica set"
+                    "new members were not prepared in time; changing the replica set"
                 );
                 self.write(group, set.epoch, change).await;
             }
--- a/crates/replica/src/copying.rs
+++ b/crates/replica/src/copying.rs
@@ -26,7 +26,8 @@
 const FETCH_COUNT: usize = 256;
 /// Longest pause after a reply.
 const MAX_THROTTLE_PAUSE: Duration = Duration::from_millis(50);
-/// A round of copying that takes no longer has caught up: little has changed since.
+/// Longest round of copying after which the replica counts as prepared: little has changed
+/// meanwhile.
 const CAUGHT_UP_ROUND: Duration = Duration::from_millis(800);
 /// Interval of rounds while the set isn't joint yet.
 const ROUND_INTERVAL: Duration = Duration::from_millis(300);
@@ -68,7 +69,7 @@
 /// Makes the copies that are due, until the process ends.
 pub async fn run(replica: Rc<ReplicaHandle>) {
     let mut changes = replica.node.view.changes();
-    let mut copier = Copier::new(Rc::clone(&replica));
+    let mut copier = RecordCopier::new(Rc::clone(&replica));
     loop {
         copier.drop_unwanted();
         if let Some(job) = joint_job(&replica) {
@@ -133,7 +134,7 @@
 }
 
 /// Progress of this replica's copies.
-struct Copier {
+struct RecordCopier {
     replica: Rc<ReplicaHandle>,
     /// Identity of the disk that holds the copies.
     me: Option<ReplicaId>,
@@ -143,7 +144,7 @@
     started_at: BTreeMap<GroupId, Instant>,
 }
 
-impl Copier {
+impl RecordCopier {
     fn new(replica: Rc<ReplicaHandle>) -> Self {
         Self {
             replica,
@@ -178,7 +179,7 @@
                     target: "belief",
                     group = group.0,
                     took_ms = whole_ms(started_at.elapsed());
-                    "copy before a change of the replica set cancelled"
+                    "cancelled the copy before a change of the replica set"
                 );
             }
             keep
@@ -193,7 +194,7 @@
                 target: "belief",
                 group = group.0,
                 epoch = epoch.0;
-                "copy before a change of the replica set began"
+                "started the copy before a change of the replica set"
             );
         }
         let started_at = *self.started_at.entry(group).or_insert_with(Instant::now);
@@ -268,7 +269,8 @@
         true
     }
 
-    /// Whether a copy is still needed, and no joint set needs one more urgently.
+    /// Whether the copy is still needed. A copy before a set change also yields to one for a joint
+    /// set.
     fn is_wanted(&self, job: &CopyJob) -> bool {
         let replica = &self.replica;
         let set = replica.node.view.replica_set(job.group);
@@ -322,11 +324,11 @@
 fn newest_first<'a>(replica: &ReplicaHandle, voters: &'a [Replica]) -> Vec<&'a Replica> {
     let members = replica.node.gossip.replicas();
     let heard_at = |voter: &Replica| {
-        let mut of_voter = members.iter().filter(|member| {
+        let mut matching_members = members.iter().filter(|member| {
             let status = member.replica;
             status.is_some_and(|status| status.id == voter.id)
         });
-        of_voter.find_map(|member| member.heard_at)
+        matching_members.find_map(|member| member.heard_at)
     };
     let mut sorted: Vec<&Replica> = voters.iter().collect();
     sorted.sort_by_key(|voter| std::cmp::Reverse(heard_at(voter)));
--- a/crates/replica/src/handle.rs
+++ b/crates/replica/src/handle.rs
@@ -1,4 +1,5 @@
-//! Access to the replica's actor for the rest of the process.
+//! Handle through which requests of other nodes and the other tasks of the process reach the
+//! replica's actor.
 
 use std::cell::Cell;
 use std::rc::Rc;
--- a/crates/replica/src/latency.rs
+++ b/crates/replica/src/latency.rs
@@ -23,7 +23,7 @@
     records: u64,
     reads: u64,
     others: u64,
-    answers: u64,
+    replies: u64,
     slowest: Duration,
     timer_lag: Duration,
 }
@@ -68,11 +68,11 @@
 
     /// Counts a reply, with the time for which it waited for the disk.
     pub fn on_reply(&mut self, latency: Duration) {
-        self.counts.answers += 1;
+        self.counts.replies += 1;
         self.counts.slowest = self.counts.slowest.max(latency);
     }
 
-    /// Records by how much a timer fired late.
+    /// Updates the interval's largest timer lag: the time by which a timer fired late.
     pub fn on_timer(&mut self, lag: Duration) {
         self.counts.timer_lag = self.counts.timer_lag.max(lag);
     }
@@ -95,7 +95,7 @@
                 records = counts.records,
                 reads = counts.reads,
                 others = counts.others,
-                answers = counts.answers,
+                answers = counts.replies,
                 waiting = waiting,
                 slowest_ms = whole_ms(counts.slowest),
                 timer_lag_ms = whole_ms(counts.timer_lag),
--- a/crates/replica/src/liveness.rs
+++ b/crates/replica/src/liveness.rs
@@ -45,7 +45,8 @@
         }
     }
 
-    /// Records which members are alive.
+    /// Updates the last observation of each group member that is alive, and drops replicas that are
+    /// no longer members.
     pub fn note_seen(&mut self, groups: &ReplicaGroups, now: Duration) {
         self.last_seen.retain(|id, _| groups.has_member(*id));
         for member in self.replica.node.gossip.replicas() {
@@ -107,7 +108,7 @@
         nodes
     }
 
-    /// Adds the voters of a set that are starting.
+    /// Marks voters of `set` that are starting: replaces their entries in `nodes`, or adds them.
     pub fn add_starting(&self, set: &ReplicaSet, nodes: &mut Vec<StorageNode>, now: Duration) {
         for voter in &set.voters {
             // A node that is alive with another replica has lost its disk.
--- a/crates/replica/src/new_members.rs
+++ b/crates/replica/src/new_members.rs
@@ -34,12 +34,12 @@
 }
 
 /// Key of a replica that is to join a group.
-type GroupMember = (GroupId, ReplicaId);
+type NewMemberKey = (GroupId, ReplicaId);
 
 /// The new members of the changes that are being prepared.
 pub struct NewMembers {
     node: Rc<Node>,
-    known: Rc<RefCell<BTreeMap<GroupMember, NewMember>>>,
+    known: Rc<RefCell<BTreeMap<NewMemberKey, NewMember>>>,
 }
 
 impl NewMembers {
--- a/crates/replica/src/preparation.rs
+++ b/crates/replica/src/preparation.rs
@@ -37,7 +37,7 @@
 #[derive(Debug, Default)]
 pub struct Preparation {
     requests: RefCell<BTreeMap<GroupId, CopyRequest>>,
-    arrived: Notify,
+    new_request_arrived: Notify,
 }
 
 impl Preparation {
@@ -50,7 +50,7 @@
             .filter(|request| request.epoch == epoch && request.is_current());
         let is_prepared = known.is_some_and(|request| request.is_prepared);
         if known.is_none() {
-            self.arrived.notify_one();
+            self.new_request_arrived.notify_one();
         }
         let request = CopyRequest {
             epoch,
@@ -99,6 +99,6 @@
 
     /// Waits for a request that isn't a repetition.
     pub async fn new_request(&self) {
-        self.arrived.notified().await;
+        self.new_request_arrived.notified().await;
     }
 }
--- a/crates/replica/src/role.rs
+++ b/crates/replica/src/role.rs
@@ -77,8 +77,8 @@
 }
 
 fn start_actor(node: &Rc<Node>, folder: PathBuf, metrics: Rc<ReplicaMetrics>) -> Rc<ReplicaHandle> {
-    let memory = node.settings.limits.memory_mb * BYTES_PER_MB;
-    let max_total_turn_bytes = memory * TURN_MEMORY_PERCENT / 100;
+    let memory_limit_bytes = node.settings.limits.memory_mb * BYTES_PER_MB;
+    let max_total_turn_bytes = memory_limit_bytes * TURN_MEMORY_PERCENT / 100;
     let (disk_events, event_receiver) = mpsc::unbounded_channel();
     let status = Rc::new(Cell::new(None));
     let parts = ReplicaParts {
--- a/crates/replica/tests/actor.rs
+++ b/crates/replica/tests/actor.rs
@@ -39,7 +39,7 @@
     let mut opened = disk::open(copy.path(), NODE, MAX_TOTAL_TURN_BYTES).expect("the folder opens");
     let id = opened.state.id();
     let probe = charge(program, "probe", 1);
-    while let Some(key) = opened.state.missing_record(&probe) {
+    while let Some(key) = opened.state.unrestored_record(&probe) {
         match disk::read(&opened.store, &key).expect("the disk is read") {
             Some(record) => opened.state.restore(record),
             None => opened.state.mark_absent(key),
