--- a/crates/api/src/caller.rs
+++ b/crates/api/src/caller.rs
@@ -97,7 +97,7 @@
 /// Properties of a call, from the headers of a chat completion request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CallHeaders {
-    /// The run.
+    /// Run that the call belongs to.
     pub run: RunId,
     /// Idempotency key of the call.
     pub call: CallKey,
@@ -174,7 +174,7 @@
 /// Response of `POST /v1/runs`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OpenRunResponse {
-    /// The run.
+    /// Identifier of the opened run.
     pub run: RunId,
     /// Budget of the run.
     pub budget: Cost,
@@ -183,7 +183,7 @@
 /// Response of `POST /v1/runs/{run}/close`, whose request has no body.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CloseRunResponse {
-    /// The run.
+    /// Run that was closed.
     pub run: RunId,
     /// Total cost of the run.
     pub spent: Cost,
@@ -193,7 +193,7 @@
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServiceCallRequest {
-    /// The run.
+    /// Run that the call belongs to.
     pub run: RunId,
     /// Idempotency key of the call; a retry carries the same key.
     pub call: CallKey,
@@ -245,7 +245,7 @@
 /// Response of `GET /v1/runs/{run}/history`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunHistoryResponse {
-    /// The run.
+    /// Run whose history this is.
     pub run: RunId,
     /// Program that the run was opened from.
     pub program: ProgramName,
--- a/crates/api/src/caller_error.rs
+++ b/crates/api/src/caller_error.rs
@@ -6,7 +6,7 @@
 use crate::connect::whole_seconds;
 use crate::refusal_message::refusal_message;
 
-/// Class of an error.
+/// Category of an error, sent as its `type`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ErrorType {
@@ -14,7 +14,7 @@
     InvalidRequestError,
     /// The token is missing or matches no partner.
     AuthenticationError,
-    /// The object belongs to the other partner.
+    /// The object belongs to another partner.
     PermissionError,
     /// The requested object does not exist.
     NotFoundError,
@@ -103,7 +103,7 @@
 pub struct ErrorMapping {
     /// HTTP status.
     pub status: u16,
-    /// Class of the error.
+    /// Category of the error.
     pub error_type: ErrorType,
     /// Machine-readable cause.
     pub code: ErrorCode,
@@ -188,7 +188,7 @@
 /// The error in the body of a refusal.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallerError {
-    /// Class of the error.
+    /// Category of the error, sent as `type`.
     #[serde(rename = "type")]
     pub error_type: ErrorType,
     /// Machine-readable cause.
--- a/crates/api/src/chat.rs
+++ b/crates/api/src/chat.rs
@@ -32,7 +32,7 @@
 
 impl ChatCompletionRequest {
     /// Returns the maximum number of tokens of the completion; the newer field takes precedence.
-    pub fn output_limit(&self) -> Option<u64> {
+    pub fn max_output_tokens(&self) -> Option<u64> {
         self.max_completion_tokens.or(self.max_tokens)
     }
 }
--- a/crates/api/src/client.rs
+++ b/crates/api/src/client.rs
@@ -22,9 +22,9 @@
 const CONTENT_TYPE_HEADER: &str = "content-type";
 const FIRST_HTTP_ERROR_STATUS: u16 = 300;
 const DEFAULT_CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
-const DEFAULT_ANSWER_TIMEOUT: Duration = Duration::from_secs(10);
+const DEFAULT_RESPONSE_TIMEOUT: Duration = Duration::from_secs(10);
 const DEFAULT_ROUNDS: u32 = 3;
-const DEFAULT_PAUSE: Duration = Duration::from_millis(200);
+const DEFAULT_ROUND_DELAY: Duration = Duration::from_millis(200);
 
 /// Servers, credentials and timeouts of a client.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -36,11 +36,11 @@
     /// Maximum time to establish a connection.
     pub connect_timeout: Duration,
     /// Maximum time to wait for a response; the waiting time of a long poll is added to it.
-    pub answer_timeout: Duration,
-    /// Maximum number of passes over the list of servers.
+    pub response_timeout: Duration,
+    /// Maximum number of rounds; each round tries all servers in order.
     pub rounds: u32,
-    /// Delay between two passes.
-    pub pause: Duration,
+    /// Delay between two rounds.
+    pub round_delay: Duration,
 }
 
 impl ClientSettings {
@@ -50,9 +50,9 @@
             servers,
             token,
             connect_timeout: DEFAULT_CONNECT_TIMEOUT,
-            answer_timeout: DEFAULT_ANSWER_TIMEOUT,
+            response_timeout: DEFAULT_RESPONSE_TIMEOUT,
             rounds: DEFAULT_ROUNDS,
-            pause: DEFAULT_PAUSE,
+            round_delay: DEFAULT_ROUND_DELAY,
         }
     }
 }
@@ -73,7 +73,7 @@
                     &self,
                     request: &v1::$request,
                 ) -> Result<v1::$response, ClientError> {
-                    self.call(OperatorMethod::$method, request, self.settings.answer_timeout)
+                    self.call(OperatorMethod::$method, request, self.settings.response_timeout)
                 }
             )*
         }
@@ -126,7 +126,7 @@
         request: &v1::WatchChangesRequest,
     ) -> Result<v1::WatchChangesResponse, ClientError> {
         let poll_timeout = Duration::from_millis(request.timeout_ms);
-        let timeout = self.settings.answer_timeout.saturating_add(poll_timeout);
+        let timeout = self.settings.response_timeout.saturating_add(poll_timeout);
         self.call(OperatorMethod::WatchChanges, request, timeout)
     }
 
@@ -145,7 +145,7 @@
         let mut may_have_arrived = false;
         for round in 0..self.settings.rounds {
             if round > 0 {
-                thread::sleep(self.settings.pause);
+                thread::sleep(self.settings.round_delay);
             }
             for server in &self.settings.servers {
                 match self.attempt(server, method, &body, timeout) {
@@ -232,7 +232,7 @@
 
 fn decode_response<Reply: Message + Default>(response: RawResponse) -> Result<Reply, ClientError> {
     if response.is_success() {
-        Reply::decode(response.body.as_slice()).map_err(|_| ClientError::MalformedAnswer)
+        Reply::decode(response.body.as_slice()).map_err(|_| ClientError::MalformedResponse)
     } else {
         Err(ClientError::Refused(response.error_body()))
     }
--- a/crates/api/src/client_error.rs
+++ b/crates/api/src/client_error.rs
@@ -49,22 +49,24 @@
 /// Why a request of the client failed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ClientError {
-    /// No server is configured.
+    /// No server is configured, or the number of rounds is zero.
     NoServer,
     /// A server responded with an error other than [`ConnectCode::Unavailable`](crate::ConnectCode).
     Refused(ErrorBody),
-    /// No server could serve the request in any round.
+    /// The last attempt got the code `unavailable`; each earlier attempt got it too or got no usable
+    /// response.
     Unavailable {
-        /// The last error of the last server.
+        /// Error of the last attempt.
         body: ErrorBody,
         /// Whether any server may have received the request.
         may_have_arrived: bool,
     },
     /// The response cannot be decoded as the message of the method.
-    MalformedAnswer,
-    /// No server responded in any round.
+    MalformedResponse,
+    /// The last attempt got no usable response; each earlier attempt got none either or got the code
+    /// `unavailable`.
     Unreachable {
-        /// The last failure of the last server.
+        /// Failure of the last attempt.
         last: TransportError,
         /// Whether any server may have received the request.
         may_have_arrived: bool,
@@ -77,7 +79,7 @@
         match self {
             Self::NoServer => false,
             Self::Refused(body) => body.is_outcome_unknown(),
-            Self::MalformedAnswer => true,
+            Self::MalformedResponse => true,
             Self::Unavailable {
                 may_have_arrived, ..
             }
@@ -95,7 +97,7 @@
             Self::Refused(body) | Self::Unavailable { body, .. } => {
                 write!(formatter, "{}", body.message)
             }
-            Self::MalformedAnswer => write!(formatter, "the server's response cannot be decoded"),
+            Self::MalformedResponse => write!(formatter, "the server's response cannot be decoded"),
             Self::Unreachable { last, .. } => {
                 write!(formatter, "no server responded; last failure: {last:?}")
             }
--- a/crates/api/src/connect.rs
+++ b/crates/api/src/connect.rs
@@ -169,7 +169,7 @@
     let format = BodyFormat::from_content_type(content_type)?;
     let body = match format {
         BodyFormat::Json => {
-            serde_json::to_vec(message).map_err(|_| ConnectError::UnencodableAnswer)?
+            serde_json::to_vec(message).map_err(|_| ConnectError::UnencodableResponse)?
         }
         BodyFormat::Protobuf => message.encode_to_vec(),
     };
--- a/crates/api/src/connect_error.rs
+++ b/crates/api/src/connect_error.rs
@@ -34,7 +34,7 @@
     InvalidField(FieldError),
     /// The token is missing or matches no partner.
     Unauthenticated,
-    /// The object belongs to the other partner.
+    /// The object belongs to another partner.
     Forbidden,
     /// The object does not exist.
     ObjectNotFound {
@@ -73,7 +73,7 @@
     /// A refusal that the callers' interface uses too.
     Refused(Refusal),
     /// The response could not be encoded.
-    UnencodableAnswer,
+    UnencodableResponse,
 }
 
 impl ConnectError {
@@ -98,7 +98,7 @@
             | Self::ChangeOutcomeUnknown { .. }
             | Self::NotReady { .. } => ConnectCode::Unavailable,
             Self::Refused(refusal) => refusal_code(&refusal.reason),
-            Self::UnencodableAnswer => ConnectCode::Internal,
+            Self::UnencodableResponse => ConnectCode::Internal,
         }
     }
 
@@ -220,7 +220,7 @@
             ),
             Self::NotReady { .. } => write!(formatter, "the node is not ready"),
             Self::Refused(refusal) => write!(formatter, "{refusal}"),
-            Self::UnencodableAnswer => write!(formatter, "the answer could not be encoded"),
+            Self::UnencodableResponse => write!(formatter, "the answer could not be encoded"),
         }
     }
 }
--- a/crates/api/src/conversion.rs
+++ b/crates/api/src/conversion.rs
@@ -1,6 +1,6 @@
 //! Conversion between configuration objects of the domain and messages of the schema.
 
-mod reading;
+mod from_message;
 
 use ridgeworks_domain::objects::{
     Backend, Partner, PoolSplit, PriorityClass, Program, Service, Share,
@@ -12,9 +12,10 @@
 use crate::v1::object::Specification;
 use crate::v1::{FieldProblem, ObjectKind};
 
-pub use reading::read_shares;
-use reading::{
-    missing, read_backend, read_class, read_partner, read_program, read_service, read_split,
+pub use from_message::shares_from_messages;
+use from_message::{
+    backend_from_message, class_from_message, missing, partner_from_message, program_from_message,
+    service_from_message, split_from_message,
 };
 
 /// Name of the pool split, of which there is only one.
@@ -147,14 +148,24 @@
             .as_ref()
             .ok_or(missing("object.specification"))?;
         let converted = match specification {
-            Specification::Partner(partner) => Self::Partner(read_partner(metadata, partner)?),
+            Specification::Partner(partner) => {
+                Self::Partner(partner_from_message(metadata, partner)?)
+            }
             Specification::PriorityClass(class) => {
-                Self::PriorityClass(read_class(metadata, class)?)
+                Self::PriorityClass(class_from_message(metadata, class)?)
+            }
+            Specification::Service(service) => {
+                Self::Service(service_from_message(metadata, service)?)
+            }
+            Specification::Program(program) => {
+                Self::Program(program_from_message(metadata, program)?)
+            }
+            Specification::PoolSplit(split) => {
+                Self::PoolSplit(split_from_message(metadata, split)?)
+            }
+            Specification::Backend(backend) => {
+                Self::Backend(backend_from_message(metadata, backend)?)
             }
-            Specification::Service(service) => Self::Service(read_service(metadata, service)?),
-            Specification::Program(program) => Self::Program(read_program(metadata, program)?),
-            Specification::PoolSplit(split) => Self::PoolSplit(read_split(metadata, split)?),
-            Specification::Backend(backend) => Self::Backend(read_backend(metadata, backend)?),
         };
         if metadata.kind() != converted.kind() {
             return Err(FieldError::new(
--- a/crates/api/src/conversion/reading.rs
+++ b/crates/api/src/conversion/from_message.rs
@@ -62,7 +62,7 @@
     }
 }
 
-pub(super) fn read_partner(
+pub(super) fn partner_from_message(
     metadata: &v1::Metadata,
     partner: &v1::Partner,
 ) -> Result<Partner, FieldError> {
@@ -93,7 +93,7 @@
     })
 }
 
-pub(super) fn read_class(
+pub(super) fn class_from_message(
     metadata: &v1::Metadata,
     class: &v1::PriorityClass,
 ) -> Result<PriorityClass, FieldError> {
@@ -107,7 +107,7 @@
     })
 }
 
-pub(super) fn read_service(
+pub(super) fn service_from_message(
     metadata: &v1::Metadata,
     service: &v1::Service,
 ) -> Result<Service, FieldError> {
@@ -130,7 +130,7 @@
     })
 }
 
-pub(super) fn read_program(
+pub(super) fn program_from_message(
     metadata: &v1::Metadata,
     program: &v1::Program,
 ) -> Result<Program, FieldError> {
@@ -154,10 +154,13 @@
 ///
 /// # Errors
 /// Returns an error for `field` if a share is invalid.
-pub fn read_shares(field: &'static str, shares: &[v1::Share]) -> Result<Vec<Share>, FieldError> {
+pub fn shares_from_messages(
+    field: &'static str,
+    shares: &[v1::Share],
+) -> Result<Vec<Share>, FieldError> {
     let mut partners = BTreeSet::new();
     let mut sum = 0_u32;
-    let mut read = Vec::with_capacity(shares.len());
+    let mut converted = Vec::with_capacity(shares.len());
     for share in shares {
         let partner: PartnerName = identifier(field, &share.partner)?;
         let permille = u16::try_from(share.permille)
@@ -166,25 +169,25 @@
             return Err(FieldError::new(field, FieldProblem::Contradictory));
         }
         sum = sum.saturating_add(share.permille);
-        read.push(Share { partner, permille });
+        converted.push(Share { partner, permille });
     }
     if sum != WHOLE_POOL_PERMILLE {
         return Err(FieldError::new(field, FieldProblem::OutOfRange));
     }
-    Ok(read)
+    Ok(converted)
 }
 
-fn read_optional_shares(
+fn optional_shares_from_messages(
     field: &'static str,
     shares: &[v1::Share],
 ) -> Result<Option<Vec<Share>>, FieldError> {
     match shares {
         [] => Ok(None),
-        shares => read_shares(field, shares).map(Some),
+        shares => shares_from_messages(field, shares).map(Some),
     }
 }
 
-pub(super) fn read_split(
+pub(super) fn split_from_message(
     metadata: &v1::Metadata,
     split: &v1::PoolSplit,
 ) -> Result<PoolSplit, FieldError> {
@@ -196,8 +199,8 @@
     }
     check_no_owner(metadata)?;
     // No shares are in force until the first proposal takes effect.
-    let shares = read_optional_shares("object.pool_split.shares", &split.shares)?;
-    let proposed = read_optional_shares("object.pool_split.proposed", &split.proposed)?;
+    let shares = optional_shares_from_messages("object.pool_split.shares", &split.shares)?;
+    let proposed = optional_shares_from_messages("object.pool_split.proposed", &split.proposed)?;
     let consents = split
         .consents
         .iter()
@@ -210,7 +213,7 @@
     })
 }
 
-pub(super) fn read_backend(
+pub(super) fn backend_from_message(
     metadata: &v1::Metadata,
     backend: &v1::Backend,
 ) -> Result<Backend, FieldError> {
--- a/crates/api/tests/caller_interface.rs
+++ b/crates/api/tests/caller_interface.rs
@@ -239,7 +239,7 @@
     let chat = r#"{"model":"m","messages":[{"role":"user","content":"hi","name":"n"}],
         "max_tokens":5,"temperature":0.5,"stream":true}"#;
     let request: ChatCompletionRequest = serde_json::from_str(chat).unwrap();
-    assert_eq!(request.output_limit(), Some(5));
+    assert_eq!(request.max_output_tokens(), Some(5));
     let sent = serde_json::to_value(&request).unwrap();
     assert_eq!(
         sent,
--- a/crates/api/tests/client.rs
+++ b/crates/api/tests/client.rs
@@ -64,8 +64,8 @@
 
 fn client(servers: Vec<String>) -> OperatorClient {
     let mut settings = ClientSettings::new(servers, "secret".to_owned());
-    settings.pause = Duration::ZERO;
-    settings.answer_timeout = Duration::from_secs(2);
+    settings.round_delay = Duration::ZERO;
+    settings.response_timeout = Duration::from_secs(2);
     OperatorClient::new(settings)
 }
 
--- a/crates/api/tests/connect_messages.rs
+++ b/crates/api/tests/connect_messages.rs
@@ -373,10 +373,10 @@
     );
     let limit_bytes = MAX_REQUEST_BYTES;
     // The truncated end would be malformed, so this error shows that decompression stops at the limit.
-    let bomb = gzip(&vec![b' '; 8 << 20]);
-    assert!(bomb.len() < MAX_REQUEST_BYTES as usize);
+    let oversized = gzip(&vec![b' '; 8 << 20]);
+    assert!(oversized.len() < MAX_REQUEST_BYTES as usize);
     assert_eq!(
-        decode_encoded("gzip", &bomb[..bomb.len() - 9]),
+        decode_encoded("gzip", &oversized[..oversized.len() - 9]),
         Err(ConnectError::BodyTooLarge { limit_bytes })
     );
 }
--- a/crates/api/tests/conversion.rs
+++ b/crates/api/tests/conversion.rs
@@ -3,7 +3,7 @@
 use quickcheck::{Arbitrary, Gen, quickcheck};
 use ridgeworks_api::FieldError;
 use ridgeworks_api::connect;
-use ridgeworks_api::conversion::{DomainObject, ObjectVersions, read_shares};
+use ridgeworks_api::conversion::{DomainObject, ObjectVersions, shares_from_messages};
 use ridgeworks_api::v1::object::Specification;
 use ridgeworks_api::v1::{self, FieldProblem, ObjectKind};
 use ridgeworks_domain::objects::{
@@ -216,7 +216,7 @@
                 permille: *permille,
             })
             .collect();
-        read_shares("shares", &shares).map_err(|error| error.problem)
+        shares_from_messages("shares", &shares).map_err(|error| error.problem)
     };
     assert!(read(&[("north", 400), ("south", 600)]).is_ok());
     assert_eq!(read(&[]), Err(FieldProblem::OutOfRange));
--- a/crates/cli/src/error.rs
+++ b/crates/cli/src/error.rs
@@ -123,7 +123,7 @@
         ClientError::Unavailable { .. } | ClientError::Unreachable { .. } => {
             ExitStatus::Unavailable
         }
-        ClientError::MalformedAnswer => ExitStatus::Failure,
+        ClientError::MalformedResponse => ExitStatus::Failure,
     }
 }
 
--- a/crates/cli/src/session.rs
+++ b/crates/cli/src/session.rs
@@ -30,7 +30,7 @@
         let token = read_token(&connection)?;
         let servers = connection.servers.iter().map(|server| base_url(server));
         let mut settings = ClientSettings::new(servers.collect(), token);
-        settings.answer_timeout = Duration::from_millis(connection.timeout_ms);
+        settings.response_timeout = Duration::from_millis(connection.timeout_ms);
         Ok(Self {
             client: OperatorClient::new(settings),
             output: Output::new(format),
--- a/crates/cli/tests/exit_statuses.rs
+++ b/crates/cli/tests/exit_statuses.rs
@@ -34,7 +34,7 @@
         (ConnectError::InvalidField(field), 7),
         (ConnectError::NoProposal, 7),
         (ConnectError::StillReferenced, 7),
-        (ConnectError::UnencodableAnswer, 1),
+        (ConnectError::UnencodableResponse, 1),
         (Refusal::permanent(RefusalReason::Forbidden).into(), 4),
     ];
     for (error, status) in expected {
--- a/crates/domain/src/call.rs
+++ b/crates/domain/src/call.rs
@@ -32,7 +32,8 @@
     Model,
     /// Tool services that speak plain HTTP with JSON bodies.
     Tool,
-    /// Notice services: like tools, with an external effect such as an offer or an alert.
+    /// Notice services: same protocol as tool services, but a call has an external effect, such as sending
+    /// an offer or an alert.
     Notice,
 }
 
--- a/crates/domain/src/objects.rs
+++ b/crates/domain/src/objects.rs
@@ -25,7 +25,8 @@
     pub name: PartnerName,
     /// SHA-256 of the token, in lower-case hexadecimal.
     pub token_sha256: String,
-    /// Weight of latency against wasted cache in placement and retention, 0 to 100.
+    /// Weight of latency relative to wasted cache when calls are placed and contexts retained, from 0 (prefer
+    /// cache reuse) to 100 (prefer short waits); 50 is neutral.
     pub latency_weight: u8,
 }
 
--- a/crates/domain/src/refusal.rs
+++ b/crates/domain/src/refusal.rs
@@ -46,7 +46,7 @@
     InvalidRequest(InvalidRequest),
     /// The token is missing or matches no partner.
     Unauthenticated,
-    /// The object belongs to the other partner.
+    /// The object belongs to another partner.
     Forbidden,
     /// The program is not in the current configuration.
     UnknownProgram,
--- a/crates/domain/src/run_id.rs
+++ b/crates/domain/src/run_id.rs
@@ -1,7 +1,8 @@
 //! Run identifiers, which encode the replicas that a run was opened on.
 //!
 //! Any node can locate a run's replicas from the identifier alone, even after membership changes. A
-//! later change of the replica set is recorded in the run's log, and the initial replicas redirect.
+//! later change of the replica set is recorded in the run's log, and the initial replicas redirect
+//! requests to the current ones.
 
 use std::fmt;
 use std::str::FromStr;
--- a/crates/domain/src/safeguard.rs
+++ b/crates/domain/src/safeguard.rs
@@ -7,9 +7,10 @@
 /// A safeguard that a test build can disable.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Safeguard {
-    /// A run's owner orders calls by their sequence numbers; without it a call gets the next number.
+    /// A run's owner orders calls by their sequence numbers; when disabled, a call gets the next number.
     Sequence,
-    /// An entry is committed once a majority of the replicas has stored it; without it one replica is enough.
+    /// An entry is committed once a majority of the replicas has stored it; when disabled, one replica is
+    /// enough.
     Majority,
     /// A call is refused if its reserve exceeds the remaining budget.
     Reserve,
@@ -19,7 +20,8 @@
     TextOffset,
     /// A stream is completed only if the recorded answer starts with the text already sent.
     WholeAnswer,
-    /// A back end is asked whether an unresolved attempt started; without it the attempt counts as never started.
+    /// A back end is asked whether an attempt with unknown outcome started; when disabled, such an attempt
+    /// counts as never started.
     Fence,
     /// A non-repeatable call gets a single attempt.
     SingleAttempt,
--- a/crates/domain/src/token_count.rs
+++ b/crates/domain/src/token_count.rs
@@ -13,7 +13,7 @@
         .sum()
 }
 
-/// Returns the number of tokens of a prompt, summed over the contents of its messages; roles count nothing.
+/// Returns the number of tokens of a prompt, summed over the contents of its messages; roles are not counted.
 pub fn count_prompt_tokens<'a>(contents: impl IntoIterator<Item = &'a str>) -> u64 {
     contents.into_iter().map(count_tokens).sum()
 }
--- a/crates/domain/tests/safeguard.rs
+++ b/crates/domain/tests/safeguard.rs
@@ -1,4 +1,4 @@
-//! Guards against safeguards that could be disabled in a build without the feature `weakened`.
+//! Tests that no safeguard can be disabled in a build without the feature `weakened`.
 
 #![cfg(not(feature = "weakened"))]
 
--- a/crates/http-edge/examples/open_streams.rs
+++ b/crates/http-edge/examples/open_streams.rs
@@ -104,15 +104,15 @@
     report("after", count, SETTLE_TIME);
 }
 
-fn measure_half_requests(count: u64) {
+fn measure_incomplete_requests(count: u64) {
     let edge = start(Arc::new(HoldingHandler::default()));
     report("before", 0, Duration::ZERO);
     let started = Instant::now();
-    let flood: Vec<TcpStream> = (0..count)
+    let connections: Vec<TcpStream> = (0..count)
         .map(|_| connect(edge.address(), b"POST / HTTP/1.1\r\nX-Half: "))
         .collect();
     report("half-requests", count, started.elapsed());
-    for mut stream in flood {
+    for mut stream in connections {
         let _ = stream.read_to_end(&mut Vec::new());
     }
     report("all-dropped", count, started.elapsed());
@@ -127,7 +127,7 @@
     println!("state count resident_kib threads waited_ms");
     match mode.as_str() {
         "streams" => measure_streams(count),
-        "half-requests" => measure_half_requests(count),
+        "half-requests" => measure_incomplete_requests(count),
         other => panic!("unknown mode {other}"),
     }
 }
--- a/crates/http-edge/src/acceptor.rs
+++ b/crates/http-edge/src/acceptor.rs
@@ -2,10 +2,11 @@
 //!
 //! It works around three limitations of `tiny_http`. The accept thread ends on any error of `accept` (the
 //! process was paused for longer than the read timeout, or no file descriptor is free). It panics if a
-//! thread cannot be started. And the task pool may assign a new connection to an idle thread that another
-//! connection of the same burst already occupies; the connection then waits until another connection
-//! arrives or ends. The supervisor therefore opens short connections to the listener, which release the
-//! queued ones, and starts another server on the same listener when the previous one has stopped.
+//! thread cannot be started. And the task pool may assign a new connection to a thread that it still
+//! counts as idle although another connection of the same burst was just assigned to it; the connection
+//! then waits until another connection arrives or ends. The supervisor therefore opens short connections
+//! to the listener, which release the queued ones, and starts another server on the same listener when
+//! the previous one has stopped.
 
 use std::io;
 use std::net::{SocketAddr, TcpListener};
@@ -28,8 +29,9 @@
 const WAKE_INTERVAL: Duration = Duration::from_millis(25);
 /// Wake-up connections per interval while requests arrive.
 const WAKES_WHEN_BUSY: usize = 4;
-/// Number of intervals for which the edge counts as busy after a request. The request of a released
-/// connection arrives within this time, so the edge stays busy until a whole burst is released.
+/// Number of intervals for which the edge counts as busy after a request. When a wake-up lets a thread take
+/// a queued connection, its request arrives within this time, so wake-ups stay frequent until no connection
+/// of a burst is queued.
 const BUSY_INTERVALS: u32 = 8;
 /// Intervals between wake-up connections while idle; each keeps an idle thread of `tiny_http` alive.
 const INTERVALS_PER_IDLE_WAKE: u32 = 8;
--- a/crates/http-edge/src/body.rs
+++ b/crates/http-edge/src/body.rs
@@ -44,13 +44,13 @@
         self.request.take()
     }
 
-    /// Responds with `answer` without reading the body.
-    pub(crate) fn refuse(mut self, answer: FaultResponse) -> io::Result<()> {
+    /// Sends `response` without reading the rest of the body first.
+    pub(crate) fn refuse(mut self, response: FaultResponse) -> io::Result<()> {
         match self.request.take() {
-            Some(request) if is_discardable(&request) => fault_response::respond(request, answer),
+            Some(request) if is_discardable(&request) => fault_response::respond(request, response),
             Some(request) => {
                 increment(&self.counters.abandoned_connections);
-                fault_response::respond_and_abandon(request, answer)
+                fault_response::respond_and_leak(request, response)
             }
             None => Ok(()),
         }
@@ -82,7 +82,7 @@
     check_length_headers(request)?;
     let declared = request.body_length();
     if declared.is_some_and(|length| length > settings.max_body_bytes) {
-        return Err(RequestFault::BodyTooLong);
+        return Err(RequestFault::BodyTooLarge);
     }
     let body = read_until_end(request, settings)?;
     match declared {
@@ -125,7 +125,7 @@
             Err(error) => return Err(fault_of(error.kind())),
         };
         if body.len() + length > settings.max_body_bytes {
-            return Err(RequestFault::BodyTooLong);
+            return Err(RequestFault::BodyTooLarge);
         }
         body.extend_from_slice(&buffer[..length]);
         if Instant::now() >= deadline {
--- a/crates/http-edge/src/counters.rs
+++ b/crates/http-edge/src/counters.rs
@@ -48,7 +48,7 @@
     client_disconnects,
     /// Requests answered with 500 because the handler sent no response or no thread could be started.
     unanswered,
-    /// Handlers that panicked.
+    /// Handler calls that panicked.
     handler_panics,
     /// Connections leaked because `tiny_http` would allocate their declared body length.
     abandoned_connections,
--- a/crates/http-edge/src/error.rs
+++ b/crates/http-edge/src/error.rs
@@ -40,7 +40,7 @@
     /// The node is shutting down.
     Stopping,
     /// The body exceeds the size limit.
-    BodyTooLong,
+    BodyTooLarge,
     /// The declared length of the body is malformed or conflicts with another header.
     MalformedLength,
     /// The body did not arrive before its deadline or the read timeout.
@@ -91,7 +91,7 @@
     pub fn status(self) -> u16 {
         match self {
             Self::Overloaded | Self::Stopping => 503,
-            Self::BodyTooLong => 413,
+            Self::BodyTooLarge => 413,
             Self::MalformedLength | Self::BodyCutOff => 400,
             Self::BodyTimedOut => 408,
             Self::Unanswered => 500,
@@ -115,7 +115,7 @@
     fn code(self) -> &'static str {
         match self {
             Self::Overloaded | Self::Stopping => "unavailable",
-            Self::BodyTooLong => "resource_exhausted",
+            Self::BodyTooLarge => "resource_exhausted",
             Self::MalformedLength | Self::BodyCutOff => "invalid_argument",
             Self::BodyTimedOut => "deadline_exceeded",
             Self::Unanswered => "internal",
@@ -126,7 +126,7 @@
         match self {
             Self::Overloaded => "too many requests in progress; not run",
             Self::Stopping => "the node is stopping; not run",
-            Self::BodyTooLong => "the body is longer than allowed; not run",
+            Self::BodyTooLarge => "the body is longer than allowed; not run",
             Self::MalformedLength => "the length of the body is malformed; not run",
             Self::BodyTimedOut => "the body did not arrive in time; not run",
             Self::BodyCutOff => "the body ended early; not run",
--- a/crates/http-edge/src/fault_response.rs
+++ b/crates/http-edge/src/fault_response.rs
@@ -12,10 +12,10 @@
 const NO_PROTOCOL: &str = "none";
 
 /// Responds to a request. `tiny_http` then reads and discards the rest of the body.
-pub(crate) fn respond(request: Request, answer: FaultResponse) -> io::Result<()> {
-    let response = Response::from_data(answer.body).with_status_code(answer.status);
+pub(crate) fn respond(request: Request, fault_response: FaultResponse) -> io::Result<()> {
+    let response = Response::from_data(fault_response.body).with_status_code(fault_response.status);
     let mut response = with_header(response, "Content-Type", JSON);
-    for header in answer.headers {
+    for header in fault_response.headers {
         response = with_header(response, &header.name, &header.value);
     }
     request.respond(response)
@@ -26,15 +26,15 @@
 /// `tiny_http` gives access to the socket only for a protocol upgrade, whose response has no
 /// `Content-Length`. The length is therefore appended to the value of another header, and the body is
 /// written directly.
-pub(crate) fn respond_and_abandon(request: Request, answer: FaultResponse) -> io::Result<()> {
-    let type_and_length = format!("{JSON}\r\nContent-Length: {}", answer.body.len());
-    let response = Response::from_data(Vec::new()).with_status_code(answer.status);
+pub(crate) fn respond_and_leak(request: Request, fault_response: FaultResponse) -> io::Result<()> {
+    let type_and_length = format!("{JSON}\r\nContent-Length: {}", fault_response.body.len());
+    let response = Response::from_data(Vec::new()).with_status_code(fault_response.status);
     let mut response = with_header(response, "Content-Type", &type_and_length);
-    for header in answer.headers {
+    for header in fault_response.headers {
         response = with_header(response, &header.name, &header.value);
     }
     let mut stream = request.upgrade(NO_PROTOCOL, response);
-    let written = stream.write_all(&answer.body);
+    let written = stream.write_all(&fault_response.body);
     let written = written.and_then(|()| stream.flush());
     std::mem::forget(stream);
     written
--- a/crates/http-edge/src/serving.rs
+++ b/crates/http-edge/src/serving.rs
@@ -121,7 +121,7 @@
 
 fn count_fault(counters: &EdgeCounters, fault: RequestFault) {
     match fault {
-        RequestFault::BodyTooLong => increment(&counters.refused_body_too_long),
+        RequestFault::BodyTooLarge => increment(&counters.refused_body_too_long),
         RequestFault::MalformedLength => increment(&counters.refused_malformed),
         RequestFault::BodyTimedOut => increment(&counters.timed_out),
         RequestFault::BodyCutOff => increment(&counters.broken_requests),
@@ -129,7 +129,7 @@
     }
 }
 
-/// Writes the refusal before `tiny_http` discards the rest of the body.
+/// Sends the handler's response for `fault` without reading the rest of the body first.
 fn refuse(shared: &Shared, request: GuardedRequest, fault: RequestFault) {
     let response = shared
         .handler
--- a/crates/http-edge/src/stream.rs
+++ b/crates/http-edge/src/stream.rs
@@ -59,8 +59,9 @@
         }
     }
 
-    /// Sends one chunk and flushes it to the socket; an empty chunk sends nothing. The first or second
-    /// call after the client closed its socket returns an error.
+    /// Sends one chunk and flushes it to the socket; an empty chunk sends nothing. After the
+    /// client closes its socket, the first call may still succeed, because the client may reset the connection
+    /// only in response to its data; calls after the reset return an error.
     pub fn send(&mut self, chunk: &[u8]) -> Result<(), ClientDisconnected> {
         if let StreamState::Disconnected(kind) = self.state {
             return Err(ClientDisconnected(kind));
--- a/crates/http-edge/tests/answers.rs
+++ b/crates/http-edge/tests/answers.rs
@@ -92,8 +92,8 @@
     let (ended, end) = bounded(1);
     let edge = start(settings(), move |_, responder: Responder| {
         let mut stream = responder.start_stream(200, &[]).expect("head");
-        let gone = (0..).find_map(|_| stream.send(b"token").err());
-        ended.send(gone.expect("endless")).expect("test waits");
+        let error = (0..).find_map(|_| stream.send(b"token").err());
+        ended.send(error.expect("endless")).expect("test waits");
     });
     let mut client = Client::connect(edge.address());
     client.send(b"GET / HTTP/1.1\r\n\r\n");
@@ -111,14 +111,14 @@
     let edge = start(small_settings(), move |_, responder: Responder| {
         let mut stream = responder.start_stream(200, &[]).expect("head");
         let chunk = vec![0; 1 << 20];
-        let gone = (0..1_000).find_map(|_| stream.send(&chunk).err());
-        ended.send(gone).expect("test waits");
+        let error = (0..1_000).find_map(|_| stream.send(&chunk).err());
+        ended.send(error).expect("test waits");
     });
     let mut client = Client::connect(edge.address());
     client.send(b"GET / HTTP/1.1\r\n\r\n");
-    let gone = end.recv_timeout(TIMEOUT).expect("the send fails");
+    let error = end.recv_timeout(TIMEOUT).expect("the send fails");
     assert_eq!(
-        gone,
+        error,
         Some(ClientDisconnected(std::io::ErrorKind::WouldBlock))
     );
 }
--- a/crates/http-edge/tests/pause.rs
+++ b/crates/http-edge/tests/pause.rs
@@ -1,4 +1,4 @@
-//! Guards against a server that stops accepting after its process was paused beyond the read timeout.
+//! Tests that a server accepts connections after its process was paused for longer than the read timeout.
 
 mod support;
 
@@ -22,7 +22,8 @@
 
 type Lines = std::io::Lines<BufReader<ChildStdout>>;
 
-/// Returns the output lines too, because the child could not print after its pipe is closed.
+/// Starts the child and reads its address. The caller must keep the returned lines: dropping them closes
+/// the child's stdout, and its later writes, such as the test result, would fail.
 fn start_child() -> (Child, SocketAddr, Lines) {
     let mut child = Command::new(std::env::current_exe().expect("test binary"))
         .args(["--exact", TEST_NAME, "--nocapture"])
--- a/crates/link/src/inbound.rs
+++ b/crates/link/src/inbound.rs
@@ -62,7 +62,7 @@
                     }
                 }
                 ReadStatus::WouldBlock => {
-                    self.release_buffer();
+                    self.free_large_empty_buffer();
                     return;
                 }
                 ReadStatus::EndOfStream => {
@@ -77,7 +77,7 @@
         }
     }
 
-    fn release_buffer(&mut self) {
+    fn free_large_empty_buffer(&mut self) {
         let stream = &mut self.stream;
         if stream.rd == stream.wr && stream.inp.len() > RETAINED_BYTES {
             stream.inp = Vec::new();
--- a/crates/link/src/links.rs
+++ b/crates/link/src/links.rs
@@ -55,7 +55,7 @@
     generation: u64,
     // `None` between a failure and the next connection attempt.
     connection: Option<ActorOwn<Outbound>>,
-    redial_at: std::time::Instant,
+    redial_not_before: std::time::Instant,
 }
 
 impl Links {
@@ -106,14 +106,14 @@
             peer: to,
             generation: 0,
             connection: None,
-            redial_at: now,
+            redial_not_before: now,
         });
         if dialled.peer.address != to.address {
             dialled.peer = to;
             dialled.connection = None;
-            dialled.redial_at = now;
+            dialled.redial_not_before = now;
         }
-        if dialled.connection.is_none() && now < dialled.redial_at {
+        if dialled.connection.is_none() && now < dialled.redial_not_before {
             LinkCounters::add(&self.counters.dropped_messages, 1);
             return;
         }
@@ -174,7 +174,7 @@
             return;
         }
         dialled.connection = None;
-        dialled.redial_at = cx.now() + REDIAL_DELAY;
+        dialled.redial_not_before = cx.now() + REDIAL_DELAY;
         LinkCounters::add(&self.counters.broken, 1);
         self.closed.fwd(LinkClosed { peer });
     }
--- a/crates/node/src/inbound/fault.rs
+++ b/crates/node/src/inbound/fault.rs
@@ -30,7 +30,7 @@
             Refusal::retry_after(RefusalReason::TooManyRequests, retry_after)
         }
         RequestFault::Stopping => Refusal::retry_after(RefusalReason::NodeStopping, retry_after),
-        RequestFault::BodyTooLong => invalid(InvalidRequest::BodyTooLarge {
+        RequestFault::BodyTooLarge => invalid(InvalidRequest::BodyTooLarge {
             limit_bytes: settings.max_body_bytes as u64,
         }),
         RequestFault::MalformedLength => invalid(InvalidRequest::InvalidField {
@@ -63,7 +63,7 @@
     settings: &EdgeSettings,
 ) -> FaultResponse {
     let error = match fault {
-        RequestFault::BodyTooLong => ConnectError::BodyTooLarge {
+        RequestFault::BodyTooLarge => ConnectError::BodyTooLarge {
             limit_bytes: settings.max_body_bytes as u64,
         },
         _ => ConnectError::Refused(refusal),
--- a/crates/node/src/operator/changes.rs
+++ b/crates/node/src/operator/changes.rs
@@ -1,7 +1,7 @@
 //! Methods that change the configuration.
 
 use ridgeworks_api::ConnectError;
-use ridgeworks_api::conversion::{DomainObject, read_shares};
+use ridgeworks_api::conversion::{DomainObject, shares_from_messages};
 use ridgeworks_api::field_error::FieldError;
 use ridgeworks_api::v1;
 use ridgeworks_configuration::{
@@ -53,7 +53,8 @@
     session: &Session<'_>,
     request: &v1::ProposeSharesRequest,
 ) -> Result<v1::ProposeSharesResponse, ConnectError> {
-    let shares = read_shares("shares", &request.shares).map_err(ConnectError::InvalidField)?;
+    let shares =
+        shares_from_messages("shares", &request.shares).map_err(ConnectError::InvalidField)?;
     let change = Change::Propose {
         shares,
         expected: ObjectVersion(request.expected_version),
--- a/crates/node/src/owner/prompt.rs
+++ b/crates/node/src/owner/prompt.rs
@@ -51,7 +51,7 @@
         .chain(&body.messages)
         .map(content_tokens)
         .sum();
-    let max_output_tokens = body.output_limit().unwrap_or(DEFAULT_OUTPUT_TOKENS);
+    let max_output_tokens = body.max_output_tokens().unwrap_or(DEFAULT_OUTPUT_TOKENS);
     Ok(CallSize {
         prompt_tokens,
         max_output_tokens,
@@ -74,7 +74,7 @@
         });
     }
     let mut body = read_chat(&request.body)?;
-    let max_output_tokens = body.output_limit().unwrap_or(DEFAULT_OUTPUT_TOKENS);
+    let max_output_tokens = body.max_output_tokens().unwrap_or(DEFAULT_OUTPUT_TOKENS);
     let mut messages = history_messages(state);
     messages.append(&mut body.messages);
     body.messages = messages;
--- a/crates/testbed/src/chaos/operators.rs
+++ b/crates/testbed/src/chaos/operators.rs
@@ -268,7 +268,7 @@
         nodes.truncate(NODES_ASKED);
         let servers = nodes.iter().map(|node| format!("http://{node}")).collect();
         OperatorClient::new(ClientSettings {
-            answer_timeout: ANSWER_TIMEOUT,
+            response_timeout: ANSWER_TIMEOUT,
             connect_timeout: CONNECT_TIMEOUT,
             rounds: 1,
             ..ClientSettings::new(servers, self.plan.token.clone())
--- a/crates/testbed/src/chaos/status.rs
+++ b/crates/testbed/src/chaos/status.rs
@@ -17,7 +17,7 @@
 /// A client of one node that asks once and does not wait long.
 pub fn status_client(node: SocketAddr, token: &str) -> OperatorClient {
     OperatorClient::new(ClientSettings {
-        answer_timeout: TIMEOUT,
+        response_timeout: TIMEOUT,
         connect_timeout: TIMEOUT,
         rounds: 1,
         ..ClientSettings::new(vec![format!("http://{node}")], token.to_owned())
--- a/crates/worker-pool/tests/reuse.rs
+++ b/crates/worker-pool/tests/reuse.rs
@@ -1,4 +1,4 @@
-//! Guards against jobs that wait for a busy thread, and against a pool that never reuses threads.
+//! Tests that jobs do not wait for busy threads, and that the pool reuses idle threads.
 
 use std::thread;
 use std::time::Duration;
