--- a/crates/run-log/src/acceptor.rs
+++ b/crates/run-log/src/acceptor.rs
@@ -1,12 +1,12 @@
 //! The acceptor of one run: its promise, and the log that it replicates from the current owner.
 //!
-//! [`RunHead`] and all entries survive a crash, except for an advance of the commit index alone. The rules are
-//! those of Raft's followers, for the reasons given in `docs/design/run-log.md`:
+//! [`RunHead`] and all entries survive a crash, except that the commit index may fall back to an earlier value. An
+//! advance that closes the run is durable. The rules are those of Raft's followers, for the reasons given in `docs/design/run-log.md`:
 //!
 //! - a ballot below the promised one is refused, and a ballot is granted to only one proposer instance;
 //! - entries are appended only where the preceding entry matches (same index, same ballot);
-//! - a vote belongs to one store. A node that restarts without its disk has another [`StoreId`](crate::entry::StoreId)
-//!   and refuses messages addressed to the old one, so it can't contradict a vote that it has lost.
+//! - a promise belongs to one store. A node that restarts without its disk has another [`StoreId`](crate::entry::StoreId)
+//!   and refuses messages addressed to the old one, so it can't contradict a promise that it has lost.
 
 use ridgeworks_domain::{Ballot, RunId};
 
@@ -17,7 +17,8 @@
 /// Limit on the entries in one reply to a fetch; a single larger entry is still sent.
 pub const FETCH_BYTES: usize = 256 * 1024;
 
-/// Number of generations for which a store keeps a closed run, counted from the one that the run's log names.
+/// A store deletes a closed run only once its generation exceeds the one that the run's log names for it by at least
+/// this number.
 pub(crate) const RETAINED_GENERATIONS: u32 = 2;
 
 /// Entries whose writes have not been reported as flushed. They replace whatever the storage still holds
@@ -29,9 +30,9 @@
     pub write_number: u64,
 }
 
-/// In-memory state of one run.
+/// In-memory state of the acceptor of one run.
 #[derive(Debug, Clone)]
-pub(crate) struct HeldRun {
+pub(crate) struct AcceptorState {
     pub head: RunHead,
     pub tail: Option<Box<UnflushedTail>>,
 }
@@ -42,11 +43,11 @@
     pub reply: Reply,
 }
 
-/// Access to one run while a request is handled.
+/// The acceptor of one run, borrowed from the replica to handle one request.
 pub(crate) struct Acceptor<'a> {
     pub run: RunId,
     pub identity: ReplicaId,
-    pub held: &'a mut HeldRun,
+    pub state: &'a mut AcceptorState,
     pub storage: &'a dyn LogStorage,
     pub write_number: u64,
 }
@@ -90,7 +91,7 @@
 impl Acceptor<'_> {
     /// Promises the ballot unless a higher one was promised, or the same one to another instance.
     pub fn prepare(&mut self, ballot: Ballot, instance: u64) -> Answer {
-        let head = &mut self.held.head;
+        let head = &mut self.state.head;
         let repeated = ballot == head.promised && instance == head.instance && instance != 0;
         if ballot <= head.promised && !repeated {
             return self.reject_lower(ballot);
@@ -113,7 +114,7 @@
 
     /// Returns a page of the log to the proposer that holds the promise.
     pub fn fetch(&mut self, ballot: Ballot, first: LogIndex) -> Answer {
-        if ballot != self.held.head.promised {
+        if ballot != self.state.head.promised {
             return self.reject_lower(ballot);
         }
         let reply = Reply::Fetched {
@@ -130,16 +131,16 @@
 
     /// Appends entries of an owner whose ballot is at least the promised one.
     pub fn append(&mut self, append_request: AppendRequest) -> Answer {
-        if append_request.ballot < self.held.head.promised {
+        if append_request.ballot < self.state.head.promised {
             return self.reject_lower(append_request.ballot);
         }
-        let before = self.held.head;
+        let before = self.state.head;
         if append_request.ballot > before.promised {
-            self.held.head.promised = append_request.ballot;
-            self.held.head.instance = 0;
+            self.state.head.promised = append_request.ballot;
+            self.state.head.instance = 0;
         }
         let mut writes = Vec::new();
-        let reply = match self.gap(append_request.previous) {
+        let reply = match self.resume_index(append_request.previous) {
             Some(next_index) => Reply::Rejected {
                 run: self.run,
                 ballot: append_request.ballot,
@@ -161,7 +162,7 @@
             self.append_entry(entry, writes);
         }
         let committed = append_request.commit_index.min(matched);
-        self.held.head.commit_index = self.held.head.commit_index.max(committed);
+        self.state.head.commit_index = self.state.head.commit_index.max(committed);
         Reply::Appended {
             run: self.run,
             ballot: append_request.ballot,
@@ -173,8 +174,8 @@
 
     fn append_entry(&mut self, entry: LogEntry, writes: &mut Vec<Write>) {
         let index = entry.index;
-        if index <= self.held.head.last.index {
-            if self.agrees_at(entry.position()) {
+        if index <= self.state.head.last.index {
+            if self.contains_position(entry.position()) {
                 return;
             }
             self.truncate_from(index);
@@ -183,33 +184,33 @@
             writes.push(Write::TruncateFrom { run, index });
         }
         if matches!(entry.entry, Entry::Closed) {
-            self.held.head.closed_index = index;
+            self.state.head.closed_index = index;
         }
-        if let Some(call_open) = entry.entry.leaves_call_open() {
-            self.held.head.call_open = call_open;
+        if let Some(call_open) = entry.entry.call_in_progress_after() {
+            self.state.head.call_open = call_open;
         }
         if entry.entry.replicas().is_some() {
-            self.held.head.members_index = index;
+            self.state.head.members_index = index;
         }
-        self.held.head.last = entry.position();
+        self.state.head.last = entry.position();
         self.push_unflushed(entry.clone());
         let run = self.run;
         writes.push(Write::Entry { run, entry });
     }
 
     /// Index from which the owner must resume sending, if its entries don't follow this log.
-    fn gap(&self, previous: LogPosition) -> Option<LogIndex> {
-        let head = &self.held.head;
+    fn resume_index(&self, previous: LogPosition) -> Option<LogIndex> {
+        let head = &self.state.head;
         if previous.index > head.last.index {
             return Some(head.last.index.next());
         }
         // Every later owner's log contains all committed entries, so sending can resume after them.
-        let agrees = self.agrees_at(previous);
+        let agrees = self.contains_position(previous);
         (!agrees).then(|| head.commit_index.next())
     }
 
-    fn agrees_at(&self, position: LogPosition) -> bool {
-        if position.index <= self.held.head.commit_index || position == self.held.head.last {
+    fn contains_position(&self, position: LogPosition) -> bool {
+        if position.index <= self.state.head.commit_index || position == self.state.head.last {
             return true;
         }
         let found = self.entries(position.index, 1);
@@ -219,15 +220,15 @@
     }
 
     fn entries(&self, first: LogIndex, max_bytes: usize) -> Vec<LogEntry> {
-        let tail_first = self.held.tail.as_ref().map(|tail| tail.first);
-        let stored_end = tail_first.unwrap_or(self.held.head.last.index.next());
+        let tail_first = self.state.tail.as_ref().map(|tail| tail.first);
+        let stored_end = tail_first.unwrap_or(self.state.head.last.index.next());
         let mut found = Vec::new();
         if first < stored_end {
             found = self.storage.entries(self.run, first, max_bytes);
             found.retain(|entry| entry.index < stored_end);
         }
         let next = LogIndex(first.0 + found.len() as u64);
-        if let Some(tail) = self.held.tail.as_ref().filter(|tail| next >= tail.first) {
+        if let Some(tail) = self.state.tail.as_ref().filter(|tail| next >= tail.first) {
             let skipped = (next.0 - tail.first.0) as usize;
             let mut bytes: usize = found.iter().map(|entry| entry.entry.size_bytes()).sum();
             for entry in tail.entries.iter().skip(skipped) {
@@ -242,10 +243,10 @@
     }
 
     fn truncate_from(&mut self, index: LogIndex) {
-        if self.held.head.closed_index >= index {
-            self.held.head.closed_index = LogIndex::NONE;
+        if self.state.head.closed_index >= index {
+            self.state.head.closed_index = LogIndex::NONE;
         }
-        if let Some(tail) = self.held.tail.as_mut() {
+        if let Some(tail) = self.state.tail.as_mut() {
             let kept = index.0.saturating_sub(tail.first.0) as usize;
             tail.entries.truncate(kept);
             tail.first = tail.first.min(index);
@@ -260,20 +261,20 @@
         while at != LogIndex::NONE && (call_open.is_none() || members_index.is_none()) {
             let found = self.entries(at, 1);
             if let Some(found) = found.first().filter(|found| found.index == at) {
-                call_open = call_open.or(found.entry.leaves_call_open());
+                call_open = call_open.or(found.entry.call_in_progress_after());
                 let defines_members = found.entry.replicas().is_some();
                 members_index = members_index.or(defines_members.then_some(at));
             }
             at = at.previous();
         }
-        self.held.head.call_open = call_open.unwrap_or(false);
-        self.held.head.members_index = members_index.unwrap_or(LogIndex::NONE);
+        self.state.head.call_open = call_open.unwrap_or(false);
+        self.state.head.members_index = members_index.unwrap_or(LogIndex::NONE);
     }
 
     fn push_unflushed(&mut self, entry: LogEntry) {
         let write_number = self.write_number;
         let first = entry.index;
-        let tail = self.held.tail.get_or_insert_with(|| {
+        let tail = self.state.tail.get_or_insert_with(|| {
             Box::new(UnflushedTail {
                 first,
                 entries: Vec::new(),
@@ -287,7 +288,7 @@
     /// An advance of the commit index alone is not written, because the owner sends it again. It is written when it
     /// closes the run, because no owner contacts a closed run any more.
     fn must_write_head(&self, before: &RunHead) -> bool {
-        let now = self.held.head;
+        let now = self.state.head;
         let unchanged = RunHead {
             commit_index: now.commit_index,
             ..*before
@@ -298,12 +299,12 @@
     fn write_head(&self) -> Write {
         Write::Head {
             run: self.run,
-            head: self.held.head,
+            head: self.state.head,
         }
     }
 
     fn reject_lower(&self, ballot: Ballot) -> Answer {
-        let promised = self.held.head.promised;
+        let promised = self.state.head.promised;
         let reply = Reply::Rejected {
             run: self.run,
             ballot,
--- a/crates/run-log/src/budget.rs
+++ b/crates/run-log/src/budget.rs
@@ -8,7 +8,7 @@
 /// The requested reserve exceeds the remaining budget.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct BudgetExceeded {
-    /// Amount that could be reserved.
+    /// Cost that may still be reserved.
     pub remaining: Cost,
 }
 
--- a/crates/run-log/src/election.rs
+++ b/crates/run-log/src/election.rs
@@ -13,23 +13,26 @@
 
 /// Lowest ballot round of a claim; the opening of the run uses the round before it.
 const FIRST_CLAIM_ROUND: u64 = 2;
-/// Number of times that a claim is repeated with a higher ballot; a further rejection means that another node is
-/// active.
+/// Number of times that a claim is repeated with a higher ballot. The next rejection ends the election as lost, because
+/// another node is active.
 const MAX_BALLOT_RAISES: u32 = 3;
 /// Number of retries of a fetch before the log is copied from another acceptor.
 const MAX_FETCH_RETRIES: u32 = 3;
 /// Replies required before the log is copied. The replica set is not known before that.
-const MIN_ANSWERS: usize = 2;
+const MIN_REPLIES: usize = 2;
 
 /// State of an election.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum ElectionState {
-    /// In progress.
-    Open,
+    InProgress,
     /// Won, with the adopted log.
-    Won { log: Vec<LogEntry> },
+    Won {
+        log: Vec<LogEntry>,
+    },
     /// Another node claims the run.
-    Lost { higher: Ballot },
+    Lost {
+        higher: Ballot,
+    },
     /// No acceptor that was asked holds any state of the run.
     RunUnknown,
 }
@@ -56,13 +59,13 @@
     fetch_retries: u32,
 }
 
-/// A node's claim to one run.
+/// The election of a node as owner of one run.
 #[derive(Debug, Clone)]
 pub(crate) struct Election {
     run: RunId,
     instance: u64,
     pub ballot: Ballot,
-    raises: u32,
+    ballot_raises: u32,
     candidates: BTreeMap<NodeId, Candidate>,
     log_copy: Option<LogCopy>,
     state: ElectionState,
@@ -91,10 +94,10 @@
             run,
             instance,
             ballot: known.max(floor).next_for(node),
-            raises: 0,
+            ballot_raises: 0,
             candidates: candidates.collect(),
             log_copy: None,
-            state: ElectionState::Open,
+            state: ElectionState::InProgress,
             last_sent: now,
             outgoing: Vec::new(),
         };
@@ -126,7 +129,7 @@
             .collect()
     }
 
-    /// Handles a reply of `from`.
+    /// Handles a reply from the node `from`.
     pub fn handle(&mut self, from: NodeId, reply: &Reply, now: MonotonicTime) {
         match reply {
             Reply::Promise {
@@ -161,7 +164,7 @@
 
     /// Repeats requests that were not answered within `retry_after`.
     pub fn tick(&mut self, now: MonotonicTime, retry_after: Duration) {
-        if self.state != ElectionState::Open || now.since(self.last_sent) < retry_after {
+        if self.state != ElectionState::InProgress || now.since(self.last_sent) < retry_after {
             return;
         }
         self.send_prepares(now);
@@ -202,11 +205,11 @@
     }
 
     fn raise_ballot(&mut self, promised: Ballot, now: MonotonicTime) {
-        if self.raises == MAX_BALLOT_RAISES {
+        if self.ballot_raises == MAX_BALLOT_RAISES {
             self.state = ElectionState::Lost { higher: promised };
             return;
         }
-        self.raises += 1;
+        self.ballot_raises += 1;
         self.ballot = promised.next_for(self.ballot.node);
         self.log_copy = None;
         for candidate in self.candidates.values_mut() {
@@ -217,7 +220,7 @@
     }
 
     fn advance(&mut self, now: MonotonicTime) {
-        if self.state != ElectionState::Open {
+        if self.state != ElectionState::InProgress {
             return;
         }
         let Some(newest) = self.newest_vote() else {
@@ -226,7 +229,7 @@
         };
         match &self.log_copy {
             Some(log_copy) if log_copy.source.last >= newest.last => {}
-            _ if self.answers() < MIN_ANSWERS => return,
+            _ if self.reply_count() < MIN_REPLIES => return,
             _ => return self.copy_from(newest, now),
         }
         self.check_majority(now);
@@ -242,10 +245,10 @@
             .max_by_key(|vote| vote.last)
     }
 
-    fn answers(&self) -> usize {
-        let answered =
+    fn reply_count(&self) -> usize {
+        let replied =
             |candidate: &&Candidate| candidate.vote.is_some() || candidate.without_vote.is_some();
-        self.candidates.values().filter(answered).count()
+        self.candidates.values().filter(replied).count()
     }
 
     fn detect_unknown_run(&mut self) {
--- a/crates/run-log/src/entry.rs
+++ b/crates/run-log/src/entry.rs
@@ -71,8 +71,8 @@
 )]
 pub struct StoreId(pub u64);
 
-/// Identity of an acceptor: a node and its data folder. A node that lost its disk restarts
-/// with another [`StoreId`] and is therefore a different acceptor, which holds none of the old votes.
+/// Identity of a replica: a node and its data folder. A node that lost its disk restarts
+/// with another [`StoreId`] and is therefore a different replica, which holds none of the old promises.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Archive, Serialize, Deserialize)]
 pub struct ReplicaId {
     pub node: NodeId,
@@ -83,7 +83,7 @@
 }
 
 impl ReplicaId {
-    /// Whether both name the same acceptor, regardless of generation.
+    /// Whether both name the same replica, regardless of generation.
     pub fn same_acceptor(self, other: Self) -> bool {
         self.node == other.node && self.store == other.store
     }
@@ -96,7 +96,8 @@
     NotRun,
     /// It may have been executed; its full reserve counts as spent.
     Unknown,
-    /// The back end stopped it and reported its cost.
+    /// The back end stopped it and reported its cost
+    /// ([`AttemptResolution::Stopped`](crate::event::AttemptResolution::Stopped)).
     Cancelled {
         /// At most the call's reserve.
         spent: Cost,
@@ -206,7 +207,7 @@
     }
 
     /// Whether a call is in progress after this entry; `None` if the entry doesn't change that.
-    pub fn leaves_call_open(&self) -> Option<bool> {
+    pub fn call_in_progress_after(&self) -> Option<bool> {
         match self {
             Self::Accepted { .. } | Self::Dispatched { .. } | Self::AttemptEnded { .. } => {
                 Some(true)
--- a/crates/run-log/src/event.rs
+++ b/crates/run-log/src/event.rs
@@ -41,15 +41,16 @@
     },
     /// The back end had not received the attempt and refuses it permanently from now on.
     NeverStarted,
-    /// The attempt was stopped while running and has no further effect. Its cost is unknown.
+    /// The attempt was stopped while running and has no further effect. Its cost is unknown. Not to be confused with
+    /// [`AttemptEnd::Cancelled`](crate::entry::AttemptEnd::Cancelled), whose cost is known.
     Cancelled,
     /// The attempt was stopped while running and has no further effect. Its cost is known.
     Stopped {
         /// Cost reported by the back end until it stopped the attempt.
         spent: Cost,
     },
-    /// The back end is lost. Reported only when it can start nothing any more (its machine is listed as
-    /// gone, or its fencing token is superseded); until then the node repeats the fencing request.
+    /// The back end is permanently unavailable: its machine is listed as gone, or its fencing token is superseded, so it
+    /// can't start the attempt any more. Until one of these is known, the node repeats the fencing request.
     Unreachable,
 }
 
@@ -110,7 +111,7 @@
         /// Passed on to the caller if nothing of the call is in the log.
         refusal: Refusal,
     },
-    /// A started attempt ended.
+    /// The sender of an attempt reports the outcome.
     AttemptFinished {
         /// The call of the attempt.
         call: Sequence,
@@ -154,7 +155,7 @@
         /// Receives the answer.
         caller: CallerId,
     },
-    /// Another node replaces a replica permanently.
+    /// Replace a replica permanently by one on another node.
     ReplaceReplica {
         /// The replica to remove.
         old: ReplicaId,
--- a/crates/run-log/src/message.rs
+++ b/crates/run-log/src/message.rs
@@ -15,7 +15,8 @@
 /// Why an acceptor refused a proposer's request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub enum Rejection {
-    /// The acceptor has promised another ballot.
+    /// The acceptor has promised a higher ballot, or this ballot to another proposer instance. A fetch is also rejected
+    /// if the promised ballot is lower than its own.
     HigherBallot {
         /// The acceptor refuses every lower ballot.
         promised: Ballot,
@@ -26,7 +27,7 @@
         next_index: LogIndex,
     },
     /// The message is addressed to a store that this node no longer has, or names a generation of the
-    /// store so old that the store may have deleted the run since.
+    /// store so old that the store may have deleted the run since. Final for that identity.
     Recovering,
     /// The acceptor holds no state of the run.
     UnknownRun,
@@ -81,7 +82,7 @@
     },
     /// Asks for the store's identity, which the node that opens a run must know.
     Identify,
-    /// Lists open runs that have received no append for some time.
+    /// Lists open runs that have received no append for the requested time.
     ListSilentRuns {
         /// Minimum time since the last append, in milliseconds.
         silent_ms: u64,
@@ -139,7 +140,7 @@
         /// Node, store and generation.
         replica: ReplicaId,
     },
-    /// Open runs without recent appends, in ascending order.
+    /// Open runs that have received no append for the requested time, in ascending order.
     SilentRuns {
         /// At most as many as the request's limit.
         runs: Vec<SilentRun>,
--- a/crates/run-log/src/owner/calls.rs
+++ b/crates/run-log/src/owner/calls.rs
@@ -19,11 +19,11 @@
         max_attempts: u32,
         now: MonotonicTime,
     ) {
-        self.state.renumber_if_weakened(&mut request);
+        self.state.renumber_if_unchecked(&mut request);
         match self.state.admit(&request) {
             Admission::New => self.admit_new(caller, request, max_attempts, now),
             Admission::Join(call) => self.waiting.calls.entry(call).or_default().push(caller),
-            Admission::Recorded(index, end) if index <= self.executed => {
+            Admission::Recorded(index, end) if index <= self.effects_index => {
                 self.answer(caller, CallerAnswer::Ended(end));
             }
             Admission::Recorded(..) => {
@@ -239,7 +239,7 @@
             let committed = self
                 .child_opened_at
                 .get(&run)
-                .is_some_and(|at| *at <= self.executed);
+                .is_some_and(|at| *at <= self.effects_index);
             if committed {
                 return self.answer(caller, CallerAnswer::ChildOpened);
             }
@@ -270,7 +270,8 @@
     }
 
     pub(super) fn close(&mut self, caller: CallerId, now: MonotonicTime) {
-        let committed = self.state.is_closed() && self.proposer.commit_index() == self.applied;
+        let committed =
+            self.state.is_closed() && self.proposer.commit_index() == self.applied_index;
         if committed {
             let spent = self.state.budget().spent();
             return self.answer(caller, CallerAnswer::Closed { spent });
--- a/crates/run-log/src/owner/mod.rs
+++ b/crates/run-log/src/owner/mod.rs
@@ -26,14 +26,14 @@
     /// Timeouts and limits of replication.
     pub replication: ReplicationSettings,
     /// Time after which an unanswered fencing request is repeated.
-    pub fence_interval: Duration,
+    pub fence_retry_after: Duration,
 }
 
 impl Default for OwnerSettings {
     fn default() -> Self {
         Self {
             replication: ReplicationSettings::default(),
-            fence_interval: Duration::from_millis(200),
+            fence_retry_after: Duration::from_millis(200),
         }
     }
 }
@@ -52,9 +52,9 @@
     proposer: Proposer,
     state: RunState,
     /// Entries up to this index are applied to `state`.
-    applied: LogIndex,
+    applied_index: LogIndex,
     /// The effects of committed entries up to this index were emitted.
-    executed: LogIndex,
+    effects_index: LogIndex,
     ready: bool,
     stopped: bool,
     waiting: Waiting,
@@ -116,7 +116,7 @@
     /// was told so. Replicas delete only runs whose end they know to be committed.
     pub fn is_idle(&self) -> bool {
         let no_waiters = self.waiting.pending.is_none() && self.waiting.deferred.is_empty();
-        let committed = self.proposer.commit_index() == self.applied;
+        let committed = self.proposer.commit_index() == self.applied_index;
         let end_sent = !self.state.is_closed() || self.proposer.has_sent_commit_index();
         self.is_ready()
             && no_waiters
@@ -162,8 +162,8 @@
             settings,
             proposer,
             state: RunState::new(),
-            applied: LogIndex::NONE,
-            executed: LogIndex::NONE,
+            applied_index: LogIndex::NONE,
+            effects_index: LogIndex::NONE,
             ready: false,
             stopped: false,
             waiting: Waiting::default(),
@@ -243,11 +243,11 @@
 
     fn tick(&mut self, now: MonotonicTime) {
         self.proposer.tick(now);
-        let interval = self.settings.fence_interval;
+        let retry_after = self.settings.fence_retry_after;
         let overdue = self
             .fence
             .as_ref()
-            .filter(|fence| now.since(fence.last_sent) >= interval);
+            .filter(|fence| now.since(fence.last_sent) >= retry_after);
         if let Some(fence) = overdue {
             let attempt = fence.attempt.clone();
             self.send_fence(attempt, now);
@@ -258,11 +258,11 @@
     fn process_changes(&mut self, now: MonotonicTime) {
         loop {
             self.apply_new_entries();
-            let before = (self.applied, self.executed, self.ready);
+            let before = (self.applied_index, self.effects_index, self.ready);
             self.execute_committed();
             self.become_ready(now);
             self.advance_call(now);
-            if before == (self.applied, self.executed, self.ready) {
+            if before == (self.applied_index, self.effects_index, self.ready) {
                 break;
             }
         }
@@ -281,7 +281,7 @@
     }
 
     fn apply_new_entries(&mut self) {
-        while let Some(entry) = self.proposer.entry(self.applied.next()) {
+        while let Some(entry) = self.proposer.entry(self.applied_index.next()) {
             let index = entry.index;
             if let Entry::ChildOpened { run, .. } = &entry.entry {
                 self.child_opened_at.insert(*run, index);
@@ -291,14 +291,14 @@
                 self.stop(CallerAnswer::OwnerChanged);
                 return;
             }
-            self.applied = index;
+            self.applied_index = index;
         }
     }
 
     fn execute_committed(&mut self) {
-        while !self.stopped && self.executed < self.proposer.commit_index() {
-            self.executed = self.executed.next();
-            self.execute_entry(self.executed);
+        while !self.stopped && self.effects_index < self.proposer.commit_index() {
+            self.effects_index = self.effects_index.next();
+            self.execute_entry(self.effects_index);
         }
     }
 
@@ -330,7 +330,7 @@
     /// Marks the run as ready once the claim's entry is committed and every attempt of earlier owners is resolved.
     fn become_ready(&mut self, now: MonotonicTime) {
         let claimed = self.proposer.state() == ProposerState::Leading
-            && self.executed >= self.proposer.claim_index();
+            && self.effects_index >= self.proposer.claim_index();
         if self.ready || self.stopped || !claimed {
             return;
         }
@@ -356,7 +356,7 @@
         for (caller, deferred) in self.waiting.take_confirmed(round) {
             let answer = match deferred {
                 Deferred::Answer(answer) => answer,
-                Deferred::History => CallerAnswer::History(self.state.history(self.executed)),
+                Deferred::History => CallerAnswer::History(self.state.history(self.effects_index)),
             };
             self.answer(caller, answer);
         }
@@ -379,8 +379,8 @@
         }
     }
 
-    /// Refuses requests that arrived before the replicas were asked. The run may have been opened before a later request
-    /// arrived, so the replicas are asked again on behalf of the later ones.
+    /// Refuses the requests that arrived up to the start of the last election. The run may have been opened before a later
+    /// request arrived, so a new election is started for the later ones.
     fn refuse_unknown_run(&mut self, now: MonotonicTime) {
         if self.stopped || self.proposer.state() != ProposerState::RunUnknown {
             return;
@@ -436,7 +436,7 @@
     }
 
     fn refuse(&mut self, caller: CallerId, refusal: Refusal, now: MonotonicTime) {
-        let refusal = self.state.refusal_if_weakened(refusal);
+        let refusal = self.state.refusal_if_unchecked(refusal);
         let answer = CallerAnswer::Refused(refusal);
         self.defer(caller, Deferred::Answer(answer), now);
     }
--- a/crates/run-log/src/owner/waiting.rs
+++ b/crates/run-log/src/owner/waiting.rs
@@ -1,4 +1,4 @@
-//! Requests that wait for an answer of the owner.
+//! Requests that wait for the owner's answer.
 
 use std::collections::BTreeMap;
 
@@ -24,17 +24,17 @@
 /// Waiting requests, by the condition that they wait for.
 #[derive(Debug, Default)]
 pub(super) struct Waiting {
-    /// Wait until the run is ready; with their times of arrival.
+    /// Requests that wait until the run is ready, with their times of arrival.
     pub queued: Vec<(MonotonicTime, OwnerEvent)>,
-    /// Waits for a slot.
+    /// The call that waits for a slot.
     pub pending: Option<PendingCall>,
-    /// Wait for the end of a call to be committed.
+    /// Callers that wait for the end of a call to be committed.
     pub calls: BTreeMap<Sequence, Vec<CallerId>>,
-    /// Wait for the reserve of a child's budget to be committed.
+    /// Callers that wait for the reserve of a child's budget to be committed.
     pub children: Vec<(RunId, CallerId)>,
-    /// Wait for the end of the run to be committed.
+    /// Callers that wait for the end of the run to be committed.
     pub closing: Vec<CallerId>,
-    /// Wait for a confirmation round.
+    /// Answers that wait for a confirmation round, with its number.
     pub deferred: Vec<(u64, CallerId, Deferred)>,
 }
 
--- a/crates/run-log/src/proposer.rs
+++ b/crates/run-log/src/proposer.rs
@@ -164,8 +164,8 @@
         }
     }
 
-    /// Starts a confirmation round. Once [`Proposer::confirmed_round`] reaches it, no other owner had won the run
-    /// before this call. `None` unless leading.
+    /// Starts a confirmation round. Once [`Proposer::confirmed_round`] reaches it, it is certain that no other
+    /// owner had won the run when this was called. `None` unless leading.
     pub fn confirm(&mut self, now: MonotonicTime) -> Option<u64> {
         match &mut self.phase {
             Phase::Leading(replication) => Some(replication.confirm(now)),
@@ -188,7 +188,7 @@
         }
     }
 
-    /// Handles a reply of `from`. Replies about other runs are ignored.
+    /// Handles a reply from the node `from`. Replies about other runs are ignored.
     pub fn handle(&mut self, from: NodeId, reply: &Reply, now: MonotonicTime) {
         if reply.run() != Some(self.run) {
             return;
@@ -230,12 +230,12 @@
         self.collect_outgoing();
         let next = match &self.phase {
             Phase::Claiming(election) => match election.state() {
-                ElectionState::Open => return,
+                ElectionState::InProgress => return,
                 ElectionState::Won { log } => self.start_leading(election, log.clone(), now),
                 ElectionState::Lost { higher } => Phase::SteppedDown(*higher),
                 ElectionState::RunUnknown => Phase::RunUnknown(election.clone()),
             },
-            Phase::Leading(replication) => match replication.higher() {
+            Phase::Leading(replication) => match replication.higher_ballot() {
                 Some(higher) => Phase::SteppedDown(higher),
                 None => return,
             },
--- a/crates/run-log/src/replica.rs
+++ b/crates/run-log/src/replica.rs
@@ -9,7 +9,7 @@
 
 use ridgeworks_domain::{Ballot, MonotonicTime, NodeId, RunId};
 
-use crate::acceptor::{Acceptor, Answer, AppendRequest, HeldRun, RETAINED_GENERATIONS};
+use crate::acceptor::{Acceptor, AcceptorState, Answer, AppendRequest, RETAINED_GENERATIONS};
 use crate::entry::{Entry, LogEntry, LogPosition, ReplicaId};
 use crate::message::{Rejection, Reply, Request, SilentRun};
 use crate::storage::{LogStorage, RestoredStore, RunHead, Write};
@@ -26,7 +26,7 @@
 }
 
 struct TrackedRun {
-    held: HeldRun,
+    state: AcceptorState,
     last_append: MonotonicTime,
 }
 
@@ -45,9 +45,9 @@
     /// Restores the replica from its store. `now` counts as the time of every run's last append.
     pub fn restore(node: NodeId, restored: RestoredStore, now: MonotonicTime) -> Self {
         let track = |(run, head)| {
-            let held = HeldRun { head, tail: None };
+            let state = AcceptorState { head, tail: None };
             let last_append = now;
-            (run, TrackedRun { held, last_append })
+            (run, TrackedRun { state, last_append })
         };
         let pending_work = restored
             .heads
@@ -80,7 +80,7 @@
 
     /// Head of a run, if this replica stores the run.
     pub fn head(&self, run: RunId) -> Option<RunHead> {
-        self.runs.get(&run).map(|tracked| tracked.held.head)
+        self.runs.get(&run).map(|tracked| tracked.state.head)
     }
 
     /// Runs without an append for `silent_for` in which an owner must still end a call or commit the end of the run.
@@ -93,14 +93,14 @@
         let tracked = tracked.filter_map(|run| Some((*run, self.runs.get(run)?)));
         tracked
             .filter(move |(_, tracked)| now.since(tracked.last_append) >= silent_for)
-            .map(|(run, tracked)| (run, tracked.held.head))
+            .map(|(run, tracked)| (run, tracked.state.head))
     }
 
     /// At most `limit` open runs with identifiers above `after`, in ascending order.
     pub fn open_runs(&self, after: Option<RunId>, limit: usize) -> Vec<RunId> {
         let lower = after.map_or(Bound::Unbounded, Bound::Excluded);
-        let held = self.runs.range((lower, Bound::Unbounded));
-        let open = held.filter(|(_, tracked)| !tracked.held.head.is_closed());
+        let later = self.runs.range((lower, Bound::Unbounded));
+        let open = later.filter(|(_, tracked)| !tracked.state.head.is_closed());
         open.take(limit).map(|(run, _)| *run).collect()
     }
 
@@ -109,7 +109,7 @@
         let Some(tracked) = self.runs.get(&run) else {
             return Vec::new();
         };
-        let index = tracked.held.head.members_index;
+        let index = tracked.state.head.members_index;
         // An entry that isn't flushed yet comes from an active owner, which maintains the replica set itself.
         let found = storage.entries(run, index, 1);
         let found = found.first().filter(|entry| entry.index == index);
@@ -117,7 +117,7 @@
         members.map(<[ReplicaId]>::to_vec).unwrap_or_default()
     }
 
-    /// Handles a request of `from`.
+    /// Handles a request from the node `from`.
     pub fn handle(
         &mut self,
         from: NodeId,
@@ -144,7 +144,7 @@
                 continue;
             };
             tracked
-                .held
+                .state
                 .tail
                 .take_if(|tail| tail.write_number <= write_number);
         }
@@ -160,12 +160,12 @@
     ) -> Vec<SilentRun> {
         let lower = after.map_or(Bound::Unbounded, Bound::Excluded);
         let open = self.runs.range((lower, Bound::Unbounded));
-        open.filter(|(_, tracked)| !tracked.held.head.is_closed())
+        open.filter(|(_, tracked)| !tracked.state.head.is_closed())
             .filter(|(_, tracked)| now.since(tracked.last_append) >= silent_for)
             .take(limit)
             .map(|(run, tracked)| SilentRun {
                 run: *run,
-                promised: tracked.held.head.promised,
+                promised: tracked.state.head.promised,
                 silent_ms: now.since(tracked.last_append).as_millis() as u64,
             })
             .collect()
@@ -173,9 +173,10 @@
 
     /// Deletes at most `limit` closed runs that had no append for `retention`.
     ///
-    /// The first sweep at least `retention` after the last change of generation increments the store's generation. A run is
-    /// deleted two generations after the one that its log names, and a message that names a generation so old creates no
-    /// run. A delayed copy of an opening therefore can't recreate a deleted run.
+    /// The first sweep at least `retention` after the last change of generation increments the store's generation. A closed
+    /// run is deleted only once the store's generation is at least two above the one that the run's log names. From then
+    /// on, a message that names that generation creates no run, so a delayed copy of an opening can't recreate a deleted
+    /// run.
     pub fn sweep(&mut self, now: MonotonicTime, retention: Duration, limit: usize) -> ReplicaReady {
         self.write_number += 1;
         let mut writes = Vec::new();
@@ -199,18 +200,18 @@
 
     fn deletable_runs(&self, now: MonotonicTime, retention: Duration, limit: usize) -> Vec<RunId> {
         let old = |tracked: &TrackedRun| {
-            let head = tracked.held.head;
+            let head = tracked.state.head;
             head.is_closed()
-                && tracked.held.tail.is_none()
+                && tracked.state.tail.is_none()
                 && now.since(tracked.last_append) >= retention
-                && !self.retains_runs_since(head.generation)
+                && !self.retains_runs_of_generation(head.generation)
         };
         let closed = self.runs.iter().filter(|(_, tracked)| old(tracked));
         closed.map(|(run, _)| *run).take(limit).collect()
     }
 
     /// Whether a run whose log names this store at `generation` can't have been deleted yet.
-    fn retains_runs_since(&self, generation: u32) -> bool {
+    fn retains_runs_of_generation(&self, generation: u32) -> bool {
         self.identity.generation < generation.saturating_add(RETAINED_GENERATIONS)
     }
 
@@ -285,7 +286,7 @@
         Ok(Acceptor {
             run,
             identity: self.identity,
-            held: &mut tracked.held,
+            state: &mut tracked.state,
             storage,
             write_number: self.write_number,
         })
@@ -296,15 +297,15 @@
         if self.runs.contains_key(&run) {
             return Ok(());
         }
-        if !self.retains_runs_since(generation) {
+        if !self.retains_runs_of_generation(generation) {
             return Err(Rejection::Recovering);
         }
-        let held = HeldRun {
+        let state = AcceptorState {
             head: RunHead::new(generation),
             tail: None,
         };
         let last_append = now;
-        self.runs.insert(run, TrackedRun { held, last_append });
+        self.runs.insert(run, TrackedRun { state, last_append });
         Ok(())
     }
 
@@ -323,15 +324,15 @@
             Err(reason) => return self.reject(run, ballot, reason),
         };
         if let Some(tracked) = self.runs.get_mut(&run) {
-            if tracked.held.head.promised == ballot {
+            if tracked.state.head.promised == ballot {
                 tracked.last_append = now;
             }
-            if tracked.held.head.has_pending_work() {
+            if tracked.state.head.has_pending_work() {
                 self.pending_work.insert(run);
             } else {
                 self.pending_work.remove(&run);
             }
-            if tracked.held.tail.is_some() {
+            if tracked.state.tail.is_some() {
                 self.unflushed.push((self.write_number, run));
             }
         }
--- a/crates/run-log/src/replication/mod.rs
+++ b/crates/run-log/src/replication/mod.rs
@@ -33,11 +33,12 @@
     replacement: Option<(ReplicaId, ReplicaId)>,
     spares: Vec<ReplicaId>,
     outgoing: Vec<(NodeId, Request)>,
-    higher: Option<Ballot>,
+    higher_ballot: Option<Ballot>,
 }
 
 impl Replication {
-    /// Starts from an adopted `log`. `spares` are replicas that may complete a set with a missing replica.
+    /// Starts from an adopted `log`. `spares` are replicas that may be added if the set lacks a
+    /// replica.
     pub fn new(
         run: RunId,
         ballot: Ballot,
@@ -65,7 +66,7 @@
             replacement: None,
             spares,
             outgoing: Vec::new(),
-            higher: None,
+            higher_ballot: None,
         };
         replication.sync_progress(now);
         // Replicas are likely to hold the adopted entries. One that doesn't rejects the append and names the index to
@@ -98,7 +99,8 @@
         self.last_index()
     }
 
-    /// Starts a confirmation round. Once a majority has answered it, no other owner had won the run before this call.
+    /// Starts a confirmation round. Once a majority has answered it, it is certain that no other owner had
+    /// won the run when this was called.
     pub fn confirm(&mut self, now: MonotonicTime) -> u64 {
         self.round += 1;
         let nodes: Vec<NodeId> = self.progress.keys().copied().collect();
@@ -125,8 +127,8 @@
     }
 
     /// The highest ballot reported by a replica, if it exceeds this owner's.
-    pub fn higher(&self) -> Option<Ballot> {
-        self.higher
+    pub fn higher_ballot(&self) -> Option<Ballot> {
+        self.higher_ballot
     }
 
     /// The entry at `index`, committed or not.
@@ -151,7 +153,7 @@
         self.advance_replacement(now);
     }
 
-    /// Handles a reply of `from`.
+    /// Handles a reply from the node `from`.
     pub fn handle(&mut self, from: NodeId, reply: &Reply, now: MonotonicTime) {
         match reply {
             Reply::Appended {
@@ -229,7 +231,7 @@
     ) {
         if let Rejection::HigherBallot { promised } = reason {
             if promised > self.ballot {
-                self.higher = self.higher.max(Some(promised));
+                self.higher_ballot = self.higher_ballot.max(Some(promised));
             }
             return;
         }
--- a/crates/run-log/src/replication/progress.rs
+++ b/crates/run-log/src/replication/progress.rs
@@ -19,7 +19,7 @@
     /// Commit index in the last append sent.
     pub sent_commit: LogIndex,
     pub last_sent: MonotonicTime,
-    /// Earliest time of the next append of committed entries.
+    /// Earliest time of the next append that sends entries already committed.
     pub next_catch_up_at: MonotonicTime,
 }
 
--- a/crates/run-log/src/replication/replacement.rs
+++ b/crates/run-log/src/replication/replacement.rs
@@ -11,7 +11,8 @@
     /// Appends the next change of the replica set, once the previous one is committed.
     pub(super) fn advance_replacement(&mut self, now: MonotonicTime) {
         let own_committed = self.is_own(self.commit_index);
-        if !own_committed || self.members_index > self.commit_index || self.higher.is_some() {
+        if !own_committed || self.members_index > self.commit_index || self.higher_ballot.is_some()
+        {
             return;
         }
         if self.members.len() == REPLICAS_PER_RUN {
--- a/crates/run-log/src/run_state/mod.rs
+++ b/crates/run-log/src/run_state/mod.rs
@@ -102,21 +102,21 @@
             .unwrap_or_else(|| self.next_sequence())
     }
 
-    /// Sequence number of the next call that is not in the log.
+    /// Sequence number that follows that of the last call in the log.
     fn next_sequence(&self) -> Sequence {
         Sequence(self.calls.len() as u64 + 1)
     }
 
     /// Assigns the expected sequence number to a call, in a test build that disables [`Safeguard::Sequence`].
-    pub(crate) fn renumber_if_weakened(&self, request: &mut CallRequest) {
+    pub(crate) fn renumber_if_unchecked(&self, request: &mut CallRequest) {
         if is_disabled(Safeguard::Sequence) {
             let known = self.keys.get(&request.key).copied();
             request.sequence = known.unwrap_or_else(|| self.next_sequence());
         }
     }
 
-    /// Makes a refusal for a passed sequence number retryable, in the same test build.
-    pub(crate) fn refusal_if_weakened(&self, refusal: Refusal) -> Refusal {
+    /// Makes a refusal for a passed sequence number retryable, in a test build that disables [`Safeguard::Sequence`].
+    pub(crate) fn refusal_if_unchecked(&self, refusal: Refusal) -> Refusal {
         let passed = matches!(refusal.reason, RefusalReason::SequencePassed { .. });
         if passed && is_disabled(Safeguard::Sequence) {
             return Refusal::retry_after(refusal.reason, Duration::from_millis(20));
@@ -124,7 +124,7 @@
         refusal
     }
 
-    /// Decides whether a call is admitted, joined to a known one or refused.
+    /// Decides whether a call is admitted, treated as a repeat of a known call, or refused.
     pub fn admit(&self, request: &CallRequest) -> Admission {
         if let Some(call) = self.keys.get(&request.key) {
             return self.admit_repeat(*call, request);
--- a/crates/run-log/tests/budget.rs
+++ b/crates/run-log/tests/budget.rs
@@ -7,7 +7,7 @@
 #[derive(Debug, Clone)]
 enum Step {
     Reserve(u64),
-    /// Settles the held reserve at this position (modulo their number), with this cost.
+    /// Settles the held reserve at this index, modulo the number of held reserves, at this cost.
     Settle(usize, u64),
     OpenChild(u8, u64),
     CloseChild(u8, u64),
--- a/crates/run-log/tests/simulation.rs
+++ b/crates/run-log/tests/simulation.rs
@@ -114,7 +114,7 @@
 }
 
 /// Asserts that the checks find a safety violation, not only a stuck client, with `weakening`'s mechanism disabled.
-fn assert_noticed(weakening: Weakening) {
+fn assert_detected(weakening: Weakening) {
     let found = search(
         1,
         MAX_WEAKENED_SCHEDULES,
@@ -131,51 +131,51 @@
 }
 
 #[test]
-fn notices_promises_that_are_not_durable() {
-    assert_noticed(Weakening::PromiseNotDurable);
+fn detects_promises_that_are_not_durable() {
+    assert_detected(Weakening::PromiseNotDurable);
 }
 
 #[test]
-fn notices_replies_before_the_flush() {
-    assert_noticed(Weakening::ReplyBeforeFlush);
+fn detects_replies_before_the_flush() {
+    assert_detected(Weakening::ReplyBeforeFlush);
 }
 
 #[test]
-fn notices_lower_ballots_accepted() {
-    assert_noticed(Weakening::LowerBallotAccepted);
+fn detects_lower_ballots_accepted() {
+    assert_detected(Weakening::LowerBallotAccepted);
 }
 
 #[test]
-fn notices_accepted_entries_not_adopted() {
-    assert_noticed(Weakening::AcceptedNotAdopted);
+fn detects_accepted_entries_not_adopted() {
+    assert_detected(Weakening::AcceptedNotAdopted);
 }
 
 #[test]
-fn notices_budgets_without_reserve() {
-    assert_noticed(Weakening::NothingReserved);
+fn detects_budgets_without_reserve() {
+    assert_detected(Weakening::NothingReserved);
 }
 
 #[test]
-fn notices_attempts_sent_before_dispatched_is_committed() {
-    assert_noticed(Weakening::SentBeforeDispatched);
+fn detects_attempts_sent_before_dispatched_is_committed() {
+    assert_detected(Weakening::SentBeforeDispatched);
 }
 
 #[test]
-fn notices_doubtful_attempts_that_are_not_fenced() {
-    assert_noticed(Weakening::NotFenced);
+fn detects_doubtful_attempts_that_are_not_fenced() {
+    assert_detected(Weakening::NotFenced);
 }
 
 #[test]
-fn notices_owners_that_do_not_confirm() {
-    assert_noticed(Weakening::NotConfirmed);
+fn detects_owners_that_do_not_confirm() {
+    assert_detected(Weakening::NotConfirmed);
 }
 
 #[test]
-fn notices_child_budgets_that_are_not_reserved_in_the_parent() {
-    assert_noticed(Weakening::ChildBudgetNotReserved);
+fn detects_child_budgets_that_are_not_reserved_in_the_parent() {
+    assert_detected(Weakening::ChildBudgetNotReserved);
 }
 
 #[test]
-fn notices_lost_disks_under_the_old_identity() {
-    assert_noticed(Weakening::IdentityKept);
+fn detects_lost_disks_under_the_old_identity() {
+    assert_detected(Weakening::IdentityKept);
 }
--- a/crates/run-log/tests/simulator/checks.rs
+++ b/crates/run-log/tests/simulator/checks.rs
@@ -1,4 +1,5 @@
-//! Checks the service's promises to its callers, by number, on the record of a schedule.
+//! Checks the service's promises to its callers, by number, on the record of a schedule. These are not the promises of
+//! acceptors.
 
 use std::collections::BTreeMap;
 
@@ -19,9 +20,9 @@
     /// Promise 5: no execution of the call gave this answer, or an earlier answer differs.
     Answer(RunId, Sequence),
     /// Promise 6: a call that was reported as not run was executed.
-    NotRunRan(RunId, Sequence),
+    NotRunButExecuted(RunId, Sequence),
     /// Promise 7: a call that is not repeatable was executed twice.
-    RanTwice(RunId, Sequence),
+    ExecutedTwice(RunId, Sequence),
     /// Two owners have different committed entries at the same index.
     Disagreement(RunId, LogIndex),
     /// An owner found an invalid entry in its log.
@@ -119,7 +120,7 @@
             *counts.entry(execution.call).or_default() += 1;
         }
         let twice = counts.iter().filter(|(_, count)| **count > 1);
-        let twice = twice.map(|(call, _)| Violation::RanTwice(run, *call));
+        let twice = twice.map(|(call, _)| Violation::ExecutedTwice(run, *call));
         self.violations.extend(twice);
         let spent: u64 = ran.iter().map(|execution| execution.cost.0).sum();
         if spent > budget.0 {
@@ -137,15 +138,15 @@
                 (!known).then_some(Violation::Answer(run, call))
             }
             CallerAnswer::Ended(CallEnd::NotRun) => {
-                let any = of_call.next().is_some();
-                any.then_some(Violation::NotRunRan(run, call))
+                let was_executed = of_call.next().is_some();
+                was_executed.then_some(Violation::NotRunButExecuted(run, call))
             }
             // A refusal covers only its own request: nothing was executed before the request was sent, and
             // nothing is ever executed if it was the only request.
             CallerAnswer::Refused(refusal) if refusal.is_not_run() => {
                 let ran = of_call
                     .any(|execution| answered.only_request || execution.at < answered.invoked);
-                ran.then_some(Violation::NotRunRan(run, call))
+                ran.then_some(Violation::NotRunButExecuted(run, call))
             }
             _ => None,
         };
--- a/crates/run-log/tests/simulator/client.rs
+++ b/crates/run-log/tests/simulator/client.rs
@@ -48,7 +48,7 @@
     pub stage: Stage,
     pub node: usize,
     /// Number of the request that the client waits for.
-    pub current: u64,
+    pub current_request: u64,
     pub sent: BTreeMap<u64, Sent>,
     pub acknowledged: BTreeMap<Sequence, Vec<u8>>,
     pub next_number: u64,
@@ -56,7 +56,7 @@
 
 /// Action of a client after an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Next {
+pub enum ClientAction {
     /// Sends the next request.
     Continue,
     /// Repeats the request at another node.
@@ -108,14 +108,14 @@
     }
 
     /// Handles the answer to the current request.
-    pub fn take(&mut self, answer: &CallerAnswer, reads: bool) -> Next {
+    pub fn take(&mut self, answer: &CallerAnswer, reads: bool) -> ClientAction {
         self.stage = match (self.stage, answer) {
-            (_, CallerAnswer::OwnerChanged) => return Next::TryOtherNode,
+            (_, CallerAnswer::OwnerChanged) => return ClientAction::TryOtherNode,
             (_, CallerAnswer::Refused(refusal)) => match refusal.reason {
                 RefusalReason::UnknownRun => Stage::Done,
-                RefusalReason::NoBackend => return Next::TryOtherNode,
+                RefusalReason::NoBackend => return ClientAction::TryOtherNode,
                 _ if matches!(self.stage, Stage::Calling(_)) => Stage::FinalRead,
-                _ => return Next::TryOtherNode,
+                _ => return ClientAction::TryOtherNode,
             },
             (Stage::OpeningChild, CallerAnswer::ChildOpened) => Stage::Calling(1),
             (Stage::Calling(number), CallerAnswer::Ended(end)) => {
@@ -132,8 +132,8 @@
             (Stage::Reading { then }, CallerAnswer::History(_)) => Stage::Calling(then),
             (Stage::FinalRead, CallerAnswer::History(_)) => Stage::Closing,
             (Stage::Closing, CallerAnswer::Closed { .. }) => Stage::Done,
-            _ => return Next::Nothing,
+            _ => return ClientAction::Nothing,
         };
-        Next::Continue
+        ClientAction::Continue
     }
 }
--- a/crates/run-log/tests/simulator/disk.rs
+++ b/crates/run-log/tests/simulator/disk.rs
@@ -54,7 +54,7 @@
 pub struct ReplicaNode {
     pub replica: Replica,
     pub tables: Tables,
-    pub batch: Vec<(u64, Vec<Write>)>,
+    pub unflushed_batches: Vec<(u64, Vec<Write>)>,
     pub replies: Vec<(NodeId, Reply)>,
     pub flush_due: bool,
     node: NodeId,
@@ -71,7 +71,7 @@
         Self {
             replica: Replica::restore(node, restored, MonotonicTime::ZERO),
             tables: Tables::default(),
-            batch: Vec::new(),
+            unflushed_batches: Vec::new(),
             replies: Vec::new(),
             flush_due: false,
             node,
@@ -82,7 +82,7 @@
     /// Makes all batches durable and returns the replies that waited for them.
     pub fn flush(&mut self) -> Vec<(NodeId, Reply)> {
         self.flush_due = false;
-        for (number, writes) in std::mem::take(&mut self.batch) {
+        for (number, writes) in std::mem::take(&mut self.unflushed_batches) {
             writes
                 .into_iter()
                 .for_each(|write| self.tables.apply(write));
@@ -93,8 +93,8 @@
 
     /// Simulates a crash: keeps the first `kept` unflushed batches, loses the others and all replies.
     pub fn crash(&mut self, kept: usize, forget_promises: bool, now: MonotonicTime) {
-        let batch = std::mem::take(&mut self.batch);
-        for (_, writes) in batch.into_iter().take(kept) {
+        let unflushed_batches = std::mem::take(&mut self.unflushed_batches);
+        for (_, writes) in unflushed_batches.into_iter().take(kept) {
             writes
                 .into_iter()
                 .for_each(|write| self.tables.apply(write));
@@ -112,7 +112,7 @@
     /// Restarts with an empty disk and the identity `store`.
     pub fn lose_disk(&mut self, store: StoreId, now: MonotonicTime) {
         self.tables = Tables::default();
-        self.batch.clear();
+        self.unflushed_batches.clear();
         self.replies.clear();
         self.store = store;
         self.restore(now);
--- a/crates/run-log/tests/simulator/world/clients.rs
+++ b/crates/run-log/tests/simulator/world/clients.rs
@@ -9,7 +9,7 @@
 
 use super::super::Weakening;
 use super::super::checks::{Answered, HistoryRead, Violation};
-use super::super::client::{Client, ClientRequest, Next, Sent, Stage, request};
+use super::super::client::{Client, ClientAction, ClientRequest, Sent, Stage, request};
 use super::event::Event;
 use super::{CALLS, MILLISECOND, NODES, REPLICAS, World};
 
@@ -19,7 +19,7 @@
             return;
         };
         let number = self.send_to_node(client, self.clients[client].node, client_request.clone());
-        self.clients[client].current = number;
+        self.clients[client].current_request = number;
         let timeout = self.rng.random_range(80..300) * MILLISECOND;
         self.after(timeout, Event::Timeout { client, number });
         if client_request == ClientRequest::Open {
@@ -152,24 +152,24 @@
             self.record_answer(index, request, sent.at, &answer);
         }
         let client = &mut self.clients[index];
-        if client.current != number {
+        if client.current_request != number {
             return;
         }
         let next = client.take(&answer, reads);
         self.advance_child(index, &answer);
         let client = &mut self.clients[index];
         match next {
-            Next::Nothing => {}
-            Next::Continue => {
-                client.current = 0;
+            ClientAction::Nothing => {}
+            ClientAction::Continue => {
+                client.current_request = 0;
                 // Reads then often go to another node than the one that answered.
                 if self.in_fault_period() && self.rng.random_bool(0.2) {
                     self.switch_node(index);
                 }
                 self.after(MILLISECOND, Event::Send { client: index });
             }
-            Next::TryOtherNode => {
-                client.current = 0;
+            ClientAction::TryOtherNode => {
+                client.current_request = 0;
                 self.switch_node(index);
                 let delay = self.rng.random_range(1..30) * MILLISECOND;
                 self.after(delay, Event::Send { client: index });
@@ -249,7 +249,7 @@
         child: None,
         stage: Stage::Opening,
         node: rng.random_range(0..NODES),
-        current: 0,
+        current_request: 0,
         sent: BTreeMap::new(),
         acknowledged: BTreeMap::new(),
         next_number: 0,
--- a/crates/run-log/tests/simulator/world/event.rs
+++ b/crates/run-log/tests/simulator/world/event.rs
@@ -89,7 +89,7 @@
         node: usize,
         until: u64,
     },
-    Cut {
+    Partition {
         from: usize,
         to: usize,
         until: u64,
--- a/crates/run-log/tests/simulator/world/faults.rs
+++ b/crates/run-log/tests/simulator/world/faults.rs
@@ -41,7 +41,7 @@
         let cut_at = at + self.rng.random_range(3..20) * MILLISECOND;
         let until = cut_at + self.rng.random_range(5..300) * MILLISECOND;
         for to in 0..REPLICAS {
-            self.at(cut_at, Event::Cut { from, to, until });
+            self.at(cut_at, Event::Partition { from, to, until });
         }
         let off_at = at + self.rng.random_range(3_000..25_000);
         let on_at = off_at + self.rng.random_range(1..10) * MILLISECOND;
@@ -54,7 +54,7 @@
         let node = self.rng.random_range(0..NODES);
         match self.rng.random_range(0..14) {
             0..=2 => Event::Crash { node },
-            10..=13 => Event::Cut {
+            10..=13 => Event::Partition {
                 from: node,
                 to: self.rng.random_range(0..NODES),
                 until: at + self.rng.random_range(20..800) * MILLISECOND,
--- a/crates/run-log/tests/simulator/world/mod.rs
+++ b/crates/run-log/tests/simulator/world/mod.rs
@@ -31,7 +31,7 @@
 const CALLS: u64 = 4;
 const TICK: u64 = 20 * MILLISECOND;
 const FAULTS_END: u64 = 1_500 * MILLISECOND;
-const END: u64 = 30_000 * MILLISECOND;
+const SCHEDULE_END: u64 = 30_000 * MILLISECOND;
 
 /// Result of one schedule.
 pub struct Outcome {
@@ -59,7 +59,7 @@
     record: Record,
     disk_lost: bool,
     /// End time of each one-way network partition, by sender and receiver.
-    cuts: BTreeMap<(usize, usize), u64>,
+    partitions: BTreeMap<(usize, usize), u64>,
 }
 
 /// Runs the schedule of one seed.
@@ -98,7 +98,7 @@
             has_child,
             record: Record::default(),
             disk_lost: false,
-            cuts: BTreeMap::new(),
+            partitions: BTreeMap::new(),
         };
         world.schedule_faults();
         world
@@ -111,7 +111,7 @@
                 .clients
                 .iter()
                 .all(|client| client.stage == Stage::Done);
-            if at > END || (done && at > FAULTS_END) {
+            if at > SCHEDULE_END || (done && at > FAULTS_END) {
                 break;
             }
             self.now = at;
@@ -201,8 +201,8 @@
         }
     }
 
-    /// Whether the event is dropped because its node is down or restarted (`Some(None)`), or is delayed until the
-    /// end of a pause (`Some(Some(time))`).
+    /// `None` if the event is delivered now, `Some(None)` if it is dropped because its node is down or has restarted, and
+    /// `Some(Some(time))` if it is delayed until the end of a pause.
     fn delivery_constraint(&self, event: &Event) -> Option<Option<u64>> {
         let (node, incarnation) = match event {
             Event::Request { to, .. } | Event::Reply { to, .. } => (*to, None),
@@ -224,11 +224,11 @@
         (held.paused_until > self.now).then_some(Some(held.paused_until))
     }
 
-    fn is_cut(&self, event: &Event) -> bool {
+    fn is_partitioned(&self, event: &Event) -> bool {
         let (Event::Request { from, to, .. } | Event::Reply { from, to, .. }) = event else {
             return false;
         };
-        let until = self.cuts.get(&(*from, *to));
+        let until = self.partitions.get(&(*from, *to));
         until.is_some_and(|until| *until > self.now)
     }
 
@@ -241,7 +241,7 @@
             }
             None => {}
         }
-        if self.is_cut(&event) {
+        if self.is_partitioned(&event) {
             return;
         }
         match event {
@@ -273,7 +273,7 @@
             } => self.answered(client, number, answer),
             Event::Send { client } => self.send(client),
             Event::Timeout { client, number } => {
-                if self.clients[client].current == number {
+                if self.clients[client].current_request == number {
                     self.switch_node(client);
                     self.send(client);
                 }
@@ -314,8 +314,8 @@
             Event::PowerOff { node, on_at } => self.power_off(node, on_at),
             Event::Restart { node, lose_disk } => self.restart(node, lose_disk),
             Event::Pause { node, until } => self.nodes[node].paused_until = until,
-            Event::Cut { from, to, until } => {
-                self.cuts.insert((from, to), until);
+            Event::Partition { from, to, until } => {
+                self.partitions.insert((from, to), until);
             }
             Event::TakeOver { node, run } => self.ensure_owner(node, run),
             Event::BackendGone { backend } => self.backends[backend].gone = true,
--- a/crates/run-log/tests/simulator/world/replicas.rs
+++ b/crates/run-log/tests/simulator/world/replicas.rs
@@ -24,7 +24,9 @@
         let ready = replica_node
             .replica
             .handle(sender, request, now, &replica_node.tables);
-        replica_node.batch.push((ready.write_number, ready.writes));
+        replica_node
+            .unflushed_batches
+            .push((ready.write_number, ready.writes));
         replica_node.replies.extend(ready.replies_after_flush);
         if self.weakening == Some(Weakening::ReplyBeforeFlush) {
             let replies = std::mem::take(&mut replica_node.replies);
--- a/crates/storage/src/operation.rs
+++ b/crates/storage/src/operation.rs
@@ -61,7 +61,7 @@
         /// Key of the record.
         key: Vec<u8>,
     },
-    /// Sets a local record of this node, such as the store's generation.
+    /// Sets a node record, which is local to this node, such as the store's generation.
     PutNodeRecord {
         /// Key of the record.
         key: Vec<u8>,
--- a/crates/storage/src/settings.rs
+++ b/crates/storage/src/settings.rs
@@ -17,11 +17,11 @@
     pub node_name: String,
     /// Random identity for the data folder, used if the folder is new.
     pub new_creation_id: StoreCreationId,
-    /// Size of the page cache.
+    /// Size of the page cache, in bytes.
     pub cache_bytes: usize,
     /// Capacity of the writer's queue; further batches are refused.
     pub max_queued_batches: usize,
-    /// Size of a commit, in bytes of keys and values, from which no further batch is added to it.
+    /// Size of keys and values, in bytes, at which a commit takes no further batch.
     pub max_commit_bytes: usize,
 }
 
--- a/crates/storage/src/store.rs
+++ b/crates/storage/src/store.rs
@@ -104,8 +104,8 @@
             counters: Arc::clone(&counters),
             failed: Arc::clone(&failed),
         };
-        let thread = thread::Builder::new().name(WRITER_THREAD.to_owned());
-        let writer = thread.spawn(|| writer.run())?;
+        let builder = thread::Builder::new().name(WRITER_THREAD.to_owned());
+        let writer = builder.spawn(|| writer.run())?;
         Ok(Self {
             database,
             identity,
@@ -194,7 +194,7 @@
         reader::configuration(&self.database)
     }
 
-    /// A local record of this node; `None` if the key doesn't exist.
+    /// A node record, which is local to this node; `None` if the key doesn't exist.
     pub fn node_record(&self, key: &[u8]) -> Result<Option<Vec<u8>>, StoreError> {
         reader::node_record(&self.database, key)
     }
--- a/crates/storage/src/tables.rs
+++ b/crates/storage/src/tables.rs
@@ -20,7 +20,7 @@
 /// Configuration records, by key.
 pub(crate) const CONFIGURATION: TableDefinition<Bytes, Bytes> =
     TableDefinition::new("configuration");
-/// Local records of this node, by key.
+/// Node records, which are local to this node, by key.
 pub(crate) const NODE_RECORDS: TableDefinition<Bytes, Bytes> = TableDefinition::new("node-records");
 /// Replicated records, by key.
 pub(crate) const RECORDS: TableDefinition<Bytes, Bytes> = TableDefinition::new("records");
--- a/crates/storage/tests/crash.rs
+++ b/crates/storage/tests/crash.rs
@@ -65,9 +65,9 @@
 ) -> (usize, usize) {
     let (mut submitted, mut acknowledged) = (0, 0);
     while submitted < batches.len() {
-        let group = random.random_range(1..=MAX_BATCHES_IN_FLIGHT);
-        let group = group.min(batches.len() - submitted);
-        let in_flight = &batches[submitted..submitted + group];
+        let batch_count = random.random_range(1..=MAX_BATCHES_IN_FLIGHT);
+        let batch_count = batch_count.min(batches.len() - submitted);
+        let in_flight = &batches[submitted..submitted + batch_count];
         let outcomes: Vec<_> = in_flight
             .iter()
             .map_while(|batch| {
@@ -80,7 +80,7 @@
             .collect();
         submitted += outcomes.len();
         // Batches submitted before a refused one may still succeed.
-        let refused = outcomes.len() < group;
+        let refused = outcomes.len() < batch_count;
         let mut failed = false;
         for outcome in outcomes {
             match outcome.recv().expect("every batch is answered") {
@@ -114,14 +114,14 @@
 }
 
 #[derive(Debug, Default)]
-struct Tally {
+struct Totals {
     crashed_while_opening: u64,
     crashed_while_writing: u64,
     unacknowledged_kept: u64,
 }
 
-impl Tally {
-    fn plus(self, other: Self) -> Self {
+impl Totals {
+    fn add(self, other: Self) -> Self {
         Self {
             crashed_while_opening: self.crashed_while_opening + other.crashed_while_opening,
             crashed_while_writing: self.crashed_while_writing + other.crashed_while_writing,
@@ -130,15 +130,15 @@
     }
 }
 
-fn run_schedules(first: u64) -> Tally {
-    let mut tally = Tally::default();
+fn run_schedules(first: u64) -> Totals {
+    let mut totals = Totals::default();
     for seed in (first..SCHEDULES).step_by(THREADS as usize) {
-        run_schedule(seed, &mut tally);
+        run_schedule(seed, &mut totals);
     }
-    tally
+    totals
 }
 
-fn run_schedule(seed: u64, tally: &mut Tally) {
+fn run_schedule(seed: u64, totals: &mut Totals) {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let batches: Vec<_> = (0..BATCHES).map(|_| random_batch(&mut random)).collect();
     let disk = SimulatedDisk::default();
@@ -151,7 +151,7 @@
     let (submitted, acknowledged) = match opened {
         Ok(opened) => write_until_failure(&opened.store, &batches, &mut random),
         Err(_) => {
-            tally.crashed_while_opening += 1;
+            totals.crashed_while_opening += 1;
             (0, 0)
         }
     };
@@ -170,25 +170,25 @@
         !matches.is_empty(),
         "seed {seed}: {acknowledged} of {submitted} batches acknowledged, no such prefix found"
     );
-    tally.crashed_while_writing += u64::from(acknowledged < submitted);
-    tally.unacknowledged_kept += u64::from(matches[0] > acknowledged);
+    totals.crashed_while_writing += u64::from(acknowledged < submitted);
+    totals.unacknowledged_kept += u64::from(matches[0] > acknowledged);
 }
 
 #[test]
 fn acknowledged_batches_survive_and_others_are_all_or_nothing() {
-    let tally = thread::scope(|scope| {
+    let totals = thread::scope(|scope| {
         let threads: Vec<_> = (0..THREADS)
             .map(|first| scope.spawn(move || run_schedules(first)))
             .collect();
-        let tallies = threads
+        let thread_totals = threads
             .into_iter()
             .map(|thread| thread.join().expect("schedules hold"));
-        tallies.fold(Tally::default(), Tally::plus)
+        thread_totals.fold(Totals::default(), Totals::add)
     });
-    println!("{SCHEDULES} schedules: {tally:?}");
-    assert!(tally.crashed_while_opening > 20, "{tally:?}");
-    assert!(tally.crashed_while_writing > SCHEDULES / 3, "{tally:?}");
-    assert!(tally.unacknowledged_kept > 5, "{tally:?}");
+    println!("{SCHEDULES} schedules: {totals:?}");
+    assert!(totals.crashed_while_opening > 20, "{totals:?}");
+    assert!(totals.crashed_while_writing > SCHEDULES / 3, "{totals:?}");
+    assert!(totals.unacknowledged_kept > 5, "{totals:?}");
 }
 
 #[test]
@@ -251,8 +251,8 @@
     let store = Store::open_with_backend(&settings(Path::new("")), disk.clone())
         .expect("open")
         .store;
-    // Pages are copied on write, so the second round allocates all the space that the group needs. Growing
-    // the file would add syncs.
+    // Pages are copied on write, so the second round allocates all the space that the measured commit
+    // needs. Growing the file would add syncs.
     for _ in 0..2 {
         let all = (0..WAITING).flat_map(|index| entry_of(index, SMALL));
         assert_eq!(write(&store, all.collect()), Ok(()));
