--- a/crates/gateway/src/engine_rules.rs
+++ b/crates/gateway/src/engine_rules.rs
@@ -71,5 +71,5 @@
     // Requests with a removed key are refused by `Exchange::key_refusal`.
     let tenant = routes.tenant(route, call.metadata.key).ok().flatten();
     let newest = residency_of(route, tenant.map(AsRef::as_ref));
-    Cow::Owned(call.residency.and(&newest))
+    Cow::Owned(call.residency.intersection(&newest))
 }
--- a/crates/gateway/src/entry.rs
+++ b/crates/gateway/src/entry.rs
@@ -201,7 +201,7 @@
 /// Where requests of a route may be served for a tenant: in the regions that both allow.
 pub fn residency_of(route: &Route, tenant: Option<&Tenant>) -> Residency {
     match tenant {
-        Some(tenant) => route.residency.and(&tenant.residency),
+        Some(tenant) => route.residency.intersection(&tenant.residency),
         None => route.residency.clone(),
     }
 }
--- a/crates/gateway/src/exchange/report.rs
+++ b/crates/gateway/src/exchange/report.rs
@@ -80,7 +80,7 @@
             expected_ms = self.history.cost_ms as i64,
             missing_tokens = self.history.forecast.missing_tokens,
             ahead_tokens = self.history.forecast.pending_tokens,
-            open_there = self.history.forecast.open,
+            open_there = self.history.forecast.in_flight,
             left_of_program_ms = call.metadata.finish_in.map_or(-1, |left| whole_ms(left) as i64),
             events = self.forwarded.events,
             reserve_ms = self.reserve_time.map_or(0, whole_ms),
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -388,9 +388,9 @@
     fn load_report(&self) -> LoadReport {
         let placement = self.placement.borrow();
         let report = placement.report(self.now());
-        let open = report.open.into_iter();
+        let in_flight = report.in_flight.into_iter();
         LoadReport {
-            open: open.map(|(key, own)| (key.0, own)).collect(),
+            open: in_flight.map(|(key, own)| (key.0, own)).collect(),
             suspects: report.suspects,
             services: placement.summaries(),
         }
@@ -402,13 +402,13 @@
 
     fn on_load_report(&self, from: &str, load: LoadReport) {
         let now = self.now();
-        let open = load
+        let in_flight = load
             .open
             .into_iter()
             .map(|(key, own)| (EngineKey(key), own));
         let mut placement = self.placement.borrow_mut();
         let report = GatewayReport {
-            open: open.collect(),
+            in_flight: in_flight.collect(),
             suspects: load.suspects,
         };
         placement.on_report(from, report, now);
--- a/crates/gateway/src/in_flight.rs
+++ b/crates/gateway/src/in_flight.rs
@@ -99,7 +99,7 @@
             request_ms: self.sent.elapsed().as_secs_f64() * MS_PER_S,
             step_ms: self.step_ms(),
             events: self.events.get(),
-            open: self.forecast.open,
+            in_flight: self.forecast.in_flight,
         };
         let mut placement = self.gateway.placement.borrow_mut();
         placement.on_request_sample(&self.engine, sample);
--- a/crates/gateway/src/warm_ups.rs
+++ b/crates/gateway/src/warm_ups.rs
@@ -5,7 +5,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use ridgeworks_quota::{Grant, GrantDelay, GrantPool, GrantState, LimiterCandidate, LimiterKey};
+use ridgeworks_quota::{
+    Grant, GrantDelay, GrantPool, GrantSelection, LimiterCandidate, LimiterKey,
+};
 use ridgeworks_records::{GroupId, Replica};
 use ridgeworks_resident::clock::{Moment, whole_ms};
 use ridgeworks_resident::node::Node;
@@ -50,7 +52,7 @@
     admission: &'a WarmUpAdmission,
     now: Duration,
     /// Random number from 0 to 1, drawn once per request. The request needs no grant for an engine
-    /// if the fraction of requests to it that need none ([`WarmUps::share`]) is greater than this.
+    /// if the fraction of requests to it that need none ([`WarmUps::grant_free_fraction`]) is greater than this.
     draw: f64,
     /// Whether the request may ask a limiter for a grant.
     may_ask: bool,
@@ -200,7 +202,7 @@
     }
 
     fn needs_grant(&self, engine: EngineKey, draw: f64, now: Duration) -> bool {
-        draw >= self.engines.borrow().share(engine, now)
+        draw >= self.engines.borrow().grant_free_fraction(engine, now)
     }
 
     /// Applies the current list of engines if it has changed.
@@ -276,7 +278,7 @@
         set.map(|set| set.voters).unwrap_or_default()
     }
 
-    fn select_limiters(&self, engine: &Engine, limiters: &[Replica]) -> GrantState {
+    fn select_limiters(&self, engine: &Engine, limiters: &[Replica]) -> GrantSelection {
         let now = self.now();
         let unresponsive = self.unresponsive.borrow();
         let candidates = limiters.iter().map(|limiter| {
@@ -301,9 +303,9 @@
         let group = self.group_of(engine);
         let limiters = self.limiters(group);
         let order = match self.select_limiters(engine, &limiters) {
-            GrantState::Available => return true,
-            GrantState::Exhausted(_) => return false,
-            GrantState::Ask(order) => order,
+            GrantSelection::Available => return true,
+            GrantSelection::Exhausted(_) => return false,
+            GrantSelection::Ask(order) => order,
         };
         let asking = self.ask_in_order(engine, limit, group, &limiters, order);
         let asked = tokio::time::timeout(TOTAL_TIMEOUT, asking).await;
--- a/crates/gateway/src/zone_drains.rs
+++ b/crates/gateway/src/zone_drains.rs
@@ -128,7 +128,7 @@
             let excluded = excluded.filter(|engine| first_exclusion(&rules, engine).is_some());
             for engine in excluded {
                 let label = ZoneServiceLabel::of(engine);
-                let open = i64::from(placement.own_open_requests(engine.key()));
+                let open = i64::from(placement.own_in_flight_at(engine.key()));
                 metrics.drained_engines.get_or_create(&label).inc();
                 metrics.drained_requests.get_or_create(&label).inc_by(open);
             }
@@ -140,7 +140,7 @@
         self.node.view.with_engines(|table| {
             let engines = table.engines().filter(|engine| engine.zone == zone);
             let keys = engines.map(Engine::key);
-            keys.map(|key: EngineKey| placement.own_open_requests(key))
+            keys.map(|key: EngineKey| placement.own_in_flight_at(key))
                 .sum()
         })
     }
--- a/crates/laboratory/src/policies/landed.rs
+++ b/crates/laboratory/src/policies/landed.rs
@@ -113,7 +113,7 @@
                 request_ms: now_ms - under_way.sent_ms,
                 step_ms,
                 events,
-                open: under_way.forecast.open,
+                in_flight: under_way.forecast.in_flight,
             },
         );
         placement.on_ended(engine.key(), 0);
--- a/crates/quota/src/bucket.rs
+++ b/crates/quota/src/bucket.rs
@@ -124,8 +124,9 @@
         bucket.take(progress, max_wait)
     }
 
-    /// Discards full buckets over the maximum, those with limits of the oldest versions first. The others
-    /// stay, so that a gateway with an older configuration does not bring back an earlier limit.
+    /// If more than `MAX_FULL_BUCKETS` buckets are full, discards full buckets, those of the oldest
+    /// configuration versions first, until at most that many are left. These are kept so that a gateway with
+    /// an older configuration cannot put an outdated limit into force again.
     pub(crate) fn clean_up(&mut self, now: Duration) {
         let buckets = self.buckets.values_mut();
         buckets.for_each(|bucket| bucket.refill(now));
@@ -144,8 +145,8 @@
 
     /// Number of buckets that are not full.
     pub(crate) fn non_full_count(&self) -> usize {
-        let taken = self.buckets.values().filter(|bucket| !bucket.is_full());
-        taken.count()
+        let non_full = self.buckets.values().filter(|bucket| !bucket.is_full());
+        non_full.count()
     }
 
     /// Number of all buckets.
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -16,5 +16,5 @@
 pub use limiter_selector::{LimiterCandidate, LimiterKey, LimiterSelection, LimiterSelector};
 pub use share::{QuotaBounds, Share};
 pub use warm_up::{
-    GRANT_LIFETIME, Grant, GrantDelay, GrantLimiter, GrantPool, GrantState, WarmUpBounds,
+    GRANT_LIFETIME, Grant, GrantDelay, GrantLimiter, GrantPool, GrantSelection, WarmUpBounds,
 };
--- a/crates/quota/src/limiter.rs
+++ b/crates/quota/src/limiter.rs
@@ -81,8 +81,9 @@
         Bucket::new(share, level, version, now)
     }
 
-    /// Discards full buckets over a maximum. The others stay, so that a gateway with an older configuration
-    /// does not bring back an earlier limit.
+    /// If there are too many full buckets, discards those of the oldest configuration versions. The others
+    /// are kept so that a gateway with an older configuration cannot put an outdated limit into force again.
+    /// Does nothing until a window has passed since the start, since earlier grants are not known.
     pub fn clean_up(&mut self, now: Duration) {
         if now.saturating_sub(self.known_since) < self.bounds.window {
             return;
--- a/crates/quota/src/warm_up.rs
+++ b/crates/quota/src/warm_up.rs
@@ -111,7 +111,7 @@
             .take(engine, fresh, ProgramProgress::UnderWay, MAX_WAIT)
     }
 
-    /// Discards full buckets over a maximum.
+    /// If there are too many full buckets, discards those of the oldest configuration versions.
     pub fn clean_up(&mut self, now: Duration) {
         self.buckets.clean_up(now);
     }
@@ -134,7 +134,7 @@
     }
 }
 
-/// Delays given by a limiter that has no grant.
+/// Delays given by a limiter that refuses a grant.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct GrantDelay {
     /// Time until the limiter can grant any request.
@@ -161,7 +161,7 @@
 
 /// How to handle a request to an engine that is warming up.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum GrantState {
+pub enum GrantSelection {
     /// A grant is in the pool.
     Available,
     /// Ask these limiters in this order.
@@ -188,28 +188,28 @@
         limiters: &[LimiterCandidate],
         now: Duration,
         random: &mut impl Rng,
-    ) -> GrantState {
+    ) -> GrantSelection {
         if self.has(engine, now) {
-            return GrantState::Available;
+            return GrantSelection::Available;
         }
         if let Some(left) = self.exhausted_for(engine, now) {
-            return GrantState::Exhausted(left);
+            return GrantSelection::Exhausted(left);
         }
         let progress = ProgramProgress::UnderWay;
-        let state = self
+        let selection = self
             .selector
             .next(instance, progress, limiters, now, random);
-        match state {
-            LimiterSelection::Granted => GrantState::Available,
-            LimiterSelection::Exhausted(left) => GrantState::Exhausted(left),
+        match selection {
+            LimiterSelection::Granted => GrantSelection::Available,
+            LimiterSelection::Exhausted(left) => GrantSelection::Exhausted(left),
             LimiterSelection::Ask(mut order) => {
                 order.truncate(MAX_LIMITERS_ASKED);
-                GrantState::Ask(order)
+                GrantSelection::Ask(order)
             }
         }
     }
 
-    /// A limiter had no grant. The engine's limiters are not asked again until the shortest known `retry`
+    /// A limiter refused a grant. The engine's limiters are not asked again until the shortest known `retry`
     /// delay has passed; with many gateways most requests to limiters would otherwise be refused.
     pub fn on_exhausted(
         &mut self,
@@ -226,7 +226,7 @@
         self.set_exhausted(engine, retry, now);
     }
 
-    /// Adds a grant to the pool.
+    /// Adds a grant. [`GrantPool::exhausted_for`] then returns `None` for the engine.
     pub fn put(&mut self, engine: EngineKey, grant: Grant) {
         self.exhausted_until.remove(&engine);
         self.grants.entry(engine).or_default().push(grant);
@@ -253,7 +253,8 @@
         self.exhausted_until.insert(engine, now + time);
     }
 
-    /// How long there is no grant for an engine; `None` if that is not known.
+    /// Remaining time for which no grant is expected for an engine, so that its limiters are not asked; `None`
+    /// if that time has passed or is not known.
     pub fn exhausted_for(&self, engine: EngineKey, now: Duration) -> Option<Duration> {
         let until = self
             .exhausted_until
--- a/crates/quota/tests/simulation.rs
+++ b/crates/quota/tests/simulation.rs
@@ -30,7 +30,9 @@
     asked: usize,
     refused: usize,
     unknown: usize,
+    /// Requests in the fullest window of any result as a fraction of its bound.
     fullest: f64,
+    /// Number of results whose fullest window exceeds its bound.
     broken: usize,
 }
 
--- a/crates/quota/tests/support/algorithms.rs
+++ b/crates/quota/tests/support/algorithms.rs
@@ -195,8 +195,8 @@
         let window = BOUNDS.window;
         let known = self.grants[tenant].iter().filter(|(at, by)| {
             let is_own = *by == gateway;
-            let is_cut = context.is_cut(gateway) || context.is_cut(*by);
-            let is_received = *at + Self::LAG <= now && !is_cut;
+            let is_partitioned = context.is_partitioned(gateway) || context.is_partitioned(*by);
+            let is_received = *at + Self::LAG <= now && !is_partitioned;
             *at + window > now && (is_own || is_received)
         });
         let limit = self.limits[tenant];
--- a/crates/quota/tests/support/mod.rs
+++ b/crates/quota/tests/support/mod.rs
@@ -36,7 +36,7 @@
 pub struct Context<'a> {
     pub now: Duration,
     /// Pairs of a gateway and a limiter that cannot reach each other.
-    pub cut: &'a [(usize, usize)],
+    pub unreachable_pairs: &'a [(usize, usize)],
     /// Limiters that are down.
     pub down: &'a [bool],
     pub random: &'a mut ChaCha8Rng,
@@ -45,12 +45,14 @@
 impl Context<'_> {
     /// Whether a request of the gateway reaches the limiter.
     pub fn reaches(&self, gateway: usize, limiter: usize) -> bool {
-        !self.cut.contains(&(gateway, limiter)) && !self.down[limiter]
+        !self.unreachable_pairs.contains(&(gateway, limiter)) && !self.down[limiter]
     }
 
     /// Whether the gateway is cut off from any limiter.
-    pub fn is_cut(&self, gateway: usize) -> bool {
-        self.cut.iter().any(|(cut, _)| *cut == gateway)
+    pub fn is_partitioned(&self, gateway: usize) -> bool {
+        self.unreachable_pairs
+            .iter()
+            .any(|(other, _)| *other == gateway)
     }
 }
 
@@ -114,7 +116,7 @@
         let gateway = random.random_range(0..gateways);
         let mut context = Context {
             now,
-            cut: faults.cut(now),
+            unreachable_pairs: faults.unreachable_pairs(now),
             down: &down,
             random: &mut random,
         };
@@ -195,7 +197,7 @@
 struct Span {
     from: Duration,
     to: Duration,
-    who: Vec<usize>,
+    limiters: Vec<usize>,
 }
 
 impl Span {
@@ -207,18 +209,18 @@
 #[derive(Debug)]
 struct Faults {
     /// Pairs of a gateway and a limiter that cannot reach each other during the partition.
-    cut: Vec<(usize, usize)>,
-    cut_from: Duration,
-    cut_to: Duration,
+    unreachable_pairs: Vec<(usize, usize)>,
+    partition_from: Duration,
+    partition_to: Duration,
     downs: Vec<Span>,
 }
 
 impl Faults {
     fn draw(random: &mut ChaCha8Rng, gateways: usize, limiters: usize, wanted: bool) -> Self {
         let mut faults = Self {
-            cut: Vec::new(),
-            cut_from: BEGIN + Duration::from_secs(1),
-            cut_to: BEGIN + Duration::from_secs(9),
+            unreachable_pairs: Vec::new(),
+            partition_from: BEGIN + Duration::from_secs(1),
+            partition_to: BEGIN + Duration::from_secs(9),
             downs: Vec::new(),
         };
         if !wanted {
@@ -227,11 +229,11 @@
         // Some gateways are cut off from all limiters, others from some of them.
         for gateway in 0..gateways {
             let share = *[0.0, 0.4, 0.8, 1.0].choose(random).expect("four of them");
-            let cut = (0..limiters).filter(|_| random.random_bool(share));
-            let cut: Vec<usize> = cut.collect();
+            let unreachable = (0..limiters).filter(|_| random.random_bool(share));
+            let unreachable: Vec<usize> = unreachable.collect();
             faults
-                .cut
-                .extend(cut.into_iter().map(|limiter| (gateway, limiter)));
+                .unreachable_pairs
+                .extend(unreachable.into_iter().map(|limiter| (gateway, limiter)));
         }
         // First the minority that a deployment may lose, then all limiters at once, then all again within a
         // window.
@@ -242,34 +244,34 @@
             faults.downs.push(Span {
                 from: begin,
                 to,
-                who: (0..lost).map(|next| (first + next) % limiters).collect(),
+                limiters: (0..lost).map(|next| (first + next) % limiters).collect(),
             });
             begin = to + Duration::from_millis(random.random_range(100..2_500));
         }
         faults
     }
 
-    fn cut(&self, now: Duration) -> &[(usize, usize)] {
-        if self.cut_from <= now && now < self.cut_to {
-            &self.cut
+    fn unreachable_pairs(&self, now: Duration) -> &[(usize, usize)] {
+        if self.partition_from <= now && now < self.partition_to {
+            &self.unreachable_pairs
         } else {
             &[]
         }
     }
 
     fn down(&self, now: Duration, limiters: usize) -> Vec<bool> {
-        let is_down = |who| {
+        let is_down = |limiter| {
             let mut spans = self.downs.iter();
-            spans.any(|span| span.covers(now) && span.who.contains(&who))
+            spans.any(|span| span.covers(now) && span.limiters.contains(&limiter))
         };
         (0..limiters).map(is_down).collect()
     }
 
-    /// Times at which limiters are up again and have lost their state.
+    /// When each limiter is up again and has lost its state.
     fn restarts(&self) -> Vec<(Duration, usize)> {
         let ends = self.downs.iter();
         let mut restarts: Vec<(Duration, usize)> = ends
-            .flat_map(|span| span.who.iter().map(|who| (span.to, *who)))
+            .flat_map(|span| span.limiters.iter().map(|limiter| (span.to, *limiter)))
             .collect();
         restarts.sort_unstable();
         restarts
--- a/crates/quota/tests/support/warm_up_algorithms.rs
+++ b/crates/quota/tests/support/warm_up_algorithms.rs
@@ -5,7 +5,8 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use ridgeworks_quota::{
-    GRANT_LIFETIME, GrantDelay, GrantLimiter, GrantPool, GrantState, LimiterDecision, LimiterKey,
+    GRANT_LIFETIME, GrantDelay, GrantLimiter, GrantPool, GrantSelection, LimiterDecision,
+    LimiterKey,
 };
 use ridgeworks_routing::{EngineKey, WarmUpLimit};
 
@@ -92,9 +93,9 @@
         let candidates = candidates(&self.unresponsive_until[gateway], now);
         let pool = &mut self.pools[gateway];
         match pool.next(KEY, ENGINE, &candidates, now, context.random) {
-            GrantState::Available => Decision::Send,
-            GrantState::Exhausted(_) => Decision::Skip,
-            GrantState::Ask(order) => Decision::Ask(order),
+            GrantSelection::Available => Decision::Send,
+            GrantSelection::Exhausted(_) => Decision::Skip,
+            GrantSelection::Ask(order) => Decision::Ask(order),
         }
     }
 
@@ -126,10 +127,10 @@
 
 /// Number of gateways that a gateway believes to be running: those whose messages reach it.
 fn believed_running(gateway: usize, deployment: &Deployment, context: &Context<'_>) -> usize {
-    if context.is_cut(gateway) {
+    if context.is_partitioned(gateway) {
         return 1;
     }
-    let others = (0..deployment.gateways).filter(|other| !context.is_cut(*other));
+    let others = (0..deployment.gateways).filter(|other| !context.is_partitioned(*other));
     others
         .filter(|other| !deployment.is_crash_detected(*other, context.now))
         .count()
@@ -197,7 +198,7 @@
         context: &mut Context<'_>,
     ) -> Decision {
         let higher_ranked = (0..deployment.gateways).filter(|other| {
-            let is_reachable = !context.is_cut(gateway) && !context.is_cut(*other);
+            let is_reachable = !context.is_partitioned(gateway) && !context.is_partitioned(*other);
             let is_believed_running =
                 is_reachable && !deployment.is_crash_detected(*other, context.now);
             is_believed_running && self.ranks[*other] > self.ranks[gateway]
--- a/crates/quota/tests/support/warm_up_schedule.rs
+++ b/crates/quota/tests/support/warm_up_schedule.rs
@@ -70,9 +70,10 @@
     crashes: Vec<Option<Duration>>,
     /// Start and end of each gateway's freeze, by gateway; `None` if it does not freeze.
     freezes: Vec<Option<(Duration, Duration)>>,
-    /// Time at which the first limiter is replaced, and which gateways do not learn of it.
+    /// When the first limiter is replaced, and for each gateway whether it does not learn of it; `None` if the
+    /// limiter is not replaced.
     replaced: Option<(Duration, Vec<bool>)>,
-    /// Times at which all limiters restart, several times within a second.
+    /// When all limiters restart: eight times within one second, or never.
     restarts: Vec<Duration>,
     /// Fraction of the messages that are lost.
     lost_fraction: f64,
@@ -344,7 +345,7 @@
         let down = self.faults.down(now, self.deployment.limiters);
         let mut context = Context {
             now,
-            cut: self.faults.cut(now),
+            unreachable_pairs: self.faults.unreachable_pairs(now),
             down: &down,
             random: &mut self.random,
         };
@@ -390,8 +391,11 @@
         let mut down = self.faults.down(now, self.deployment.limiters);
         down.push(false);
         let index = key.0 as usize;
-        let is_cut = self.faults.cut(now).contains(&(ask.gateway, index));
-        if is_cut || down[limiter] {
+        let is_unreachable = self
+            .faults
+            .unreachable_pairs(now)
+            .contains(&(ask.gateway, index));
+        if is_unreachable || down[limiter] {
             self.push(now + ANSWER_TIMEOUT, Event::LimiterTimeout(ask));
             return;
         }
--- a/crates/quota/tests/warm_up.rs
+++ b/crates/quota/tests/warm_up.rs
@@ -28,7 +28,9 @@
 #[derive(Debug, Default)]
 #[allow(dead_code, reason = "fields that no test checks are only printed")]
 struct Totals {
+    /// Requests in the fullest window of any result as a fraction of its bound.
     fullest: f64,
+    /// Number of results whose fullest window exceeds its bound.
     broken: usize,
     /// Mean over the schedules.
     used: f64,
@@ -110,11 +112,14 @@
         ("designated gateways", DesignatedGateways::make),
     ] {
         for load in LOADS {
-            let calm = run_schedules(make, 40, load, false);
-            println!("{name}, undisturbed, load {load}: {calm:?}");
+            let without_faults = run_schedules(make, 40, load, false);
+            println!("{name}, undisturbed, load {load}: {without_faults:?}");
             let totals = run_schedules(make, 100, load, true);
             println!("{name}, load {load}: {totals:?}");
-            assert!(totals.broken > 0 || calm.used < 0.6, "{name}: {totals:?}");
+            assert!(
+                totals.broken > 0 || without_faults.used < 0.6,
+                "{name}: {totals:?}"
+            );
         }
     }
 }
@@ -132,12 +137,21 @@
     let LimiterDecision::Exhausted { next, .. } = refused else {
         panic!("granted before earlier grants have expired");
     };
-    let open = start + Duration::from_millis(1_100) + next;
-    assert!(open >= start + Duration::from_secs(1) + GRANT_LIFETIME);
-    assert_eq!(limiter.grant("a", LIMIT, 1, open), LimiterDecision::Granted);
+    let available_at = start + Duration::from_millis(1_100) + next;
+    assert!(available_at >= start + Duration::from_secs(1) + GRANT_LIFETIME);
+    assert_eq!(
+        limiter.grant("a", LIMIT, 1, available_at),
+        LimiterDecision::Granted
+    );
     // The limiter refills at a fifth of the rate; another engine is not affected.
-    assert_ne!(limiter.grant("a", LIMIT, 1, open), LimiterDecision::Granted);
-    assert_eq!(limiter.grant("b", LIMIT, 1, open), LimiterDecision::Granted);
+    assert_ne!(
+        limiter.grant("a", LIMIT, 1, available_at),
+        LimiterDecision::Granted
+    );
+    assert_eq!(
+        limiter.grant("b", LIMIT, 1, available_at),
+        LimiterDecision::Granted
+    );
 }
 
 #[test]
--- a/crates/routing/src/engine_health.rs
+++ b/crates/routing/src/engine_health.rs
@@ -50,10 +50,10 @@
         }
     }
 
-    /// Share of failed requests, with `prior` more requests assumed of which `prior_share` failed. An engine
-    /// with few requests is thus assumed to be like the others.
-    pub fn failed_share(self, prior: f64, prior_share: f64) -> f64 {
-        (self.failed + prior * prior_share) / (self.ended + prior)
+    /// Fraction of requests that failed, with `prior` more requests assumed of which `prior_fraction` failed.
+    /// An engine with few requests is thus assumed to be like the others.
+    pub fn failed_fraction(self, prior: f64, prior_fraction: f64) -> f64 {
+        (self.failed + prior * prior_fraction) / (self.ended + prior)
     }
 
     fn decayed(self, age: Duration) -> Self {
--- a/crates/routing/src/engine_load.rs
+++ b/crates/routing/src/engine_load.rs
@@ -19,15 +19,15 @@
 /// Weight, in requests, of the prior assumption that an engine fails as many requests as the service's other
 /// engines.
 pub const PRIOR_OUTCOMES: f64 = 3.0;
-/// Share of failures above which an engine is reported as failing, and below which it is reported as serving
-/// again.
-const FAILING_SHARE: f64 = 0.25;
-const SERVING_SHARE: f64 = 0.1;
-/// Least number of decayed failures, own and reported, that makes an engine a suspect.
+/// Fraction of failed requests above which an engine is reported as failing, and below which it is reported as
+/// serving again.
+const FAILING_FRACTION: f64 = 0.25;
+const SERVING_FRACTION: f64 = 0.1;
+/// Minimum number of decayed failures, own and reported, that makes an engine a suspect.
 const MIN_SUSPECT_FAILURES: f64 = 0.5;
 const MS_PER_S: f64 = 1_000.0;
-/// Prompt parts remembered for each engine, at about 45 bytes each. They are the larger part of a gateway's
-/// memory in a large fleet: 4.4 MB for 190 engines. An engine's prompt cache holds fewer.
+/// Prompt parts remembered for each engine, more than its prompt cache holds. At about 45 bytes each they take
+/// up to 23 KB per engine, the larger part of a gateway's memory in a large fleet.
 const MAX_CACHED_PARTS: usize = 512;
 
 /// Key of one run of an engine, in tables and in reports between gateways.
@@ -114,11 +114,11 @@
 #[derive(Debug, Clone, Default)]
 pub struct EngineLoad {
     /// In-flight requests of this gateway.
-    pub own_open: u32,
+    pub own_in_flight: u32,
     /// Prompt tokens of this gateway's in-flight requests that the engine has yet to prefill.
     pub pending_prefill_tokens: u64,
     /// In-flight requests of other gateways, as reported.
-    reported_open: u32,
+    reported_in_flight: u32,
     /// Prompt parts that the engine is believed to have cached.
     pub parts: CachedParts,
     /// Health as seen by this gateway.
@@ -137,27 +137,27 @@
             .plus(self.reported_outcomes.counts())
     }
 
-    /// Share of failed requests. The prior is `typical_failed_share` for the reports, and the reported share for
-    /// this gateway's own requests: an engine may fail for some callers only.
-    pub fn failed_share(&self, typical_failed_share: f64, now: Duration) -> f64 {
-        let reported_share = self
+    /// Fraction of requests that failed. The prior is `typical_failed_fraction` for the reports, and the fraction
+    /// by the reports for this gateway's own requests: an engine may fail for some clients only.
+    pub fn failed_fraction(&self, typical_failed_fraction: f64, now: Duration) -> f64 {
+        let reported_fraction = self
             .reported_outcomes
             .counts()
-            .failed_share(PRIOR_OUTCOMES, typical_failed_share);
+            .failed_fraction(PRIOR_OUTCOMES, typical_failed_fraction);
         let own_outcomes = self.health.outcomes(now);
-        own_outcomes.failed_share(PRIOR_OUTCOMES, reported_share)
+        own_outcomes.failed_fraction(PRIOR_OUTCOMES, reported_fraction)
     }
 
     /// The new state if the engine has started or ceased to fail requests. The two thresholds give
     /// hysteresis, so that the state does not flip with each request.
     pub fn update_failure_state(&mut self, now: Duration) -> Option<bool> {
-        let share = self.failed_share(0.0, now);
+        let fraction = self.failed_fraction(0.0, now);
         let limit = if self.is_failing {
-            SERVING_SHARE
+            SERVING_FRACTION
         } else {
-            FAILING_SHARE
+            FAILING_FRACTION
         };
-        let is_failing = share > limit;
+        let is_failing = fraction > limit;
         let is_new = is_failing != self.is_failing;
         self.is_failing = is_failing;
         is_new.then_some(is_failing)
@@ -168,7 +168,7 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct GatewayReport {
     /// In-flight requests of the gateway by engine.
-    pub open: Vec<(EngineKey, u32)>,
+    pub in_flight: Vec<(EngineKey, u32)>,
     /// Outcomes of the gateway's requests at suspects.
     pub suspects: Vec<ReportedOutcomes>,
 }
@@ -206,9 +206,9 @@
     }
 
     /// In-flight requests of this gateway and of the reports.
-    pub fn open_at(&self, key: EngineKey) -> u32 {
+    pub fn in_flight_at(&self, key: EngineKey) -> u32 {
         let load = self.engines.get(&key);
-        load.map_or(0, |load| load.own_open + load.reported_open)
+        load.map_or(0, |load| load.own_in_flight + load.reported_in_flight)
     }
 
     /// Mean age of the reports, in milliseconds.
@@ -217,30 +217,36 @@
     }
 
     /// In-flight requests of other gateways, as reported.
-    pub fn reported_open_requests(&self, key: EngineKey) -> u32 {
-        self.engines.get(&key).map_or(0, |load| load.reported_open)
+    pub fn reported_in_flight_at(&self, key: EngineKey) -> u32 {
+        self.engines
+            .get(&key)
+            .map_or(0, |load| load.reported_in_flight)
     }
 
     /// In-flight requests of this gateway.
-    pub fn own_open_requests(&self, key: EngineKey) -> u32 {
-        self.engines.get(&key).map_or(0, |load| load.own_open)
+    pub fn own_in_flight_at(&self, key: EngineKey) -> u32 {
+        self.engines.get(&key).map_or(0, |load| load.own_in_flight)
     }
 
     /// The report for the other gateways.
     pub fn report(&self, now: Duration) -> GatewayReport {
         GatewayReport {
-            open: self.open(),
+            in_flight: self.in_flight(),
             suspects: self.suspects(now),
         }
     }
 
     /// In-flight requests of this gateway by engine, the most loaded engines first.
-    fn open(&self) -> Vec<(EngineKey, u32)> {
-        let loaded = self.engines.iter().filter(|(_, load)| load.own_open > 0);
-        let mut open: Vec<(EngineKey, u32)> =
-            loaded.map(|(key, load)| (*key, load.own_open)).collect();
-        open.sort_unstable_by_key(|(key, count)| (std::cmp::Reverse(*count), *key));
-        open
+    fn in_flight(&self) -> Vec<(EngineKey, u32)> {
+        let loaded = self
+            .engines
+            .iter()
+            .filter(|(_, load)| load.own_in_flight > 0);
+        let mut in_flight: Vec<(EngineKey, u32)> = loaded
+            .map(|(key, load)| (*key, load.own_in_flight))
+            .collect();
+        in_flight.sort_unstable_by_key(|(key, count)| (std::cmp::Reverse(*count), *key));
+        in_flight
     }
 
     /// Outcomes of this gateway's requests at suspects, those with the most failures first.
@@ -265,9 +271,9 @@
             self.interval_ms += INTERVAL_WEIGHT * (interval_ms - self.interval_ms);
         }
         self.remove_report(gateway);
-        for (key, count) in &report.open {
+        for (key, count) in &report.in_flight {
             let load = self.engines.entry(*key).or_default();
-            load.reported_open = load.reported_open.saturating_add(*count);
+            load.reported_in_flight = load.reported_in_flight.saturating_add(*count);
         }
         for suspect in &report.suspects {
             let load = self.engines.entry(EngineKey(suspect.engine)).or_default();
@@ -299,8 +305,9 @@
     /// Drops engines without load or reports that `is_kept` does not name.
     pub fn retain(&mut self, is_kept: impl Fn(EngineKey) -> bool) {
         self.engines.retain(|key, load| {
-            let is_used =
-                load.own_open > 0 || load.reported_open > 0 || !load.reported_outcomes.is_empty();
+            let is_used = load.own_in_flight > 0
+                || load.reported_in_flight > 0
+                || !load.reported_outcomes.is_empty();
             is_used || is_kept(*key)
         });
     }
@@ -309,9 +316,9 @@
         let Some(report) = self.reports.remove(gateway) else {
             return;
         };
-        for (key, count) in report.report.open {
+        for (key, count) in report.report.in_flight {
             if let Some(load) = self.engines.get_mut(&key) {
-                load.reported_open = load.reported_open.saturating_sub(count);
+                load.reported_in_flight = load.reported_in_flight.saturating_sub(count);
             }
         }
         for suspect in &report.report.suspects {
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -53,7 +53,7 @@
 pub use service_model::{
     PrefillSample, RequestSample, ServiceCosts, ServiceKey, ServiceModel, ServiceSummary,
 };
-pub use tenants::{KeyDigest, RateLimit, Tenant, TenantFault, TenantTable, check_tenants};
+pub use tenants::{KeyDigest, RateLimit, Tenant, TenantError, TenantTable, check_tenants};
 pub use warm_up::{WarmUpChange, WarmUpLimit, WarmUpSource, WarmUps};
 pub use weighted_split::WeightedSplit;
 pub use zone_drains::{DrainChange, ZoneDrains};
--- a/crates/routing/src/placement.rs
+++ b/crates/routing/src/placement.rs
@@ -38,8 +38,8 @@
 const OTHER_ZONE_MS: f64 = 20.0;
 /// Extra cost of an engine that is backing off after a failure, in milliseconds.
 const BACKOFF_COST_MS: f64 = 10_000.0;
-/// Cost of a failed request, in durations of a request: its own duration, the client's pause before a retry,
-/// and the risk that the program ends with the third failure.
+/// Cost of a failed request, as a multiple of a request's duration: its own duration, the client's pause
+/// before a retry, and the risk that it is the third failure, at which the program ends.
 const FAILURE_COST_REQUESTS: f64 = 4.0;
 /// Fraction of a request's duration that grows with the engine's step time. The rest is prefill and waiting,
 /// and step times of one engine also differ with its batch.
@@ -47,7 +47,7 @@
 /// Weight of a shared prompt prefix in the wait of the batch. With 0 it is prefilled once for all requests;
 /// with 1 it counts as memory that other prompts lose (`docs/design/decisions.md`, "Ablation").
 const SHARED_PREFILL_WEIGHT: f64 = 0.25;
-/// Most services with a cost model.
+/// Maximum number of services with a cost model.
 const MAX_SERVICES: usize = 256;
 const MS_PER_S: f64 = 1_000.0;
 
@@ -104,7 +104,7 @@
     /// Tokens of this gateway's earlier requests that the engine had yet to prefill.
     pub pending_tokens: u64,
     /// In-flight requests at the engine.
-    pub open: u32,
+    pub in_flight: u32,
     /// Whether the engine was believed to have cached the prompt's first part, so that only the session's own
     /// part was missing. First parts are shared, and other gateways may have had them prefilled unnoticed.
     pub is_certain: bool,
@@ -136,14 +136,15 @@
         }
     }
 
-    /// A connection to the engine was established in this time.
-    pub fn on_connected(&mut self, engine: &Engine, taken: Duration) {
+    /// Records the time that it took to connect to the engine.
+    pub fn on_connected(&mut self, engine: &Engine, elapsed: Duration) {
         if let Some(latencies) = &mut self.latencies {
-            latencies.on_connected(&engine.zone, taken);
+            latencies.on_connected(&engine.zone, elapsed);
         }
     }
 
-    /// Regions whose round-trip time has changed notably since the last call, in milliseconds.
+    /// Regions whose round-trip time differs enough from the one last returned for them, each with its current
+    /// round-trip time in milliseconds; see [`RegionLatencies::changes`].
     pub fn latency_changes(&mut self) -> Vec<(String, f64)> {
         self.latencies
             .as_mut()
@@ -166,16 +167,17 @@
         let last_engine = self.session_engines.get(&session);
         let preferred = preferred(&eligible_engines, request.zone, self.latencies.as_ref());
         let reports = self.report_weight(&eligible_engines, &costs);
-        let typical_failed_share = self.typical_failed_share(&eligible_engines, now);
+        let typical_failed_fraction = self.typical_failed_fraction(&eligible_engines, now);
         let costed = eligible_engines.iter().map(|eligible| {
-            let open = self.estimated_in_flight(eligible.key, reports);
-            let mut cost = self.cost(eligible, request, &costs, open, now);
+            let in_flight = self.estimated_in_flight(eligible.key, reports);
+            let mut cost = self.cost(eligible, request, &costs, in_flight, now);
             cost += self.slow_step_ms(eligible, &costs, fastest_step_ms);
-            cost += self.failure_ms(eligible, &costs, typical_failed_share, now);
+            cost += self.failure_ms(eligible, &costs, typical_failed_fraction, now);
             let has_affinity = last_engine == Some(&eligible.key)
                 || self.caches_session_part(eligible.key, request);
             if !has_affinity && !preferred.contains(&eligible.key) {
-                cost += NON_PREFERRED_MARGIN_REQUESTS * costs.open_ms(eligible.engine.slots);
+                cost +=
+                    NON_PREFERRED_MARGIN_REQUESTS * costs.added_request_ms(eligible.engine.slots);
             }
             (cost, eligible)
         });
@@ -190,14 +192,14 @@
     }
 
     /// In-flight requests of this gateway and of recent reports.
-    pub fn open_at(&mut self, engine: EngineKey, now: Duration) -> u32 {
+    pub fn in_flight_at(&mut self, engine: EngineKey, now: Duration) -> u32 {
         self.loads.expire(now);
-        self.loads.open_at(engine)
+        self.loads.in_flight_at(engine)
     }
 
     /// In-flight requests of this gateway.
-    pub fn own_open_requests(&self, engine: EngineKey) -> u32 {
-        self.loads.own_open_requests(engine)
+    pub fn own_in_flight_at(&self, engine: EngineKey) -> u32 {
+        self.loads.own_in_flight_at(engine)
     }
 
     /// The current estimates; defaults for a service without samples.
@@ -214,18 +216,18 @@
         let engine_key = engine.key();
         self.session_engines
             .insert(xxh3_64(key.as_bytes()), engine_key);
-        let open = self.loads.open_at(engine_key);
+        let in_flight = self.loads.in_flight_at(engine_key);
         let load = self.loads.entry(engine_key);
         let forecast = Forecast {
             missing_tokens: load.parts.missing(parts),
             pending_tokens: load.pending_prefill_tokens,
-            open,
+            in_flight,
             is_certain: parts.len() == 1
                 || parts
                     .first()
                     .is_some_and(|part| load.parts.is_cached(*part)),
         };
-        load.own_open += 1;
+        load.own_in_flight += 1;
         load.pending_prefill_tokens = load
             .pending_prefill_tokens
             .saturating_add(forecast.missing_tokens);
@@ -236,12 +238,12 @@
     }
 
     /// The first event of a request has arrived, so its prompt is prefilled.
-    pub fn on_first_event(&mut self, engine: &Engine, forecast: Forecast, taken: Duration) {
+    pub fn on_first_event(&mut self, engine: &Engine, forecast: Forecast, elapsed: Duration) {
         let load = self.loads.entry(engine.key());
         load.pending_prefill_tokens = load
             .pending_prefill_tokens
             .saturating_sub(forecast.missing_tokens);
-        if forecast.open >= engine.slots || forecast.pending_tokens > 0 {
+        if forecast.in_flight >= engine.slots || forecast.pending_tokens > 0 {
             // It waited for a slot or for other prefills, perhaps also for those of other gateways, so it is
             // no sample.
             return;
@@ -249,7 +251,7 @@
         self.model(&engine.service)
             .on_prefill_sample(PrefillSample {
                 tokens: forecast.missing_tokens,
-                first_ms: taken.as_secs_f64() * MS_PER_S,
+                first_ms: elapsed.as_secs_f64() * MS_PER_S,
                 is_certain: forecast.is_certain,
             });
     }
@@ -259,7 +261,7 @@
         if let Some(step_ms) = sample.step_ms {
             self.health(engine.key()).on_step_time(step_ms);
         }
-        if sample.open < engine.slots {
+        if sample.in_flight < engine.slots {
             self.model(&engine.service).on_request_sample(sample);
         }
     }
@@ -267,13 +269,14 @@
     /// A request has ended at an engine; `pending_prefill_tokens` of its tokens were not prefilled.
     pub fn on_ended(&mut self, engine: EngineKey, pending_prefill_tokens: u64) {
         let load = self.loads.entry(engine);
-        load.own_open = load.own_open.saturating_sub(1);
+        load.own_in_flight = load.own_in_flight.saturating_sub(1);
         load.pending_prefill_tokens = load
             .pending_prefill_tokens
             .saturating_sub(pending_prefill_tokens);
     }
 
-    /// Services whose costs have changed notably since the last call, with the number of samples.
+    /// Services whose costs differ enough from those last returned for them, each with its current costs and
+    /// the number of this gateway's own samples; see [`ServiceModel::changed_costs`].
     pub fn cost_changes(&mut self) -> Vec<(ServiceKey, ServiceCosts, u32)> {
         let models = self.models.iter_mut();
         let changes =
@@ -366,7 +369,7 @@
     ) -> ReportWeight {
         let reported = eligible_engines
             .iter()
-            .map(|eligible| f64::from(self.loads.reported_open_requests(eligible.key)));
+            .map(|eligible| f64::from(self.loads.reported_in_flight_at(eligible.key)));
         let mean = reported.sum::<f64>() / eligible_engines.len().max(1) as f64;
         let age = self.loads.report_age_ms() / costs.request_ms.max(1.0);
         ReportWeight {
@@ -378,9 +381,9 @@
     /// Estimated in-flight requests at an engine: this gateway's own, and those of others between the
     /// reported count and the mean of all engines.
     fn estimated_in_flight(&self, key: EngineKey, reports: ReportWeight) -> f64 {
-        let reported = f64::from(self.loads.reported_open_requests(key));
+        let reported = f64::from(self.loads.reported_in_flight_at(key));
         let others = reports.mean + reports.weight * (reported - reports.mean);
-        f64::from(self.loads.own_open_requests(key)) + others
+        f64::from(self.loads.own_in_flight_at(key)) + others
     }
 
     /// Whether the engine has cached the last part of the prompt, which is the session's own.
@@ -397,16 +400,20 @@
         steps.min_by(f64::total_cmp)
     }
 
-    /// Share of failed requests over all eligible engines.
-    fn typical_failed_share(&self, eligible_engines: &[EligibleEngine<'_>], now: Duration) -> f64 {
+    /// Fraction of requests that failed, over all eligible engines.
+    fn typical_failed_fraction(
+        &self,
+        eligible_engines: &[EligibleEngine<'_>],
+        now: Duration,
+    ) -> f64 {
         // Only this gateway's own requests: reports cover only engines suspected of failing (see
-        // `reported_outcomes`) and would bias the share.
+        // `reported_outcomes`) and would bias the fraction.
         let loads = eligible_engines
             .iter()
             .filter_map(|eligible| self.loads.get(eligible.key));
         let outcomes = loads.map(|load| load.health.outcomes(now));
         let all = outcomes.fold(OutcomeCounts::default(), OutcomeCounts::plus);
-        all.failed_share(PRIOR_OUTCOMES, 0.0)
+        all.failed_fraction(PRIOR_OUTCOMES, 0.0)
     }
 
     /// Expected loss at an engine that fails more requests than is typical.
@@ -414,13 +421,13 @@
         &self,
         eligible: &EligibleEngine<'_>,
         costs: &ServiceCosts,
-        typical_failed_share: f64,
+        typical_failed_fraction: f64,
         now: Duration,
     ) -> f64 {
         let Some(load) = self.loads.get(eligible.key) else {
             return 0.0;
         };
-        let excess = load.failed_share(typical_failed_share, now) - typical_failed_share;
+        let excess = load.failed_fraction(typical_failed_fraction, now) - typical_failed_fraction;
         excess.max(0.0) * FAILURE_COST_REQUESTS * costs.request_ms
     }
 
@@ -437,13 +444,13 @@
         eligible: &EligibleEngine<'_>,
         request: &PlacementRequest<'_>,
         costs: &ServiceCosts,
-        open: f64,
+        in_flight: f64,
         now: Duration,
     ) -> f64 {
         let engine = eligible.engine;
         let slots = f64::from(engine.slots);
-        let queued = (open + 1.0 - slots).max(0.0);
-        let mut cost = open * costs.open_ms(engine.slots);
+        let queued = (in_flight + 1.0 - slots).max(0.0);
+        let mut cost = in_flight * costs.added_request_ms(engine.slots);
         cost += queued * costs.queue_position_ms(engine.slots);
         if engine.zone != request.zone {
             cost += OTHER_ZONE_MS;
@@ -458,7 +465,7 @@
             |load| load.parts.missing(request.parts),
         );
         // All other requests at the engine wait during the prefill.
-        let waiting = 1.0 + open.min(slots);
+        let waiting = 1.0 + in_flight.min(slots);
         cost += prefill_wait_tokens(request.parts, missing, waiting) / costs.prefill_tokens_per_ms;
         if known.is_some_and(|load| load.health.is_backing_off(now)) {
             cost += BACKOFF_COST_MS;
@@ -532,10 +539,12 @@
     } else {
         first
     };
-    let near = ranked
+    let in_own_zone = ranked
         .iter()
         .filter(|eligible| eligible.engine.zone == zone);
-    let preferred = first.into_iter().chain(near.take(PREFERRED_PER_SESSION));
+    let preferred = first
+        .into_iter()
+        .chain(in_own_zone.take(PREFERRED_PER_SESSION));
     preferred.map(|eligible| eligible.key).collect()
 }
 
--- a/crates/routing/src/prefill_directory.rs
+++ b/crates/routing/src/prefill_directory.rs
@@ -4,7 +4,7 @@
 //! gateway would not know which engine has cached the prompt and would have it prefilled again. Each prompt
 //! has a directory node among the gateways, by the hash of its last part. Gateways report each prefill to
 //! that node and ask it before the next one (`docs/design/decisions.md`, "Sessions that change gateways").
-//! There is no consensus: a missing or outdated entry costs one prefill.
+//! There is no consensus: a missing or outdated record costs one prefill.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
@@ -15,11 +15,12 @@
 
 /// Prompts with more parts are not recorded.
 const MAX_PARTS: usize = 8;
-/// Entries of one directory node.
-const MAX_ENTRIES: usize = 4_096;
-/// Older entries are dropped. A session that pauses longer has mostly lost its place in the engine's prompt
+/// Maximum number of writes that one directory node remembers, and so of its records. A record that was
+/// written again counts once for each write.
+const MAX_RECORDS: usize = 4_096;
+/// Older records are dropped. A session that pauses longer has mostly lost its place in the engine's prompt
 /// cache.
-const ENTRY_LIFETIME: Duration = Duration::from_secs(20);
+const RECORD_LIFETIME: Duration = Duration::from_secs(20);
 /// Replaces the first part in the record of a failure. A gateway that does not know the marker sees a part
 /// without tokens, which has no effect.
 const FAILURE_MARKER: PromptPart = PromptPart {
@@ -93,7 +94,7 @@
     /// The newest record with this last part.
     pub fn find(&self, key: u64, now: Duration) -> Option<&PrefillRecord> {
         let (at, record) = self.records.get(&key)?;
-        (now.saturating_sub(*at) < ENTRY_LIFETIME).then_some(record)
+        (now.saturating_sub(*at) < RECORD_LIFETIME).then_some(record)
     }
 
     pub fn len(&self) -> usize {
@@ -106,8 +107,8 @@
 
     fn expire(&mut self, now: Duration) {
         while let Some((at, key)) = self.order.front().copied() {
-            let is_expired = now.saturating_sub(at) >= ENTRY_LIFETIME;
-            if !is_expired && self.order.len() < MAX_ENTRIES {
+            let is_expired = now.saturating_sub(at) >= RECORD_LIFETIME;
+            if !is_expired && self.order.len() < MAX_RECORDS {
                 return;
             }
             self.order.pop_front();
--- a/crates/routing/src/region_latencies.rs
+++ b/crates/routing/src/region_latencies.rs
@@ -5,7 +5,7 @@
 
 use crate::residency::ZoneRegions;
 
-/// Least extra cost of another region, in milliseconds: for traffic, and before there are measurements.
+/// Minimum extra cost of another region, in milliseconds: for traffic, and before there are measurements.
 const MIN_EXTRA_MS: f64 = 20.0;
 /// Weights of samples below and above the current value. Load on an engine or gateway makes connections
 /// slower, while nothing makes them faster than the network, so fast samples count more.
@@ -64,23 +64,23 @@
         self.own_region.is_some() && self.region_by_zone.get(zone).copied() == self.own_region
     }
 
-    /// A connection to an engine in this zone was established in this time.
-    pub fn on_connected(&mut self, zone: &str, taken: Duration) {
+    /// Records the time that it took to connect to an engine in this zone.
+    pub fn on_connected(&mut self, zone: &str, elapsed: Duration) {
         let Some(region) = self.region_by_zone.get(zone) else {
             return;
         };
-        let taken_ms = taken.as_secs_f64() * MS_PER_S;
+        let elapsed_ms = elapsed.as_secs_f64() * MS_PER_S;
         let latency = self.latencies[*region].get_or_insert(Latency {
-            round_trip_ms: taken_ms,
+            round_trip_ms: elapsed_ms,
             reported_ms: 0.0,
         });
-        let is_faster = taken_ms < latency.round_trip_ms;
+        let is_faster = elapsed_ms < latency.round_trip_ms;
         let weight = if is_faster {
             FASTER_SAMPLE_WEIGHT
         } else {
             SLOWER_SAMPLE_WEIGHT
         };
-        latency.round_trip_ms += weight * (taken_ms - latency.round_trip_ms);
+        latency.round_trip_ms += weight * (elapsed_ms - latency.round_trip_ms);
     }
 
     /// Extra cost of a request to this zone in relation to the gateway's own region, in milliseconds.
@@ -99,7 +99,9 @@
         latency.map_or(0.0, |latency| latency.round_trip_ms)
     }
 
-    /// Regions whose round-trip time has changed notably since the last call, in milliseconds.
+    /// Regions whose round-trip time differs from the one last returned for them (0 at first) by more than
+    /// `REPORTED_CHANGE_FRACTION` of that value or of 1 ms, whichever is greater; each with its current
+    /// round-trip time in milliseconds.
     pub fn changes(&mut self) -> Vec<(String, f64)> {
         let mut changes = Vec::new();
         for (region, latency) in self.regions.iter().zip(&mut self.latencies) {
--- a/crates/routing/src/reported_outcomes.rs
+++ b/crates/routing/src/reported_outcomes.rs
@@ -3,7 +3,7 @@
 //! In a large fleet each gateway sends an engine one request every few seconds, too few to tell a failing
 //! engine from chance. So each gateway reports the outcomes of its own requests at *suspects*: engines for
 //! which any gateway has reported a failure. One reported failure makes all other gateways report their
-//! counts as well, also those that saw no failure, so the share of failures over all reports is unbiased
+//! counts as well, also those that saw no failure, so the fraction of failures over all reports is unbiased
 //! (`docs/design/decisions.md`, "Failing engines").
 
 use rkyv::{Archive, Deserialize, Serialize};
@@ -15,7 +15,7 @@
 const TENTHS_PER_REQUEST: f64 = 10.0;
 
 /// Recent outcomes of one gateway's requests at an engine. Counts decay to fractions, so they are sent in
-/// tenths.
+/// tenths of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct ReportedOutcomes {
     /// Value of the engine's [`EngineKey`](crate::EngineKey).
@@ -26,7 +26,7 @@
     pub failed: u32,
 }
 
-/// Sums of the reports of other gateways about one engine, in tenths.
+/// Sums over the other gateways' reports about one engine, in tenths of a request.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct ReportedSums {
     ended: u64,
--- a/crates/routing/src/residency.rs
+++ b/crates/routing/src/residency.rs
@@ -38,7 +38,7 @@
     }
 
     /// The regions that both allow.
-    pub fn and(&self, other: &Self) -> Self {
+    pub fn intersection(&self, other: &Self) -> Self {
         let regions = match (&self.regions, &other.regions) {
             (None, other) => other.clone(),
             (own, None) => own.clone(),
--- a/crates/routing/src/route_table.rs
+++ b/crates/routing/src/route_table.rs
@@ -28,11 +28,11 @@
         let mut routes: HashMap<String, Vec<Arc<Route>>> = HashMap::new();
         for route in &configuration.routes {
             let host = route.host.to_ascii_lowercase();
-            let of_host = routes.entry(host).or_default();
-            of_host.push(Arc::new(route.clone()));
+            let host_routes = routes.entry(host).or_default();
+            host_routes.push(Arc::new(route.clone()));
         }
-        for of_host in routes.values_mut() {
-            of_host.sort_by_key(|route| std::cmp::Reverse(route.path_prefix.len()));
+        for host_routes in routes.values_mut() {
+            host_routes.sort_by_key(|route| std::cmp::Reverse(route.path_prefix.len()));
         }
         let services = configuration.services.iter();
         Self {
@@ -57,8 +57,8 @@
     /// The route of the host with the longest prefix of the path. The host may carry a port.
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let name = host.split(':').next().unwrap_or(host);
-        let of_host = self.routes.get(&name.to_ascii_lowercase())?;
-        of_host
+        let host_routes = self.routes.get(&name.to_ascii_lowercase())?;
+        host_routes
             .iter()
             .find(|route| path.starts_with(&route.path_prefix))
     }
--- a/crates/routing/src/service_model.rs
+++ b/crates/routing/src/service_model.rs
@@ -20,22 +20,24 @@
 const TOKENS_PER_MS_RANGE: std::ops::RangeInclusive<f64> = 5.0..=1_000.0;
 /// Duration of a request assumed before there are samples, in milliseconds.
 const DEFAULT_REQUEST_MS: f64 = 300.0;
-/// Least difference of prompt lengths for an estimate of the rate of prefill, in tokens.
+/// Minimum spread of the prompt lengths in the samples from which the rate of prefill is estimated, in tokens.
 const MIN_TOKEN_SPREAD: f64 = 100.0;
-/// Least difference of in-flight requests for an estimate of the slowdown of a batch.
-const MIN_OPEN_SPREAD: f64 = 1.0;
-/// Least cost of one more in-flight request, as a fraction of a slot's time. It applies even where slots are
+/// Minimum spread of the in-flight request counts in the samples from which the slowdown of a batch is
+/// estimated.
+const MIN_IN_FLIGHT_SPREAD: f64 = 1.0;
+/// Minimum cost of one more in-flight request, as a fraction of a slot's time. It applies even where slots are
 /// free, since the counts of in-flight requests lag and the slot may be taken by then.
 const MIN_SLOT_FRACTION: f64 = 0.25;
 /// Weight of the newest sample in a running mean.
 const SAMPLE_WEIGHT: f64 = 0.05;
 /// Weight of the newest slope or received summary in an exponential average.
 const SMOOTHING_WEIGHT: f64 = 0.2;
-/// Least number of samples at which a gateway's own estimates replace those of other gateways.
+/// Minimum number of samples at which a gateway's own estimates replace those of other gateways.
 const MIN_OWN_SAMPLES: u32 = 9;
 /// Ratio between costs above which a change is logged.
 const REPORTED_CHANGE_RATIO: f64 = 1.3;
-/// Quantile of samples that hardly waited.
+/// Quantile used for times that waits only lengthen: it reflects requests that hardly waited. For rates it is
+/// `1 - LOW_QUANTILE`.
 const LOW_QUANTILE: f64 = 0.25;
 const MEDIAN: f64 = 0.5;
 const THOUSAND: f64 = 1_000.0;
@@ -130,7 +132,7 @@
     pub step_ms: Option<f64>,
     pub events: u64,
     /// In-flight requests at the engine when this one was sent.
-    pub open: u32,
+    pub in_flight: u32,
 }
 
 /// Costs of work at a service's engines, in milliseconds unless stated otherwise.
@@ -188,9 +190,9 @@
     pub fn on_request_sample(&mut self, sample: RequestSample) {
         self.samples = self.samples.saturating_add(1);
         self.durations
-            .push(f64::from(sample.open), sample.request_ms);
+            .push(f64::from(sample.in_flight), sample.request_ms);
         if let Some(step_ms) = sample.step_ms {
-            self.steps.push(f64::from(sample.open), step_ms);
+            self.steps.push(f64::from(sample.in_flight), step_ms);
             self.events.push(sample.events as f64);
         }
         self.on_sample();
@@ -244,7 +246,8 @@
         costs
     }
 
-    /// The costs if they differ enough from those that the last call returned.
+    /// The costs if one of them differs by more than `REPORTED_CHANGE_RATIO` from those last returned, or if
+    /// none were returned before; otherwise `None`.
     pub fn changed_costs(&mut self) -> Option<ServiceCosts> {
         let costs = self.costs();
         if self
@@ -271,12 +274,12 @@
         self.samples_since_refresh = 0;
         let ms_per_token = self.prefills.slope(LOW_QUANTILE, MIN_TOKEN_SPREAD);
         if let Some(ms_per_token) = ms_per_token {
-            // Slopes that are only noise count too, or the mean would be biased upwards.
+            // Slopes that are negative from noise count too; without them the mean would be biased upwards.
             self.ms_per_token = Some(smoothed(self.ms_per_token, ms_per_token));
         }
         self.request_ms = self.durations.y_quantile(LOW_QUANTILE);
         self.min_rate = self.prefills.ratio_quantile(1.0 - LOW_QUANTILE);
-        if let Some(growth) = self.steps.slope(MEDIAN, MIN_OPEN_SPREAD) {
+        if let Some(growth) = self.steps.slope(MEDIAN, MIN_IN_FLIGHT_SPREAD) {
             self.step_growth = Some(smoothed(self.step_growth, growth.max(0.0)));
         }
     }
@@ -293,7 +296,8 @@
         let first = (self.first_ms > 0.0 && self.first_tokens > 0.0)
             .then_some(self.first_tokens / self.first_ms);
         let own = self.own_rate();
-        // All gateways measure the same engines, so the geometric mean is closer than either value.
+        // Both values estimate the rate of the same engines, so their geometric mean is usually closer to the
+        // true rate than either.
         let rate = match (own, received) {
             (Some(own), Some(received)) => Some((own * received).sqrt()),
             (own, received) => own.or(received).or(first),
@@ -340,7 +344,7 @@
     }
 
     /// Cost of one more in-flight request at an engine with this many slots.
-    pub fn open_ms(&self, slots: u32) -> f64 {
+    pub fn added_request_ms(&self, slots: u32) -> f64 {
         // The request is slowed by the others and slows them as much.
         (2.0 * self.slowdown_ms).max(self.queue_position_ms(slots) * MIN_SLOT_FRACTION)
     }
--- a/crates/routing/src/tenants.rs
+++ b/crates/routing/src/tenants.rs
@@ -55,7 +55,7 @@
 
 /// Why a set of tenants is invalid. Keys are identified by position, never by text.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum TenantFault {
+pub enum TenantError {
     /// The name is empty or contains a control character.
     BadName {
         /// Position of the tenant, from 0.
@@ -63,6 +63,7 @@
     },
     /// Two tenants have this name.
     SameName(String),
+    /// A key is empty.
     EmptyKey {
         /// Name of the tenant.
         tenant: String,
@@ -71,9 +72,9 @@
     },
     /// Two tenants have the same key.
     SharedKey {
-        /// Name of the other tenant.
+        /// Name of the tenant that was listed first with the key.
         first: String,
-        /// Name of the tenant.
+        /// Name of the tenant that was listed later with the same key.
         tenant: String,
         /// Position of the key, from 0.
         position: usize,
@@ -82,7 +83,7 @@
     BadLimit(String),
 }
 
-impl fmt::Display for TenantFault {
+impl fmt::Display for TenantError {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::BadName { position } => {
@@ -113,24 +114,24 @@
     }
 }
 
-impl std::error::Error for TenantFault {}
+impl std::error::Error for TenantError {}
 
 /// Checks that names are valid and that no two tenants share a name or a key.
-pub fn check_tenants(tenants: &[Tenant]) -> Result<(), TenantFault> {
+pub fn check_tenants(tenants: &[Tenant]) -> Result<(), TenantError> {
     let mut names = HashSet::new();
     let mut holders: HashMap<KeyDigest, &str> = HashMap::new();
     for (position, tenant) in tenants.iter().enumerate() {
         let name = tenant.name.as_str();
         if name.is_empty() || name.chars().any(char::is_control) {
-            return Err(TenantFault::BadName { position });
+            return Err(TenantError::BadName { position });
         }
         if !names.insert(name) {
-            return Err(TenantFault::SameName(tenant.name.clone()));
+            return Err(TenantError::SameName(tenant.name.clone()));
         }
         for (position, key) in tenant.keys.iter().enumerate() {
             let first = *holders.entry(*key).or_insert(name);
             if first != name {
-                return Err(TenantFault::SharedKey {
+                return Err(TenantError::SharedKey {
                     first: first.to_owned(),
                     tenant: tenant.name.clone(),
                     position,
--- a/crates/routing/src/warm_up.rs
+++ b/crates/routing/src/warm_up.rs
@@ -9,7 +9,7 @@
 use crate::engine_table::{Engine, EngineEntry};
 
 const MS_PER_KS: u64 = 1_000_000;
-/// Fraction of the configured warm-up duration over which the share of requests that need no grant rises to
+/// Fraction of the configured warm-up duration over which the fraction of requests that need no grant rises to
 /// 1.
 const RAMP_FRACTION: f64 = 0.5;
 /// How long an engine counts as unreachable after a failed connection.
@@ -132,7 +132,8 @@
         self.source = source;
     }
 
-    /// Applies a newer entry. If it ends the warm-up, the share ramps up from now on.
+    /// Applies a newer entry. If it ends the warm-up, the fraction of requests that need no grant rises from
+    /// now on.
     fn on_entry(&mut self, warm_up: Duration, now: Duration) {
         if warm_up.is_zero() {
             self.entry_end = self.entry_end.min(now);
@@ -166,7 +167,7 @@
 
     /// Fraction of the requests to this engine that need no grant from a limiter: 0 while it warms up, then
     /// rising linearly to 1 over `RAMP_FRACTION` of the configured warm-up duration.
-    fn share(&self, now: Duration) -> f64 {
+    fn grant_free_fraction(&self, now: Duration) -> f64 {
         let end = self.end();
         if now < end {
             return 0.0;
@@ -190,8 +191,8 @@
 #[derive(Debug, Default)]
 pub struct WarmUps {
     runs: HashMap<EngineKey, RunWarmUp>,
-    /// Services whose engines were listed before. Engines in the first list of a service may have run for
-    /// long, so they are not presumed to warm up.
+    /// Services that had a warm-up limit when the last list arrived. Engines in the first list after a service
+    /// gets its limit may have been running for a long time, so they are not presumed to be warming up.
     services: HashSet<String>,
 }
 
@@ -227,7 +228,7 @@
     ) {
         let engine = &entry.engine;
         let known = self.runs.contains_key(&engine.key());
-        let run = self.run_mut(engine, limit);
+        let run = self.run_entry(engine, limit);
         run.limit = limit;
         run.last_listed = now;
         if entry.revision <= run.revision {
@@ -251,12 +252,12 @@
         if warm_up.is_zero() && !self.runs.contains_key(&engine.key()) {
             return;
         }
-        self.run_mut(engine, limit).on_answer(warm_up, now);
+        self.run_entry(engine, limit).on_answer(warm_up, now);
     }
 
     /// A connection to the engine failed.
     pub fn on_unreachable(&mut self, engine: &Engine, limit: WarmUpLimit, now: Duration) {
-        let run = self.run_mut(engine, limit);
+        let run = self.run_entry(engine, limit);
         run.unreachable_until = now + UNREACHABLE_PERIOD;
         run.source = WarmUpSource::Unreachable;
     }
@@ -277,13 +278,13 @@
     ) {
         for engine in engines {
             if let Some(limit) = limits.get(engine.service.as_str()) {
-                self.run_mut(engine, *limit)
+                self.run_entry(engine, *limit)
                     .presume(WarmUpSource::DrainEnded, drain_ended);
             }
         }
     }
 
-    fn run_mut(&mut self, engine: &Engine, limit: WarmUpLimit) -> &mut RunWarmUp {
+    fn run_entry(&mut self, engine: &Engine, limit: WarmUpLimit) -> &mut RunWarmUp {
         let entry = self.runs.entry(engine.key());
         entry.or_insert_with(|| RunWarmUp::new(engine, limit))
     }
@@ -291,15 +292,15 @@
     /// Fraction of the requests to this engine that need no grant from a limiter: 0 while it warms up, then
     /// rising linearly to 1 over `RAMP_FRACTION` of the configured warm-up duration, so that its load grows
     /// gradually.
-    pub fn share(&self, engine: EngineKey, now: Duration) -> f64 {
+    pub fn grant_free_fraction(&self, engine: EngineKey, now: Duration) -> f64 {
         let run = self.runs.get(&engine);
-        run.map_or(1.0, |run| run.share(now))
+        run.map_or(1.0, |run| run.grant_free_fraction(now))
     }
 
     /// Whether requests to any engine of the service need grants now.
     pub fn has_limited_engines(&self, service: &str, now: Duration) -> bool {
         let mut runs = self.runs.values();
-        runs.any(|run| run.service == service && run.share(now) < 1.0)
+        runs.any(|run| run.service == service && run.grant_free_fraction(now) < 1.0)
     }
 
     /// Number of engines that are warming up, by service.
--- a/crates/routing/src/weighted_split.rs
+++ b/crates/routing/src/weighted_split.rs
@@ -6,8 +6,8 @@
 
 use crate::configuration::Route;
 
-/// Smooth weighted round robin for each route: every run of requests is split as evenly as whole requests
-/// allow.
+/// Smooth weighted round robin for each route: every sequence of consecutive requests is split as evenly as
+/// whole requests allow.
 ///
 /// Each gateway starts at a point of the round drawn from its seed. If all started at the same point, the
 /// heaviest service would get the first request of every gateway, and with many gateways that see few
--- a/crates/routing/src/zone_drains.rs
+++ b/crates/routing/src/zone_drains.rs
@@ -90,8 +90,8 @@
         Self { orders, at, newest }
     }
 
-    /// Replaces this table by one that is at least as recent, and returns the differences; none for an older
-    /// table.
+    /// Replaces this table with the received one if that is at least as recent, and returns the differences.
+    /// An older table is ignored and gives none.
     pub fn take(&mut self, mut received: Self) -> Vec<DrainChange> {
         if received.at < self.at {
             return Vec::new();
--- a/crates/routing/tests/engine_health.rs
+++ b/crates/routing/tests/engine_health.rs
@@ -15,22 +15,22 @@
     for _ in 0..20 {
         health.on_outcome(Outcome::Failed, seconds(1));
     }
-    let share = |now| health.outcomes(now).failed_share(3.0, 0.0);
-    assert!(share(seconds(1)) > 0.8);
-    assert!(share(seconds(20)) < 0.1);
+    let fraction = |now| health.outcomes(now).failed_fraction(3.0, 0.0);
+    assert!(fraction(seconds(1)) > 0.8);
+    assert!(fraction(seconds(20)) < 0.1);
 }
 
 #[test]
 fn one_failure_keeps_the_failed_share_low() {
     let mut health = EngineHealth::default();
     health.on_outcome(Outcome::Failed, seconds(1));
-    let share = health.outcomes(seconds(1)).failed_share(3.0, 0.0);
-    assert!(share <= 0.25, "{share}");
+    let fraction = health.outcomes(seconds(1)).failed_fraction(3.0, 0.0);
+    assert!(fraction <= 0.25, "{fraction}");
 }
 
 quickcheck! {
-    /// Clocks may jump, and prior shares come from reports of other nodes.
-    fn failed_share_stays_between_zero_and_one(outcomes: Vec<(u8, u32)>, prior: u8, share: u8, read_at: u32) -> bool {
+    /// Clocks may jump, and prior fractions come from reports of other nodes.
+    fn failed_fraction_stays_between_zero_and_one(outcomes: Vec<(u8, u32)>, prior: u8, fraction: u8, read_at: u32) -> bool {
         let mut health = EngineHealth::default();
         for (kind, at_ms) in outcomes {
             let kinds = [Outcome::Served, Outcome::Failed, Outcome::Unreachable];
@@ -40,7 +40,7 @@
         let counts = health.outcomes(Duration::from_millis(u64::from(read_at)));
         let both = counts.plus(OutcomeCounts::default());
         let prior = 1.0 + f64::from(prior);
-        let failed = both.failed_share(prior, f64::from(share) / 255.0);
+        let failed = both.failed_fraction(prior, f64::from(fraction) / 255.0);
         (0.0..=1.0).contains(&failed)
     }
 }
--- a/crates/routing/tests/engine_restarts.rs
+++ b/crates/routing/tests/engine_restarts.rs
@@ -41,10 +41,10 @@
     let mut placement = Placement::default();
     let (earlier, later) = (engine(1), engine(2));
     placement.on_sent("session", &earlier, &parts());
-    assert_eq!(placement.open_at(earlier.key(), NOW), 1);
-    assert_eq!(placement.open_at(later.key(), NOW), 0);
+    assert_eq!(placement.in_flight_at(earlier.key(), NOW), 1);
+    assert_eq!(placement.in_flight_at(later.key(), NOW), 0);
     let forecast = placement.on_sent("session", &later, &parts());
-    assert_eq!((forecast.missing_tokens, forecast.open), (1_000, 0));
+    assert_eq!((forecast.missing_tokens, forecast.in_flight), (1_000, 0));
     let again = placement.on_sent("session", &later, &parts());
     assert_eq!(again.missing_tokens, 0);
 }
@@ -56,7 +56,7 @@
     let (earlier, later) = (engine(1), engine(2));
     let forecast = placement.on_sent("old", &earlier, &parts());
     let report = GatewayReport {
-        open: vec![(earlier.key(), 9)],
+        in_flight: vec![(earlier.key(), 9)],
         suspects: Vec::new(),
     };
     placement.on_report("front-2", report, NOW);
@@ -67,7 +67,7 @@
     placement.on_outcome(earlier.key(), Outcome::Failed, NOW);
     placement.on_first_event(&earlier, forecast, Duration::from_millis(30));
     placement.on_ended(earlier.key(), 0);
-    assert_eq!(placement.open_at(later.key(), NOW), 0);
+    assert_eq!(placement.in_flight_at(later.key(), NOW), 0);
     assert_eq!(
         placement.on_sent("new", &later, &parts()).missing_tokens,
         1_000
--- a/crates/routing/tests/placement.rs
+++ b/crates/routing/tests/placement.rs
@@ -104,8 +104,9 @@
 fn requests_of_other_gateways_count_until_their_report_expires() {
     let table = table(["i-1", "i-2"].map(|name| engine(name, "zone-a")));
     let mut other = Placement::default();
-    let mut alone = Placement::default();
-    let chosen = choose(&mut alone, &table, &request("s", &[], &[]), NOW).expect("an engine");
+    let mut without_reports = Placement::default();
+    let chosen =
+        choose(&mut without_reports, &table, &request("s", &[], &[]), NOW).expect("an engine");
     for _ in 0..5 {
         send(&mut other, &chosen, &[]);
     }
@@ -139,18 +140,18 @@
     for gateway in ["gateway-1", "gateway-2"] {
         placement.on_report(gateway, other.report(NOW), NOW);
     }
-    assert_eq!(placement.open_at(EngineKey::of("i-1"), NOW), 2);
+    assert_eq!(placement.in_flight_at(EngineKey::of("i-1"), NOW), 2);
     for _ in 0..2 {
         send(&mut other, "i-1", &[]);
     }
     let later = NOW + Duration::from_millis(1_500);
     placement.on_report("gateway-2", other.report(later), later);
-    assert_eq!(placement.open_at(EngineKey::of("i-1"), later), 4);
+    assert_eq!(placement.in_flight_at(EngineKey::of("i-1"), later), 4);
     // The report of gateway-1 has expired, that of gateway-2 has not.
     let expired = NOW + Duration::from_millis(2_100);
-    assert_eq!(placement.open_at(EngineKey::of("i-1"), expired), 3);
+    assert_eq!(placement.in_flight_at(EngineKey::of("i-1"), expired), 3);
     placement.on_report("gateway-2", GatewayReport::default(), expired);
-    assert_eq!(placement.open_at(EngineKey::of("i-1"), expired), 0);
+    assert_eq!(placement.in_flight_at(EngineKey::of("i-1"), expired), 0);
 }
 
 quickcheck! {
@@ -172,9 +173,9 @@
     }
 }
 
-/// Trains a placement with prefills at this rate.
-fn train(placement: &mut Placement, prefill_tokens_per_ms: u64) {
-    let trained_engine = engine("i-teacher", "zone-a");
+/// Adds samples of prefills at this rate to the cost model of the service.
+fn add_prefill_samples(placement: &mut Placement, prefill_tokens_per_ms: u64) {
+    let sampled_engine = engine("i-sampled", "zone-a");
     for index in 0..40 {
         let tokens = 400 + 100 * (index % 20);
         let forecast = Forecast {
@@ -182,8 +183,8 @@
             is_certain: true,
             ..Forecast::default()
         };
-        let taken = Duration::from_micros(5_000 + tokens * 1_000 / prefill_tokens_per_ms);
-        placement.on_first_event(&trained_engine, forecast, taken);
+        let elapsed = Duration::from_micros(5_000 + tokens * 1_000 / prefill_tokens_per_ms);
+        placement.on_first_event(&sampled_engine, forecast, elapsed);
     }
 }
 
@@ -193,7 +194,7 @@
     let parts = [part(1, 2_500), part(2, 1_000)];
     let chosen = |prefill_tokens_per_ms| {
         let mut placement = Placement::default();
-        train(&mut placement, prefill_tokens_per_ms);
+        add_prefill_samples(&mut placement, prefill_tokens_per_ms);
         let forecast = send(&mut placement, "i-1", &parts);
         placement.on_ended(EngineKey::of("i-1"), forecast.missing_tokens);
         for _ in 0..3 {
@@ -246,7 +247,7 @@
 #[test]
 fn a_service_keeps_its_costs_when_the_maximum_of_services_is_reached() {
     let mut placement = Placement::default();
-    train(&mut placement, 38);
+    add_prefill_samples(&mut placement, 38);
     let learned = placement.costs("models");
     for number in 0..255 {
         let mut other = engine("i-other", "zone-a");
--- a/crates/routing/tests/region_latencies.rs
+++ b/crates/routing/tests/region_latencies.rs
@@ -25,8 +25,8 @@
         Placement::with_region_latencies(RegionLatencies::new(&regions(), "zone-a"));
     for _ in 0..20 {
         placement.on_connected(&engine("i", "zone-a"), Duration::from_millis(2));
-        let taken = Duration::from_millis(2 + round_trip_ms);
-        placement.on_connected(&engine("i", "zone-c"), taken);
+        let elapsed = Duration::from_millis(2 + round_trip_ms);
+        placement.on_connected(&engine("i", "zone-c"), elapsed);
     }
     placement
 }
@@ -61,7 +61,7 @@
 }
 
 /// Requests at the near engine after which the remote one is chosen.
-fn requests_before_leaving(round_trip_ms: u64) -> usize {
+fn requests_until_remote_is_chosen(round_trip_ms: u64) -> usize {
     let engines = [("i-beyond", "zone-c"), ("i-near", "zone-a")];
     let mut placement = placement_with_latency(round_trip_ms);
     let mut sent = 0;
@@ -74,8 +74,11 @@
 }
 
 #[test]
-fn a_full_region_is_left_later_if_the_other_one_is_farther() {
-    let (near, far) = (requests_before_leaving(5), requests_before_leaving(200));
+fn a_remote_region_is_chosen_under_a_higher_load_if_it_is_farther() {
+    let (near, far) = (
+        requests_until_remote_is_chosen(5),
+        requests_until_remote_is_chosen(200),
+    );
     assert!(near > 0 && near < far, "{near} {far}");
 }
 
@@ -157,8 +160,8 @@
         .collect();
     let mut choices = Vec::new();
     for placement in &mut placements {
-        for (name, (_, open)) in names.iter().zip(&engines) {
-            for _ in 0..open % 6 {
+        for (name, (_, in_flight)) in names.iter().zip(&engines) {
+            for _ in 0..in_flight % 6 {
                 send(placement, name, &[]);
             }
         }
--- a/crates/routing/tests/residency.rs
+++ b/crates/routing/tests/residency.rs
@@ -20,8 +20,9 @@
     regions: [usize; 3],
     /// Zone of each engine, as an index into `ZONES`.
     engines: Vec<usize>,
-    /// Regions of the route and of the tenant; `None` for no restriction.
+    /// Allowed regions of the route, as indices into `REGIONS`; `None` for no restriction.
     route: Option<Vec<usize>>,
+    /// Allowed regions of the tenant, as indices into `REGIONS`; `None` for no restriction.
     tenant: Option<Vec<usize>>,
 }
 
@@ -88,7 +89,7 @@
 /// is allowed.
 fn chooses_an_eligible_engine(case: Case) -> bool {
     let regions = case.zone_regions();
-    let residency = residency(case.route.as_ref()).and(&residency(case.tenant.as_ref()));
+    let residency = residency(case.route.as_ref()).intersection(&residency(case.tenant.as_ref()));
     let rule = ResidencyRule {
         residency: &residency,
         regions: &regions,
@@ -119,7 +120,7 @@
 /// Compares the checks of the regions with the eligibility of an engine in each zone.
 fn regions_agree_with_eligibility(case: Case) -> bool {
     let regions = case.zone_regions();
-    let residency = residency(case.route.as_ref()).and(&residency(case.tenant.as_ref()));
+    let residency = residency(case.route.as_ref()).intersection(&residency(case.tenant.as_ref()));
     let serves = |zone: &usize| case.is_eligible(&engine("i", ZONES[*zone]));
     let named: Vec<usize> = (0..case.regions.len()).collect();
     regions.allows_any(&residency) == named.iter().any(serves)
@@ -139,7 +140,11 @@
     assert!(!nowhere.is_anywhere());
     assert!(!nowhere.allows(Some("north")));
     assert!(!nowhere.allows(None));
-    assert!(!nowhere.and(&Residency::anywhere()).allows(Some("north")));
+    assert!(
+        !nowhere
+            .intersection(&Residency::anywhere())
+            .allows(Some("north"))
+    );
 }
 
 #[test]
--- a/crates/routing/tests/routes.rs
+++ b/crates/routing/tests/routes.rs
@@ -29,8 +29,8 @@
     assert_eq!(found("three.example", "/a/"), None);
 }
 
-/// Largest deviation of a service from its weight after this many requests.
-fn max_share_error(weights: &[u32], requests: usize) -> f64 {
+/// Largest deviation of a service's request count from its weighted share after this many requests.
+fn max_deviation(weights: &[u32], requests: usize) -> f64 {
     let mut split = route("split", "one.example", "/a/");
     split.services = weights
         .iter()
@@ -48,24 +48,24 @@
         }
     }
     let total: u32 = weights.iter().sum();
-    let errors = weights.iter().zip(&counts).map(|(weight, count)| {
+    let deviations = weights.iter().zip(&counts).map(|(weight, count)| {
         let expected = f64::from(*weight) / f64::from(total) * requests as f64;
         (f64::from(*count) - expected).abs()
     });
-    errors.fold(0.0, f64::max)
+    deviations.fold(0.0, f64::max)
 }
 
 #[test]
-fn shares_follow_the_weights_in_any_run_of_requests() {
+fn shares_follow_the_weights_after_any_number_of_requests() {
     for requests in 1..200 {
-        assert!(max_share_error(&[90, 10], requests) <= 1.0);
-        assert!(max_share_error(&[1, 1, 1], requests) <= 1.0);
+        assert!(max_deviation(&[90, 10], requests) <= 1.0);
+        assert!(max_deviation(&[1, 1, 1], requests) <= 1.0);
     }
 }
 
 #[test]
 fn a_service_without_weight_gets_no_requests() {
-    assert!(max_share_error(&[5, 0], 100) < f64::EPSILON);
+    assert!(max_deviation(&[5, 0], 100) < f64::EPSILON);
     let mut none = route("none", "one.example", "/a/");
     none.services.clear();
     assert_eq!(WeightedSplit::new(7).next(&none), None);
@@ -77,7 +77,7 @@
         if weights.iter().sum::<u32>() == 0 {
             return true;
         }
-        max_share_error(&weights, usize::from(requests)) <= weights.len() as f64
+        max_deviation(&weights, usize::from(requests)) <= weights.len() as f64
     }
 }
 
--- a/crates/routing/tests/service_model.rs
+++ b/crates/routing/tests/service_model.rs
@@ -38,7 +38,7 @@
     random: &mut Random,
 ) {
     let tokens = (200.0 + random.next() * 4_000.0).floor();
-    let sample_prefill = if random.next() < wrong_fraction {
+    let prefilled_tokens = if random.next() < wrong_fraction {
         100.0
     } else {
         tokens
@@ -46,19 +46,19 @@
     let queue_ms = random.next().powi(2) * 1_000.0 / engine.prefill_tokens_per_ms;
     model.on_prefill_sample(PrefillSample {
         tokens: tokens as u64,
-        first_ms: engine.first_ms + queue_ms + sample_prefill / engine.prefill_tokens_per_ms,
+        first_ms: engine.first_ms + queue_ms + prefilled_tokens / engine.prefill_tokens_per_ms,
         is_certain: true,
     });
 }
 
 fn sample_request(model: &mut ServiceModel, engine: &Engine, random: &mut Random) {
-    let open = (random.next() * 16.0).floor();
-    let step_ms = engine.step_ms + engine.growth_ms * open;
+    let in_flight = (random.next() * 16.0).floor();
+    let step_ms = engine.step_ms + engine.growth_ms * in_flight;
     model.on_request_sample(RequestSample {
         request_ms: step_ms * EVENTS as f64 + random.next() * 100.0,
         step_ms: Some(step_ms * (1.0 + random.next() * 0.1)),
         events: EVENTS,
-        open: open as u32,
+        in_flight: in_flight as u32,
     });
 }
 
@@ -135,11 +135,11 @@
     for _ in 0..200 {
         sample_request(&mut model, &engine, &mut random);
     }
-    let share = model.costs().slowdown_ms;
+    let slowdown_ms = model.costs().slowdown_ms;
     let exact = engine.growth_ms * EVENTS as f64;
     assert!(
-        (0.6 * exact..1.6 * exact).contains(&share),
-        "{share} for {exact}"
+        (0.6 * exact..1.6 * exact).contains(&slowdown_ms),
+        "{slowdown_ms} for {exact}"
     );
 }
 
@@ -186,13 +186,13 @@
         }
         for (request_ms, step_ms, events) in turns {
             let step_ms = Some(step_ms);
-            model.on_request_sample(RequestSample { request_ms, step_ms, events, open: 3 });
+            model.on_request_sample(RequestSample { request_ms, step_ms, events, in_flight: 3 });
         }
         for (tokens_per_s, share_us, turn_us) in summaries {
             model.on_summary(ServiceSummary { service: 1, tokens_per_s, share_us, turn_us });
         }
         let costs = model.costs();
-        let values = [costs.prefill_tokens_per_ms, costs.open_ms(0), costs.queue_position_ms(0)];
+        let values = [costs.prefill_tokens_per_ms, costs.added_request_ms(0), costs.queue_position_ms(0)];
         let is_sound = values.iter().all(|value| value.is_finite() && *value >= 0.0);
         TestResult::from_bool(is_sound && costs.prefill_tokens_per_ms > 0.0)
     }
--- a/crates/routing/tests/warm_up.rs
+++ b/crates/routing/tests/warm_up.rs
@@ -58,11 +58,11 @@
     }
 
     fn is_warming(&self, engine: &Engine, now: u64) -> bool {
-        self.share(engine, now) == 0.0
+        self.grant_free_fraction(engine, now) == 0.0
     }
 
-    fn share(&self, engine: &Engine, now: u64) -> f64 {
-        self.engines.share(engine.key(), at(now))
+    fn grant_free_fraction(&self, engine: &Engine, now: u64) -> f64 {
+        self.engines.grant_free_fraction(engine.key(), at(now))
     }
 }
 
@@ -163,24 +163,26 @@
 }
 
 #[test]
-fn the_share_of_a_warm_engine_ramps_up_gradually() {
+fn the_grant_free_fraction_of_a_warm_engine_rises_gradually() {
     let engine = warm_engine(1);
     let mut tracker = Tracker::with_first_list(&engine);
     tracker.list(&[entry(&engine, 2, 1_000)], 0);
-    let shares: Vec<f64> = (1_000..=3_000)
+    let grant_free_fractions: Vec<f64> = (1_000..=3_000)
         .step_by(100)
-        .map(|now| tracker.share(&engine, now))
+        .map(|now| tracker.grant_free_fraction(&engine, now))
         .collect();
-    assert_eq!(shares[0], 0.0);
-    assert_eq!(shares.last(), Some(&1.0));
-    let steps = shares.windows(2).map(|pair| pair[1] - pair[0]);
+    assert_eq!(grant_free_fractions[0], 0.0);
+    assert_eq!(grant_free_fractions.last(), Some(&1.0));
+    let steps = grant_free_fractions
+        .windows(2)
+        .map(|pair| pair[1] - pair[0]);
     steps.for_each(|step| assert!((0.0..0.06).contains(&step), "{step}"));
     assert!(tracker.engines.has_limited_engines("models", at(2_900)));
     assert!(!tracker.engines.has_limited_engines("models", at(3_001)));
-    // The share also ramps up if an entry ends the warm-up early.
+    // The fraction also rises gradually if an entry ends the warm-up early.
     tracker.list(&[entry(&engine, 3, 9_000)], 4_000);
     tracker.list(&[entry(&engine, 4, 0)], 5_000);
-    assert!(tracker.share(&engine, 5_100) < 0.1);
+    assert!(tracker.grant_free_fraction(&engine, 5_100) < 0.1);
 }
 
 #[test]
@@ -189,9 +191,9 @@
     let mut engines = WarmUps::default();
     let entries = [entry(&engine, 1, 5_000)];
     engines.on_list(entries.iter(), &HashMap::new(), at(0));
-    assert_eq!(engines.share(engine.key(), at(1)), 1.0);
+    assert_eq!(engines.grant_free_fraction(engine.key(), at(1)), 1.0);
     assert!(!engines.has_limited_engines("models", at(1)));
     // Engines that are listed when the limit is introduced may have run for long.
     engines.on_list([entry(&engine, 2, 0)].iter(), &limits(), at(10));
-    assert_eq!(engines.share(engine.key(), at(11)), 1.0);
+    assert_eq!(engines.grant_free_fraction(engine.key(), at(11)), 1.0);
 }
--- a/crates/routing/tests/zone_drains.rs
+++ b/crates/routing/tests/zone_drains.rs
@@ -139,13 +139,13 @@
 
 /// Counts the turns by engine after a zone was drained; all gateways received a report of these in-flight
 /// requests.
-fn turns_after_a_drain(open: &[(EngineKey, u32)]) -> BTreeMap<String, usize> {
+fn turns_after_a_drain(in_flight: &[(EngineKey, u32)]) -> BTreeMap<String, usize> {
     let engines = three_zones();
     let mut gateways: Vec<Placement> = (0..GATEWAYS).map(|_| Placement::default()).collect();
     next_turns(&mut gateways, &engines, &[]);
     for gateway in &mut gateways {
         let report = GatewayReport {
-            open: open.to_vec(),
+            in_flight: in_flight.to_vec(),
             suspects: Vec::new(),
         };
         gateway.on_report("other", report, Duration::ZERO);
@@ -169,10 +169,10 @@
 
 #[test]
 fn sessions_of_a_drained_zone_avoid_a_loaded_engine() {
-    const FULL: &str = "b-1";
-    let full = [(engine(FULL, "b").key(), 40)];
-    let turns = turns_after_a_drain(&full);
-    let there = turns.get(FULL).copied().unwrap_or_default();
+    const LOADED: &str = "b-1";
+    let report = [(engine(LOADED, "b").key(), 40)];
+    let turns = turns_after_a_drain(&report);
+    let turns_at_loaded = turns.get(LOADED).copied().unwrap_or_default();
     let mean = GATEWAYS * SESSIONS / 12;
-    assert!(there < mean / 2, "{there} for {mean}");
+    assert!(turns_at_loaded < mean / 2, "{turns_at_loaded} for {mean}");
 }
