--- a/crates/run-log/src/message.rs
+++ b/crates/run-log/src/message.rs
@@ -27,7 +27,7 @@
         next_index: LogIndex,
     },
     /// The message is addressed to a store that this node no longer has, or names a generation of the
-    /// store so old that the store may have deleted the run since. Final for that identity.
+    /// store so old that the store may have deleted the run since.
     Recovering,
     /// The acceptor holds no state of the run.
     UnknownRun,
