--- a/crates/configuration/src/clients.rs
+++ b/crates/configuration/src/clients.rs
@@ -57,8 +57,9 @@
         client.known = known;
     }
 
-    /// Queues a client's renewal until this node's next renewal is granted. A repeated request
-    /// replaces a queued one only after [`RENEW_INTERVAL`]; otherwise a client that retries fast
+    /// Queues a client's renewal until a renewal that this node sends at or after its arrival is
+    /// granted. A repeated request replaces a queued one only if it arrived at least
+    /// [`RENEW_INTERVAL`] later: replacing it resets the arrival time, so a client that retries fast
     /// would never be answered.
     pub(crate) fn enqueue(&mut self, node: NodeId, renewal: WaitingRenewal) {
         let Some(client) = self.clients.get_mut(&node) else {
--- a/crates/configuration/src/effect.rs
+++ b/crates/configuration/src/effect.rs
@@ -52,7 +52,7 @@
         /// The host's identifier of the request.
         ticket: Ticket,
     },
-    /// The write of this number and all earlier ones are durable.
+    /// The write with this number and all earlier writes are durable.
     Flushed {
         /// Number of the write.
         write: u64,
--- a/crates/configuration/src/lease.rs
+++ b/crates/configuration/src/lease.rs
@@ -2,9 +2,9 @@
 //!
 //! A node asks the voters, directly or through a relay, for their newest revisions. The lease is
 //! granted once a majority has answered and every revision that was accepted before the node *sent*
-//! the renewal is in force on it. The lease lasts until [`LEASE_DURATION`] after the renewal was sent,
-//! on the node's own clock, however late the answers arrive: a node that was paused in between finds
-//! its lease expired.
+//! the renewal is in force on the node. The lease lasts until [`LEASE_DURATION`] after the renewal was
+//! sent, on the node's own clock, however late the answers arrive: a node that was paused in between
+//! finds its lease expired.
 //!
 //! The lease is not durable. A restarted process renews it before it serves.
 
@@ -95,7 +95,8 @@
     }
 
     /// Whether [`RENEW_INTERVAL`] has passed since the last renewal and the last grant. Counting from
-    /// the grant aligns the clients of a relay, so that one renewal to the voters serves all of them.
+    /// the grant as well aligns the clients of a relay, so that one renewal to the voters serves all
+    /// of them.
     pub fn renewal_due(&self, now: MonotonicTime) -> bool {
         let passed = |at: MonotonicTime| now.since(at) >= RENEW_INTERVAL;
         self.last_sent.is_none_or(passed) && self.granted_at.is_none_or(passed)
--- a/crates/configuration/src/role/messages.rs
+++ b/crates/configuration/src/role/messages.rs
@@ -85,7 +85,7 @@
         let Some(voter) = &mut self.voter else {
             return;
         };
-        voter.on_digest(from, known, self.machines.version(), &mut self.outbox);
+        voter.on_version_report(from, known, self.machines.version(), &mut self.outbox);
         if let Some(machines) = self.machines.update_since(known.machines) {
             let news = StateDelta {
                 machines: Some(Box::new(machines)),
--- a/crates/configuration/src/settings.rs
+++ b/crates/configuration/src/settings.rs
@@ -32,8 +32,8 @@
 pub const MEMBERS_PER_RELAY: usize = 16;
 /// Maximum number of clients of one relay.
 pub const MAX_RELAY_CLIENTS: usize = 32;
-/// Time between digests that a voter sends to the other voters.
-pub const DIGEST_INTERVAL: Duration = Duration::from_millis(500);
+/// Time between reports of its versions that a voter sends to the other voters.
+pub const VERSION_REPORT_INTERVAL: Duration = Duration::from_millis(500);
 /// Answers of voters count together only while their requests are younger than this.
 pub const QUORUM_WINDOW: Duration = LEASE_DURATION;
 /// Time after which a voter with a lost disk asks the other voters. Longer than [`QUORUM_WINDOW`],
--- a/crates/configuration/src/voter.rs
+++ b/crates/configuration/src/voter.rs
@@ -3,8 +3,8 @@
 //! The durable state is [`StoredVoter`]. A voter reports a revision only after its write is durable,
 //! so the reported revision never decreases. A voter that starts without stored state is new or has
 //! lost its disk. It is not eligible, so its answers do not count towards a quorum, until it has
-//! caught up: either from [`Voters::recovery_quorum`] other voters after a quarantine, or from the
-//! platform's document, to which every acknowledged revision was written first.
+//! caught up: either from [`Voters::recovery_quorum`] other voters after [`DISK_LOSS_QUARANTINE`], or
+//! from the platform's document, to which every acknowledged revision was written first.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -17,7 +17,7 @@
 use crate::quorum::Voters;
 use crate::revision::{RequestId, Revision};
 use crate::set::ConfigurationSet;
-use crate::settings::{DIGEST_INTERVAL, DISK_LOSS_QUARANTINE, RETRY_INTERVAL};
+use crate::settings::{DISK_LOSS_QUARANTINE, RETRY_INTERVAL, VERSION_REPORT_INTERVAL};
 use crate::staged::StagedSets;
 use crate::update::Update;
 use crate::voter_state::StoredVoter;
@@ -61,7 +61,7 @@
     last_write: u64,
     replies: Vec<PendingReply>,
     recovery: Option<Recovery>,
-    last_digest: Option<MonotonicTime>,
+    last_version_report: Option<MonotonicTime>,
 }
 
 impl Voter {
@@ -93,7 +93,7 @@
             last_write: 0,
             replies: Vec::new(),
             recovery,
-            last_digest: None,
+            last_version_report: None,
         }
     }
 
@@ -174,14 +174,14 @@
             outbox.send(reply.to, self.stored(Some(reply.request), machines));
         }
         if advanced {
-            self.send_digest(machines, outbox);
+            self.send_version_report(machines, outbox);
         }
         self.start_write(outbox);
     }
 
-    /// Handles another voter's digest: sends the other voter what it lacks, or reports this voter's
-    /// revision so that the other one sends what is missing here.
-    pub(crate) fn on_digest(
+    /// Handles another voter's report of its versions: sends the other voter what it lacks, or reports
+    /// this voter's versions so that the other one sends what is missing here.
+    pub(crate) fn on_version_report(
         &mut self,
         from: NodeId,
         known: KnownVersions,
@@ -224,12 +224,12 @@
         self.start_write(outbox);
     }
 
-    /// Sends digests and requests of the recovery when they are due.
+    /// Sends reports of this voter's versions and requests of the recovery when they are due.
     pub(crate) fn tick(&mut self, now: MonotonicTime, machines: u64, outbox: &mut Outbox) {
-        let due = |last: MonotonicTime| now.since(last) >= DIGEST_INTERVAL;
-        if self.last_digest.is_none_or(due) {
-            self.last_digest = Some(now);
-            self.send_digest(machines, outbox);
+        let due = |last: MonotonicTime| now.since(last) >= VERSION_REPORT_INTERVAL;
+        if self.last_version_report.is_none_or(due) {
+            self.last_version_report = Some(now);
+            self.send_version_report(machines, outbox);
         }
         self.request_from_others(now, machines, outbox);
     }
@@ -294,7 +294,7 @@
         });
     }
 
-    fn send_digest(&self, machines: u64, outbox: &mut Outbox) {
+    fn send_version_report(&self, machines: u64, outbox: &mut Outbox) {
         let others = self.voters.nodes().iter();
         for other in others.filter(|other| **other != self.node) {
             outbox.send(*other, self.stored(None, machines));
--- a/crates/configuration/src/voter_state.rs
+++ b/crates/configuration/src/voter_state.rs
@@ -16,8 +16,8 @@
 pub struct StoredVoter {
     /// Snapshot of the configuration.
     pub whole: Update,
-    /// Whether the voter holds every revision that it ever acknowledged. False after the loss of its
-    /// disk until it has recovered.
+    /// Whether the voter is eligible: it holds every revision that it ever acknowledged. False after
+    /// the loss of its disk until it has recovered.
     pub vouches: bool,
 }
 
--- a/crates/configuration/tests/acceptance.rs
+++ b/crates/configuration/tests/acceptance.rs
@@ -99,7 +99,7 @@
     }
 
     /// Returns the compare-and-swap in flight: its request, expected version and document.
-    fn swap(&mut self) -> (RequestId, u64, ConfigurationSet) {
+    fn pending_compare_and_swap(&mut self) -> (RequestId, u64, ConfigurationSet) {
         let (request, operation) = self.only_operation();
         let PlatformOperation::CompareAndSwap {
             expected, document, ..
@@ -112,8 +112,8 @@
         (request, expected.0, set)
     }
 
-    fn complete_swap(&mut self) -> ConfigurationSet {
-        let (request, expected, set) = self.swap();
+    fn complete_compare_and_swap(&mut self) -> ConfigurationSet {
+        let (request, expected, set) = self.pending_compare_and_swap();
         let version = PlatformVersion(expected + 1);
         self.platform(request, PlatformAnswer::Swapped { version });
         set
@@ -190,7 +190,7 @@
     let mut driver = Driver::new();
     driver.change(1, put(service(0, 7), 3));
     driver.answer_read(1, &initial_configuration());
-    driver.complete_swap();
+    driver.complete_compare_and_swap();
     assert_eq!(driver.answers(), []);
     driver.acknowledge(1);
     assert_eq!(driver.answers(), []);
@@ -230,7 +230,7 @@
     driver.acknowledge(2);
     assert_eq!(driver.answers(), [(1, conflict(3))]);
     driver.answer_read(3, &newer);
-    driver.complete_swap();
+    driver.complete_compare_and_swap();
     driver.acknowledge(2);
     assert_eq!(driver.answers(), [(2, accepted(8))]);
 }
@@ -240,7 +240,7 @@
     let mut driver = Driver::new();
     driver.change(1, put(service(0, 7), 3));
     driver.answer_read(1, &initial_configuration());
-    let (request, _, written) = driver.swap();
+    let (request, _, written) = driver.pending_compare_and_swap();
     driver.platform(request, PlatformAnswer::Lost);
     driver.tick_after(Duration::from_millis(300));
     driver.answer_read(3, &overwritten(&written, 60));
@@ -253,11 +253,11 @@
     let mut driver = Driver::new();
     driver.change(1, put(service(0, 7), 3));
     driver.answer_read(1, &initial_configuration());
-    let (request, ..) = driver.swap();
+    let (request, ..) = driver.pending_compare_and_swap();
     driver.platform(request, PlatformAnswer::Lost);
     driver.tick_after(Duration::from_millis(300));
     driver.answer_read(2, &overwritten(&initial_configuration(), 60));
-    driver.complete_swap();
+    driver.complete_compare_and_swap();
     driver.acknowledge(2);
     assert_eq!(driver.answers(), [(1, accepted(7))]);
 }
@@ -267,15 +267,15 @@
     let mut driver = Driver::new();
     driver.change(1, put(service(0, 7), 3));
     driver.answer_read(1, &initial_configuration());
-    let (_, _, first) = driver.swap();
+    let (_, _, first) = driver.pending_compare_and_swap();
     driver.tick_after(PLATFORM_TIMEOUT);
     driver.change(2, put(service(0, 8), 6));
     driver.answer_read(1, &initial_configuration());
-    let (request, expected, second) = driver.swap();
+    let (request, expected, second) = driver.pending_compare_and_swap();
     assert_eq!((expected, second), (1, first.clone()));
     driver.platform(request, PlatformAnswer::VersionMismatch);
     driver.answer_read(2, &first);
-    driver.complete_swap();
+    driver.complete_compare_and_swap();
     driver.acknowledge(2);
     assert_eq!(driver.answers(), [(1, accepted(6)), (2, accepted(7))]);
 }
@@ -289,7 +289,7 @@
         let mut driver = Driver::new();
         driver.change(1, put(service(0, 7), 3));
         driver.answer_read(1, &initial_configuration());
-        let (request, _, mut set) = driver.swap();
+        let (request, _, mut set) = driver.pending_compare_and_swap();
         driver.platform(request, PlatformAnswer::Lost);
         for number in 1..followers {
             set = overwritten(&set, 10_000 + number as u128);
@@ -317,7 +317,7 @@
     let mut driver = Driver::new();
     driver.change(1, put(service(0, 7), 3));
     driver.answer_read(1, &initial_configuration());
-    let (request, ..) = driver.swap();
+    let (request, ..) = driver.pending_compare_and_swap();
     driver.platform(request, PlatformAnswer::Lost);
     driver.tick_after(QUEUED_CHANGE_TIMEOUT);
     assert_eq!(driver.answers(), []);
@@ -331,7 +331,7 @@
     driver.change(1, put(service(0, 7), 3));
     driver.change(2, put(service(0, 7), 2));
     driver.answer_read(1, &initial_configuration());
-    driver.complete_swap();
+    driver.complete_compare_and_swap();
     driver.tick_after(SENT_CHANGE_TIMEOUT);
     let refused = OperatorAnswer::Refused(Unavailable::NoQuorum);
     assert_eq!(
@@ -345,7 +345,7 @@
     let mut driver = Driver::new();
     driver.change(1, put(service(0, 7), 3));
     driver.answer_read(1, &initial_configuration());
-    driver.complete_swap();
+    driver.complete_compare_and_swap();
     driver.acknowledge(2);
     driver.answers();
     driver.change(2, put(service(0, 8), 6));
@@ -359,7 +359,7 @@
     let mut driver = Driver::new();
     driver.change(1, put(service(0, 7), 3));
     driver.answer_read(1, &initial_configuration());
-    let written = driver.complete_swap();
+    let written = driver.complete_compare_and_swap();
     driver.acknowledge(2);
     driver.answers();
     driver.change(1, put(service(0, 7), 3));
@@ -370,7 +370,8 @@
     assert_eq!(driver.operations(), []);
 }
 
-/// Otherwise a second coordinator could reject the program while the first write is in flight.
+/// A change that is valid only because of another one in the same write must wait for the next
+/// write: a second coordinator could reject it while the first write is in flight.
 #[test]
 fn change_that_depends_on_another_of_the_same_write_is_deferred() {
     let class = ConfigurationObject::PriorityClass(PriorityClass {
@@ -392,11 +393,11 @@
     driver.change(1, put(class, 0));
     driver.change(2, put(program, 0));
     driver.answer_read(1, &initial_configuration());
-    let first = driver.complete_swap();
+    let first = driver.complete_compare_and_swap();
     let key = ObjectKey::new(ObjectKind::Program, "program");
     assert_eq!(first.object(&key), None);
     driver.answer_read(2, &first);
-    assert!(driver.complete_swap().object(&key).is_some());
+    assert!(driver.complete_compare_and_swap().object(&key).is_some());
     driver.acknowledge(6);
     assert_eq!(
         driver.answers(),
--- a/crates/configuration/tests/leases.rs
+++ b/crates/configuration/tests/leases.rs
@@ -346,7 +346,7 @@
 /// `required` is never below a revision that a majority holds, and a majority holds `held`.
 #[test]
 fn quorum_results_match_the_revisions_held_by_a_majority() {
-    fn property(five: bool, revisions: Vec<u8>, heard: u8) -> TestResult {
+    fn property(five: bool, revisions: Vec<u8>, answered_mask: u8) -> TestResult {
         let count = if five { 5 } else { 3 };
         if revisions.len() < count {
             return TestResult::discard();
@@ -356,8 +356,8 @@
             .map(|revision| Revision(u64::from(*revision) % 4))
             .collect();
         let voters = Voters::new((0..count as u64).map(NodeId).collect());
-        let heard = (0..count).filter(|index| heard & (1 << index) != 0);
-        let answers: Vec<Revision> = heard.map(|index| revisions[index]).collect();
+        let answered = (0..count).filter(|index| answered_mask & (1 << index) != 0);
+        let answers: Vec<Revision> = answered.map(|index| revisions[index]).collect();
         let Some(quorum_result) = voters.quorum_result(answers.iter().copied()) else {
             return TestResult::from_bool(answers.len() < voters.majority());
         };
--- a/crates/configuration/tests/simulation.rs
+++ b/crates/configuration/tests/simulation.rs
@@ -60,7 +60,7 @@
 
 #[test]
 fn checks_fail_without_a_majority_before_accepted() {
-    let (seed, violation) = run_schedules(SCHEDULES, DisabledMechanism::NoMajorityBeforeAccepted)
+    let (seed, violation) = run_schedules(SCHEDULES, DisabledMechanism::MajorityBeforeAccepted)
         .expect_err("a violation");
     println!("seed {seed}: {violation:?}");
     let seen = matches!(
@@ -73,7 +73,7 @@
 #[test]
 fn checks_fail_when_the_lease_starts_at_the_answer() {
     let (seed, violation) =
-        run_schedules(SCHEDULES, DisabledMechanism::LeaseFromAnswer).expect_err("a violation");
+        run_schedules(SCHEDULES, DisabledMechanism::LeaseFromSending).expect_err("a violation");
     println!("seed {seed}: {violation:?}");
     let seen = matches!(
         violation,
@@ -84,8 +84,8 @@
 
 #[test]
 fn checks_fail_when_a_voter_goes_back_on_restart() {
-    let (seed, violation) = run_schedules(SCHEDULES, DisabledMechanism::RevisionGoesBackOnRestart)
-        .expect_err("a violation");
+    let (seed, violation) =
+        run_schedules(SCHEDULES, DisabledMechanism::DurableVoterState).expect_err("a violation");
     println!("seed {seed}: {violation:?}");
     let seen = matches!(
         violation,
--- a/crates/configuration/tests/simulator/history.rs
+++ b/crates/configuration/tests/simulator/history.rs
@@ -1,4 +1,5 @@
-//! Checks that the operators' history is that of a linearizable register of the configuration.
+//! Checks that the operators' history is that of linearizable registers: the versions of the objects
+//! and the revision of the configuration.
 
 use std::collections::BTreeMap;
 
@@ -31,12 +32,12 @@
 #[derive(Debug, Clone)]
 pub enum RegisterOperation {
     Write {
-        register: usize,
+        register_index: usize,
         expected: u64,
         revision: u64,
     },
     Conflict {
-        register: usize,
+        register_index: usize,
         current: u64,
     },
     Read(RegisterState),
@@ -56,18 +57,19 @@
         let mut next = *state;
         match operation {
             RegisterOperation::Write {
-                register,
+                register_index,
                 expected,
                 revision,
             } => {
-                next[*register] = *revision;
+                next[*register_index] = *revision;
                 next[REVISION] = *revision;
-                let valid = state[*register] == *expected && state[REVISION] + 1 == *revision;
+                let valid = state[*register_index] == *expected && state[REVISION] + 1 == *revision;
                 (valid, next)
             }
-            RegisterOperation::Conflict { register, current } => {
-                (state[*register] == *current, next)
-            }
+            RegisterOperation::Conflict {
+                register_index,
+                current,
+            } => (state[*register_index] == *current, next),
             RegisterOperation::Read(seen) => (state == seen, next),
         }
     }
@@ -99,7 +101,7 @@
     Ok(())
 }
 
-/// Whether the history is that of a linearizable register. An operation of unknown outcome that is in
+/// Whether the history is that of linearizable registers. An operation of unknown outcome that is in
 /// the platform's log may take effect until the end of the history.
 pub fn is_linearizable(operations: &[Recorded], log: &BTreeMap<OperationId, Revision>) -> bool {
     let mut actions = Vec::new();
@@ -127,7 +129,7 @@
     log: &BTreeMap<OperationId, Revision>,
 ) -> Option<(RegisterOperation, u64)> {
     let write = |key: &ObjectKey, expected: u64, revision: Revision| RegisterOperation::Write {
-        register: register(key),
+        register_index: register_index(key),
         expected,
         revision: revision.0,
     };
@@ -137,9 +139,15 @@
         }
         (Asked::Change { key, .. }, Some((at, OperatorAnswer::Rejected(error)))) => match error {
             ChangeError::Conflict { current } => {
-                let register = register(key);
+                let register_index = register_index(key);
                 let current = current.0;
-                Some((RegisterOperation::Conflict { register, current }, *at))
+                Some((
+                    RegisterOperation::Conflict {
+                        register_index,
+                        current,
+                    },
+                    *at,
+                ))
             }
             _ => None,
         },
@@ -154,7 +162,7 @@
     }
 }
 
-fn register(key: &ObjectKey) -> usize {
+fn register_index(key: &ObjectKey) -> usize {
     let position = registers().iter().position(|register| register == key);
     position.expect("operators change only the registers")
 }
--- a/crates/configuration/tests/simulator/mod.rs
+++ b/crates/configuration/tests/simulator/mod.rs
@@ -41,12 +41,13 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DisabledMechanism {
     None,
-    /// A coordinator assumes the acknowledgement of every voter.
-    NoMajorityBeforeAccepted,
-    /// The lease starts at the arrival of the answer instead of the sending of the renewal.
-    LeaseFromAnswer,
-    /// A voter restarts from an outdated state.
-    RevisionGoesBackOnRestart,
+    /// A coordinator waits for the acknowledgements of a majority. If disabled, it assumes that every
+    /// voter has acknowledged.
+    MajorityBeforeAccepted,
+    /// The lease starts when the renewal is sent. If disabled, it starts when the answer arrives.
+    LeaseFromSending,
+    /// A voter restarts from its last durable state. If disabled, it restarts from an outdated one.
+    DurableVoterState,
 }
 
 #[derive(Debug)]
@@ -165,7 +166,7 @@
     cut: bool,
     deferred_events: Vec<Event>,
     disk: Option<StoredVoter>,
-    /// The first stored state with an eligible voter, for [`DisabledMechanism::RevisionGoesBackOnRestart`].
+    /// The first stored state with an eligible voter, for [`DisabledMechanism::DurableVoterState`].
     first_eligible_disk: Option<StoredVoter>,
     highest_in_force: Revision,
     last_renewal: Option<RequestId>,
@@ -335,7 +336,7 @@
         };
         let now = self.local(node);
         let mut disk = self.nodes[node].disk.clone();
-        if self.disabled_mechanism == DisabledMechanism::RevisionGoesBackOnRestart {
+        if self.disabled_mechanism == DisabledMechanism::DurableVoterState {
             disk = self.nodes[node].first_eligible_disk.clone();
         }
         let mut role = ConfigurationRole::new(settings, disk, now);
@@ -366,7 +367,7 @@
             self.nodes[node].deferred_events.push(event);
             return;
         }
-        if self.disabled_mechanism == DisabledMechanism::LeaseFromAnswer {
+        if self.disabled_mechanism == DisabledMechanism::LeaseFromSending {
             self.redirect_to_newest_renewal(node, &mut event);
         }
         self.check_node(node);
--- a/crates/configuration/tests/simulator/network.rs
+++ b/crates/configuration/tests/simulator/network.rs
@@ -35,7 +35,7 @@
         to: usize,
         message: &ConfigurationMessage,
     ) {
-        if self.disabled_mechanism != DisabledMechanism::NoMajorityBeforeAccepted {
+        if self.disabled_mechanism != DisabledMechanism::MajorityBeforeAccepted {
             return;
         }
         if let ConfigurationMessage::Replicate { request, update } = message {
@@ -138,7 +138,7 @@
         }
         let (mut answer, changed) = self.platform.carry_out(operation);
         if changed {
-            self.tell_watchers();
+            self.notify_watchers();
         }
         if self.now < self.lose_until && self.random.random_bool(0.6) {
             if self.random.random_bool(0.5) {
@@ -158,7 +158,7 @@
         );
     }
 
-    pub(super) fn tell_watchers(&mut self) {
+    pub(super) fn notify_watchers(&mut self) {
         for (node, incarnation) in self.watchers.clone() {
             let event = match self.random.random_range(0..10) {
                 0 => WatchEvent::Gap,
--- a/crates/configuration/tests/simulator/operators.rs
+++ b/crates/configuration/tests/simulator/operators.rs
@@ -40,7 +40,9 @@
 impl Operators {
     /// The highest revision whose acceptance an operator had received by `time`.
     pub fn accepted_by(&self, time: u64) -> Revision {
-        let count = self.accepted.partition_point(|(heard, _)| *heard <= time);
+        let count = self
+            .accepted
+            .partition_point(|(received_at, _)| *received_at <= time);
         match count {
             0 => Revision::ZERO,
             _ => self.accepted[count - 1].1,
@@ -191,12 +193,12 @@
                 *versions = registers().map(|key| set.version(&key).0);
             }
             (Asked::Change { key, .. }, OperatorAnswer::Accepted { revision }) => {
-                versions[register(key)] = revision.0;
+                versions[register_index(key)] = revision.0;
             }
             (
                 Asked::Change { key, .. },
                 OperatorAnswer::Rejected(ChangeError::Conflict { current }),
-            ) => versions[register(key)] = current.0,
+            ) => versions[register_index(key)] = current.0,
             _ => {}
         }
     }
@@ -215,7 +217,7 @@
     }
 }
 
-fn register(key: &ObjectKey) -> usize {
+fn register_index(key: &ObjectKey) -> usize {
     let position = registers().iter().position(|register| register == key);
     position.expect("operators change only the registers")
 }
--- a/crates/membership/examples/compare/main.rs
+++ b/crates/membership/examples/compare/main.rs
@@ -24,8 +24,8 @@
 const WATCHED_SECONDS: [u64; 4] = [300, 100, 50, 16];
 const KILLS: usize = 12;
 const PARTIAL_DEGREE: usize = 24;
-const FREEZE: Duration = Duration::from_millis(500);
-const FREEZE_EVERY: Duration = Duration::from_secs(10);
+const PAUSE_DURATION: Duration = Duration::from_millis(500);
+const PAUSE_INTERVAL: Duration = Duration::from_secs(10);
 
 /// A failure detection strategy.
 #[derive(Clone, Copy)]
@@ -176,11 +176,11 @@
     }
 }
 
-/// Running nodes declared Dead, per node and hour, optionally with freezes.
+/// Running nodes declared Dead, per node and hour, optionally with pauses of the nodes.
 fn false_deaths<P: Participant>(
     simulator: &mut Simulator<P>,
     seconds: u64,
-    freezes: bool,
+    with_pauses: bool,
     seed: u64,
 ) -> f64 {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
@@ -188,18 +188,19 @@
     simulator.observations.clear();
     let start = simulator.now;
     let mut order: Vec<usize> = (0..nodes).collect();
-    // Round-robin, since two consecutive freezes of one node would be one long freeze.
+    // Pauses the nodes in turn, in a random order: two consecutive pauses of one node would be one
+    // long pause.
     order.shuffle(&mut rng);
     let mut next = 0;
     while simulator.now.since(start) < Duration::from_secs(seconds) {
-        let pause = if freezes {
-            simulator.freeze(order[next % nodes], FREEZE);
+        let wait = if with_pauses {
+            simulator.pause(order[next % nodes], PAUSE_DURATION);
             next += 1;
-            FREEZE_EVERY.div_f64(nodes as f64)
+            PAUSE_INTERVAL.div_f64(nodes as f64)
         } else {
             Duration::from_secs(1)
         };
-        simulator.run_for(pause);
+        simulator.run_for(wait);
     }
     let observations = simulator.observations.iter();
     let dead = observations.filter(|observation| observation.state == Seen::Dead);
@@ -254,9 +255,9 @@
     for value in &figures.detection_ms {
         histogram.record(*value).expect("the histogram grows");
     }
-    let [low_loss, high_loss, freezes] = figures.false_per_node_hour;
+    let [low_loss, high_loss, with_pauses] = figures.false_per_node_hour;
     println!(
-        "| {name} | {nodes} | {} | {} | {} | {} | {low_loss:.2} | {high_loss:.2} | {freezes:.2} | {:.0} | {:.0} | {:.1} | {:.0} |",
+        "| {name} | {nodes} | {} | {} | {} | {} | {low_loss:.2} | {high_loss:.2} | {with_pauses:.2} | {:.0} | {:.0} | {:.1} | {:.0} |",
         histogram.value_at_quantile(0.5),
         histogram.value_at_quantile(0.95),
         histogram.max(),
@@ -331,7 +332,7 @@
     for node in &restarted {
         cluster.start(*node, &[2]);
     }
-    let joined = time_until(&mut cluster, all_views_agree);
+    let join_duration = time_until(&mut cluster, all_views_agree);
     cluster.simulator.run_for(Duration::from_secs(1));
     let bytes: u64 = cluster
         .simulator
@@ -347,7 +348,7 @@
         figures.cpu_micros_per_second,
         cut.as_millis(),
         healed.as_millis(),
-        joined.as_millis(),
+        join_duration.as_millis(),
         bytes as f64 / nodes as f64,
     );
 }
--- a/crates/membership/src/config.rs
+++ b/crates/membership/src/config.rs
@@ -19,7 +19,9 @@
     /// Time from the first unanswered probe until a member is declared Dead. Must exceed the longest
     /// tolerated pause of a process by more than the delays of network and scheduler.
     pub confirm_timeout: Duration,
-    /// The same if the link to the member was closed: its process ended or its machine restarted.
+    /// Time from the closing of the link to a member, or from earlier evidence of its failure, until
+    /// the member is declared Dead. The closing indicates that its process ended or its machine
+    /// restarted. A node that probes the member only temporarily waits `confirm_timeout` instead.
     pub link_closed_confirm_timeout: Duration,
     /// A timer that is late by more than this indicates that this process itself was paused.
     pub pause_threshold: Duration,
@@ -37,7 +39,8 @@
     pub piggyback_copies: u32,
     /// Time between comparisons of the table with one other member's.
     pub anti_entropy_interval: Duration,
-    /// The same during `newcomer_period`, since a new member may have missed concurrent joins.
+    /// Time between comparisons of the table during `newcomer_period`, since a new member may have
+    /// missed concurrent joins.
     pub newcomer_anti_entropy_interval: Duration,
     /// Time between join requests while this node knows no other present member.
     pub join_retry_interval: Duration,
--- a/crates/membership/src/detector.rs
+++ b/crates/membership/src/detector.rs
@@ -17,7 +17,7 @@
 pub enum ProbeRole {
     /// This node is one of the member's monitors.
     Monitor,
-    /// Both are relays of their zones.
+    /// This node and the member are relays of their zones.
     Relay,
     /// There is evidence that the member has failed; ends with the next message from it.
     Temporary,
@@ -239,7 +239,8 @@
             return unresponsive.suspect_at(config);
         }
         let deadline = unresponsive.deadline(role, false, config);
-        // Past its deadline only if this node is isolated; checked again with every indirect ping.
+        // The deadline has passed only if this node is isolated; it is checked again with every
+        // indirect ping.
         if deadline > self.polled_at {
             unresponsive.indirect_ping_at.min(deadline)
         } else {
--- a/crates/membership/src/member_table.rs
+++ b/crates/membership/src/member_table.rs
@@ -97,15 +97,15 @@
 
     /// Marks an Alive member as Suspect. Returns whether that changed its state.
     pub fn suspect(&mut self, node: NodeId) -> bool {
-        self.exchange_state(node, MemberState::Alive, MemberState::Suspect)
+        self.replace_state_if(node, MemberState::Alive, MemberState::Suspect)
     }
 
     /// Reverts [`MemberTable::suspect`]. Returns whether that changed its state.
     pub fn clear_suspicion(&mut self, node: NodeId) -> bool {
-        self.exchange_state(node, MemberState::Suspect, MemberState::Alive)
+        self.replace_state_if(node, MemberState::Suspect, MemberState::Alive)
     }
 
-    fn exchange_state(&mut self, node: NodeId, from: MemberState, to: MemberState) -> bool {
+    fn replace_state_if(&mut self, node: NodeId, from: MemberState, to: MemberState) -> bool {
         match self.entries.get_mut(&node) {
             Some(entry) if entry.member.state == from => {
                 entry.member.state = to;
--- a/crates/membership/src/message.rs
+++ b/crates/membership/src/message.rs
@@ -66,7 +66,7 @@
         /// Piggybacked updates.
         updates: Vec<NodeClaim>,
     },
-    /// Requests that the receiver pings another member and reports an answer.
+    /// Requests that the receiver ping another member and report an answer.
     IndirectPing {
         /// The member to ping.
         target: NodeId,
--- a/crates/membership/src/receiving.rs
+++ b/crates/membership/src/receiving.rs
@@ -99,7 +99,8 @@
         self.apply_claims(from, &comparison.newer_remote, false, now);
     }
 
-    /// Merges claims. Unless `fresh`, a claim that a present member is Dead is verified first.
+    /// Merges claims. `fresh` is false for claims from a comparison of tables: one that a present
+    /// member is Dead is then verified first by probing the member.
     pub(crate) fn apply_claims(
         &mut self,
         from: NodeId,
@@ -133,8 +134,8 @@
         merge
     }
 
-    /// Merges complete records. Unless `fresh`, they are not disseminated further, and a record that
-    /// declares a present member Dead is verified first.
+    /// Merges complete records. If `fresh` is false, they are not disseminated further, and a record
+    /// that declares a present member Dead is verified first by probing the member.
     fn apply_records(&mut self, members: Vec<Member>, fresh: bool, now: MonotonicTime) {
         for member in members {
             let claimed = member.node_claim();
--- a/crates/membership/tests/schedules.rs
+++ b/crates/membership/tests/schedules.rs
@@ -45,8 +45,8 @@
     fn run(&mut self) {
         for _ in 0..STEPS {
             self.step();
-            let pause = self.rng.random_range(0..1500);
-            self.cluster.simulator.run_for(Duration::from_millis(pause));
+            let wait = self.rng.random_range(0..1500);
+            self.cluster.simulator.run_for(Duration::from_millis(wait));
         }
         self.cluster.simulator.heal();
         // Long enough for every pending confirmation timeout.
@@ -64,11 +64,11 @@
         let running = self.cluster.simulator.running();
         match fault {
             0 | 1 => {
-                // Two consecutive freezes would exceed the longest tolerated pause.
+                // Two consecutive pauses of one node would exceed the longest tolerated pause.
                 self.cluster.simulator.run_for(Duration::from_millis(700));
                 self.cluster
                     .simulator
-                    .freeze(node, Duration::from_millis(500));
+                    .pause(node, Duration::from_millis(500));
             }
             2 if running.len() > 1 => {
                 let resets = self.rng.random_bool(0.5);
--- a/crates/membership/tests/simulation.rs
+++ b/crates/membership/tests/simulation.rs
@@ -9,7 +9,7 @@
 
 /// Time within which all survivors agree that a killed node is Dead.
 const DETECTION_BOUND: Duration = Duration::from_millis(1200);
-const FREEZE: Duration = Duration::from_millis(500);
+const PAUSE_DURATION: Duration = Duration::from_millis(500);
 
 #[test]
 fn survivors_agree_on_a_killed_node_within_the_bound() {
@@ -36,12 +36,12 @@
 }
 
 #[test]
-fn a_short_freeze_causes_no_dead_declaration() {
+fn a_short_pause_causes_no_dead_declaration() {
     for nodes in [3, 8, 50] {
         for seed in 0..8 {
             let mut cluster = Cluster::formed(nodes, 3, Network::default(), seed);
             for round in 0..10 {
-                cluster.simulator.freeze((round * 7) % nodes, FREEZE);
+                cluster.simulator.pause((round * 7) % nodes, PAUSE_DURATION);
                 cluster.simulator.run_for(Duration::from_millis(900));
             }
             assert_eq!(
@@ -57,7 +57,7 @@
 fn a_node_paused_for_long_declares_nobody_dead_and_returns() {
     for seed in 0..8 {
         let mut cluster = Cluster::formed(8, 3, Network::default(), seed);
-        cluster.simulator.freeze(3, Duration::from_secs(10));
+        cluster.simulator.pause(3, Duration::from_secs(10));
         cluster.simulator.run_for(Duration::from_secs(9));
         assert_eq!(cluster.sees(0, 3), Some(Seen::Dead));
         cluster.simulator.run_for(Duration::from_secs(3));
--- a/crates/membership/tests/support/simulator.rs
+++ b/crates/membership/tests/support/simulator.rs
@@ -100,7 +100,7 @@
     participant: Option<P>,
     zone: usize,
     incarnation: u32,
-    frozen_until: MonotonicTime,
+    paused_until: MonotonicTime,
     backlog: Vec<Input<P::Message>>,
     timer_at: MonotonicTime,
     stalled_timers: u32,
@@ -111,7 +111,7 @@
 enum Scheduled<M> {
     Timer { node: usize, incarnation: u32 },
     Arrival { to: usize, input: Input<M> },
-    Thaw { node: usize },
+    Resume { node: usize },
 }
 
 struct Queued<M> {
@@ -172,7 +172,7 @@
             participant: None,
             zone,
             incarnation: 0,
-            frozen_until: MonotonicTime::ZERO,
+            paused_until: MonotonicTime::ZERO,
             backlog: Vec::new(),
             timer_at: MonotonicTime::ZERO,
             stalled_timers: 0,
@@ -207,12 +207,12 @@
         }
     }
 
-    pub fn freeze(&mut self, node: usize, duration: Duration) {
+    pub fn pause(&mut self, node: usize, duration: Duration) {
         let until = self.now + duration;
         let slot = &mut self.nodes[node];
-        slot.frozen_until = slot.frozen_until.max(until);
-        let at = slot.frozen_until;
-        self.push(at, Scheduled::Thaw { node });
+        slot.paused_until = slot.paused_until.max(until);
+        let at = slot.paused_until;
+        self.push(at, Scheduled::Resume { node });
     }
 
     /// Partitions a zone from all others.
@@ -307,15 +307,15 @@
             Scheduled::Timer { node, incarnation } => {
                 let slot = &self.nodes[node];
                 let is_current = slot.incarnation == incarnation && slot.timer_at <= self.now;
-                if is_current && !self.is_frozen(node) {
+                if is_current && !self.is_paused(node) {
                     self.deliver(node, Input::Timer);
                 }
             }
-            Scheduled::Arrival { to, input } if self.is_frozen(to) => {
+            Scheduled::Arrival { to, input } if self.is_paused(to) => {
                 self.nodes[to].backlog.push(input);
             }
             Scheduled::Arrival { to, input } => self.deliver(to, input),
-            Scheduled::Thaw { node } if !self.is_frozen(node) => {
+            Scheduled::Resume { node } if !self.is_paused(node) => {
                 // A resumed process may run its timers before it reads the messages that arrived.
                 self.deliver(node, Input::Timer);
                 let backlog = std::mem::take(&mut self.nodes[node].backlog);
@@ -323,12 +323,12 @@
                     self.deliver(node, input);
                 }
             }
-            Scheduled::Thaw { .. } => {}
+            Scheduled::Resume { .. } => {}
         }
     }
 
-    fn is_frozen(&self, node: usize) -> bool {
-        self.now < self.nodes[node].frozen_until
+    fn is_paused(&self, node: usize) -> bool {
+        self.now < self.nodes[node].paused_until
     }
 
     fn deliver(&mut self, node: usize, input: Input<P::Message>) {
