--- a/crates/node/src/assembly/mod.rs
+++ b/crates/node/src/assembly/mod.rs
@@ -274,8 +274,11 @@
         let dispatcher = &actors.dispatcher;
         let outputs = ConfigurationOutputs {
             outgoing: actors.outgoing(),
-            in_force: fwd_to!([dispatcher], in_force() as (Arc<ConfigurationSet>)),
-            machines: fwd_to!([dispatcher], machines() as (Arc<MachineList>)),
+            in_force: fwd_to!(
+                [dispatcher],
+                update_configuration() as (Arc<ConfigurationSet>)
+            ),
+            machines: fwd_to!([dispatcher], update_machines() as (Arc<MachineList>)),
             metrics: self.metrics.clone(),
         };
         let state = self.configuration.clone();
--- a/crates/node/src/configuration/platform_client.rs
+++ b/crates/node/src/configuration/platform_client.rs
@@ -24,10 +24,10 @@
 pub(super) const OBJECT_KIND: &str = "configuration";
 const THREAD_STACK_BYTES: usize = 256 * 1024;
 const OPERATION_TIMEOUT: Duration = Duration::from_secs(2);
-const NOT_FOUND: u16 = 404;
-const CONFLICT: u16 = 409;
-const TOO_MANY_REQUESTS: u16 = 429;
-const UNAVAILABLE: u16 = 503;
+const HTTP_NOT_FOUND: u16 = 404;
+const HTTP_CONFLICT: u16 = 409;
+const HTTP_TOO_MANY_REQUESTS: u16 = 429;
+const HTTP_SERVICE_UNAVAILABLE: u16 = 503;
 
 /// Results of platform operations and watch events, posted to the actor thread.
 #[derive(Debug)]
@@ -174,7 +174,7 @@
         let Ok(mut response) = request.call() else {
             return PlatformAnswer::Unavailable;
         };
-        if response.status().as_u16() == NOT_FOUND {
+        if response.status().as_u16() == HTTP_NOT_FOUND {
             return PlatformAnswer::Document {
                 version: PlatformVersion(0),
                 document: Vec::new(),
@@ -207,8 +207,8 @@
             Err(error) => return answer_for_failed_swap(&error),
         };
         match response.status().as_u16() {
-            CONFLICT => PlatformAnswer::VersionMismatch,
-            TOO_MANY_REQUESTS | UNAVAILABLE => PlatformAnswer::Unavailable,
+            HTTP_CONFLICT => PlatformAnswer::VersionMismatch,
+            HTTP_TOO_MANY_REQUESTS | HTTP_SERVICE_UNAVAILABLE => PlatformAnswer::Unavailable,
             status if (400..500).contains(&status) => PlatformAnswer::Unavailable,
             status if (200..300).contains(&status) => {
                 match response.body_mut().read_json::<VersionAnswer>() {
--- a/crates/node/src/configuration/platform_watch.rs
+++ b/crates/node/src/configuration/platform_watch.rs
@@ -45,8 +45,9 @@
     Compacted {},
 }
 
-/// Runs until the object stream ends or a later watch replaces this one. Posts `Closed` only in the
-/// first case.
+/// Runs until the object listing or stream fails, the stream ends, or a line arrives after a later
+/// watch has replaced this one. Returns at once if the thread for the list of machines cannot be
+/// started. Posts `Closed` unless this watch has been replaced.
 pub(super) fn run(client: &PlatformClient, generation: u64) {
     let machines_client = client.clone();
     let started = spawn_detached("platform-machines", THREAD_STACK_BYTES, move || {
--- a/crates/node/src/configuration/role.rs
+++ b/crates/node/src/configuration/role.rs
@@ -81,7 +81,7 @@
     }
 
     /// Handles a result or watch event of the platform.
-    pub fn platform(&mut self, _cx: CX![], event: PlatformEvent) {
+    pub fn handle_platform_event(&mut self, _cx: CX![], event: PlatformEvent) {
         match event {
             PlatformEvent::Answer { request, answer } => {
                 self.handle(Event::PlatformAnswer { request, answer });
@@ -92,7 +92,7 @@
 
     /// Handles the completion of a write of voter state. A failed write stops the actor, as in the
     /// replica role.
-    pub fn durable(&mut self, cx: CX![], write: u64, result: Result<(), StoreError>) {
+    pub fn handle_write_result(&mut self, cx: CX![], write: u64, result: Result<(), StoreError>) {
         match result {
             Ok(()) => self.handle(Event::Flushed { write }),
             Err(error) => fail!(cx, error),
@@ -100,7 +100,7 @@
     }
 
     /// Updates the present members, from which relays are chosen.
-    pub fn members(&mut self, _cx: CX![], members: Vec<Member>) {
+    pub fn update_members(&mut self, _cx: CX![], members: Vec<Member>) {
         self.handle(Event::Members(members));
     }
 
--- a/crates/node/src/daemon.rs
+++ b/crates/node/src/daemon.rs
@@ -149,18 +149,20 @@
             owner: WriteOwner::Voter,
             write,
             result,
-        } => call!([actors.configuration], durable(write, result)),
+        } => call!([actors.configuration], handle_write_result(write, result)),
         ThreadMessage::Durable {
             owner: WriteOwner::Replica,
             write,
             result,
         } => {
             if let Some(replica) = &actors.replica {
-                call!([replica], durable(write, result));
+                call!([replica], handle_write_result(write, result));
             }
         }
-        ThreadMessage::Platform(event) => call!([actors.configuration], platform(event)),
-        ThreadMessage::Engine(report) => call!([actors.dispatcher], engine(report)),
+        ThreadMessage::Platform(event) => {
+            call!([actors.configuration], handle_platform_event(event))
+        }
+        ThreadMessage::Engine(report) => call!([actors.dispatcher], handle_engine_report(report)),
         ThreadMessage::Stop => shutdown.begin(actors, edge),
     }
 }
--- a/crates/node/src/directory/mod.rs
+++ b/crates/node/src/directory/mod.rs
@@ -23,8 +23,9 @@
 use crate::clock::Clock;
 use crate::settings::BootstrapPartner;
 
-/// Each service has one dispatcher for all of its back ends.
-const DISPATCHER_GROUP: u32 = 0;
+/// Group number in the rendezvous hash that chooses a dispatcher. Always 0: each service has one
+/// dispatcher for all of its back ends.
+const RENDEZVOUS_GROUP: u32 = 0;
 
 /// A handle to state shared by the roles, which all run on the actor thread.
 #[derive(Clone)]
@@ -119,7 +120,7 @@
         if self.is_present(last_owner) {
             return Some(last_owner);
         }
-        self.owner_of(run)
+        self.preferred_owner(run)
     }
 
     /// Whether this node has seen a node as absent for at least `time`.
@@ -141,15 +142,16 @@
         }
     }
 
-    /// The preferred owner of a run; `None` if no member is eligible.
-    pub fn owner_of(&self, run: RunId) -> Option<NodeId> {
+    /// The first of [`Self::owner_candidates`], which need not be the present owner; `None` if no
+    /// member is eligible.
+    pub fn preferred_owner(&self, run: RunId) -> Option<NodeId> {
         self.owner_candidates(run).first().copied()
     }
 
     /// The node that dispatches the calls of a service; `None` if no member is eligible.
     pub fn dispatcher_of(&self, service: &ServiceName) -> Option<NodeId> {
         let membership = self.membership.borrow();
-        rendezvous::dispatcher_for(service, DISPATCHER_GROUP, membership.members())
+        rendezvous::dispatcher_for(service, RENDEZVOUS_GROUP, membership.members())
             .map(|member| member.node)
     }
 
@@ -181,7 +183,7 @@
     }
 
     /// Whether the platform lists a back end as leaving or gone.
-    pub fn is_leaving(&self, backend: &BackendName) -> bool {
+    pub fn is_leaving_or_gone(&self, backend: &BackendName) -> bool {
         let role = self.configuration.borrow();
         let machine = role.machines().get(backend.as_str());
         let leaving = machine.is_some_and(|machine| machine.state != MachineState::Live);
--- a/crates/node/src/directory/partners.rs
+++ b/crates/node/src/directory/partners.rs
@@ -6,8 +6,9 @@
 use super::Directory;
 
 impl Directory {
-    /// Returns the partner whose token has this digest, by the configuration in force. Refuses
-    /// unknown tokens, and all tokens while no configuration is in force.
+    /// Returns the partner whose token has this digest: a partner in the configuration in force, or
+    /// a bootstrap partner that this configuration does not name. Refuses unknown tokens, and all
+    /// tokens while this node cannot prove that its configuration is the newest.
     pub fn authenticate(&self, token_sha256: &str) -> Result<PartnerName, Refusal> {
         self.authenticate_in(&*self.in_force()?, token_sha256)
     }
@@ -37,7 +38,7 @@
             .ok_or(Refusal::permanent(RefusalReason::Unauthenticated))
     }
 
-    /// Returns the partner whose token has this digest, by the last known configuration: an
+    /// Like [`Self::authenticate`], but by the last known configuration: an
     /// operator must be able to act even if this node cannot prove that its configuration is the
     /// newest. The operation itself is checked against the newest configuration.
     pub fn authenticate_operator(&self, token_sha256: &str) -> Result<PartnerName, Refusal> {
--- a/crates/node/src/directory/replicas.rs
+++ b/crates/node/src/directory/replicas.rs
@@ -13,7 +13,8 @@
 pub struct NewRun {
     /// Id that names the nodes of `replicas`.
     pub run: RunId,
-    /// Stores of the replicas. Their identities were known before the id was generated.
+    /// Identities of the replicas' stores, one for each node: only nodes with a known store are
+    /// chosen.
     pub replicas: Vec<ReplicaId>,
 }
 
--- a/crates/node/src/dispatcher/backend_list.rs
+++ b/crates/node/src/dispatcher/backend_list.rs
@@ -50,7 +50,7 @@
     listed
 }
 
-/// Events that bring the dispatcher from one set of back ends to another.
+/// Events that tell the scheduler the differences between two sets of back ends.
 pub fn backend_events(
     before: &BTreeMap<BackendName, ListedBackend>,
     after: &BTreeMap<BackendName, ListedBackend>,
--- a/crates/node/src/dispatcher/context_sweep.rs
+++ b/crates/node/src/dispatcher/context_sweep.rs
@@ -21,8 +21,8 @@
 /// Maximum number of runs whose contexts are released in one sweep step.
 pub const MAX_RELEASES_PER_STEP: usize = 256;
 
-/// Replicas that must not know a run before its contexts are released.
-const FORGOTTEN_QUORUM: usize = MAJORITY_OF_REPLICAS;
+/// Number of replicas that must not know a run before its contexts are released.
+const UNKNOWN_QUORUM: usize = MAJORITY_OF_REPLICAS;
 
 /// A query to one replica: which of these runs have ended or are unknown to it.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -57,12 +57,12 @@
 pub struct ContextSweep {
     listed: BTreeMap<BackendName, BTreeSet<RunId>>,
     runs: BTreeMap<RunId, TrackedRun>,
-    last_asked: Option<RunId>,
+    last_queried: Option<RunId>,
 }
 
 impl ContextSweep {
     /// Replaces the recorded contents of an engine by a complete listing.
-    pub fn listing(
+    pub fn record_listing(
         &mut self,
         now: MonotonicTime,
         backend: &BackendName,
@@ -128,10 +128,10 @@
         split.collect()
     }
 
-    /// Handles a replica's answer: runs whose end is committed there, and runs unknown to it. One
+    /// Records a replica's answer: runs whose end is committed there, and runs unknown to it. One
     /// replica suffices for a committed end; otherwise a run counts as ended only if it is unknown
     /// to a majority of its replicas after [`OPENING_TIMEOUT`].
-    pub fn answer(
+    pub fn record_answer(
         &mut self,
         now: MonotonicTime,
         replica: NodeId,
@@ -149,7 +149,7 @@
             };
             tracked.unknown_to.insert(replica);
             let old = now.since(tracked.first_seen) >= OPENING_TIMEOUT;
-            tracked.ended |= old && tracked.unknown_to.len() >= FORGOTTEN_QUORUM;
+            tracked.ended |= old && tracked.unknown_to.len() >= UNKNOWN_QUORUM;
         }
     }
 
@@ -183,7 +183,7 @@
     /// Runs due for a query. If there are too many for one step, continues after the last run of
     /// the previous step, so that no run is starved.
     fn due(&mut self, now: MonotonicTime) -> Vec<RunId> {
-        let last = self.last_asked;
+        let last = self.last_queried;
         let is_due = |tracked: &TrackedRun| !tracked.ended && now >= tracked.next_query_at;
         let due = self.runs.iter().filter(|(_, tracked)| is_due(tracked));
         let mut due: Vec<RunId> = due.map(|(run, _)| *run).collect();
@@ -192,7 +192,7 @@
             due.rotate_left(start);
             due.truncate(MAX_RUNS_PER_STEP);
         }
-        self.last_asked = due.last().copied();
+        self.last_queried = due.last().copied();
         due
     }
 
--- a/crates/node/src/dispatcher/effects.rs
+++ b/crates/node/src/dispatcher/effects.rs
@@ -40,7 +40,9 @@
             Effect::Refuse { ticket, refusal } => {
                 self.record_and_answer(service, DispatcherAnswer::Refused { ticket, refusal });
             }
-            Effect::Preempt { ticket, .. } => self.answer(DispatcherAnswer::Preempt { ticket }),
+            Effect::Preempt { ticket, .. } => {
+                self.send_answer(DispatcherAnswer::Preempt { ticket })
+            }
             Effect::Retain {
                 run,
                 backend,
@@ -83,10 +85,10 @@
         if let Some(group) = self.groups.get_mut(service) {
             group.record_answer(&answer, now);
         }
-        self.answer(answer);
+        self.send_answer(answer);
     }
 
-    pub(super) fn answer(&mut self, answer: DispatcherAnswer) {
+    pub(super) fn send_answer(&mut self, answer: DispatcherAnswer) {
         let to = answer.ticket().owner;
         let message = NodeMessage::ToOwnerOfTicket(answer);
         self.outputs.outgoing.fwd(Outgoing { to, message });
--- a/crates/node/src/dispatcher/engine_poll.rs
+++ b/crates/node/src/dispatcher/engine_poll.rs
@@ -153,7 +153,7 @@
     pub fn list_cache(&self, backend: &Backend) {
         let poll = self.poll(backend, ServiceKind::Model, Arc::default());
         // A failed listing is requested again at the next gap in the events.
-        let _ = spawn_detached("engine-list", THREAD_STACK_BYTES, move || poll.list());
+        let _ = spawn_detached("engine-list", THREAD_STACK_BYTES, move || poll.list_cache());
     }
 
     fn poll(&self, backend: &Backend, kind: ServiceKind, stopped: Arc<AtomicBool>) -> Poll {
@@ -200,7 +200,7 @@
             if self.kind == ServiceKind::Model {
                 next_event = self.poll_events(next_event);
                 if polls % POLLS_PER_LISTING == 0 {
-                    self.list();
+                    self.list_cache();
                 }
             }
             thread::sleep(POLL_INTERVAL);
@@ -254,7 +254,7 @@
         page.next
     }
 
-    fn list(&self) {
+    fn list_cache(&self) {
         // The event number is read before the contexts: the listing may then include later events,
         // which is harmless, but misses none.
         let Some(page) = self.get::<EventPage>(&format!("/cache/events?from={}", u64::MAX)) else {
--- a/crates/node/src/dispatcher/group.rs
+++ b/crates/node/src/dispatcher/group.rs
@@ -39,7 +39,7 @@
 /// The dispatcher of one service on this node.
 pub struct DispatcherGroup {
     service: ServiceName,
-    dispatcher: Dispatcher,
+    scheduler: Dispatcher,
     listed: BTreeMap<BackendName, ListedBackend>,
     tickets: HashMap<Ticket, TicketState>,
     metrics: ServiceMetrics,
@@ -52,8 +52,8 @@
     reports: LastReports,
     /// Running attempts at back ends that the scheduler does not know yet.
     deferred_attempts: Vec<(QueuedCall, BackendName)>,
-    /// Start of the time in which another node has been the dispatcher and this group has been
-    /// unused.
+    /// Time since which another node has been the dispatcher and this group has received no request
+    /// and had none held or queued; `None` otherwise.
     unused_since: Option<MonotonicTime>,
 }
 
@@ -76,7 +76,7 @@
         };
         Self {
             service,
-            dispatcher: Dispatcher::new(settings),
+            scheduler: Dispatcher::new(settings),
             listed: BTreeMap::new(),
             tickets: HashMap::new(),
             metrics,
@@ -92,7 +92,7 @@
 
     /// Back ends, queues and in-flight grants, for operators.
     pub fn status(&self, now: MonotonicTime) -> ServiceStatus {
-        let waiting = self.dispatcher.waiting();
+        let waiting = self.scheduler.waiting();
         let waiting = waiting.map(|waiting| (&waiting.call, waiting.enqueued_at));
         let held_calls = self.held_calls.iter().map(|(call, since)| (call, *since));
         let listed = self.listed.values();
@@ -102,7 +102,7 @@
                 .map(|listed| self.reports.status_of(listed, now))
                 .collect(),
             queues: queues(waiting.chain(held_calls), now),
-            in_flight: self.dispatcher.in_flight(),
+            in_flight: self.scheduler.in_flight(),
             cache_event_age: self.reports.cache_event_age(now),
         }
     }
@@ -175,9 +175,9 @@
 
     /// Updates whether this node is the service's dispatcher. Returns true once the group has been
     /// unused for [`UNUSED_GROUP_TIMEOUT`] and should be dropped.
-    pub fn update_ownership(&mut self, now: MonotonicTime, own: bool) -> bool {
-        let has_queued_calls = !self.held_calls.is_empty() || self.dispatcher.queued() > 0;
-        if own || has_queued_calls {
+    pub fn update_ownership(&mut self, now: MonotonicTime, is_dispatcher: bool) -> bool {
+        let has_queued_calls = !self.held_calls.is_empty() || self.scheduler.queued() > 0;
+        if is_dispatcher || has_queued_calls {
             self.unused_since = None;
             return false;
         }
@@ -207,10 +207,10 @@
     /// Publishes the gauges of queued calls and in-flight grants.
     pub fn publish(&self) {
         let count = |count: usize| i64::try_from(count).unwrap_or(i64::MAX);
-        self.metrics.queued.set(count(self.dispatcher.queued()));
+        self.metrics.queued.set(count(self.scheduler.queued()));
         self.metrics
             .in_flight
-            .set(count(self.dispatcher.in_flight()));
+            .set(count(self.scheduler.in_flight()));
     }
 
     /// Passes an event to the scheduler. Calls are held until the initial probes complete, and
@@ -236,7 +236,7 @@
             Event::OwnerLost(owner) => self.remove_requests_of_owner(owner),
             _ => {}
         }
-        let mut effects = self.dispatcher.handle(now, event);
+        let mut effects = self.scheduler.handle(now, event);
         effects.extend(self.release_held_calls(now));
         effects
     }
@@ -250,9 +250,10 @@
         self.tickets.retain(|ticket, _| ticket.owner != owner);
     }
 
-    /// Records that the first probe of a back end finished; if it is leaving, that has been
-    /// reported before. The load is applied before held calls are released: otherwise they would be
-    /// admitted against the default memory size, and more contexts could run than fit.
+    /// Records that the first probe of a back end finished. If its health response said that it is
+    /// leaving, [`Event::BackendLeaving`] was handled earlier. The load is applied before held calls
+    /// are released: otherwise they would be admitted against the default memory size, and more
+    /// contexts could run than fit.
     pub fn record_probe(
         &mut self,
         now: MonotonicTime,
@@ -264,7 +265,7 @@
         if let Some(load) = load {
             let event = Event::LoadReport(load);
             self.reports.record(now, &event);
-            effects.extend(self.dispatcher.handle(now, event));
+            effects.extend(self.scheduler.handle(now, event));
         }
         effects.extend(self.release_held_calls(now));
         effects
@@ -277,7 +278,7 @@
         }
         let held_calls = std::mem::take(&mut self.held_calls).into_iter();
         held_calls
-            .flat_map(|(call, _)| self.dispatcher.handle(now, Event::Enqueue(call)))
+            .flat_map(|(call, _)| self.scheduler.handle(now, Event::Enqueue(call)))
             .collect()
     }
 
@@ -294,7 +295,7 @@
         events.extend(running.map(|(call, backend)| Event::AttemptRunning { call, backend }));
         let events = events.into_iter();
         events
-            .flat_map(|event| self.dispatcher.handle(now, event))
+            .flat_map(|event| self.scheduler.handle(now, event))
             .collect()
     }
 
@@ -307,7 +308,7 @@
     ) -> GroupUpdate {
         let mut update = GroupUpdate::default();
         let shares = Event::SharesChanged(partner_settings(configuration));
-        update.effects.extend(self.dispatcher.handle(now, shares));
+        update.effects.extend(self.scheduler.handle(now, shares));
         let listed = merge_backends(&self.service, configuration, machines);
         let gone = self
             .listed
--- a/crates/node/src/dispatcher/message.rs
+++ b/crates/node/src/dispatcher/message.rs
@@ -41,7 +41,7 @@
 
 impl SlotRequest {
     /// Converts the relative times to the dispatcher's clock.
-    pub fn queued_call(self, now: MonotonicTime) -> QueuedCall {
+    pub fn into_queued_call(self, now: MonotonicTime) -> QueuedCall {
         QueuedCall {
             ticket: self.ticket,
             run: self.run,
@@ -85,7 +85,7 @@
         request: SlotRequest,
         backend: BackendName,
     },
-    /// The attempt ended.
+    /// The attempt completed, failed, or was cancelled or preempted; its slot is free.
     Ended {
         service: ServiceName,
         end: AttemptEnd,
@@ -97,10 +97,10 @@
         /// Service that the run waits for.
         tool: ServiceName,
     },
-    /// The run ended; all engines must release its context.
+    /// The run ended.
     RunEnded {
         service: ServiceName,
-        /// Run whose contexts at the engines of `service` are to be released.
+        /// Run whose contexts at the engines of `service` must be released.
         run: RunId,
     },
 }
--- a/crates/node/src/dispatcher/probed_backends.rs
+++ b/crates/node/src/dispatcher/probed_backends.rs
@@ -1,5 +1,5 @@
-//! Tracks which back ends have been probed for whether they are leaving. The platform's list lags,
-//! and a new dispatcher has no other source before the first probe.
+//! Tracks which back ends have finished their first probe, which shows whether they are leaving.
+//! The platform's list lags, and a new dispatcher has no other source before the first probe.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -43,8 +43,8 @@
             .collect()
     }
 
-    /// Whether the initial probes are complete or have timed out. Once true it stays true: back
-    /// ends listed later hold no calls.
+    /// Whether the initial probes are complete or have timed out. Once true it stays true:
+    /// calls are not held for back ends that are listed later.
     pub fn is_complete(
         &mut self,
         now: MonotonicTime,
--- a/crates/node/src/dispatcher/role.rs
+++ b/crates/node/src/dispatcher/role.rs
@@ -42,7 +42,7 @@
     pub(super) polls: EnginePolls,
     machines: Arc<MachineList>,
     pub(super) groups: BTreeMap<ServiceName, DispatcherGroup>,
-    /// Process instance of each back end that answered last.
+    /// Process instance of each back end, from its latest health response that names one.
     pub(super) instances: BTreeMap<BackendName, u64>,
 }
 
@@ -76,18 +76,18 @@
                 service,
                 ended,
                 unknown,
-            } => self.ended_runs(incoming.from, &service, &ended, &unknown),
+            } => self.record_replica_answer(incoming.from, &service, &ended, &unknown),
             _ => {}
         }
     }
 
     /// Applies a newer configuration to all groups.
-    pub fn in_force(&mut self, _cx: CX![], _configuration: Arc<ConfigurationSet>) {
+    pub fn update_configuration(&mut self, _cx: CX![], _configuration: Arc<ConfigurationSet>) {
         self.update_groups();
     }
 
     /// Applies a newer list of machines to all groups.
-    pub fn machines(&mut self, _cx: CX![], machines: Arc<MachineList>) {
+    pub fn update_machines(&mut self, _cx: CX![], machines: Arc<MachineList>) {
         self.machines = machines;
         self.update_groups();
     }
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Sends an operator the back ends and queues of all services.
+    /// Sends an operator the back ends and queues of each service that has a group on this node.
     pub fn report_status(&mut self, _cx: CX![], replies: Sender<OperatorReply>) {
         let now = self.clock.now();
         let configuration = self.directory.last_known();
@@ -117,7 +117,7 @@
     }
 
     /// Handles an update from polling a back end.
-    pub fn engine(&mut self, _cx: CX![], report: EngineReport) {
+    pub fn handle_engine_report(&mut self, _cx: CX![], report: EngineReport) {
         self.record_listing(&report);
         let event = match report.update {
             EngineUpdate::Load(load) => Event::LoadReport(load),
@@ -158,7 +158,7 @@
                 let ticket = request.ticket;
                 if self.is_new(&service, ticket) {
                     self.mark_run_active(&service, request.run);
-                    let call = request.queued_call(now);
+                    let call = request.into_queued_call(now);
                     self.handle(&service, Event::Enqueue(call));
                 }
             }
@@ -198,7 +198,7 @@
         };
         if group.record_running(request.ticket) {
             self.mark_run_active(service, request.run);
-            let call = request.queued_call(now);
+            let call = request.into_queued_call(now);
             self.handle(service, Event::AttemptRunning { call, backend });
         }
     }
@@ -215,7 +215,7 @@
             RequestDisposition::New => true,
             RequestDisposition::Ignore => false,
             RequestDisposition::Resend(answer) => {
-                self.answer(answer);
+                self.send_answer(answer);
                 false
             }
         }
@@ -243,8 +243,8 @@
     fn drop_unused_groups(&mut self, now: MonotonicTime) {
         let mut unused = Vec::new();
         for (service, group) in &mut self.groups {
-            let own = self.directory.is_own_service(service);
-            if group.update_ownership(now, own) {
+            let is_dispatcher = self.directory.is_own_service(service);
+            if group.update_ownership(now, is_dispatcher) {
                 unused.push(service.clone());
             }
         }
--- a/crates/node/src/dispatcher/status.rs
+++ b/crates/node/src/dispatcher/status.rs
@@ -98,7 +98,7 @@
 #[derive(Debug, Default)]
 pub struct LastReports {
     loads: BTreeMap<BackendName, (LoadReport, MonotonicTime)>,
-    cache_event: Option<MonotonicTime>,
+    last_cache_event_at: Option<MonotonicTime>,
 }
 
 impl LastReports {
@@ -109,7 +109,7 @@
                 let name = load.backend.clone();
                 self.loads.insert(name, (load.clone(), now));
             }
-            Event::CacheEvent(_) => self.cache_event = Some(now),
+            Event::CacheEvent(_) => self.last_cache_event_at = Some(now),
             _ => {}
         }
     }
@@ -130,6 +130,6 @@
 
     /// Age of the newest cache event of any engine; `None` before the first.
     pub fn cache_event_age(&self, now: MonotonicTime) -> Option<Duration> {
-        self.cache_event.map(|at| now.since(at))
+        self.last_cache_event_at.map(|at| now.since(at))
     }
 }
--- a/crates/node/src/dispatcher/sweep.rs
+++ b/crates/node/src/dispatcher/sweep.rs
@@ -20,7 +20,7 @@
         let services: Vec<ServiceName> = self.groups.keys().cloned().collect();
         for service in services {
             if self.directory.is_own_service(&service) {
-                self.ask_replicas(&service);
+                self.query_replicas(&service);
                 self.release_ended(&service);
             }
         }
@@ -35,11 +35,12 @@
         };
         if let Some(group) = self.groups.get_mut(&report.service) {
             let runs = listing.contexts.iter().map(|context| context.run);
-            group.contexts().listing(now, &listing.backend, runs);
+            group.contexts().record_listing(now, &listing.backend, runs);
         }
     }
 
-    /// Defers the next query about a run that makes a call.
+    /// Records a call of a run, which defers the next query to its replicas about whether the run
+    /// has ended.
     pub(super) fn mark_run_active(&mut self, service: &ServiceName, run: RunId) {
         let now = self.clock.now();
         if let Some(group) = self.groups.get_mut(service) {
@@ -47,8 +48,8 @@
         }
     }
 
-    /// Handles a replica's answer to a query about ended runs.
-    pub(super) fn ended_runs(
+    /// Records a replica's answer to a query about ended runs.
+    pub(super) fn record_replica_answer(
         &mut self,
         from: NodeId,
         service: &ServiceName,
@@ -57,7 +58,7 @@
     ) {
         let now = self.clock.now();
         if let Some(group) = self.groups.get_mut(service) {
-            group.contexts().answer(now, from, ended, unknown);
+            group.contexts().record_answer(now, from, ended, unknown);
         }
     }
 
@@ -72,7 +73,7 @@
         }
     }
 
-    fn ask_replicas(&mut self, service: &ServiceName) {
+    fn query_replicas(&mut self, service: &ServiceName) {
         let now = self.clock.now();
         let Some(group) = self.groups.get_mut(service) else {
             return;
--- a/crates/node/src/inbound/gateway.rs
+++ b/crates/node/src/inbound/gateway.rs
@@ -184,7 +184,7 @@
         let Some(open) = self.open.get_mut(&request) else {
             return;
         };
-        let Some(owner) = self.directory.owner_of(open.command.run()) else {
+        let Some(owner) = self.directory.preferred_owner(open.command.run()) else {
             open.ask_again_at = now + ASK_AGAIN_INTERVAL;
             return;
         };
--- a/crates/node/src/member_changes.rs
+++ b/crates/node/src/member_changes.rs
@@ -78,6 +78,6 @@
                 zone: member.zone,
             })
             .collect();
-        call!([self.configuration], members(present));
+        call!([self.configuration], update_members(present));
     }
 }
--- a/crates/node/src/owner/adoption.rs
+++ b/crates/node/src/owner/adoption.rs
@@ -29,7 +29,7 @@
             if self.begin_owning(now, run) {
                 continue;
             }
-            if let Some(candidate) = self.directory.owner_of(run) {
+            if let Some(candidate) = self.directory.preferred_owner(run) {
                 for_others.entry(candidate).or_default().push(run);
             }
         }
--- a/crates/node/src/owner/slots.rs
+++ b/crates/node/src/owner/slots.rs
@@ -179,7 +179,7 @@
                 ..
             } => {
                 let stale = valid_for_ms == 0 || self.pauses.may_be_stale(now);
-                if stale || self.directory.is_leaving(&backend) {
+                if stale || self.directory.is_leaving_or_gone(&backend) {
                     self.decline_grant(now, run);
                 } else {
                     let valid_for = Duration::from_millis(valid_for_ms);
@@ -246,7 +246,7 @@
         let slot = self.runs.get(&run).and_then(|owned| owned.slot.as_ref());
         let valid_until = slot.and_then(|slot| slot.valid_until);
         let old = valid_until.is_some_and(|until| now >= until);
-        old || self.directory.is_leaving(backend)
+        old || self.directory.is_leaving_or_gone(backend)
     }
 
     fn refuse_slot(&mut self, now: Instant, run: RunId, slot: &Slot, refusal: Refusal) {
--- a/crates/node/src/replica/role.rs
+++ b/crates/node/src/replica/role.rs
@@ -83,7 +83,7 @@
 
     /// Takes the news that a write is durable. A failed write ends the process: what reached the
     /// disk is not known, and a replica must never promise what it may not keep.
-    pub fn durable(&mut self, cx: CX![], write: u64, result: Result<(), StoreError>) {
+    pub fn handle_write_result(&mut self, cx: CX![], write: u64, result: Result<(), StoreError>) {
         if let Err(error) = result {
             fail!(cx, error);
             return;
--- a/crates/node/tests/context_sweep.rs
+++ b/crates/node/tests/context_sweep.rs
@@ -25,7 +25,7 @@
 /// A sweep after engine `e` has listed `count` contexts.
 fn holding(count: u128) -> ContextSweep {
     let mut sweep = ContextSweep::default();
-    sweep.listing(MonotonicTime::ZERO, &backend("e"), (0..count).map(RunId));
+    sweep.record_listing(MonotonicTime::ZERO, &backend("e"), (0..count).map(RunId));
     sweep
 }
 
@@ -36,7 +36,7 @@
 #[test]
 fn run_ends_when_one_replica_reports_its_end() {
     let mut sweep = holding(1);
-    sweep.answer(at(QUERY_INTERVAL), REPLICAS[2], &[RunId(0)], &[]);
+    sweep.record_answer(at(QUERY_INTERVAL), REPLICAS[2], &[RunId(0)], &[]);
     let backends = vec![backend("e")];
     let run = RunId(0);
     assert_eq!(sweep.take_ended(), vec![EndedContext { run, backends }]);
@@ -49,12 +49,12 @@
 #[test]
 fn context_listed_after_its_release_is_released_again() {
     let mut sweep = holding(1);
-    sweep.answer(at(QUERY_INTERVAL), REPLICAS[0], &[RunId(0)], &[]);
+    sweep.record_answer(at(QUERY_INTERVAL), REPLICAS[0], &[RunId(0)], &[]);
     sweep.take_ended();
     let later = at(QUERY_INTERVAL * 2);
-    sweep.listing(later, &backend("e"), [RunId(0)].into_iter());
+    sweep.record_listing(later, &backend("e"), [RunId(0)].into_iter());
     assert_eq!(asked(&sweep.queries(later, replicas)), 1);
-    sweep.answer(later, REPLICAS[0], &[RunId(0)], &[]);
+    sweep.record_answer(later, REPLICAS[0], &[RunId(0)], &[]);
     assert_eq!(sweep.take_ended().len(), 1);
 }
 
@@ -81,20 +81,20 @@
 fn unknown_run_ends_only_after_opening_timeout_and_by_majority() {
     let mut sweep = holding(1);
     for replica in REPLICAS {
-        sweep.answer(at(QUERY_INTERVAL), replica, &[], &[RunId(0)]);
+        sweep.record_answer(at(QUERY_INTERVAL), replica, &[], &[RunId(0)]);
     }
     assert!(
         sweep.take_ended().is_empty(),
         "the run may still be opening"
     );
     let mut sweep = holding(1);
-    sweep.answer(at(OPENING_TIMEOUT), REPLICAS[0], &[], &[RunId(0)]);
-    sweep.answer(at(OPENING_TIMEOUT), REPLICAS[0], &[], &[RunId(0)]);
+    sweep.record_answer(at(OPENING_TIMEOUT), REPLICAS[0], &[], &[RunId(0)]);
+    sweep.record_answer(at(OPENING_TIMEOUT), REPLICAS[0], &[], &[RunId(0)]);
     assert!(
         sweep.take_ended().is_empty(),
         "one replica is not a majority"
     );
-    sweep.answer(at(OPENING_TIMEOUT), REPLICAS[1], &[], &[RunId(0)]);
+    sweep.record_answer(at(OPENING_TIMEOUT), REPLICAS[1], &[], &[RunId(0)]);
     assert_eq!(sweep.take_ended().len(), 1);
 }
 
@@ -112,14 +112,14 @@
     }
     assert_eq!(seen.len(), count);
     let runs: Vec<RunId> = (0..count as u128).map(RunId).collect();
-    sweep.answer(at(QUERY_INTERVAL), REPLICAS[0], &runs, &[]);
+    sweep.record_answer(at(QUERY_INTERVAL), REPLICAS[0], &runs, &[]);
     assert_eq!(sweep.take_ended().len(), MAX_RELEASES_PER_STEP);
 }
 
 #[test]
 fn contexts_missing_from_a_listing_are_removed() {
     let mut sweep = holding(3);
-    sweep.listing(MonotonicTime::ZERO, &backend("e"), [RunId(1)].into_iter());
+    sweep.record_listing(MonotonicTime::ZERO, &backend("e"), [RunId(1)].into_iter());
     assert_eq!(sweep.context_count(), 1);
     assert_eq!(asked(&sweep.queries(at(QUERY_INTERVAL), replicas)), 1);
     sweep.backend_gone(&backend("e"));
--- a/crates/node/tests/leaving_backends.rs
+++ b/crates/node/tests/leaving_backends.rs
@@ -64,7 +64,7 @@
         preemptible: false,
         waited_ms: 0,
     };
-    request.queued_call(NOW)
+    request.into_queued_call(NOW)
 }
 
 fn granted(effects: &[Effect]) -> Vec<&str> {
--- a/crates/node/tests/running_attempts.rs
+++ b/crates/node/tests/running_attempts.rs
@@ -68,7 +68,7 @@
         preemptible: false,
         waited_ms: 0,
     };
-    request.queued_call(NOW)
+    request.into_queued_call(NOW)
 }
 
 /// Reports `running` attempts to a new dispatcher, requests every routine slot, and returns the
