--- a/crates/api/src/conversion/reading.rs
+++ b/crates/api/src/conversion/from_message.rs
@@ -1,4 +1,4 @@
-//! Reads the domain's configuration objects out of messages and checks every field.
+//! Converts messages to configuration objects of the domain and validates every field.
 
 use std::collections::BTreeSet;
 
@@ -43,7 +43,7 @@
     identifier("object.metadata.partner", &metadata.partner)
 }
 
-fn no_owner(metadata: &v1::Metadata) -> Result<(), FieldError> {
+fn check_no_owner(metadata: &v1::Metadata) -> Result<(), FieldError> {
     if metadata.partner.is_empty() {
         Ok(())
     } else {
@@ -54,7 +54,7 @@
     }
 }
 
-fn above_zero<N: PartialEq + Default>(field: &'static str, number: N) -> Result<N, FieldError> {
+fn non_zero<N: PartialEq + Default>(field: &'static str, number: N) -> Result<N, FieldError> {
     if number == N::default() {
         Err(FieldError::new(field, FieldProblem::OutOfRange))
     } else {
@@ -62,7 +62,7 @@
     }
 }
 
-pub(super) fn read_partner(
+pub(super) fn partner_from_message(
     metadata: &v1::Metadata,
     partner: &v1::Partner,
 ) -> Result<Partner, FieldError> {
@@ -93,7 +93,7 @@
     })
 }
 
-pub(super) fn read_class(
+pub(super) fn class_from_message(
     metadata: &v1::Metadata,
     class: &v1::PriorityClass,
 ) -> Result<PriorityClass, FieldError> {
@@ -107,7 +107,7 @@
     })
 }
 
-pub(super) fn read_service(
+pub(super) fn service_from_message(
     metadata: &v1::Metadata,
     service: &v1::Service,
 ) -> Result<Service, FieldError> {
@@ -122,15 +122,15 @@
         partner: owner(metadata)?,
         kind,
         price: Cost(service.price),
-        attempt_timeout_ms: above_zero(
+        attempt_timeout_ms: non_zero(
             "object.service.attempt_timeout_ms",
             service.attempt_timeout_ms,
         )?,
-        max_attempts: above_zero("object.service.max_attempts", service.max_attempts)?,
+        max_attempts: non_zero("object.service.max_attempts", service.max_attempts)?,
     })
 }
 
-pub(super) fn read_program(
+pub(super) fn program_from_message(
     metadata: &v1::Metadata,
     program: &v1::Program,
 ) -> Result<Program, FieldError> {
@@ -145,19 +145,22 @@
         class: identifier("object.program.class", &program.class)?,
         services,
         budget: Cost(program.budget),
-        max_calls: above_zero("object.program.max_calls", program.max_calls)?,
+        max_calls: non_zero("object.program.max_calls", program.max_calls)?,
     })
 }
 
-/// Reads the parts of a split, as [`v1::ProposeSharesRequest`] carries them: each partner once, and
-/// the whole pool in sum.
+/// Converts the shares of a split, as in [`v1::ProposeSharesRequest`]. Each partner must occur once, and
+/// the shares must sum to the whole pool.
 ///
 /// # Errors
-/// `field` with what is wrong in it.
-pub fn read_shares(field: &'static str, shares: &[v1::Share]) -> Result<Vec<Share>, FieldError> {
+/// Returns an error for `field` if a share is invalid.
+pub fn shares_from_messages(
+    field: &'static str,
+    shares: &[v1::Share],
+) -> Result<Vec<Share>, FieldError> {
     let mut partners = BTreeSet::new();
     let mut sum = 0_u32;
-    let mut read = Vec::with_capacity(shares.len());
+    let mut converted = Vec::with_capacity(shares.len());
     for share in shares {
         let partner: PartnerName = identifier(field, &share.partner)?;
         let permille = u16::try_from(share.permille)
@@ -166,25 +169,25 @@
             return Err(FieldError::new(field, FieldProblem::Contradictory));
         }
         sum = sum.saturating_add(share.permille);
-        read.push(Share { partner, permille });
+        converted.push(Share { partner, permille });
     }
     if sum != WHOLE_POOL_PERMILLE {
         return Err(FieldError::new(field, FieldProblem::OutOfRange));
     }
-    Ok(read)
+    Ok(converted)
 }
 
-fn read_open_shares(
+fn optional_shares_from_messages(
     field: &'static str,
     shares: &[v1::Share],
 ) -> Result<Option<Vec<Share>>, FieldError> {
     match shares {
         [] => Ok(None),
-        shares => read_shares(field, shares).map(Some),
+        shares => shares_from_messages(field, shares).map(Some),
     }
 }
 
-pub(super) fn read_split(
+pub(super) fn split_from_message(
     metadata: &v1::Metadata,
     split: &v1::PoolSplit,
 ) -> Result<PoolSplit, FieldError> {
@@ -194,10 +197,10 @@
             FieldProblem::OutOfRange,
         ));
     }
-    no_owner(metadata)?;
-    // Before the first proposal is in force there are no parts.
-    let shares = read_open_shares("object.pool_split.shares", &split.shares)?;
-    let proposed = read_open_shares("object.pool_split.proposed", &split.proposed)?;
+    check_no_owner(metadata)?;
+    // No shares are in force until the first proposal takes effect.
+    let shares = optional_shares_from_messages("object.pool_split.shares", &split.shares)?;
+    let proposed = optional_shares_from_messages("object.pool_split.proposed", &split.proposed)?;
     let consents = split
         .consents
         .iter()
@@ -210,11 +213,11 @@
     })
 }
 
-pub(super) fn read_backend(
+pub(super) fn backend_from_message(
     metadata: &v1::Metadata,
     backend: &v1::Backend,
 ) -> Result<Backend, FieldError> {
-    no_owner(metadata)?;
+    check_no_owner(metadata)?;
     let address = backend
         .address
         .parse()
@@ -224,6 +227,6 @@
         service: identifier("object.backend.service", &backend.service)?,
         address,
         zone: identifier("object.backend.zone", &backend.zone)?,
-        slots: above_zero("object.backend.slots", backend.slots)?,
+        slots: non_zero("object.backend.slots", backend.slots)?,
     })
 }
--- a/crates/gateway/src/entry.rs
+++ b/crates/gateway/src/entry.rs
@@ -12,22 +12,22 @@
 use hyper::body::Incoming;
 use ridgeworks_platform::read_metadata;
 use ridgeworks_routing::{
-    CallMetadata, CallerLimits, Refusal, RefusalReason, Residency, Route, RouteTable, Tenant,
+    CallMetadata, ClientLimits, Refusal, RefusalReason, Residency, Route, RouteTable, Tenant,
 };
 use tokio::time::Instant;
 
 use crate::call::Call;
-use crate::caller::{Caller, CallerBody};
+use crate::client::{ClientBody, WaitingClient};
 use crate::exchange;
 use crate::gateway::{BodyReservation, Gateway, OpenRequestGuard};
 use crate::refusal::{RETRY_AFTER, RETRY_AFTER_RECONFIGURATION, refusal_response};
 
-/// Most requests that may be open at once.
+/// Maximum number of open requests.
 const MAX_OPEN_REQUESTS: usize = 4_000;
 /// How long reading a request body may take.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 /// Limits before any configuration is known.
-const DEFAULT_LIMITS: CallerLimits = CallerLimits {
+const DEFAULT_LIMITS: ClientLimits = ClientLimits {
     max_header_bytes: 16 * 1024,
     max_body_bytes: 4 * 1024 * 1024,
     header_timeout_ms: 3_000,
@@ -35,13 +35,13 @@
 };
 
 /// The client limits of the current configuration.
-pub fn caller_limits(gateway: &Gateway) -> CallerLimits {
+pub fn client_limits(gateway: &Gateway) -> ClientLimits {
     let routes = gateway.node.view.routes();
     routes.map_or(DEFAULT_LIMITS, |routes| routes.limits())
 }
 
 /// Answers one request. The future is dropped when the client disconnects.
-pub async fn answer(gateway: Rc<Gateway>, request: Request<Incoming>) -> Response<CallerBody> {
+pub async fn answer(gateway: Rc<Gateway>, request: Request<Incoming>) -> Response<ClientBody> {
     let received = Instant::now();
     let open_request = gateway.track_request();
     let (parts, body) = request.into_parts();
@@ -62,15 +62,15 @@
         Ok(call) => call,
         Err(refusal) => return refuse(&gateway, &parts, &refusal),
     };
-    let (caller, head) = Caller::new();
-    tokio::task::spawn_local(exchange::run(Rc::clone(&gateway), call, caller));
+    let (client, head) = WaitingClient::new();
+    tokio::task::spawn_local(exchange::run(Rc::clone(&gateway), call, client));
     match head.await {
         Ok(response) => response,
         // The exchange task ended without a response, which only a bug can cause.
         Err(_) => refuse(
             &gateway,
             &parts,
-            &Refusal::last(RefusalReason::EngineFailed),
+            &Refusal::without_retry(RefusalReason::EngineFailed),
         ),
     }
 }
@@ -80,11 +80,12 @@
     const MAX_WAIT: Duration = Duration::from_millis(400);
     let mut changes = gateway.node.view.changes();
     let known = async { while !gateway.has_routing_state() && changes.changed().await.is_ok() {} };
-    // The request is refused later if none has arrived.
+    // After a timeout the request continues; `build_call` refuses it if there is still no
+    // configuration, and the exchange if no engine is known.
     let _ = tokio::time::timeout(MAX_WAIT, known).await;
 }
 
-fn refuse(gateway: &Gateway, parts: &Parts, refusal: &Refusal) -> Response<CallerBody> {
+fn refuse(gateway: &Gateway, parts: &Parts, refusal: &Refusal) -> Response<ClientBody> {
     gateway.metrics.on_refused(refusal.reason);
     let metadata = read_metadata(&parts.headers).unwrap_or_default();
     log::info!(
@@ -97,17 +98,17 @@
         version_age_ms = gateway.version_age_ms();
         "request refused at entry"
     );
-    refusal_response(refusal).map(|body| CallerBody::Whole(Some(body)))
+    refusal_response(refusal).map(|body| ClientBody::Whole(Some(body)))
 }
 
 async fn read_body(
     gateway: &Rc<Gateway>,
     body: Incoming,
 ) -> Result<(Bytes, BodyReservation), Refusal> {
-    let max_bytes = caller_limits(gateway).max_body_bytes;
+    let max_bytes = client_limits(gateway).max_body_bytes;
     let announced = hyper::body::Body::size_hint(&body).lower();
     if announced > max_bytes {
-        return Err(Refusal::last(RefusalReason::BodyTooLarge));
+        return Err(Refusal::without_retry(RefusalReason::BodyTooLarge));
     }
     let overloaded = Refusal::retry_later(RefusalReason::Overloaded, RETRY_AFTER);
     if gateway.open_requests() > MAX_OPEN_REQUESTS {
@@ -118,9 +119,9 @@
     let collected = match tokio::time::timeout(BODY_TIMEOUT, reading).await {
         Ok(Ok(collected)) => collected.to_bytes(),
         Ok(Err(error)) if error.is::<http_body_util::LengthLimitError>() => {
-            return Err(Refusal::last(RefusalReason::BodyTooLarge));
+            return Err(Refusal::without_retry(RefusalReason::BodyTooLarge));
         }
-        Ok(Err(_)) | Err(_) => return Err(Refusal::last(RefusalReason::BadRequest)),
+        Ok(Err(_)) | Err(_) => return Err(Refusal::without_retry(RefusalReason::BadRequest)),
     };
     let body_reservation = gateway.reserve_body(collected.len()).ok_or(overloaded)?;
     Ok((collected, body_reservation))
@@ -134,7 +135,7 @@
     open_request: OpenRequestGuard,
     received: Instant,
 ) -> Result<Call, Refusal> {
-    let bad_request = Refusal::last(RefusalReason::BadRequest);
+    let bad_request = Refusal::without_retry(RefusalReason::BadRequest);
     let metadata = read_metadata(&parts.headers).map_err(|_| bad_request)?;
     if metadata.request_id.is_empty() || parts.method == Method::CONNECT {
         return Err(bad_request);
@@ -200,7 +201,7 @@
 /// Where requests of a route may be served for a tenant: in the regions that both allow.
 pub fn residency_of(route: &Route, tenant: Option<&Tenant>) -> Residency {
     match tenant {
-        Some(tenant) => route.residency.and(&tenant.residency),
+        Some(tenant) => route.residency.intersection(&tenant.residency),
         None => route.residency.clone(),
     }
 }
@@ -221,7 +222,7 @@
     let bound = gateway.node.settings.bounds.configuration();
     let age = gateway.node.view.confirmation_age();
     if age.is_some_and(|age| age < bound) {
-        Refusal::last(reason)
+        Refusal::without_retry(reason)
     } else {
         Refusal::retry_later(RefusalReason::ConfigurationStale, RETRY_AFTER)
     }
--- a/crates/gateway/src/exchange/preparation.rs
+++ b/crates/gateway/src/exchange/preparation.rs
@@ -26,16 +26,17 @@
 }
 
 /// State of the ledger after a successful reservation.
-struct Reservation {
+struct LedgerState {
     /// Whether the ledger has other turns of the program.
     has_earlier_turns: bool,
 }
 
 impl Exchange {
-    /// Concurrently reads earlier turns, reserves tokens, acquires a grant of the tenant's rate
-    /// limit and looks up where the prompt was prefilled last.
+    /// Refuses a request that cannot be served. Then concurrently reads earlier turns, reserves
+    /// tokens, acquires a rate-limit grant for the tenant, looks up where the prompt was last
+    /// prefilled, and prefetches a warm-up grant if the request would go to a warming engine.
     pub(super) async fn prepare(&mut self) -> Result<(), Refusal> {
-        if let Some(refusal) = self.quorum_refusal() {
+        if let Some(refusal) = self.majority_refusal() {
             return Err(refusal);
         }
         // Checked first, so that a request that cannot be served does not wait.
@@ -49,9 +50,9 @@
             self.reserve(),
             self.acquire_rate_grant(),
             self.look_up_prefills(),
-            self.prefetch_grant()
+            self.prefetch_warm_up_grant()
         );
-        self.is_granted = granted.is_ok();
+        self.has_rate_grant = granted.is_ok();
         self.history.failed_previous_try =
             failed_previous_try.and_then(|failed| self.failed_engine(failed));
         // Checked before the other results: a request with a used identifier must not touch the
@@ -67,8 +68,9 @@
         Ok(())
     }
 
-    /// Refuses at once a request that needs a quorum of replicas while none is reachable.
-    fn quorum_refusal(&self) -> Option<Refusal> {
+    /// Refuses a request at once if it needs a majority of its group's replicas, and that majority
+    /// is believed to be unreachable.
+    fn majority_refusal(&self) -> Option<Refusal> {
         let records = &self.gateway.records;
         let group = records.group_of(self.call.program().as_ref());
         if !records.health.is_lost(group) {
@@ -119,7 +121,7 @@
         }
         self.acquire_rate_grant_as(ProgramProgress::UnderWay)
             .await?;
-        self.is_granted = true;
+        self.has_rate_grant = true;
         Ok(())
     }
 
@@ -136,10 +138,10 @@
             .await
     }
 
-    /// Returns the grant if no engine may have run the request.
-    pub(super) fn return_unused_grant(&self) {
-        let tenant = self.call.tenant.as_ref().filter(|_| self.is_granted);
-        if let Some(tenant) = tenant.filter(|_| self.history.maybe_ran_on.is_empty()) {
+    /// Returns the rate-limit grant if no engine may have run the request.
+    pub(super) fn return_unused_rate_grant(&self) {
+        let tenant = self.call.tenant.as_ref().filter(|_| self.has_rate_grant);
+        if let Some(tenant) = tenant.filter(|_| self.history.may_have_run_on.is_empty()) {
             self.gateway.limits.return_grant(tenant);
         }
     }
@@ -176,7 +178,7 @@
 
     /// Reserves the maximum number of tokens that the turn may generate; `None` if the request has
     /// no budget.
-    async fn reserve(&self) -> Result<Option<Reservation>, Refusal> {
+    async fn reserve(&self) -> Result<Option<LedgerState>, Refusal> {
         let (Some(ledger_key), Some(budget)) = (self.ledger_key(), self.call.metadata.token_budget)
         else {
             return Ok(None);
@@ -187,15 +189,15 @@
             reserved_tokens,
             spent: None,
         };
-        self.is_charged.set(true);
-        let charging = self.gateway.records.charge(
+        self.may_be_reserved.set(true);
+        let reserving = self.gateway.records.reserve(
             &ledger_key.program,
             &ledger_key.turn,
             entry,
             ledger_key.retention,
             self.records_deadline(),
         );
-        let ledger = charging.await.map_err(|failure| {
+        let ledger = reserving.await.map_err(|failure| {
             let records = &self.gateway.records;
             let group = records.group_of(Some(&ledger_key.program));
             let after = records.retry_after_failure(group, failure);
@@ -205,11 +207,11 @@
         self.gateway.metrics.reserve_seconds.observe(elapsed_secs);
         if ledger.is_settled(&ledger_key.turn) {
             // The identifier was used before, and its settled entry must not be reopened.
-            return Err(Refusal::last(RefusalReason::DuplicateRequestId));
+            return Err(Refusal::without_retry(RefusalReason::DuplicateRequestId));
         }
         if ledger.admits(&ledger_key.turn, reserved_tokens, budget) {
             let has_earlier_turns = ledger.entries.keys().any(|turn| *turn != ledger_key.turn);
-            return Ok(Some(Reservation { has_earlier_turns }));
+            return Ok(Some(LedgerState { has_earlier_turns }));
         }
         log::info!(
             target: "request",
@@ -222,7 +224,7 @@
             epoch = self.gateway.node.view.epoch().0;
             "budget does not hold the turn"
         );
-        Err(Refusal::last(RefusalReason::BudgetSpent))
+        Err(Refusal::without_retry(RefusalReason::BudgetSpent))
     }
 
     /// The body for the engine: all earlier turns, then the client's body.
@@ -258,7 +260,7 @@
                 Ok(prompt)
             }
             Ok(ChainOutcome::NoSuchTurn(missing)) if missing == previous => {
-                Err(Refusal::last(RefusalReason::NoSuchTurn))
+                Err(Refusal::without_retry(RefusalReason::NoSuchTurn))
             }
             // An earlier turn is missing, while the previous turn exists, so the client must not be
             // told that the turn does not exist.
@@ -288,10 +290,11 @@
         self.gateway.turns.borrow_mut().insert(record, until, now);
     }
 
-    /// Queues the replacement of the reservation by the number of generated tokens. Without a
-    /// reservation, this would burden replicas that have just recovered and use up the identifier.
+    /// Queues the replacement of the reservation by the number of generated tokens. Does nothing if
+    /// no reservation was sent: a settlement would then load replicas that have just recovered, and
+    /// use up the request's identifier.
     pub(super) fn settle(&self) {
-        let Some(ledger_key) = self.ledger_key().filter(|_| self.is_charged.get()) else {
+        let Some(ledger_key) = self.ledger_key().filter(|_| self.may_be_reserved.get()) else {
             return;
         };
         self.gateway.records.settle(Settlement {
--- a/crates/gateway/src/exchange/report.rs
+++ b/crates/gateway/src/exchange/report.rs
@@ -54,7 +54,7 @@
         };
         let failed_engine = self
             .history
-            .maybe_ran_on
+            .may_have_run_on
             .last()
             .or(self.history.excluded.last());
         log::info!(
@@ -78,9 +78,9 @@
             failed_engine = failed_engine.map(String::as_str).unwrap_or_default(),
             engine = self.history.last_chosen.as_str(),
             expected_ms = self.history.cost_ms as i64,
-            missing_tokens = self.history.forecast.missing,
-            ahead_tokens = self.history.forecast.ahead,
-            open_there = self.history.forecast.open,
+            missing_tokens = self.history.forecast.missing_tokens,
+            ahead_tokens = self.history.forecast.pending_tokens,
+            open_there = self.history.forecast.in_flight,
             left_of_program_ms = call.metadata.finish_in.map_or(-1, |left| whole_ms(left) as i64),
             events = self.forwarded.events,
             reserve_ms = self.reserve_time.map_or(0, whole_ms),
--- a/crates/gateway/src/records_client/reading.rs
+++ b/crates/gateway/src/records_client/reading.rs
@@ -13,8 +13,8 @@
 use super::{LastReplies, RETRY_DELAY, RecordsClient, RecordsUnavailable};
 
 /// Shortest time before the next replica is asked. Longer for a replica whose recent replies were
-/// slow.
-const READ_TIMEOUT: Duration = Duration::from_millis(200);
+/// slow. Also the timeout for sending newer replica sets to a replica.
+const MIN_READ_TIMEOUT: Duration = Duration::from_millis(200);
 
 impl RecordsClient {
     /// Reads a program's turn and all before it. The turn is reported as absent only if no group
@@ -62,7 +62,7 @@
         // majority.
         let is_restoring = outcome.is_err() && replies.has_unavailable();
         if !is_restoring {
-            self.record_quorum_outcome(group, outcome.is_ok(), began.elapsed());
+            self.record_majority_outcome(group, outcome.is_ok(), began.elapsed());
         }
         outcome.map_err(|_| {
             replies.log_failure("read", request, group, self.node.view.epoch());
@@ -109,7 +109,7 @@
                 let asking = self.paths.ask_with_adaptive_timeout(
                     &replica,
                     request,
-                    READ_TIMEOUT,
+                    MIN_READ_TIMEOUT,
                     residency,
                 );
                 let reply = asking.await;
@@ -122,14 +122,14 @@
                         }
                     }
                     Ok(ReplicaReply::Stale { groups }) => {
-                        self.node.view.adopt_groups(groups, Source::Peer);
+                        self.node.view.adopt_replica_sets(groups, Source::Peer);
                         return None;
                     }
                     Ok(ReplicaReply::Behind) => {
                         let groups = ReplicaGroups::clone(&*self.groups().await);
                         let adopt = ReplicaRequest::Adopt { groups };
                         // The read continues at the next replica, and returns to this one later.
-                        let _ = self.paths.ask(&replica, adopt, READ_TIMEOUT).await;
+                        let _ = self.paths.ask(&replica, adopt, MIN_READ_TIMEOUT).await;
                     }
                     _ => {}
                 }
--- a/crates/gateway/src/warm_ups.rs
+++ b/crates/gateway/src/warm_ups.rs
@@ -5,7 +5,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use ridgeworks_quota::{Grant, GrantDelay, GrantPool, GrantState, LimiterCandidate, LimiterKey};
+use ridgeworks_quota::{
+    Grant, GrantDelay, GrantPool, GrantSelection, LimiterCandidate, LimiterKey,
+};
 use ridgeworks_records::{GroupId, Replica};
 use ridgeworks_resident::clock::{Moment, whole_ms};
 use ridgeworks_resident::node::Node;
@@ -27,7 +29,7 @@
 const TOTAL_TIMEOUT: Duration = LIMITER_TIMEOUT.saturating_mul(2);
 /// How long an engine is passed over after no limiter answered.
 const UNANSWERED_BACKOFF: Duration = Duration::from_millis(200);
-/// How long a limiter that did not answer is asked last.
+/// How long a limiter that did not answer stays last in the order in which limiters are asked.
 const UNRESPONSIVE_PERIOD: Duration = Duration::from_secs(3);
 
 /// Tracks warming engines and the grants for them. Disabled if the settings have no warm-up bound.
@@ -49,8 +51,8 @@
 pub struct WarmUpRule<'a> {
     admission: &'a WarmUpAdmission,
     now: Duration,
-    /// Random number from 0 to 1 that decides whether the request may go to an engine that has
-    /// barely warmed up.
+    /// Random number from 0 to 1, drawn once per request. The request needs no grant for an engine
+    /// if the fraction of requests to it that need none ([`WarmUps::grant_free_fraction`]) is greater than this.
     draw: f64,
     /// Whether the request may ask a limiter for a grant.
     may_ask: bool,
@@ -63,13 +65,14 @@
             return None;
         }
         let grant_pool = self.admission.grant_pool.borrow();
-        let may_acquire = self.may_ask && grant_pool.closed_for(key, self.now).is_none();
+        let may_acquire = self.may_ask && grant_pool.exhausted_for(key, self.now).is_none();
         (!may_acquire && !grant_pool.has(key, self.now)).then_some(Exclusion::WarmUp)
     }
 }
 
 impl WarmUpAdmission {
-    /// Creates the admission of a gateway on this node.
+    /// Creates the admission without any grants. It is enabled if the node's settings have a
+    /// warm-up bound.
     pub fn new(node: Rc<Node>, metrics: WarmUpMetrics) -> Self {
         Self {
             is_enabled: node.settings.bounds.warm_up().is_some(),
@@ -114,7 +117,7 @@
         if !self.is_enabled || !self.needs_grant(key, draw, self.now()) {
             return Ok(None);
         }
-        if self.ask(engine).await {
+        if self.ensure_grant(engine).await {
             let grant = self.grant_pool.borrow_mut().take(key, self.now());
             if grant.is_some() {
                 return Ok(grant);
@@ -147,7 +150,7 @@
     }
 
     /// Handles a response of an engine, which may contain its remaining warm-up time.
-    pub fn on_answer(&self, engine: &Engine, warm_up: Option<Duration>) {
+    pub fn on_response(&self, engine: &Engine, warm_up: Option<Duration>) {
         if !self.is_enabled {
             return;
         }
@@ -199,7 +202,7 @@
     }
 
     fn needs_grant(&self, engine: EngineKey, draw: f64, now: Duration) -> bool {
-        draw >= self.engines.borrow().share(engine, now)
+        draw >= self.engines.borrow().grant_free_fraction(engine, now)
     }
 
     /// Applies the current list of engines if it has changed.
@@ -249,7 +252,7 @@
     }
 
     fn log_changes(&self, now: Duration) {
-        for change in self.engines.borrow_mut().news(now) {
+        for change in self.engines.borrow_mut().changes(now) {
             log::info!(
                 target: "belief",
                 engine = change.instance.as_str(),
@@ -264,7 +267,7 @@
     }
 
     fn group_of(&self, engine: &Engine) -> GroupId {
-        let groups = self.node.view.groups();
+        let groups = self.node.view.replica_sets();
         groups.map_or(GroupId::default(), |groups| {
             groups.group_of_engine(&engine.instance)
         })
@@ -275,7 +278,7 @@
         set.map(|set| set.voters).unwrap_or_default()
     }
 
-    fn select_limiters(&self, engine: &Engine, limiters: &[Replica]) -> GrantState {
+    fn select_limiters(&self, engine: &Engine, limiters: &[Replica]) -> GrantSelection {
         let now = self.now();
         let unresponsive = self.unresponsive.borrow();
         let candidates = limiters.iter().map(|limiter| {
@@ -293,24 +296,24 @@
     }
 
     /// Requests a grant for an engine unless one is in the pool. Returns whether one is available.
-    async fn ask(&self, engine: &Engine) -> bool {
+    async fn ensure_grant(&self, engine: &Engine) -> bool {
         let Some(limit) = self.limit(&engine.service) else {
             return false;
         };
         let group = self.group_of(engine);
         let limiters = self.limiters(group);
         let order = match self.select_limiters(engine, &limiters) {
-            GrantState::Available => return true,
-            GrantState::Closed(_) => return false,
-            GrantState::Ask(order) => order,
+            GrantSelection::Available => return true,
+            GrantSelection::Exhausted(_) => return false,
+            GrantSelection::Ask(order) => order,
         };
-        let asking = self.ask_in_turn(engine, limit, group, &limiters, order);
+        let asking = self.ask_in_order(engine, limit, group, &limiters, order);
         let asked = tokio::time::timeout(TOTAL_TIMEOUT, asking).await;
         asked.unwrap_or(false)
     }
 
     /// Asks limiters one by one. Returns whether one issued a grant.
-    async fn ask_in_turn(
+    async fn ask_in_order(
         &self,
         engine: &Engine,
         limit: WarmUpLimit,
@@ -387,21 +390,22 @@
         false
     }
 
-    /// Passes the engine over for a while if no limiter has said for how long.
+    /// Closes the engine to this gateway's requests for [`UNANSWERED_BACKOFF`], unless it is closed
+    /// already, as after a reply that says when a grant is expected.
     fn back_off(&self, engine: &Engine) {
         let now = self.now();
         let mut grant_pool = self.grant_pool.borrow_mut();
-        if grant_pool.closed_for(engine.key(), now).is_none() {
-            grant_pool.close(engine.key(), UNANSWERED_BACKOFF, now);
+        if grant_pool.exhausted_for(engine.key(), now).is_none() {
+            grant_pool.set_exhausted(engine.key(), UNANSWERED_BACKOFF, now);
         }
     }
 
     fn log_passed_over(&self, request: &str, engine: &Engine) {
-        self.metrics.on_withheld(&engine.service);
+        self.metrics.on_passed_over(&engine.service);
         let closed = self
             .grant_pool
             .borrow()
-            .closed_for(engine.key(), self.now());
+            .exhausted_for(engine.key(), self.now());
         log::info!(
             target: "attempt",
             request = request,
@@ -413,15 +417,15 @@
         );
     }
 
-    /// When a client may retry: once a grant for the service's first engine is expected to be
-    /// available.
+    /// Retry delay until a grant is expected for any engine of the service; at least the limit's
+    /// interval between grants and [`RETRY_AFTER`]. `None` if the service has no warm-up limit.
     pub fn retry_after(&self, service: &str) -> Option<Duration> {
         let now = self.now();
         let min_interval = self.limit(service)?.min_interval();
         let grant_pool = self.grant_pool.borrow();
         let first = self.node.view.with_engines(|table| {
             let closed = table.ready(service);
-            let closed = closed.filter_map(|engine| grant_pool.closed_for(engine.key(), now));
+            let closed = closed.filter_map(|engine| grant_pool.exhausted_for(engine.key(), now));
             closed.min()
         });
         Some(
--- a/crates/gateway/src/zone_drains.rs
+++ b/crates/gateway/src/zone_drains.rs
@@ -1,4 +1,5 @@
-//! Tracks this gateway's open requests in drained zones, and estimates when a zone returns.
+//! Tracks this gateway's open requests in drained zones, and estimates how long clients should wait
+//! for a drain to end.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -11,12 +12,13 @@
 
 use crate::metrics::{GatewayMetrics, ZoneServiceLabel};
 
-/// Bounds of the retry delay. A drain is expected to last as long again as it has lasted; retrying
-/// earlier would waste one of the client's tries.
+/// Bounds of the retry delay. The delay is the time for which the newest drain has lasted so far,
+/// as an estimate of the time that remains; retrying earlier would waste one of the client's tries.
 const MIN_RETRY_AFTER: Duration = Duration::from_secs(1);
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(30);
 
-/// Observes the zone drains in force.
+/// Reports the effects of zone drains: excluded engines, retry delays, and this gateway's open
+/// requests in drained zones.
 pub struct ZoneDrainWatch {
     node: Rc<Node>,
     /// Whether this gateway had open requests in each drained zone at the last check, so that an
@@ -31,7 +33,7 @@
 }
 
 impl ZoneDrainWatch {
-    /// Creates a watch over the drains that this node knows.
+    /// Creates a watch that has not checked any drained zone yet.
     pub fn new(node: Rc<Node>) -> Self {
         Self {
             node,
@@ -39,13 +41,14 @@
         }
     }
 
-    /// Whether the drains are known or need not be. Requests stop waiting for unknown drains once
-    /// the bound on a drain taking effect has passed.
-    pub fn are_known(&self) -> bool {
+    /// Whether requests need not wait for the list of drains: it is known, this node does not use
+    /// drains, the settings have no bound on the time until a drain takes effect, or the process
+    /// has run for longer than that bound.
+    pub fn are_known_or_overdue(&self) -> bool {
         let drains = &self.node.view.drains;
         let bound = self.node.settings.bounds.zone_drain();
         let is_overdue = bound.is_none_or(|bound| self.node.clock.now() > bound);
-        !drains.are_followed() || drains.are_known() || is_overdue
+        !drains.are_used() || drains.are_known() || is_overdue
     }
 
     pub fn has_any(&self) -> bool {
@@ -125,7 +128,7 @@
             let excluded = excluded.filter(|engine| first_exclusion(&rules, engine).is_some());
             for engine in excluded {
                 let label = ZoneServiceLabel::of(engine);
-                let open = i64::from(placement.own_open_requests(engine.key()));
+                let open = i64::from(placement.own_in_flight_at(engine.key()));
                 metrics.drained_engines.get_or_create(&label).inc();
                 metrics.drained_requests.get_or_create(&label).inc_by(open);
             }
@@ -137,7 +140,7 @@
         self.node.view.with_engines(|table| {
             let engines = table.engines().filter(|engine| engine.zone == zone);
             let keys = engines.map(Engine::key);
-            keys.map(|key: EngineKey| placement.own_open_requests(key))
+            keys.map(|key: EngineKey| placement.own_in_flight_at(key))
                 .sum()
         })
     }
--- a/crates/node/src/dispatcher/backend_list.rs
+++ b/crates/node/src/dispatcher/backend_list.rs
@@ -1,24 +1,25 @@
-//! The back ends of a service, joined from the configuration and the platform's list of machines.
+//! Merges the back ends of a service from the configuration and the platform's list of machines.
 
 use std::collections::BTreeMap;
 
 use ridgeworks_configuration::{ConfigurationSet, MachineList, MachineState};
 use ridgeworks_domain::objects::Backend;
-use ridgeworks_domain::weakening::{Weakening, is_off};
+use ridgeworks_domain::safeguard::{Safeguard, is_disabled};
 use ridgeworks_domain::{BackendName, ServiceName};
 use ridgeworks_scheduling::Event;
 
-/// A back end and whether it takes new calls.
+/// A back end and its drain state.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ListedBackend {
-    /// The back end.
+    /// Name, service, address, zone and slots.
     pub backend: Backend,
-    /// Whether it is leaving.
+    /// A leaving back end takes no new calls.
     pub leaving: bool,
 }
 
-/// All back ends of a service. The platform's word goes before the configuration's.
-pub fn backends_of(
+/// All back ends of a service. For a back end in both sources, the platform's entry overrides the
+/// configuration's.
+pub fn merge_backends(
     service: &ServiceName,
     configuration: &ConfigurationSet,
     machines: &MachineList,
@@ -42,15 +43,15 @@
             listed.remove(&backend.name);
             continue;
         }
-        let leaving = machine.state == MachineState::Leaving && !is_off(Weakening::Leaving);
+        let leaving = machine.state == MachineState::Leaving && !is_disabled(Safeguard::Leaving);
         let backend = backend.clone();
         listed.insert(backend.name.clone(), ListedBackend { backend, leaving });
     }
     listed
 }
 
-/// What the dispatcher is told when the back ends offered to it change.
-pub fn changes(
+/// Events that tell the scheduler the differences between two sets of back ends.
+pub fn backend_events(
     before: &BTreeMap<BackendName, ListedBackend>,
     after: &BTreeMap<BackendName, ListedBackend>,
 ) -> Vec<Event> {
--- a/crates/quota/src/bucket.rs
+++ b/crates/quota/src/bucket.rs
@@ -65,7 +65,8 @@
             ProgramProgress::Beginning => 1.0 + self.share.capacity * RESERVED_FRACTION,
             ProgramProgress::UnderWay => 1.0,
         };
-        // A full bucket grants any request, however small it is.
+        // A full bucket that holds at least one token grants any request, even if its capacity is below one
+        // token plus the reserve.
         let required = required.min(self.share.capacity).max(1.0);
         if self.level >= required {
             self.level -= 1.0;
@@ -108,7 +109,8 @@
     ) -> LimiterDecision {
         let Some(bucket) = self.buckets.get_mut(name) else {
             if fresh.version < self.discarded_version {
-                // A lower limit may be among those that were discarded.
+                // The discarded bucket of this name may have had a newer version and a lower limit, so this
+                // limit may be outdated.
                 return LimiterDecision::Exhausted {
                     next: STALE_LIMIT_RETRY,
                     retry: STALE_LIMIT_RETRY,
@@ -122,8 +124,9 @@
         bucket.take(progress, max_wait)
     }
 
-    /// Discards full buckets over the maximum, those with limits of the oldest versions first. The others
-    /// stay, so that a gateway with an older configuration does not bring back an earlier limit.
+    /// If more than `MAX_FULL_BUCKETS` buckets are full, discards full buckets, those of the oldest
+    /// configuration versions first, until at most that many are left. These are kept so that a gateway with
+    /// an older configuration cannot put an outdated limit into force again.
     pub(crate) fn clean_up(&mut self, now: Duration) {
         let buckets = self.buckets.values_mut();
         buckets.for_each(|bucket| bucket.refill(now));
@@ -141,13 +144,13 @@
     }
 
     /// Number of buckets that are not full.
-    pub(crate) fn len(&self) -> usize {
-        let taken = self.buckets.values().filter(|bucket| !bucket.is_full());
-        taken.count()
+    pub(crate) fn non_full_count(&self) -> usize {
+        let non_full = self.buckets.values().filter(|bucket| !bucket.is_full());
+        non_full.count()
     }
 
     /// Number of all buckets.
-    pub(crate) fn retained(&self) -> usize {
+    pub(crate) fn count(&self) -> usize {
         self.buckets.len()
     }
 }
--- a/crates/quota/src/limiter.rs
+++ b/crates/quota/src/limiter.rs
@@ -36,7 +36,7 @@
     bounds: QuotaBounds,
     /// Limiters that share each limit.
     limiters: usize,
-    /// When this limiter's memory of its grants begins.
+    /// Time since which this limiter knows all of its grants.
     known_since: Duration,
     buckets: Buckets,
 }
@@ -81,8 +81,9 @@
         Bucket::new(share, level, version, now)
     }
 
-    /// Discards full buckets over a maximum. The others stay, so that a gateway with an older configuration
-    /// does not bring back an earlier limit.
+    /// If there are too many full buckets, discards those of the oldest configuration versions. The others
+    /// are kept so that a gateway with an older configuration cannot put an outdated limit into force again.
+    /// Does nothing until a window has passed since the start, since earlier grants are not known.
     pub fn clean_up(&mut self, now: Duration) {
         if now.saturating_sub(self.known_since) < self.bounds.window {
             return;
@@ -92,16 +93,16 @@
 
     /// Tenants with recent grants.
     pub fn len(&self) -> usize {
-        self.buckets.len()
+        self.buckets.non_full_count()
     }
 
     /// Whether no tenant has recent grants.
     pub fn is_empty(&self) -> bool {
-        self.buckets.len() == 0
+        self.buckets.non_full_count() == 0
     }
 
     /// Tenants whose limits are known.
     pub fn retained(&self) -> usize {
-        self.buckets.retained()
+        self.buckets.count()
     }
 }
--- a/crates/quota/tests/support/algorithms.rs
+++ b/crates/quota/tests/support/algorithms.rs
@@ -89,7 +89,7 @@
         let state = selector.next(&name, progress, &candidates, now, context.random);
         let order = match state {
             LimiterSelection::Granted => return Answer::Granted,
-            LimiterSelection::Closed(_) => return Answer::Refused,
+            LimiterSelection::Exhausted(_) => return Answer::Refused,
             LimiterSelection::Ask(order) => order,
         };
         let mut answer = Answer::Unknown;
@@ -195,8 +195,8 @@
         let window = BOUNDS.window;
         let known = self.grants[tenant].iter().filter(|(at, by)| {
             let is_own = *by == gateway;
-            let is_cut = context.is_cut(gateway) || context.is_cut(*by);
-            let is_received = *at + Self::LAG <= now && !is_cut;
+            let is_partitioned = context.is_partitioned(gateway) || context.is_partitioned(*by);
+            let is_received = *at + Self::LAG <= now && !is_partitioned;
             *at + window > now && (is_own || is_received)
         });
         let limit = self.limits[tenant];
--- a/crates/quota/tests/support/warm_up_algorithms.rs
+++ b/crates/quota/tests/support/warm_up_algorithms.rs
@@ -5,7 +5,8 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use ridgeworks_quota::{
-    GRANT_LIFETIME, GrantDelay, GrantLimiter, GrantPool, GrantState, LimiterDecision, LimiterKey,
+    GRANT_LIFETIME, GrantDelay, GrantLimiter, GrantPool, GrantSelection, LimiterDecision,
+    LimiterKey,
 };
 use ridgeworks_routing::{EngineKey, WarmUpLimit};
 
@@ -85,16 +86,16 @@
     fn decide(
         &mut self,
         gateway: usize,
-        _world: &Deployment,
+        _deployment: &Deployment,
         context: &mut Context<'_>,
     ) -> Decision {
         let now = context.now;
         let candidates = candidates(&self.unresponsive_until[gateway], now);
         let pool = &mut self.pools[gateway];
         match pool.next(KEY, ENGINE, &candidates, now, context.random) {
-            GrantState::Available => Decision::Send,
-            GrantState::Closed(_) => Decision::Skip,
-            GrantState::Ask(order) => Decision::Ask(order),
+            GrantSelection::Available => Decision::Send,
+            GrantSelection::Exhausted(_) => Decision::Skip,
+            GrantSelection::Ask(order) => Decision::Ask(order),
         }
     }
 
@@ -102,8 +103,8 @@
         self.limiters[limiter].grant(ENGINE, self.limit, VERSION, now)
     }
 
-    fn on_exhausted(&mut self, gateway: usize, from: LimiterKey, wait: GrantDelay, now: Duration) {
-        self.pools[gateway].on_exhausted(KEY, ENGINE, from, wait, now);
+    fn on_exhausted(&mut self, gateway: usize, from: LimiterKey, delay: GrantDelay, now: Duration) {
+        self.pools[gateway].on_exhausted(KEY, ENGINE, from, delay, now);
     }
 
     fn on_unresponsive(&mut self, gateway: usize, from: LimiterKey, now: Duration) {
@@ -126,12 +127,12 @@
 
 /// Number of gateways that a gateway believes to be running: those whose messages reach it.
 fn believed_running(gateway: usize, deployment: &Deployment, context: &Context<'_>) -> usize {
-    if context.is_cut(gateway) {
+    if context.is_partitioned(gateway) {
         return 1;
     }
-    let others = (0..deployment.gateways).filter(|other| !context.is_cut(*other));
+    let others = (0..deployment.gateways).filter(|other| !context.is_partitioned(*other));
     others
-        .filter(|other| !deployment.is_gone(*other, context.now))
+        .filter(|other| !deployment.is_crash_detected(*other, context.now))
         .count()
 }
 
@@ -196,12 +197,13 @@
         deployment: &Deployment,
         context: &mut Context<'_>,
     ) -> Decision {
-        let before = (0..deployment.gateways).filter(|other| {
-            let is_reachable = !context.is_cut(gateway) && !context.is_cut(*other);
-            let is_believed_running = is_reachable && !deployment.is_gone(*other, context.now);
+        let higher_ranked = (0..deployment.gateways).filter(|other| {
+            let is_reachable = !context.is_partitioned(gateway) && !context.is_partitioned(*other);
+            let is_believed_running =
+                is_reachable && !deployment.is_crash_detected(*other, context.now);
             is_believed_running && self.ranks[*other] > self.ranks[gateway]
         });
-        if before.count() >= Self::COUNT {
+        if higher_ranked.count() >= Self::COUNT {
             return Decision::Skip;
         }
         let per_s = deployment.limit.per_ks as f64 / 1_000.0 / Self::COUNT as f64;
--- a/crates/replica/src/actor.rs
+++ b/crates/replica/src/actor.rs
@@ -34,14 +34,14 @@
 /// Delay before a failed disk is opened again.
 const REOPEN_DELAY: Duration = Duration::from_millis(400);
 
-/// Event from a thread that does disk I/O. `opening` numbers the openings of the disk, so that
-/// events of an earlier one can be told apart.
+/// Event from a thread that does disk I/O. The actor ignores events whose `opening` isn't its
+/// current one: they belong to a disk that has failed since.
 pub enum DiskEvent {
     /// A batch is durable, or has failed and will not be acknowledged.
     Committed {
-        /// The opening of the disk that the batch belongs to.
+        /// Value of `ReplicaActor::opening` when the batch was submitted.
         opening: u64,
-        /// Number of the batch within this opening.
+        /// Number of the batch since the disk was opened, from 1.
         batch: u64,
         /// Whether the batch is durable.
         is_durable: bool,
@@ -50,14 +50,14 @@
     Opened(Box<Result<OpenedDisk, DiskError>>),
     /// Records were read from the disk.
     Records {
-        /// The opening of the disk that the records belong to.
+        /// Value of `ReplicaActor::opening` when reading began.
         opening: u64,
         /// Some of the records, in the order of their keys.
         records: Vec<StoredRecord>,
     },
     /// All records were read, or reading failed.
     AllRead {
-        /// The opening of the disk that was read.
+        /// Value of `ReplicaActor::opening` when reading began.
         opening: u64,
         /// The error if reading failed.
         outcome: Result<(), DiskError>,
@@ -74,12 +74,12 @@
 
 /// Settings and connections of the actor.
 pub struct ReplicaParts {
-    /// Folder of the store.
+    /// Folder of the local database.
     pub folder: PathBuf,
     /// Name of the node.
     pub node_name: String,
     /// Largest total size of turns, in bytes.
-    pub max_turn_bytes: usize,
+    pub max_total_turn_bytes: usize,
     /// The node's view of the cluster.
     pub view: Rc<View>,
     /// Metrics of the replica.
@@ -88,12 +88,12 @@
     pub disk_events: mpsc::UnboundedSender<DiskEvent>,
     /// Where the replica's status is published within the process; `None` while the disk isn't
     /// open.
-    pub status: Rc<Cell<Option<OpenReplica>>>,
+    pub status: Rc<Cell<Option<LocalReplicaStatus>>>,
 }
 
 /// Status of a replica with an open disk.
 #[derive(Debug, Clone, Copy)]
-pub struct OpenReplica {
+pub struct LocalReplicaStatus {
     /// The status that other nodes are sent.
     pub published: ReplicaStatus,
     /// Whether all records of the disk are restored, so that other replicas can copy them.
@@ -104,26 +104,26 @@
     batch: u64,
     /// When the request was handled; `None` if the reply may wait for later changes, so that its
     /// latency says nothing about the replica.
-    requested_at: Option<Instant>,
+    handled_at: Option<Instant>,
     reply_sender: oneshot::Sender<PeerReply>,
     reply: ReplicaReply,
 }
 
-struct OpenDisk {
+struct DiskSession {
     store: Arc<Store>,
     state: ReplicaState,
     /// Whether records read from the disk are still needed; checked by the thread that reads them.
     is_read_wanted: Arc<AtomicBool>,
     opened_at: Instant,
-    /// The store's counters that the metrics already include.
+    /// The local database's counters that the metrics already include.
     counted: Option<StoreCountersSnapshot>,
 }
 
-impl OpenDisk {
+impl DiskSession {
     /// Restores the records that a request needs and that aren't restored yet.
     fn restore_for(&mut self, request: &ReplicaRequest) -> Result<(), DiskError> {
         let mut last = None;
-        while let Some(key) = self.state.missing_record(request) {
+        while let Some(key) = self.state.unrestored_record(request) {
             // Restoring a record stored under the wrong key would never satisfy the request, and
             // the loop wouldn't end.
             if last.replace(key.clone()).as_ref() == Some(&key) {
@@ -141,8 +141,8 @@
 /// The actor of one replica.
 pub struct ReplicaActor {
     parts: ReplicaParts,
-    disk: Option<OpenDisk>,
-    /// Number of openings of the disk; tells apart events of an earlier one.
+    disk: Option<DiskSession>,
+    /// Incremented whenever the disk is opened or fails; events with an earlier value are ignored.
     opening: u64,
     submitted: u64,
     durable: u64,
@@ -261,7 +261,8 @@
         self.commit_and_reply(handled, Some(reply_sender));
     }
 
-    /// Replies with those of these turns that the replica doesn't have.
+    /// Replies with the given turns that the replica doesn't have: all of them while its disk isn't
+    /// open.
     pub fn missing(
         &mut self,
         _cx: CX![],
@@ -340,10 +341,10 @@
     fn open_disk(&mut self) {
         let folder = self.parts.folder.clone();
         let node_name = self.parts.node_name.clone();
-        let max_turn_bytes = self.parts.max_turn_bytes;
+        let max_total_turn_bytes = self.parts.max_total_turn_bytes;
         let disk_events = self.parts.disk_events.clone();
         tokio::task::spawn_blocking(move || {
-            let opened = disk::open(&folder, &node_name, max_turn_bytes);
+            let opened = disk::open(&folder, &node_name, max_total_turn_bytes);
             // The process may be shutting down.
             let _ = disk_events.send(DiskEvent::Opened(Box::new(opened)));
         });
@@ -365,7 +366,7 @@
                     ControlFlow::Break(())
                 }
             });
-            // The store has to be closed before the folder can be opened again.
+            // The local database has to be closed before the folder can be opened again.
             drop(store);
             // The process may be shutting down.
             let _ = disk_events.send(DiskEvent::AllRead { opening, outcome });
@@ -401,7 +402,7 @@
             return;
         }
         disk.state.finish_restoring();
-        let (turns, ledgers) = disk.state.counts();
+        let (turns, ledgers) = disk.state.turn_and_ledger_counts();
         log::info!(
             target: "dependency",
             turns = turns,
@@ -425,7 +426,7 @@
             epoch = opened.state.epoch().0;
             "disk opened"
         );
-        self.disk = Some(OpenDisk {
+        self.disk = Some(DiskSession {
             store: opened.store,
             state: opened.state,
             is_read_wanted: Arc::new(AtomicBool::new(true)),
@@ -434,7 +435,7 @@
         });
         self.read_all();
         self.publish_sets();
-        let newer = self.parts.view.groups();
+        let newer = self.parts.view.replica_sets();
         if let (Some(groups), Some(disk)) = (newer, self.disk.as_mut())
             && groups.epoch() > disk.state.epoch()
         {
@@ -484,14 +485,14 @@
             return;
         };
         let is_durable = self.pending.is_empty() && self.durable == self.submitted;
-        if wait == Wait::No || is_durable {
+        if wait == Wait::Nothing || is_durable {
             send(reply_sender, reply);
             return;
         }
         let batch = self.submitted + u64::from(!self.pending.is_empty());
         self.waiting.push_back(WaitingReply {
             batch,
-            requested_at: (wait == Wait::Durable).then(Instant::now),
+            handled_at: (wait == Wait::Durable).then(Instant::now),
             reply_sender,
             reply,
         });
@@ -577,8 +578,8 @@
             && waiting.batch <= self.durable
         {
             if let Some(waiting) = self.waiting.pop_front() {
-                if let Some(requested_at) = waiting.requested_at {
-                    self.latency.on_reply(requested_at.elapsed());
+                if let Some(handled_at) = waiting.handled_at {
+                    self.latency.on_reply(handled_at.elapsed());
                 }
                 send(waiting.reply_sender, waiting.reply);
             }
@@ -590,12 +591,12 @@
         let groups = self.disk.as_ref().and_then(|disk| disk.state.groups());
         if let Some(groups) = groups {
             let groups = groups.clone();
-            self.parts.view.adopt_groups(groups, Source::Peer);
+            self.parts.view.adopt_replica_sets(groups, Source::Peer);
         }
     }
 
     fn publish_status(&self) {
-        let status = self.disk.as_ref().map(|disk| OpenReplica {
+        let status = self.disk.as_ref().map(|disk| LocalReplicaStatus {
             published: ReplicaStatus {
                 id: disk.state.id(),
                 copied: disk.state.copied_for_change(),
@@ -609,7 +610,7 @@
         let Some(disk) = &self.disk else {
             return;
         };
-        let (turns, ledgers) = disk.state.counts();
+        let (turns, ledgers) = disk.state.turn_and_ledger_counts();
         let to_gauge = |value: usize| i64::try_from(value).unwrap_or(i64::MAX);
         let metrics = &self.parts.metrics;
         metrics.turns.set(to_gauge(turns));
--- a/crates/replica/src/copying.rs
+++ b/crates/replica/src/copying.rs
@@ -26,7 +26,8 @@
 const FETCH_COUNT: usize = 256;
 /// Longest pause after a reply.
 const MAX_THROTTLE_PAUSE: Duration = Duration::from_millis(50);
-/// A round of copying that takes no longer has caught up: little has changed since.
+/// Longest round of copying after which the replica counts as prepared: little has changed
+/// meanwhile.
 const CAUGHT_UP_ROUND: Duration = Duration::from_millis(800);
 /// Interval of rounds while the set isn't joint yet.
 const ROUND_INTERVAL: Duration = Duration::from_millis(300);
@@ -68,16 +69,16 @@
 /// Makes the copies that are due, until the process ends.
 pub async fn run(replica: Rc<ReplicaHandle>) {
     let mut changes = replica.node.view.changes();
-    let mut copier = Copier::new(Rc::clone(&replica));
+    let mut copier = RecordCopier::new(Rc::clone(&replica));
     loop {
         copier.drop_unwanted();
         if let Some(job) = joint_job(&replica) {
-            copier.copy_for(&job).await;
+            copier.copy_for_joint_set(&job).await;
             continue;
         }
         let jobs = preparation_jobs(&replica);
         for job in &jobs {
-            copier.prepare_for(job).await;
+            copier.run_preparation_round(job).await;
         }
         let pause = if jobs.is_empty() {
             IDLE_INTERVAL
@@ -96,7 +97,7 @@
 
 /// The copy that this replica has to make for a joint set, if any.
 fn joint_job(replica: &ReplicaHandle) -> Option<CopyJob> {
-    let groups = replica.node.view.groups()?;
+    let groups = replica.node.view.replica_sets()?;
     let status = replica.status()?;
     let mut sets = groups.iter();
     let (group, set) = sets.find(|(group, set)| {
@@ -113,12 +114,12 @@
 
 /// The requested copies of groups that this replica is to join.
 fn preparation_jobs(replica: &ReplicaHandle) -> Vec<CopyJob> {
-    let (Some(groups), Some(status)) = (replica.node.view.groups(), replica.status()) else {
+    let (Some(groups), Some(status)) = (replica.node.view.replica_sets(), replica.status()) else {
         return Vec::new();
     };
     let me = status.id;
     let is_due = |group: GroupId, set: &ReplicaSet| {
-        let is_wanted = replica.preparation.wanted(group) == Some(set.epoch);
+        let is_wanted = replica.preparation.requested_epoch(group) == Some(set.epoch);
         is_wanted && set.incoming.is_none() && !set.has_member(me)
     };
     let due = groups.iter().filter(|(group, set)| is_due(*group, set));
@@ -133,7 +134,7 @@
 }
 
 /// Progress of this replica's copies.
-struct Copier {
+struct RecordCopier {
     replica: Rc<ReplicaHandle>,
     /// Identity of the disk that holds the copies.
     me: Option<ReplicaId>,
@@ -143,7 +144,7 @@
     started_at: BTreeMap<GroupId, Instant>,
 }
 
-impl Copier {
+impl RecordCopier {
     fn new(replica: Rc<ReplicaHandle>) -> Self {
         Self {
             replica,
@@ -153,7 +154,8 @@
         }
     }
 
-    /// Drops the state of copies that are no longer requested.
+    /// Drops the state of copies that are no longer needed, and the positions and requests of all
+    /// copies when the disk was closed or replaced.
     fn drop_unwanted(&mut self) {
         let me = self.replica.status().map(|status| status.id);
         if self.me != me {
@@ -162,12 +164,12 @@
             self.replica.preparation.clear();
             self.me = me;
         }
-        let groups = self.replica.node.view.groups();
+        let groups = self.replica.node.view.replica_sets();
         let replica = &self.replica;
         let is_wanted = |group: GroupId| {
             let set = groups.as_ref().and_then(|groups| groups.set(group));
             let is_copier = set.zip(me).is_some_and(|(set, me)| set.is_copier(me));
-            is_copier || replica.preparation.wanted(group).is_some()
+            is_copier || replica.preparation.requested_epoch(group).is_some()
         };
         self.positions.retain(|(group, _), _| is_wanted(*group));
         self.started_at.retain(|group, started_at| {
@@ -177,7 +179,7 @@
                     target: "belief",
                     group = group.0,
                     took_ms = whole_ms(started_at.elapsed());
-                    "copy before a change of the replica set cancelled"
+                    "cancelled the copy before a change of the replica set"
                 );
             }
             keep
@@ -185,14 +187,14 @@
     }
 
     /// Makes one round of copying before the set changes.
-    async fn prepare_for(&mut self, job: &CopyJob) {
+    async fn run_preparation_round(&mut self, job: &CopyJob) {
         let (group, epoch) = (job.group, job.set.epoch);
         if !self.started_at.contains_key(&group) {
             log::info!(
                 target: "belief",
                 group = group.0,
                 epoch = epoch.0;
-                "copy before a change of the replica set began"
+                "started the copy before a change of the replica set"
             );
         }
         let started_at = *self.started_at.entry(group).or_insert_with(Instant::now);
@@ -202,7 +204,7 @@
             return;
         }
         let preparation = &self.replica.preparation;
-        if !preparation.is_ready(group, epoch) {
+        if !preparation.is_prepared(group, epoch) {
             log::info!(
                 target: "belief",
                 group = group.0,
@@ -211,11 +213,11 @@
                 "copy before a change of the replica set caught up"
             );
         }
-        preparation.set_ready(group, epoch);
+        preparation.set_prepared(group, epoch);
     }
 
     /// Copies what changed since the last round, or everything, for a joint set.
-    async fn copy_for(&mut self, job: &CopyJob) {
+    async fn copy_for_joint_set(&mut self, job: &CopyJob) {
         let start = Instant::now();
         let mut copied = BTreeSet::new();
         // A voter needs no copy of its own records. The reply to an empty batch comes once the
@@ -267,7 +269,8 @@
         true
     }
 
-    /// Whether a copy is still needed, and no joint set needs one more urgently.
+    /// Whether the copy is still needed. A copy before a set change also yields to one for a joint
+    /// set.
     fn is_wanted(&self, job: &CopyJob) -> bool {
         let replica = &self.replica;
         let set = replica.node.view.replica_set(job.group);
@@ -275,7 +278,7 @@
         if job.pace == Pace::Unthrottled {
             return is_newest;
         }
-        let is_requested = replica.preparation.wanted(job.group) == Some(job.set.epoch);
+        let is_requested = replica.preparation.requested_epoch(job.group) == Some(job.set.epoch);
         is_newest && is_requested && joint_job(replica).is_none()
     }
 
@@ -321,11 +324,11 @@
 fn newest_first<'a>(replica: &ReplicaHandle, voters: &'a [Replica]) -> Vec<&'a Replica> {
     let members = replica.node.gossip.replicas();
     let heard_at = |voter: &Replica| {
-        let mut of_voter = members.iter().filter(|member| {
+        let mut matching_members = members.iter().filter(|member| {
             let status = member.replica;
             status.is_some_and(|status| status.id == voter.id)
         });
-        of_voter.find_map(|member| member.heard_at)
+        matching_members.find_map(|member| member.heard_at)
     };
     let mut sorted: Vec<&Replica> = voters.iter().collect();
     sorted.sort_by_key(|voter| std::cmp::Reverse(heard_at(voter)));
@@ -357,7 +360,7 @@
             ReplicaReply::Listed(listing) => Ok(listing),
             ReplicaReply::Stale { groups } => {
                 let view = &self.replica.node.view;
-                view.adopt_groups(groups, Source::Peer);
+                view.adopt_replica_sets(groups, Source::Peer);
                 Err(CopyError::Superseded)
             }
             _ => Err(CopyError::Source),
@@ -367,7 +370,7 @@
     async fn copy_turns(&self, listed: Vec<(TurnId, u64)>) -> Result<(), CopyError> {
         let mut missing = self.replica.missing(listed).await;
         while !missing.is_empty() {
-            let keep: HashMap<TurnId, u64> = missing.iter().cloned().collect();
+            let ttls_ms: HashMap<TurnId, u64> = missing.iter().cloned().collect();
             let turns = missing.iter().take(FETCH_COUNT);
             let turns: Vec<TurnId> = turns.map(|(turn, _)| turn.clone()).collect();
             let requested: BTreeSet<TurnId> = turns.iter().cloned().collect();
@@ -378,7 +381,7 @@
             let received: BTreeSet<TurnId> =
                 fetched.iter().map(|record| record.turn.clone()).collect();
             let records = fetched.into_iter().map(|record| {
-                let ttl_ms = keep.get(&record.turn).copied().unwrap_or_default();
+                let ttl_ms = ttls_ms.get(&record.turn).copied().unwrap_or_default();
                 CopiedRecord::Turn(record, ttl_ms)
             });
             if !self.replica.copy(self.job.group, records.collect()).await {
--- a/crates/replica/src/handle.rs
+++ b/crates/replica/src/handle.rs
@@ -1,4 +1,5 @@
-//! Access to the replica's actor for the rest of the process.
+//! Handle through which requests of other nodes and the other tasks of the process reach the
+//! replica's actor.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -15,12 +16,12 @@
 use stakker::{ActorOwn, call};
 use tokio::sync::{mpsc, oneshot};
 
-use crate::actor::{CopiedRecord, DiskEvent, OpenReplica, ReplicaActor};
+use crate::actor::{CopiedRecord, DiskEvent, LocalReplicaStatus, ReplicaActor};
 use crate::limiters::{CLEAN_UP_INTERVAL, LocalLimiters};
 use crate::metrics::ReplicaMetrics;
 use crate::preparation::Preparation;
 
-/// Handle of this process's replica.
+/// Serves requests of other nodes, and gives the other tasks of this process access to the replica.
 pub struct ReplicaHandle {
     /// The node that the replica runs on.
     pub node: Rc<Node>,
@@ -30,7 +31,7 @@
     limiters: LocalLimiters,
     actors: ActorRuntime,
     actor: ActorOwn<ReplicaActor>,
-    status: Rc<Cell<Option<OpenReplica>>>,
+    status: Rc<Cell<Option<LocalReplicaStatus>>>,
 }
 
 impl ReplicaHandle {
@@ -39,7 +40,7 @@
         metrics: Rc<ReplicaMetrics>,
         actors: ActorRuntime,
         actor: ActorOwn<ReplicaActor>,
-        status: Rc<Cell<Option<OpenReplica>>>,
+        status: Rc<Cell<Option<LocalReplicaStatus>>>,
     ) -> Self {
         let bounds = &node.settings.bounds;
         let limiters = LocalLimiters::new(bounds.quota(), bounds.warm_up(), bounds.replicas());
@@ -88,7 +89,7 @@
         let mut changes = self.node.view.changes();
         let mut forwarded = Epoch::default();
         loop {
-            if let Some(groups) = self.node.view.groups()
+            if let Some(groups) = self.node.view.replica_sets()
                 && groups.epoch() > forwarded
             {
                 forwarded = groups.epoch();
@@ -128,8 +129,8 @@
         )
     }
 
-    /// Returns those of these turns that the replica doesn't have, each with its time to live in
-    /// milliseconds.
+    /// Returns the given turns that the replica doesn't have (all of them while its disk isn't
+    /// open), each with its time to live in milliseconds.
     pub async fn missing(&self, turns: Vec<(TurnId, u64)>) -> Vec<(TurnId, u64)> {
         let (reply_sender, reply_receiver) = oneshot::channel();
         call!([self.actor], missing(turns, reply_sender));
@@ -146,15 +147,15 @@
         })
     }
 
-    /// Handles a request to copy before this replica joins a set; replies whether the copy is
-    /// ready.
+    /// Handles a request to copy before this replica joins a set; replies whether it is
+    /// prepared.
     fn prepare(&self, preparing: PrepareRequest) -> PeerReply {
         let is_recipient = self
             .status()
             .is_some_and(|status| status.id == preparing.to);
         let PrepareRequest { group, groups, .. } = preparing;
         let epoch = groups.set(group).map(|set| set.epoch);
-        self.node.view.adopt_groups(groups, Source::Peer);
+        self.node.view.adopt_replica_sets(groups, Source::Peer);
         let epoch = epoch.filter(|_| is_recipient);
         let is_ready = epoch.is_some_and(|epoch| self.preparation.on_request(group, epoch));
         PeerReply::Prepared { is_ready }
@@ -197,7 +198,7 @@
 }
 
 impl GossipSources for ReplicaHandle {
-    fn load(&self) -> LoadReport {
+    fn load_report(&self) -> LoadReport {
         LoadReport::default()
     }
 
@@ -205,11 +206,11 @@
         self.status()
     }
 
-    fn on_load(&self, _from: &str, _load: LoadReport) {}
+    fn on_load_report(&self, _from: &str, _load: LoadReport) {}
 
     fn on_prefill(&self, _read: PrefillRecord) {}
 
-    fn find_read(&self, _part: u64) -> Option<PrefillRecord> {
+    fn find_prefill(&self, _part: u64) -> Option<PrefillRecord> {
         None
     }
 }
--- a/crates/resident/src/peer/gossip.rs
+++ b/crates/resident/src/peer/gossip.rs
@@ -34,19 +34,19 @@
 use super::targets::{FAN_OUT, targets};
 use crate::clock::Clock;
 use crate::view::View;
-use crate::watch_policy::{self, SMALL_FLEET, WatchControl, WatcherRole};
+use crate::watch_policy::{self, LARGE_FLEET_GATEWAYS, WatchControl, WatcherRole};
 
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(250);
-/// Numbers of other nodes named in a heartbeat.
+/// How many other nodes a heartbeat names.
 const NAMED_REPLICAS: usize = 5;
 const NAMED_GATEWAYS: usize = 2;
 /// One in this many rounds of heartbeats names other nodes. The names are most of a heartbeat's bytes, and members change rarely.
 const ROUNDS_PER_NAMING: usize = 8;
 /// For this long after its start a node names others in every heartbeat, so that the nodes of a starting fleet find each other.
 const NAMING_START: Duration = Duration::from_secs(5);
-/// Most engines in a heartbeat, so that it fits in one packet.
+/// Maximum number of engines in a heartbeat, so that it fits in one packet.
 const MAX_LOAD_ENTRIES: usize = 56;
-/// Most services in a heartbeat.
+/// Maximum number of services in a heartbeat.
 const MAX_SERVICE_ENTRIES: usize = 16;
 const MAX_DATAGRAM: usize = 8 * 1024;
 /// Delay before a change is announced, so that changes in quick succession go out together.
@@ -59,15 +59,15 @@
 /// Supplies the role's part of heartbeats and handles that of other nodes.
 pub trait GossipSources: 'static {
     /// This node's observations of the engines.
-    fn load(&self) -> LoadReport;
+    fn load_report(&self) -> LoadReport;
     /// This node's replica, if it runs one.
     fn replica(&self) -> Option<ReplicaStatus>;
     /// Handles another node's observations of the engines; `from` is its name.
-    fn on_load(&self, from: &str, load: LoadReport);
-    /// Records a prefill of a prompt whose directory node this is.
+    fn on_load_report(&self, from: &str, load: LoadReport);
+    /// Records a prefill that another node reports to this node as the directory node of the prompt.
     fn on_prefill(&self, prefill: PrefillRecord);
-    /// The last recorded prefill of a prompt with this last part.
-    fn find_read(&self, part: u64) -> Option<PrefillRecord>;
+    /// The most recently recorded prefill of a prompt whose last part has this hash.
+    fn find_prefill(&self, last_part_hash: u64) -> Option<PrefillRecord>;
 }
 
 /// Sends and receives heartbeats.
@@ -145,7 +145,7 @@
         if self.added_epoch.replace(self.view.epoch()) == self.view.epoch() {
             return;
         }
-        let Some(groups) = self.view.groups() else {
+        let Some(groups) = self.view.replica_sets() else {
             return;
         };
         let infos = groups.members().into_iter().filter_map(|replica| {
@@ -184,7 +184,7 @@
         replicas.cloned().collect()
     }
 
-    /// Whether this node is one of those that watch the store.
+    /// This node's watcher role, from the gateways that it knows.
     pub fn watcher_role(&self, now: Duration) -> WatcherRole {
         let members = self.members.borrow();
         // Nodes whose views this one refuses don't count as watchers.
@@ -207,19 +207,19 @@
         let mut buffer = vec![0; MAX_DATAGRAM];
         let mut changes = self.view.changes();
         let mut announcement_due = std::pin::pin!(tokio::time::sleep(Duration::ZERO));
-        let mut has_change = false;
+        let mut is_announcement_pending = false;
         loop {
             tokio::select! {
                 _ = ticks.tick() => self.send_heartbeats(&*sources).await,
-                changed = changes.changed(), if !has_change => if changed.is_ok() {
-                    has_change = true;
+                changed = changes.changed(), if !is_announcement_pending => if changed.is_ok() {
+                    is_announcement_pending = true;
                     announcement_due.as_mut().reset(tokio::time::Instant::now() + CHANGE_DELAY);
                 },
-                () = announcement_due.as_mut(), if has_change => {
-                    has_change = false;
+                () = announcement_due.as_mut(), if is_announcement_pending => {
+                    is_announcement_pending = false;
                     self.announce_change(&*sources).await;
                 }
-                () = self.view.confirmation() => self.announce_confirmation(&*sources).await,
+                () = self.view.wait_for_announcement() => self.announce_confirmation(&*sources).await,
                 received = self.socket.recv_from(&mut buffer) => {
                     if let Ok((length, from)) = received {
                         self.on_datagram(&buffer[..length], from, &*sources).await;
@@ -235,10 +235,11 @@
         self.send_to(self.targets(), sources).await;
     }
 
-    /// Sends a heartbeat to a few nodes at once after a change. They fetch the change and announce it in turn, so it spreads faster
-    /// than by periodic heartbeats. In a small fleet every gateway watches the store itself.
+    /// Sends a heartbeat to a few random nodes after a change, without waiting for the next interval. They fetch the change and
+    /// announce it in turn, so it spreads faster than by periodic heartbeats. While fewer than [`LARGE_FLEET_GATEWAYS`] other nodes
+    /// are known nothing is sent, since in a small fleet every gateway watches the store itself.
     async fn announce_change(&self, sources: &impl GossipSources) {
-        if self.members.borrow().len() < SMALL_FLEET {
+        if self.members.borrow().len() < LARGE_FLEET_GATEWAYS {
             return;
         }
         self.send_to(self.random_members(FAN_OUT), sources).await;
@@ -247,15 +248,15 @@
     /// Sends a heartbeat after the store has confirmed this node's view. In a small fleet it goes to all nodes, so that one probe
     /// of the store is enough for all.
     async fn announce_confirmation(&self, sources: &impl GossipSources) {
-        self.send_to(self.random_members(SMALL_FLEET), sources)
+        self.send_to(self.random_members(LARGE_FLEET_GATEWAYS), sources)
             .await;
     }
 
-    /// Addresses of at most this many other nodes, chosen at random.
-    fn random_members(&self, most: usize) -> Vec<SocketAddr> {
+    /// Addresses of at most `max_count` other nodes, chosen at random.
+    fn random_members(&self, max_count: usize) -> Vec<SocketAddr> {
         let members = self.members.borrow();
         let all: Vec<&Member> = members.iter().collect();
-        let some = all.sample(&mut rand::rng(), most);
+        let some = all.sample(&mut rand::rng(), max_count);
         some.map(|member| member.info.address).collect()
     }
 
@@ -284,7 +285,7 @@
     /// Targets of the next heartbeat. The seeds are among them while fewer than two others are known.
     fn targets(&self) -> Vec<SocketAddr> {
         let members = self.members.borrow();
-        let groups = self.view.groups();
+        let groups = self.view.replica_sets();
         let offset = self.next_offset.get();
         self.next_offset.set(offset.wrapping_add(FAN_OUT));
         let mut targets = targets(&self.me, members.iter(), groups.as_deref(), offset);
@@ -301,7 +302,7 @@
     }
 
     fn heartbeat(&self, sources: &impl GossipSources, should_name_members: bool) -> Heartbeat {
-        let mut load = sources.load();
+        let mut load = sources.load_report();
         load.open.truncate(MAX_LOAD_ENTRIES);
         load.suspects.truncate(MAX_SUSPECTS);
         load.services.truncate(MAX_SERVICE_ENTRIES);
@@ -344,10 +345,10 @@
             }
             Ok(Datagram::Read(prefill)) => sources.on_prefill(prefill),
             Ok(Datagram::FindRead { number, part }) => {
-                let read = sources.find_read(part);
+                let read = sources.find_prefill(part);
                 self.send(from, &Datagram::FoundRead { number, read }).await;
             }
-            Ok(Datagram::FoundRead { number, read }) => self.queries.answer(number, read),
+            Ok(Datagram::FoundRead { number, read }) => self.queries.on_reply(number, read),
             Ok(Datagram::AskConfirmations { number }) => {
                 let told = self.view.confirmations();
                 self.send(from, &Datagram::Confirmed { number, told }).await;
@@ -400,7 +401,7 @@
             self.query_if_fresher(&heartbeat.confirmations, from, now)
                 .await;
         }
-        sources.on_load(&heartbeat.from.name, heartbeat.load);
+        sources.on_load_report(&heartbeat.from.name, heartbeat.load);
     }
 
     /// Queries a node whose view seems to have been confirmed more recently than this node's.
@@ -416,10 +417,10 @@
             peer: age(reported.engines_unconfirmed_ms).filter(|_| has_engines),
         };
         let drains = &self.view.drains;
-        let reported_drains = reported.drains.and_then(|known| known.unconfirmed_ms);
+        let drains_unconfirmed_ms = reported.drains.and_then(|known| known.unconfirmed_ms);
         let drains = ConfirmationAges {
             own: drains.confirmation_age(),
-            peer: age(reported_drains).filter(|_| drains.are_followed()),
+            peer: age(drains_unconfirmed_ms).filter(|_| drains.are_used()),
         };
         let ages = [configuration, engines, drains];
         if let Some(number) = self.confirmation_query.start(&ages, now) {
@@ -429,7 +430,7 @@
     }
 
     fn on_confirmed(&self, number: u64, confirmations: &Confirmations) {
-        if let Some(query_age) = self.confirmation_query.on_answer(number, self.clock.now()) {
+        if let Some(query_age) = self.confirmation_query.on_reply(number, self.clock.now()) {
             self.view.confirm(confirmations, query_age);
         }
     }
--- a/crates/resident/src/settings.rs
+++ b/crates/resident/src/settings.rs
@@ -45,7 +45,7 @@
 /// Resource limits of the process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct LimitSettings {
+pub struct ResourceLimitSettings {
     /// Memory, in MB.
     pub memory_mb: u64,
     /// Open file descriptors.
@@ -73,7 +73,7 @@
     pub contact_ms: f64,
     /// Time within which a configuration has to be in force everywhere, in milliseconds.
     pub configuration_ms: f64,
-    /// Number of machines with a disk that may be lost at once.
+    /// Number of machines with a disk that may be lost at the same time.
     pub lost_machines: u32,
     /// Time after which no request with a revoked key may run, whatever its gateway has learned, in milliseconds; `None`
     /// where that is not guaranteed.
@@ -83,7 +83,7 @@
     /// Requests that a warming engine may get within a second, as a multiple of its warm-up rate; `None` where engines need
     /// no warm-up.
     pub warm_up_factor: Option<f64>,
-    /// Number of requests that it may get within that second beyond that multiple.
+    /// Number of requests that a warming engine may get within a second, in addition to `warm_up_factor`.
     pub warm_up_slack: Option<f64>,
     /// Window over which a tenant's requests are counted, in seconds.
     #[serde(default = "default_quota_window_s")]
@@ -91,7 +91,7 @@
     /// Fraction of a tenant's limit by which it may be exceeded within the window.
     #[serde(default = "default_quota_overshoot")]
     pub quota_overshoot: f64,
-    /// Number of requests by which a tenant's limit may be exceeded within the window beyond that fraction.
+    /// Number of requests by which a tenant's limit may be exceeded within the window, in addition to `quota_overshoot`.
     #[serde(default = "default_quota_slack")]
     pub quota_slack: f64,
 }
@@ -180,7 +180,7 @@
     /// Addresses to listen on.
     pub listen: ListenSettings,
     /// Resource limits of the process.
-    pub limits: LimitSettings,
+    pub limits: ResourceLimitSettings,
     /// Services of the platform.
     pub platform: PlatformSettings,
     /// Bounds that the deployment guarantees.
@@ -196,8 +196,8 @@
     Empty(&'static str),
     /// The value of `listen.metrics` is not `PORT/PATH`.
     MetricsAddress(String),
-    /// A time is negative or not finite, or 0 where it must not be.
-    Time(&'static str),
+    /// A time is negative or not finite, or 0 where the setting needs a time greater than 0.
+    InvalidTime(&'static str),
     /// A fraction or a count is negative or not finite.
     NegativeNumber(&'static str),
     /// The value is not a finite number above 0.
@@ -213,7 +213,10 @@
                 write!(formatter, "listen.metrics: {value:?} is not PORT/PATH")
             }
             Self::NegativeNumber(key) => write!(formatter, "{key}: must be 0 or more"),
-            Self::Time(key) => write!(formatter, "{key}: must be a time of 0 or more"),
+            Self::InvalidTime(key) => write!(
+                formatter,
+                "{key}: must be a finite time that is not negative, nor 0 where the setting needs a time greater than 0"
+            ),
             Self::NotPositive(key) => write!(formatter, "{key}: must be greater than 0"),
         }
     }
@@ -283,7 +286,7 @@
 
     /// Whether the guarantees depend on parts of the configuration and the engines that nodes of protocol version 0 don't
     /// send: regions and warm-up limits.
-    pub fn need_extras(&self) -> bool {
+    pub fn needs_protocol_1(&self) -> bool {
         self.zone_regions().has_multiple_regions() || self.bounds.warm_up_factor.is_some()
     }
 
@@ -292,7 +295,8 @@
         SocketAddr::new(self.address, self.peer_port)
     }
 
-    /// Addresses of the seeds' links and heartbeats, without this node's own.
+    /// Addresses of the links and heartbeats of the other seeds: their configured IP addresses with this node's `peer_port`. The
+    /// ports in `seeds` are ignored.
     pub fn seed_peers(&self) -> Vec<SocketAddr> {
         let others = self.seeds.iter().filter(|seed| seed.ip() != self.address);
         others
@@ -321,50 +325,69 @@
         let is_gateway = self.role == Role::Gateway;
         check(self.name.is_empty(), SettingsFault::Empty("name"));
         check(self.peer_port == 0, SettingsFault::Empty("peer_port"));
-        let no_memory = self.limits.memory_mb == 0;
-        check(no_memory, SettingsFault::Empty("limits.memory_mb"));
-        let no_callers = is_gateway && self.listen.callers.is_none();
-        check(no_callers, SettingsFault::Missing("listen.callers"));
-        let no_readiness = is_gateway && self.listen.readiness.is_none();
-        check(no_readiness, SettingsFault::Missing("listen.readiness"));
-        let no_folder = !is_gateway && self.data_folder.is_none();
-        check(no_folder, SettingsFault::Missing("data_folder"));
-        let is_time = |value: f64| value.is_finite() && value >= 0.0;
-        let bad_grace = !is_time(self.bounds.grace_s);
-        check(bad_grace, SettingsFault::Time("bounds.grace_s"));
-        let bad_contact = !is_time(self.bounds.contact_ms);
-        check(bad_contact, SettingsFault::Time("bounds.contact_ms"));
+        let is_memory_limit_zero = self.limits.memory_mb == 0;
+        check(
+            is_memory_limit_zero,
+            SettingsFault::Empty("limits.memory_mb"),
+        );
+        let lacks_callers = is_gateway && self.listen.callers.is_none();
+        check(lacks_callers, SettingsFault::Missing("listen.callers"));
+        let lacks_readiness = is_gateway && self.listen.readiness.is_none();
+        check(lacks_readiness, SettingsFault::Missing("listen.readiness"));
+        let lacks_data_folder = !is_gateway && self.data_folder.is_none();
+        check(lacks_data_folder, SettingsFault::Missing("data_folder"));
+        let is_non_negative = |value: f64| value.is_finite() && value >= 0.0;
+        let is_grace_invalid = !is_non_negative(self.bounds.grace_s);
+        check(
+            is_grace_invalid,
+            SettingsFault::InvalidTime("bounds.grace_s"),
+        );
+        let is_contact_invalid = !is_non_negative(self.bounds.contact_ms);
+        check(
+            is_contact_invalid,
+            SettingsFault::InvalidTime("bounds.contact_ms"),
+        );
         let configuration_ms = self.bounds.configuration_ms;
-        let bad_bound = !is_time(configuration_ms) || configuration_ms == 0.0;
-        check(bad_bound, SettingsFault::Time("bounds.configuration_ms"));
-        let is_positive = |value: f64| is_time(value) && value > 0.0;
-        let bad_removal = !self.bounds.key_removal_ms.is_none_or(is_positive);
-        check(bad_removal, SettingsFault::Time("bounds.key_removal_ms"));
-        let bad_drain = !self.bounds.zone_drain_ms.is_none_or(is_positive);
+        let is_configuration_bound_invalid =
+            !is_non_negative(configuration_ms) || configuration_ms == 0.0;
         check(
-            bad_drain,
+            is_configuration_bound_invalid,
+            SettingsFault::InvalidTime("bounds.configuration_ms"),
+        );
+        let is_positive = |value: f64| is_non_negative(value) && value > 0.0;
+        let is_key_removal_invalid = !self.bounds.key_removal_ms.is_none_or(is_positive);
+        check(
+            is_key_removal_invalid,
+            SettingsFault::InvalidTime("bounds.key_removal_ms"),
+        );
+        let is_zone_drain_invalid = !self.bounds.zone_drain_ms.is_none_or(is_positive);
+        check(
+            is_zone_drain_invalid,
             SettingsFault::NotPositive("bounds.zone_drain_ms"),
         );
-        let bad_factor = !self.bounds.warm_up_factor.is_none_or(is_positive);
+        let is_warm_up_factor_invalid = !self.bounds.warm_up_factor.is_none_or(is_positive);
         check(
-            bad_factor,
+            is_warm_up_factor_invalid,
             SettingsFault::NotPositive("bounds.warm_up_factor"),
         );
-        let bad_warm_slack = !self.bounds.warm_up_slack.is_none_or(is_time);
+        let is_warm_up_slack_invalid = !self.bounds.warm_up_slack.is_none_or(is_non_negative);
         check(
-            bad_warm_slack,
+            is_warm_up_slack_invalid,
             SettingsFault::NegativeNumber("bounds.warm_up_slack"),
         );
-        let bad_window = !is_positive(self.bounds.quota_window_s);
-        check(bad_window, SettingsFault::Time("bounds.quota_window_s"));
-        let bad_overshoot = !is_time(self.bounds.quota_overshoot);
+        let is_quota_window_invalid = !is_positive(self.bounds.quota_window_s);
+        check(
+            is_quota_window_invalid,
+            SettingsFault::InvalidTime("bounds.quota_window_s"),
+        );
+        let is_quota_overshoot_invalid = !is_non_negative(self.bounds.quota_overshoot);
         check(
-            bad_overshoot,
+            is_quota_overshoot_invalid,
             SettingsFault::NegativeNumber("bounds.quota_overshoot"),
         );
-        let bad_slack = !is_time(self.bounds.quota_slack);
+        let is_quota_slack_invalid = !is_non_negative(self.bounds.quota_slack);
         check(
-            bad_slack,
+            is_quota_slack_invalid,
             SettingsFault::NegativeNumber("bounds.quota_slack"),
         );
         if let Some(text) = &self.listen.metrics {
--- a/crates/resident/src/store_watch.rs
+++ b/crates/resident/src/store_watch.rs
@@ -4,7 +4,7 @@
 //! once the known objects have been unconfirmed for too long ([`crate::watch_policy::WatchTimings`]), and after a failure it
 //! is probed with the shortest wait until it answers.
 //!
-//! An answer tells what was newest at some time between the request and itself, and may have been delayed for any time by a
+//! A reply tells what was newest at some time between the request and itself, and may have been delayed for any time by a
 //! frozen process or on its way. So a confirmation counts from when its request was sent.
 
 use std::cell::Cell;
@@ -28,20 +28,21 @@
 const CHANGE_COALESCING_DELAY: Duration = Duration::from_millis(200);
 /// Time that the store may take to answer beyond the wait of the request.
 pub(crate) const REPLY_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Timeout of a probe. Together with the longest backoff it stays below the configuration bound after an outage of the
+/// Timeout of a probe. Together with the maximum backoff it stays below the configuration bound after an outage of the
 /// store; a slow store takes up to half a second.
 const PROBE_TIMEOUT: Duration = Duration::from_secs(1);
-/// Wait of a probe: the least that a watch can have.
+/// Wait of a probe: the minimum that a watch can have.
 const PROBE_WAIT: Duration = Duration::from_millis(1);
 const FIRST_BACKOFF: Duration = Duration::from_millis(50);
-/// Longest backoff of a node that has no list yet, and so can't work.
+/// Maximum backoff of a node that has no list yet, and so can't work.
 const MAX_FIRST_LIST_BACKOFF: Duration = Duration::from_millis(200);
 
 /// Why a list or a watch failed.
 #[derive(Debug)]
 enum WatchError {
     Failure(StoreFailure),
-    Outcome(StoreOutcome),
+    /// The outcome is not [`StoreOutcome::Done`].
+    UnexpectedOutcome(StoreOutcome),
     Answer(MalformedStoreResponse),
 }
 
@@ -49,10 +50,10 @@
     fn name(&self) -> &'static str {
         match self {
             Self::Failure(failure) => failure.name(),
-            Self::Outcome(StoreOutcome::Throttled) => "throttled",
-            Self::Outcome(StoreOutcome::NotDone) => "unavailable",
-            Self::Outcome(StoreOutcome::HistoryGone) => "history_gone",
-            Self::Outcome(_) => "refused",
+            Self::UnexpectedOutcome(StoreOutcome::Throttled) => "throttled",
+            Self::UnexpectedOutcome(StoreOutcome::NotDone) => "unavailable",
+            Self::UnexpectedOutcome(StoreOutcome::HistoryGone) => "history_gone",
+            Self::UnexpectedOutcome(_) => "refused",
             Self::Answer(_) => "unreadable",
         }
     }
@@ -62,7 +63,7 @@
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Failure(failure) => failure.fmt(formatter),
-            Self::Outcome(outcome) => write!(formatter, "the store answered {outcome:?}"),
+            Self::UnexpectedOutcome(outcome) => write!(formatter, "the store answered {outcome:?}"),
             Self::Answer(error) => error.fmt(formatter),
         }
     }
@@ -76,20 +77,21 @@
 
 /// Receives the objects of a watched kind.
 pub trait WatchHandler {
-    /// Receives a complete list as of revision `at`.
-    fn on_list(&self, objects: Vec<Object>, at: u64);
-    /// Receives changes, complete up to revision `at`.
-    fn on_events(&self, events: Vec<ObjectEvent>, at: u64);
+    /// Receives a complete list as of `revision`.
+    fn on_list(&self, objects: Vec<Object>, revision: u64);
+    /// Receives changes, complete up to revision `complete_at`.
+    fn on_events(&self, events: Vec<ObjectEvent>, complete_at: u64);
     /// The store confirmed that the known objects were the newest `age` ago.
     fn on_confirmed(&self, age: Duration);
-    /// The store confirmed the known objects beside an open watch or after an outage, which other nodes may need to learn at once.
+    /// The store confirmed the known objects beside an open watch or after an outage, which other nodes may need to
+    /// learn immediately.
     fn on_probe_confirmed(&self) {}
     /// Revision up to which all changes are known, also from other nodes; `None` before the first list.
     fn known_revision(&self) -> Option<u64> {
         None
     }
     /// Time since the store confirmed, to this node or another, that nothing newer exists; `None` where it never did.
-    fn unconfirmed(&self) -> Option<Duration> {
+    fn confirmation_age(&self) -> Option<Duration> {
         None
     }
 }
@@ -106,7 +108,7 @@
         kind,
         handler,
         control,
-        at: None,
+        revision: None,
         history_gone: false,
         failures: 0,
         sent_at: Instant::now(),
@@ -123,7 +125,7 @@
     }
 }
 
-/// The store's answer to a watch.
+/// The store's reply to a watch.
 struct WatchReply {
     batch: WatchBatch,
     /// When the changes were known to be complete.
@@ -135,9 +137,11 @@
     kind: ObjectKind,
     handler: F,
     control: Rc<WatchControl>,
-    /// Revision up to which all changes are known; `None` before the first list.
-    at: Option<u64>,
-    /// Whether the store no longer has the history since that revision.
+    /// Revision up to which all changes are known; `None` before the first list, and while a new list is needed because the
+    /// store no longer has the history.
+    revision: Option<u64>,
+    /// Whether the store no longer has the history since the last known revision, so that a complete list is needed, even if other
+    /// nodes know newer changes.
     history_gone: bool,
     /// Consecutive failures.
     failures: u32,
@@ -154,66 +158,66 @@
         self.control.wait_until_watching().await;
         // Newer changes may have come from other nodes meanwhile.
         if !self.history_gone {
-            self.at = self.at.max(self.handler.known_revision());
+            self.revision = self.revision.max(self.handler.known_revision());
         }
     }
 
     async fn step(&mut self) -> Result<(), WatchError> {
-        match self.at {
+        match self.revision {
             None => self.list_all().await,
             // A watch sent during an outage would block for its whole wait after the store is back.
-            Some(at) if self.failures > 0 => {
-                let answer = self.probe(at).await?;
-                self.apply_reply(answer, at).await;
+            Some(revision) if self.failures > 0 => {
+                let reply = self.probe(revision).await?;
+                self.apply_reply(reply, revision).await;
                 Ok(())
             }
-            Some(at) => self.wait_for_changes(at).await,
+            Some(revision) => self.wait_for_changes(revision).await,
         }
     }
 
     async fn list_all(&mut self) -> Result<(), WatchError> {
         let sent_at = Instant::now();
-        let (objects, at) = list_objects(&self.store, self.kind).await?;
-        self.handler.on_list(objects, at);
+        let (objects, revision) = list_objects(&self.store, self.kind).await?;
+        self.handler.on_list(objects, revision);
         self.on_confirmed(sent_at);
-        self.at = Some(at);
+        self.revision = Some(revision);
         self.history_gone = false;
         Ok(())
     }
 
-    async fn wait_for_changes(&mut self, at: u64) -> Result<(), WatchError> {
+    async fn wait_for_changes(&mut self, revision: u64) -> Result<(), WatchError> {
         let timings = self.control.timings();
         // Only the end of a wait confirms that there was no change, so a wait ends while the last confirmation is still recent.
-        let wait = timings.wait.saturating_sub(self.unconfirmed());
+        let wait = timings.wait.saturating_sub(self.confirmation_age());
         let wait = wait.max(PROBE_WAIT);
-        let watch = self.send_watch(at, wait, timings.watch_timeout());
-        let answer = tokio::select! {
-            answer = watch => answer?,
-            missed = self.probe_until_missed(at) => missed?,
+        let watch = self.send_watch(revision, wait, timings.watch_timeout());
+        let reply = tokio::select! {
+            reply = watch => reply?,
+            missed = self.probe_until_missed(revision) => missed?,
         };
-        self.apply_reply(answer, at).await;
+        self.apply_reply(reply, revision).await;
         Ok(())
     }
 
     /// Probes the store beside an open watch each time the known objects have been unconfirmed for too long, until a probe
     /// returns changes that the watch has missed.
-    async fn probe_until_missed(&self, at: u64) -> Result<WatchReply, WatchError> {
+    async fn probe_until_missed(&self, revision: u64) -> Result<WatchReply, WatchError> {
         loop {
             self.control.wait_until_watching().await;
             let probe_after = self.control.timings().probe_after;
-            let age = self.unconfirmed();
+            let age = self.confirmation_age();
             if age < probe_after {
                 tokio::time::sleep(probe_after - age).await;
                 continue;
             }
-            let answer = self.probe(at).await?;
-            self.store.on_check();
-            let changes = answer.batch.events.len();
+            let reply = self.probe(revision).await?;
+            self.store.on_probe();
+            let changes = reply.batch.events.len();
             if changes > 0 {
                 self.on_missed_changes(changes);
-                return Ok(answer);
+                return Ok(reply);
             }
-            self.on_confirmed(answer.as_of);
+            self.on_confirmed(reply.as_of);
             self.handler.on_probe_confirmed();
         }
     }
@@ -230,22 +234,24 @@
     }
 
     /// Time since the store last confirmed the known objects, to this node or another.
-    fn unconfirmed(&self) -> Duration {
+    fn confirmation_age(&self) -> Duration {
         let own = self.confirmed_at.get().elapsed();
-        self.handler.unconfirmed().map_or(own, |told| told.min(own))
+        self.handler
+            .confirmation_age()
+            .map_or(own, |received| received.min(own))
     }
 
-    async fn probe(&self, at: u64) -> Result<WatchReply, WatchError> {
-        self.send_watch(at, PROBE_WAIT, PROBE_TIMEOUT).await
+    async fn probe(&self, revision: u64) -> Result<WatchReply, WatchError> {
+        self.send_watch(revision, PROBE_WAIT, PROBE_TIMEOUT).await
     }
 
     async fn send_watch(
         &self,
-        at: u64,
+        revision: u64,
         wait: Duration,
         timeout: Duration,
     ) -> Result<WatchReply, WatchError> {
-        let call = watch(self.kind, at, wait);
+        let call = watch(self.kind, revision, wait);
         let sent_at = Instant::now();
         let body = call_store(&self.store, call, timeout).await?;
         let batch = read_watch(&body)?;
@@ -255,12 +261,12 @@
         Ok(WatchReply { batch, as_of })
     }
 
-    async fn apply_reply(&mut self, answer: WatchReply, at: u64) {
-        let WatchReply { batch, as_of } = answer;
-        self.at = Some(batch.at.max(at));
+    async fn apply_reply(&mut self, reply: WatchReply, revision: u64) {
+        let WatchReply { batch, as_of } = reply;
+        self.revision = Some(batch.at.max(revision));
         let has_changes = !batch.events.is_empty();
         self.handler.on_events(batch.events, batch.at);
-        // Confirmed before the delay, so that other parts of the node see it at once.
+        // Confirmed before the delay, so that other parts of the node see it immediately.
         self.on_confirmed(as_of);
         if has_changes {
             tokio::time::sleep(CHANGE_COALESCING_DELAY).await;
@@ -282,20 +288,23 @@
                 kind:? = self.kind,
                 lost_ms = whole_ms(self.failing_since.elapsed()),
                 failures = self.failures;
-                "platform store regained"
+                "platform store answers again"
             );
         }
         self.failures = 0;
     }
 
     async fn on_error(&mut self, error: &WatchError) {
-        if matches!(error, WatchError::Outcome(StoreOutcome::HistoryGone)) {
+        if matches!(
+            error,
+            WatchError::UnexpectedOutcome(StoreOutcome::HistoryGone)
+        ) {
             log::info!(
                 target: "dependency",
                 kind:? = self.kind;
                 "platform store no longer has the history since the last known revision; listing again"
             );
-            self.at = None;
+            self.revision = None;
             self.history_gone = true;
             return;
         }
@@ -311,19 +320,19 @@
             );
         }
         self.failures += 1;
-        let longest = match self.at {
+        let max_backoff = match self.revision {
             Some(_) => self.control.timings().max_backoff,
             None => MAX_FIRST_LIST_BACKOFF,
         };
-        tokio::time::sleep(backoff(self.failures, longest)).await;
+        tokio::time::sleep(backoff(self.failures, max_backoff)).await;
     }
 }
 
-/// Exponential backoff with jitter, so that nodes don't retry all at once.
-fn backoff(failures: u32, longest: Duration) -> Duration {
+/// Exponential backoff with jitter, so that nodes don't all retry at the same time.
+fn backoff(failures: u32, max_backoff: Duration) -> Duration {
     let grown = FIRST_BACKOFF.saturating_mul(1 << failures.min(6));
     grown
-        .min(longest)
+        .min(max_backoff)
         .mul_f64(rand::rng().random_range(0.5..1.0))
 }
 
@@ -336,17 +345,18 @@
     let answer = answer.map_err(WatchError::Failure)?;
     match answer.outcome {
         StoreOutcome::Done => Ok(answer.body),
-        outcome => Err(WatchError::Outcome(outcome)),
+        outcome => Err(WatchError::UnexpectedOutcome(outcome)),
     }
 }
 
-/// Lists all objects of a kind, page by page; the list and the watch from the returned revision on miss no change.
+/// Lists all objects of a kind, page by page. Returns the revision of the first page: a watch that starts there returns every
+/// change that the list may lack.
 async fn list_objects(
     store: &StoreClient,
     kind: ObjectKind,
 ) -> Result<(Vec<Object>, u64), WatchError> {
     let mut objects = Vec::new();
-    let mut at = None;
+    let mut revision = None;
     loop {
         let after = objects.last().map(|last: &Object| last.name.clone());
         let call = list(kind, after.as_deref());
@@ -354,14 +364,14 @@
         let Listing {
             items,
             more,
-            at: page_at,
+            at: page_revision,
         } = read_listing(&body)?;
         let is_empty = items.is_empty();
         objects.extend(items);
         // The watch that follows returns changes since the first page.
-        let at = *at.get_or_insert(page_at);
+        let revision = *revision.get_or_insert(page_revision);
         if !more || is_empty {
-            return Ok((objects, at));
+            return Ok((objects, revision));
         }
     }
 }
--- a/crates/resident/src/watch_policy.rs
+++ b/crates/resident/src/watch_policy.rs
@@ -14,47 +14,52 @@
 use crate::peer::Member;
 use crate::store_watch::REPLY_TIMEOUT;
 
-/// Number of gateways from which on only some of them watch.
-pub const SMALL_FLEET: usize = 12;
-/// Watching gateways in a large fleet, over all zones.
-const WATCHERS: usize = 6;
-/// Least number of watching gateways in each zone.
-const WATCHERS_PER_ZONE: usize = 2;
+/// With this many other gateways or more, only some gateways watch.
+pub const LARGE_FLEET_GATEWAYS: usize = 12;
+/// Number of watching gateways in a large fleet, divided evenly among the zones and rounded up in each.
+const TARGET_WATCHERS: usize = 6;
+/// Minimum number of watching gateways in each zone, as far as it has so many.
+const MIN_WATCHERS_PER_ZONE: usize = 2;
 /// A node silent for this long is left out of the choice of watchers.
 const SILENT_AFTER: Duration = Duration::from_secs(20);
-/// Time after its start in which a node collects heartbeats before it relies on its watcher role. A shorter time makes nodes of a
-/// large fleet take it for a small one.
+/// Time after its start in which a node collects heartbeats before it relies on its watcher role. With a shorter time,
+/// nodes of a large fleet would not yet know enough gateways to recognize it as large, and all would watch.
 const SETTLING: Duration = Duration::from_millis(1_200);
-/// When a node without any view first queries the store: after this delay and at most the spread more, by its name.
+/// A node without a view first queries the store after this delay plus up to `FIRST_QUERY_SPREAD`, by the hash of its name.
 const FIRST_QUERY_DELAY: Duration = Duration::from_millis(30);
 const FIRST_QUERY_SPREAD: Duration = Duration::from_millis(300);
-/// The same where a seed replies. The seeds query the store themselves, so that a starting fleet doesn't query it all at once.
+/// Like `FIRST_QUERY_DELAY` and `FIRST_QUERY_SPREAD`, for a node to which a seed has replied. The seeds query the store
+/// themselves, so that the nodes of a starting fleet don't all query it at the same time.
 const SEEDED_QUERY_DELAY: Duration = Duration::from_secs(1);
 const SEEDED_QUERY_SPREAD: Duration = Duration::from_secs(1);
-/// Fraction of the configuration bound after which a view counts as stale, and the spread by name.
+/// Fraction of the configuration bound after which a view counts as stale, plus up to `STALE_SPREAD`, by the hash of the node's
+/// name.
 const STALE_FRACTION: f64 = 0.6;
 const STALE_SPREAD: f64 = 0.2;
-/// Fraction of the configuration bound for which a watch in a large fleet waits at most, and the spread by name that is taken off.
-/// The spread keeps watches that ended together at a change from ending together again, so that some watcher's view is always fresh.
+/// Fraction of the configuration bound for which a watch in a large fleet waits at most, minus up to `WAIT_SPREAD`, by the hash
+/// of the node's name. The spread keeps watches that ended together at a change from ending together again, so that some
+/// watcher's view is always fresh.
 const WAIT_FRACTION: f64 = 0.6;
 const WAIT_SPREAD: f64 = 0.15;
 /// How long a node keeps watching after its view was stale.
-const STALE_WATCH_TIME: Duration = Duration::from_secs(10);
+const WATCH_TIME_AFTER_STALE_VIEW: Duration = Duration::from_secs(10);
 /// Wait of a watch in a small fleet, where nothing depends on the end of the wait.
 const LONG_WAIT: Duration = Duration::from_secs(8);
-/// Fraction of the configuration bound after which a node of a small fleet probes the store beside its watches, and the
-/// spread by name. The spread lets mostly one node probe and tell the others. Without the probe, a watch whose connection has
-/// silent delays changes past the bound.
+/// Fraction of the configuration bound after which a node of a small fleet probes the store beside its watches, plus up to
+/// `PROBE_SPREAD`, by the hash of the node's name. The spread lets mostly one node probe and tell the others.
+/// Without the probe, a watch whose connection has silent delays changes past the bound.
 const PROBE_FRACTION: f64 = 0.4;
 const PROBE_SPREAD: f64 = 0.2;
-/// The same in a large fleet, where watches return before that.
+/// Like `PROBE_FRACTION` and `PROBE_SPREAD`, for a large fleet. Higher, so that a working watch ends before the probe is due.
 const LARGE_PROBE_FRACTION: f64 = 0.7;
 const LARGE_PROBE_SPREAD: f64 = 0.1;
-/// How long a silent watch may hide an order to empty a machine. Carrying out such an order takes seconds.
+/// Time without a confirmation after which the store is probed for orders to retire a machine. Longer than for other kinds of
+/// objects, since carrying out such an order takes seconds anyway.
 const RETIREMENT_PROBE_DELAY: Duration = Duration::from_secs(3);
-/// Longest backoff while the store doesn't answer: short enough for a retry and its answer within the configuration bound.
+/// Maximum backoff while the store doesn't answer: short enough for a retry and its reply within the configuration bound.
 const MAX_BACKOFF: Duration = Duration::from_millis(800);
-/// The same for nodes that other nodes tell of changes, so that a large fleet doesn't retry all at once.
+/// Maximum backoff of nodes with the role `Other`, which learn of changes from other nodes, so that the nodes of a
+/// large fleet don't all retry at the same time.
 const MAX_OTHER_BACKOFF: Duration = Duration::from_millis(2_400);
 
 /// Whether a node is one of those that watch the store.
@@ -80,7 +85,7 @@
         !member.info.is_replica && now.saturating_sub(last) < SILENT_AFTER
     };
     let gateways: Vec<&Member> = members.filter(counts).collect();
-    if gateways.len() < SMALL_FLEET {
+    if gateways.len() < LARGE_FLEET_GATEWAYS {
         return WatcherRole::All;
     }
     let mut zones: Vec<&str> = gateways
@@ -90,7 +95,9 @@
         .collect();
     zones.sort_unstable();
     zones.dedup();
-    let wanted = WATCHERS.div_ceil(zones.len()).max(WATCHERS_PER_ZONE);
+    let wanted = TARGET_WATCHERS
+        .div_ceil(zones.len())
+        .max(MIN_WATCHERS_PER_ZONE);
     let mine = xxh3_64(name.as_bytes());
     let before = gateways
         .iter()
@@ -160,12 +167,12 @@
             return true;
         }
         if age > self.stale_after {
-            self.stale_until = Some(now + STALE_WATCH_TIME);
+            self.stale_until = Some(now + WATCH_TIME_AFTER_STALE_VIEW);
         }
         self.stale_until.is_some_and(|until| now < until)
     }
 
-    /// Times of the node's watches. In a large fleet the answers to watches are what keeps the views of the other nodes confirmed.
+    /// Times of the node's watches. In a large fleet the replies to watches are what keeps the views of the other nodes confirmed.
     pub fn timings(&self, watcher_role: WatcherRole) -> WatchTimings {
         match watcher_role {
             WatcherRole::All => WatchTimings {
@@ -193,12 +200,12 @@
     pub wait: Duration,
     /// Time without a confirmation after which the store is probed beside an open watch.
     pub probe_after: Duration,
-    /// Longest backoff while the store doesn't answer.
+    /// Maximum backoff while the store doesn't answer.
     pub max_backoff: Duration,
 }
 
 impl WatchTimings {
-    /// For watches of orders to empty a machine.
+    /// For watches of orders to retire a machine.
     pub const RETIREMENTS: Self = Self {
         wait: LONG_WAIT,
         probe_after: RETIREMENT_PROBE_DELAY,
@@ -243,7 +250,7 @@
         self.timings.get()
     }
 
-    /// Returns at once if the node already watches.
+    /// Returns immediately if the node already watches.
     pub async fn wait_until_watching(&self) {
         let mut receiver = self.should_watch.subscribe();
         // Can't fail: `self` holds the sender.
--- a/crates/resident/tests/support/idle_node.rs
+++ b/crates/resident/tests/support/idle_node.rs
@@ -10,7 +10,7 @@
 };
 use ridgeworks_resident::settings::NodeSettings;
 use ridgeworks_resident::view::Source;
-use ridgeworks_routing::{CallerLimits, PrefillRecord, RouteConfiguration};
+use ridgeworks_routing::{ClientLimits, PrefillRecord, RouteConfiguration};
 use tokio::sync::oneshot;
 
 /// Version of the node's configuration.
@@ -26,7 +26,7 @@
 }
 
 impl GossipSources for IdleRole {
-    fn load(&self) -> LoadReport {
+    fn load_report(&self) -> LoadReport {
         LoadReport::default()
     }
 
@@ -34,11 +34,11 @@
         None
     }
 
-    fn on_load(&self, _from: &str, _load: LoadReport) {}
+    fn on_load_report(&self, _from: &str, _load: LoadReport) {}
 
     fn on_prefill(&self, _read: PrefillRecord) {}
 
-    fn find_read(&self, _part: u64) -> Option<PrefillRecord> {
+    fn find_prefill(&self, _part: u64) -> Option<PrefillRecord> {
         None
     }
 }
@@ -59,7 +59,7 @@
         version: VERSION,
         routes: Vec::new(),
         services: Vec::new(),
-        limits: CallerLimits {
+        limits: ClientLimits {
             max_header_bytes: 1,
             max_body_bytes: 1,
             header_timeout_ms: 1,
--- a/crates/resident/tests/support/samples.rs
+++ b/crates/resident/tests/support/samples.rs
@@ -13,7 +13,7 @@
     PeerRequest, PrepareRequest, RelayedRequest, ReplicaStatus, ViewPosition, ViewUpdate,
 };
 use ridgeworks_routing::{
-    CallerLimits, Engine, EngineChanges, EngineEntry, EngineState, KeyDigest, ModelEngine,
+    ClientLimits, Engine, EngineChanges, EngineEntry, EngineState, KeyDigest, ModelEngine,
     PrefillRecord, PromptPart, RateLimit, Removal, ReportedOutcomes, RequestKind, Residency, Route,
     RouteConfiguration, Service, ServiceSummary, Tenant, WeightedService,
 };
@@ -21,7 +21,7 @@
 const GROUP: GroupId = GroupId(3);
 const EPOCH: Epoch = Epoch(17);
 const REPLICA: ReplicaId = ReplicaId(0x0123_4567_89ab_cdef);
-const KEEP_MS: u64 = 600_000;
+const RETENTION_MS: u64 = 600_000;
 
 fn address(port: u16) -> SocketAddr {
     (Ipv4Addr::new(10, 1, 2, 3), port).into()
@@ -89,7 +89,7 @@
             program: program(),
             turn: turn("t2"),
             entry: entry(None),
-            ttl_ms: KEEP_MS,
+            ttl_ms: RETENTION_MS,
         },
         ReplicaRequest::Settle {
             group: GROUP,
@@ -98,14 +98,14 @@
                 program: program(),
                 turn: turn("t2"),
                 entry: entry(Some(33)),
-                ttl_ms: KEEP_MS,
+                ttl_ms: RETENTION_MS,
             }],
         },
         ReplicaRequest::Append {
             group: GROUP,
             epoch: EPOCH,
             record: record(),
-            ttl_ms: KEEP_MS,
+            ttl_ms: RETENTION_MS,
         },
         ReplicaRequest::ReadChain {
             group: GROUP,
@@ -276,7 +276,7 @@
         max_attempts: 3,
         resumable: true,
         keeps_turns: true,
-        retention_ms: KEEP_MS,
+        retention_ms: RETENTION_MS,
         is_public: false,
         residency: Residency::anywhere(), // not in version 0
     });
@@ -318,7 +318,7 @@
         version: 42,
         routes: routes.collect(),
         services: vec![models, tools],
-        limits: CallerLimits {
+        limits: ClientLimits {
             max_header_bytes: 16_384,
             max_body_bytes: 1_048_576,
             header_timeout_ms: 5_000,
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -28,7 +28,7 @@
 mod zone_drains;
 
 pub use configuration::{
-    CallerLimits, ConfigurationExtras, ModelEngine, RequestKind, Route, RouteConfiguration,
+    ClientLimits, ConfigurationExtras, ModelEngine, RequestKind, Route, RouteConfiguration,
     Service, WeightedService,
 };
 pub use eligibility::{
@@ -51,9 +51,9 @@
 pub use route_table::{RouteTable, UnknownKey};
 pub use sample_window::SampleWindow;
 pub use service_model::{
-    PrefillSample, ServiceCosts, ServiceKey, ServiceModel, ServiceSummary, Turn,
+    PrefillSample, RequestSample, ServiceCosts, ServiceKey, ServiceModel, ServiceSummary,
 };
-pub use tenants::{KeyDigest, RateLimit, Tenant, TenantFault, TenantTable, check_tenants};
+pub use tenants::{KeyDigest, RateLimit, Tenant, TenantError, TenantTable, check_tenants};
 pub use warm_up::{WarmUpChange, WarmUpLimit, WarmUpSource, WarmUps};
 pub use weighted_split::WeightedSplit;
 pub use zone_drains::{DrainChange, ZoneDrains};
--- a/crates/routing/src/route_table.rs
+++ b/crates/routing/src/route_table.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-use crate::configuration::{CallerLimits, Route, RouteConfiguration, Service};
+use crate::configuration::{ClientLimits, Route, RouteConfiguration, Service};
 use crate::tenants::{KeyDigest, Tenant, TenantTable};
 use crate::warm_up::WarmUpLimit;
 
@@ -18,7 +18,7 @@
     /// Routes by host, those with the longest prefix first.
     routes: HashMap<String, Vec<Arc<Route>>>,
     services: HashMap<String, Arc<Service>>,
-    limits: CallerLimits,
+    limits: ClientLimits,
     tenants: Option<TenantTable>,
 }
 
@@ -28,11 +28,11 @@
         let mut routes: HashMap<String, Vec<Arc<Route>>> = HashMap::new();
         for route in &configuration.routes {
             let host = route.host.to_ascii_lowercase();
-            let of_host = routes.entry(host).or_default();
-            of_host.push(Arc::new(route.clone()));
+            let host_routes = routes.entry(host).or_default();
+            host_routes.push(Arc::new(route.clone()));
         }
-        for of_host in routes.values_mut() {
-            of_host.sort_by_key(|route| std::cmp::Reverse(route.path_prefix.len()));
+        for host_routes in routes.values_mut() {
+            host_routes.sort_by_key(|route| std::cmp::Reverse(route.path_prefix.len()));
         }
         let services = configuration.services.iter();
         Self {
@@ -50,15 +50,15 @@
         self.version
     }
 
-    pub fn limits(&self) -> CallerLimits {
+    pub fn limits(&self) -> ClientLimits {
         self.limits
     }
 
     /// The route of the host with the longest prefix of the path. The host may carry a port.
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let name = host.split(':').next().unwrap_or(host);
-        let of_host = self.routes.get(&name.to_ascii_lowercase())?;
-        of_host
+        let host_routes = self.routes.get(&name.to_ascii_lowercase())?;
+        host_routes
             .iter()
             .find(|route| path.starts_with(&route.path_prefix))
     }
--- a/crates/run-log/tests/simulator/disk.rs
+++ b/crates/run-log/tests/simulator/disk.rs
@@ -1,4 +1,4 @@
-//! A disk: what was flushed, and batches that a crash loses.
+//! Disk of a replica: flushed tables, and unflushed batches that a crash may lose.
 
 use std::collections::BTreeMap;
 
@@ -50,11 +50,11 @@
     }
 }
 
-/// The replica of one node with its disk and the batch that is being flushed.
+/// Replica of a node, with its disk and its unflushed batches.
 pub struct ReplicaNode {
     pub replica: Replica,
     pub tables: Tables,
-    pub batch: Vec<(u64, Vec<Write>)>,
+    pub unflushed_batches: Vec<(u64, Vec<Write>)>,
     pub replies: Vec<(NodeId, Reply)>,
     pub flush_due: bool,
     node: NodeId,
@@ -71,7 +71,7 @@
         Self {
             replica: Replica::restore(node, restored, MonotonicTime::ZERO),
             tables: Tables::default(),
-            batch: Vec::new(),
+            unflushed_batches: Vec::new(),
             replies: Vec::new(),
             flush_due: false,
             node,
@@ -79,10 +79,10 @@
         }
     }
 
-    /// Makes everything durable and hands out the replies.
+    /// Makes all batches durable and returns the replies that waited for them.
     pub fn flush(&mut self) -> Vec<(NodeId, Reply)> {
         self.flush_due = false;
-        for (number, writes) in std::mem::take(&mut self.batch) {
+        for (number, writes) in std::mem::take(&mut self.unflushed_batches) {
             writes
                 .into_iter()
                 .for_each(|write| self.tables.apply(write));
@@ -91,10 +91,10 @@
         std::mem::take(&mut self.replies)
     }
 
-    /// A crash: keeps the first `kept` of the writes under way, loses the rest and all replies.
+    /// Simulates a crash: keeps the first `kept` unflushed batches, loses the others and all replies.
     pub fn crash(&mut self, kept: usize, forget_promises: bool, now: MonotonicTime) {
-        let batch = std::mem::take(&mut self.batch);
-        for (_, writes) in batch.into_iter().take(kept) {
+        let unflushed_batches = std::mem::take(&mut self.unflushed_batches);
+        for (_, writes) in unflushed_batches.into_iter().take(kept) {
             writes
                 .into_iter()
                 .for_each(|write| self.tables.apply(write));
@@ -109,17 +109,17 @@
         self.restore(now);
     }
 
-    /// Comes back with an empty disk, under another identity unless `store` is the old one.
+    /// Restarts with an empty disk and the identity `store`.
     pub fn lose_disk(&mut self, store: StoreId, now: MonotonicTime) {
         self.tables = Tables::default();
-        self.batch.clear();
+        self.unflushed_batches.clear();
         self.replies.clear();
         self.store = store;
         self.restore(now);
     }
 
-    /// Weakening: makes the replica forget that it promised more than `ballot`.
-    pub fn lower_promise(
+    /// Lowers the replica's promise to at most `ballot`.
+    pub fn weaken_promise(
         &mut self,
         run: RunId,
         ballot: ridgeworks_domain::Ballot,
--- a/crates/storage/tests/crash.rs
+++ b/crates/storage/tests/crash.rs
@@ -1,4 +1,4 @@
-//! Crashes and faults of a simulated disk under seeded schedules.
+//! Durability and atomicity of the store under seeded crashes and faults of a simulated disk.
 
 mod support;
 
@@ -46,7 +46,7 @@
     (0..count).map(|_| random_operation(random)).collect()
 }
 
-/// The contents after each prefix of the batches; the first is empty.
+/// Contents after each prefix of the batches; the first prefix is empty.
 fn prefixes(batches: &[Vec<StoreOperation>]) -> Vec<Contents> {
     let mut prefixes = vec![Contents::default()];
     for batch in batches {
@@ -57,7 +57,7 @@
     prefixes
 }
 
-/// Submits batches until the disk fails; how many were submitted, and how many acknowledged.
+/// Submits batches until the disk fails. Returns the numbers of submitted and of acknowledged batches.
 fn write_until_failure(
     store: &Store,
     batches: &[Vec<StoreOperation>],
@@ -65,9 +65,9 @@
 ) -> (usize, usize) {
     let (mut submitted, mut acknowledged) = (0, 0);
     while submitted < batches.len() {
-        let group = random.random_range(1..=MAX_BATCHES_IN_FLIGHT);
-        let group = group.min(batches.len() - submitted);
-        let in_flight = &batches[submitted..submitted + group];
+        let batch_count = random.random_range(1..=MAX_BATCHES_IN_FLIGHT);
+        let batch_count = batch_count.min(batches.len() - submitted);
+        let in_flight = &batches[submitted..submitted + batch_count];
         let outcomes: Vec<_> = in_flight
             .iter()
             .map_while(|batch| {
@@ -79,8 +79,8 @@
             })
             .collect();
         submitted += outcomes.len();
-        // A refused submission says nothing about the batches submitted before it.
-        let refused = outcomes.len() < group;
+        // Batches submitted before a refused one may still succeed.
+        let refused = outcomes.len() < batch_count;
         let mut failed = false;
         for outcome in outcomes {
             match outcome.recv().expect("every batch is answered") {
@@ -98,27 +98,30 @@
     (submitted, acknowledged)
 }
 
-/// Opens the store, at first perhaps with further crashes during the repair.
+/// Opens the store, after a random number of further crashes during the repair.
 fn reopen(mut image: Vec<u8>, random: &mut ChaCha8Rng) -> Store {
     while !image.is_empty() && random.random_bool(0.3) {
-        let disk = SimulatedDisk::holding(image);
+        let disk = SimulatedDisk::with_contents(image);
         disk.fail_after(random.random_range(0..20), Fault::Crash);
-        let _ = Store::open_on(&settings(Path::new("")), disk.clone());
+        let _ = Store::open_with_backend(&settings(Path::new("")), disk.clone());
         image = disk.image_after_crash(random);
     }
-    let opened = Store::open_on(&settings(Path::new("")), SimulatedDisk::holding(image));
+    let opened = Store::open_with_backend(
+        &settings(Path::new("")),
+        SimulatedDisk::with_contents(image),
+    );
     opened.expect("the store opens after a crash").store
 }
 
 #[derive(Debug, Default)]
-struct Tally {
+struct Totals {
     crashed_while_opening: u64,
     crashed_while_writing: u64,
     unacknowledged_kept: u64,
 }
 
-impl Tally {
-    fn plus(self, other: Self) -> Self {
+impl Totals {
+    fn add(self, other: Self) -> Self {
         Self {
             crashed_while_opening: self.crashed_while_opening + other.crashed_while_opening,
             crashed_while_writing: self.crashed_while_writing + other.crashed_while_writing,
@@ -127,15 +130,15 @@
     }
 }
 
-fn run_schedules(first: u64) -> Tally {
-    let mut tally = Tally::default();
+fn run_schedules(first: u64) -> Totals {
+    let mut totals = Totals::default();
     for seed in (first..SCHEDULES).step_by(THREADS as usize) {
-        run_schedule(seed, &mut tally);
+        run_schedule(seed, &mut totals);
     }
-    tally
+    totals
 }
 
-fn run_schedule(seed: u64, tally: &mut Tally) {
+fn run_schedule(seed: u64, totals: &mut Totals) {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let batches: Vec<_> = (0..BATCHES).map(|_| random_batch(&mut random)).collect();
     let disk = SimulatedDisk::default();
@@ -143,16 +146,16 @@
         random.random_range(0..MAX_CHANGES_BEFORE_CRASH),
         Fault::Crash,
     );
-    let opened = Store::open_on(&settings(Path::new("")), disk.clone());
+    let opened = Store::open_with_backend(&settings(Path::new("")), disk.clone());
     let was_created = opened.is_ok();
     let (submitted, acknowledged) = match opened {
         Ok(opened) => write_until_failure(&opened.store, &batches, &mut random),
         Err(_) => {
-            tally.crashed_while_opening += 1;
+            totals.crashed_while_opening += 1;
             (0, 0)
         }
     };
-    // A file whose creation was cut off has not got its name yet, and is made anew.
+    // A file whose creation was interrupted still has its temporary name and is created again.
     let image = match was_created {
         true => disk.image_after_crash(&mut random),
         false => Vec::new(),
@@ -167,38 +170,39 @@
         !matches.is_empty(),
         "seed {seed}: {acknowledged} of {submitted} batches acknowledged, no such prefix found"
     );
-    tally.crashed_while_writing += u64::from(acknowledged < submitted);
-    tally.unacknowledged_kept += u64::from(matches[0] > acknowledged);
+    totals.crashed_while_writing += u64::from(acknowledged < submitted);
+    totals.unacknowledged_kept += u64::from(matches[0] > acknowledged);
 }
 
 #[test]
 fn acknowledged_batches_survive_and_others_are_all_or_nothing() {
-    let tally = thread::scope(|scope| {
+    let totals = thread::scope(|scope| {
         let threads: Vec<_> = (0..THREADS)
             .map(|first| scope.spawn(move || run_schedules(first)))
             .collect();
-        let tallies = threads
+        let thread_totals = threads
             .into_iter()
             .map(|thread| thread.join().expect("schedules hold"));
-        tallies.fold(Tally::default(), Tally::plus)
+        thread_totals.fold(Totals::default(), Totals::add)
     });
-    println!("{SCHEDULES} schedules: {tally:?}");
-    assert!(tally.crashed_while_opening > 20, "{tally:?}");
-    assert!(tally.crashed_while_writing > SCHEDULES / 3, "{tally:?}");
-    assert!(tally.unacknowledged_kept > 5, "{tally:?}");
+    println!("{SCHEDULES} schedules: {totals:?}");
+    assert!(totals.crashed_while_opening > 20, "{totals:?}");
+    assert!(totals.crashed_while_writing > SCHEDULES / 3, "{totals:?}");
+    assert!(totals.unacknowledged_kept > 5, "{totals:?}");
 }
 
 #[test]
-fn a_new_store_knows_that_it_is_new_and_an_old_one_its_identity() {
+fn a_new_store_is_reported_as_new_and_keeps_its_identity() {
     let disk = SimulatedDisk::default();
-    let opened = Store::open_on(&settings(Path::new("")), disk.clone()).expect("open");
+    let opened = Store::open_with_backend(&settings(Path::new("")), disk.clone()).expect("open");
     assert!(opened.is_new);
     assert_eq!(opened.store.identity().creation_id, StoreCreationId(7));
     let mut random = ChaCha8Rng::seed_from_u64(0);
     let image = disk.image_after_crash(&mut random);
     let mut later = settings(Path::new(""));
     later.new_creation_id = StoreCreationId(8);
-    let opened = Store::open_on(&later, SimulatedDisk::holding(image)).expect("open");
+    let opened =
+        Store::open_with_backend(&later, SimulatedDisk::with_contents(image)).expect("open");
     assert!(!opened.is_new);
     assert_eq!(opened.store.identity().creation_id, StoreCreationId(7));
 }
@@ -217,7 +221,7 @@
 
 fn assert_failure_is_final(fault: Fault, expected: &StoreError) {
     let disk = SimulatedDisk::default();
-    let store = Store::open_on(&settings(Path::new("")), disk.clone())
+    let store = Store::open_with_backend(&settings(Path::new("")), disk.clone())
         .expect("open")
         .store;
     assert_eq!(write(&store, entry(0)), Ok(()));
@@ -240,15 +244,15 @@
 }
 
 #[test]
-fn batches_that_wait_share_one_commit() {
+fn queued_batches_share_one_commit() {
     const WAITING: u64 = 500;
     const SMALL: usize = 20;
     let disk = SimulatedDisk::default();
-    let store = Store::open_on(&settings(Path::new("")), disk.clone())
+    let store = Store::open_with_backend(&settings(Path::new("")), disk.clone())
         .expect("open")
         .store;
-    // Pages are copied on writing, so the second time makes all the room that the group needs: growing
-    // the file takes syncs of its own.
+    // Pages are copied on write, so the second round allocates all the space that the measured commit
+    // needs. Growing the file would add syncs.
     for _ in 0..2 {
         let all = (0..WAITING).flat_map(|index| entry_of(index, SMALL));
         assert_eq!(write(&store, all.collect()), Ok(()));
@@ -256,14 +260,14 @@
     let syncs_before = disk.syncs();
     assert_eq!(write(&store, entry_of(0, SMALL)), Ok(()));
     let syncs_per_commit = disk.syncs() - syncs_before;
-    let (entered, held) = crossbeam_channel::bounded::<()>(0);
+    let (entered, blocked) = crossbeam_channel::bounded::<()>(0);
     let (release, released) = crossbeam_channel::bounded::<()>(0);
-    let holding = ridgeworks_storage::WriteBatch::new(entry_of(0, SMALL), move |_| {
+    let blocking = ridgeworks_storage::WriteBatch::new(entry_of(0, SMALL), move |_| {
         let _ = entered.send(());
         let _ = released.recv();
     });
-    store.submit(holding).expect("taken");
-    held.recv().expect("the writer is held");
+    store.submit(blocking).expect("taken");
+    blocked.recv().expect("the writer is blocked");
     let syncs_before = disk.syncs();
     let outcomes: Vec<_> = (0..WAITING)
         .map(|index| submit(&store, entry_of(index, SMALL)))
