--- a/crates/run-log/src/acceptor.rs
+++ b/crates/run-log/src/acceptor.rs
@@ -14,7 +14,7 @@
 use crate::message::{Rejection, Reply};
 use crate::storage::{LogStorage, RunHead, Write};
 
-/// Limit on the entries in one reply to a fetch; a single larger entry is still sent.
+/// Approximate limit on the size of the entries in one reply to a fetch, in bytes; the last entry may exceed it.
 pub const FETCH_BYTES: usize = 256 * 1024;
 
 /// A store deletes a closed run only once its generation exceeds the one that the run's log names for it by at least
--- a/crates/run-log/src/budget.rs
+++ b/crates/run-log/src/budget.rs
@@ -35,7 +35,7 @@
         self.spent
     }
 
-    /// Total cost reserved for open calls and child runs.
+    /// Total cost reserved for the call in progress and for child runs.
     pub fn reserved(&self) -> Cost {
         self.reserved
     }
@@ -69,7 +69,8 @@
         self.spent = self.spent.saturating_add(spent.min(held));
     }
 
-    /// Reserves `amount` for a child run. Idempotent per child run.
+    /// Reserves `amount` for a child run; fails if it exceeds the remaining budget. Does nothing if a reserve is already
+    /// held for the child run.
     pub fn open_child(&mut self, child: RunId, amount: Cost) -> Result<(), BudgetExceeded> {
         if self.children.contains_key(&child) {
             return Ok(());
@@ -79,7 +80,7 @@
         Ok(())
     }
 
-    /// Settles the reserve of a child run. Idempotent per child run.
+    /// Settles the reserve of a child run. Does nothing if no reserve is held for it.
     pub fn close_child(&mut self, child: RunId, spent: Cost) {
         if let Some(reserve) = self.children.remove(&child) {
             self.settle(reserve, spent);
--- a/crates/run-log/src/entry.rs
+++ b/crates/run-log/src/entry.rs
@@ -65,7 +65,8 @@
     };
 }
 
-/// Random identity of a data folder, generated when the folder is first used.
+/// Random identity of a data folder, generated when the folder is first used: the low 64 bits of the `StoreCreationId`
+/// that the storage keeps.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Archive, Serialize, Deserialize,
 )]
@@ -197,6 +198,7 @@
 impl Entry {
     /// Approximate size of the entry in a message, in bytes.
     pub fn size_bytes(&self) -> usize {
+        // Estimate for everything except the request body and the answer.
         const FIXED_BYTES: usize = 64;
         let variable = match self {
             Self::Accepted { request, .. } => request.body.len(),
--- a/crates/run-log/src/owner/mod.rs
+++ b/crates/run-log/src/owner/mod.rs
@@ -58,7 +58,8 @@
     ready: bool,
     stopped: bool,
     waiting: Waiting,
-    /// The slot requested from the dispatcher: call and attempt.
+    /// Call and attempt for which a slot is requested from the dispatcher; `None` once it is granted or refused, or the
+    /// pending call is refused because the run closes.
     grant: Option<(Sequence, u32)>,
     fence: Option<Fence>,
     child_opened_at: BTreeMap<RunId, LogIndex>,
@@ -81,8 +82,8 @@
 
     /// Takes over a run.
     ///
-    /// `instance` is a nonzero random number, new for every takeover of any node. `known` is the highest ballot known,
-    /// or [`Ballot::ZERO`]. `contacts` are the nodes named by the run's identifier or by a redirect.
+    /// `instance` is a nonzero random number, generated anew for every takeover. `known` is the highest ballot known, or
+    /// [`Ballot::ZERO`]. `contacts` are the nodes named by the run's identifier or by a redirect.
     pub fn take_over(
         run: RunId,
         node: NodeId,
@@ -113,7 +114,8 @@
     }
 
     /// Whether no call is in progress, no caller waits, every entry is committed and, if the run is closed, every replica
-    /// was told so. Replicas delete only runs whose end they know to be committed.
+    /// was told so. Replicas delete only runs whose end they know to be committed. False before the run accepts calls and
+    /// after the owner has stopped.
     pub fn is_idle(&self) -> bool {
         let no_waiters = self.waiting.pending.is_none() && self.waiting.deferred.is_empty();
         let committed = self.proposer.commit_index() == self.applied_index;
@@ -125,17 +127,17 @@
             && self.state.call_in_progress().is_none()
     }
 
-    /// All entries up to this index are committed; [`LogIndex::NONE`] before the claim is won.
+    /// All entries up to this index are committed; [`LogIndex::NONE`] unless this node's proposer leads the run.
     pub fn commit_index(&self) -> LogIndex {
         self.proposer.commit_index()
     }
 
-    /// The entry at `index`, committed or not; `None` unless the claim is won.
+    /// The entry at `index`, committed or not; `None` unless this node's proposer leads the run.
     pub fn entry(&self, index: LogIndex) -> Option<&LogEntry> {
         self.proposer.entry(index)
     }
 
-    /// Current replica set; empty before the claim is won.
+    /// Current replica set; empty unless this node's proposer leads the run.
     pub fn replicas(&self) -> &[ReplicaId] {
         self.proposer.members()
     }
--- a/crates/run-log/src/proposer.rs
+++ b/crates/run-log/src/proposer.rs
@@ -71,7 +71,7 @@
 
     /// Claims a run that another node owned.
     ///
-    /// `instance` is a nonzero random number, new for every claim. `known` is the highest ballot known.
+    /// `instance` is a nonzero random number, generated anew for every proposer. `known` is the highest ballot known.
     /// `contacts` are the nodes named by the run's identifier or by a redirect.
     pub fn take_over(
         run: RunId,
--- a/crates/run-log/src/replica.rs
+++ b/crates/run-log/src/replica.rs
@@ -83,7 +83,8 @@
         self.runs.get(&run).map(|tracked| tracked.state.head)
     }
 
-    /// Runs without an append for `silent_for` in which an owner must still end a call or commit the end of the run.
+    /// Runs in which an owner must still end a call or commit the end of the run, and which had no append for at least
+    /// `silent_for`.
     pub fn runs_with_pending_work(
         &self,
         now: MonotonicTime,
--- a/crates/run-log/src/replication/mod.rs
+++ b/crates/run-log/src/replication/mod.rs
@@ -240,7 +240,7 @@
         }
         let last = self.last_index();
         let Some(progress) = self.progress.get_mut(&from) else {
-            // A late reply to the claim, from a node that is not or no longer in the replica set.
+            // A late rejection of a prepare, fetch or append, from a node that is not or no longer in the replica set.
             self.spares.push(replica);
             return;
         };
--- a/crates/run-log/src/replication/progress.rs
+++ b/crates/run-log/src/replication/progress.rs
@@ -12,7 +12,8 @@
     pub matched: LogIndex,
     /// Index of the next entry to send.
     pub next: LogIndex,
-    /// Appends with entries in flight.
+    /// Estimated number of unanswered appends with entries. Each `Appended` reply lowers it by one, also a reply to an
+    /// append without entries; a retry and the rejections `Gap` and `UnknownRun` reset it to 0.
     pub inflight: u32,
     /// Highest confirmation round that the replica answered.
     pub answered_round: u64,
--- a/crates/run-log/src/replication/sending.rs
+++ b/crates/run-log/src/replication/sending.rs
@@ -1,4 +1,4 @@
-//! Schedules the appends to each replica.
+//! Queues the appends to each replica, within the limits on appends in flight and on the catch-up rate.
 
 use ridgeworks_domain::{MonotonicTime, NodeId};
 
--- a/crates/run-log/src/replication/settings.rs
+++ b/crates/run-log/src/replication/settings.rs
@@ -7,9 +7,9 @@
 pub struct ReplicationSettings {
     /// Time without a reply after which a request is repeated.
     pub retry_after: Duration,
-    /// Limit on the entries in one append; a single larger entry is still sent.
+    /// Limit on the size of the entries in one append, in bytes; a single larger entry is still sent.
     pub max_append_bytes: usize,
-    /// Limit on appends with entries in flight to one replica.
+    /// Limit on the estimated number of unanswered appends with entries to one replica.
     pub max_inflight: u32,
     /// Minimum time between two appends of committed entries to a replica that lags behind. Together with
     /// `max_append_bytes` it bounds the catch-up rate.
--- a/crates/run-log/src/run_state/apply.rs
+++ b/crates/run-log/src/run_state/apply.rs
@@ -17,9 +17,10 @@
     Order,
     /// The reserve exceeds the budget.
     Budget,
-    /// The attempt is not the next one, overlaps a live one, or exceeds the attempts that the call allows.
+    /// The dispatched attempt is not the next one, overlaps a live one, or exceeds the attempts that the call allows; or
+    /// an attempt of a call that isn't repeatable ended without ending the call.
     Attempt,
-    /// The call, attempt or child run to end doesn't exist or has ended.
+    /// The call, attempt or child run to end, or the call to dispatch, doesn't exist or has ended.
     NothingToEnd,
 }
 
--- a/crates/run-log/src/storage.rs
+++ b/crates/run-log/src/storage.rs
@@ -26,7 +26,8 @@
     pub members_index: LogIndex,
     /// Whether a call is in progress at the end of the log.
     pub call_open: bool,
-    /// Generation of the store when this acceptor became a replica of the run.
+    /// Generation of this store that the run's log named when the store created its state of the run. The store's own
+    /// generation may have been higher by then.
     pub generation: u32,
 }
 
--- a/crates/run-log/tests/simulator/disk.rs
+++ b/crates/run-log/tests/simulator/disk.rs
@@ -118,7 +118,7 @@
         self.restore(now);
     }
 
-    /// Lowers the replica's promise to at most `ballot`.
+    /// Flushes, lowers the promise for `run` to at most `ballot` and restarts the replica. The replies remain queued.
     pub fn weaken_promise(
         &mut self,
         run: RunId,
--- a/crates/storage/src/identity.rs
+++ b/crates/storage/src/identity.rs
@@ -8,7 +8,8 @@
 const IDENTITY_KEY: u8 = 0;
 
 /// Random number, generated when a data folder is first used. A folder that was lost and created again has
-/// another one, so the new store can't be mistaken for one that holds the old promises.
+/// another one, so the new store can't be mistaken for one that holds the old promises. The run log uses
+/// the low 64 bits, as `StoreId`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct StoreCreationId(pub u128);
 
--- a/crates/storage/src/lib.rs
+++ b/crates/storage/src/lib.rs
@@ -11,8 +11,8 @@
 //! A failed write or `fsync` is final, because it is unknown what reached the disk: the store refuses
 //! and never acknowledges later writes. The replica must be restarted.
 //!
-//! Every value is stored with a checksum that each read verifies; a mismatch is [`StoreError::Corrupted`].
-//! Values are opaque bytes, which the crates that write them encode and decode.
+//! Every value except the identity of the data folder is stored with a checksum that each read verifies; a mismatch is
+//! [`StoreError::Corrupted`]. Values are opaque bytes, which the crates that write them encode and decode.
 
 mod checksum;
 mod counters;
--- a/crates/storage/src/store.rs
+++ b/crates/storage/src/store.rs
@@ -29,8 +29,11 @@
     pub is_new: bool,
 }
 
-/// An open store, which threads share by reference. Dropping it commits all queued batches, calls their
-/// completions and unlocks the data folder.
+/// An open store, which threads share by reference.
+///
+/// Dropping it waits until each queued batch is committed, or has failed, and its completion was called; then it unlocks
+/// the data folder. If a completion drops the store, the drop doesn't wait: it unlocks the data folder at once, and the
+/// writer thread completes the queued batches and closes the database afterwards.
 pub struct Store {
     database: Arc<Database>,
     identity: StoreIdentity,
@@ -38,7 +41,8 @@
     writer: Option<JoinHandle<()>>,
     counters: Arc<StoreCounters>,
     failed: Arc<AtomicBool>,
-    /// Holds the lock. Dropped last, after the fields above have closed the database.
+    /// Holds the lock. Declared last, so that the database is closed before the lock is released, except if the store is
+    /// dropped on the writer thread, which still holds the database then.
     folder: Option<DataFolder>,
 }
 
--- a/crates/storage/src/tables.rs
+++ b/crates/storage/src/tables.rs
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Opens all tables, which creates missing ones.
+    /// Opens all tables except the identity table; this creates missing ones.
     pub(crate) fn create_all(&mut self) -> Result<(), TableError> {
         self.run_heads()?;
         self.run_entries()?;
--- a/crates/storage/tests/crash.rs
+++ b/crates/storage/tests/crash.rs
@@ -251,8 +251,8 @@
     let store = Store::open_with_backend(&settings(Path::new("")), disk.clone())
         .expect("open")
         .store;
-    // Pages are copied on write, so the second round allocates all the space that the measured commit
-    // needs. Growing the file would add syncs.
+    // Growing the file adds syncs, so neither of the two commits whose syncs are counted may grow it. Pages are copied on
+    // write, so writing all entries twice allocates the space that these commits need.
     for _ in 0..2 {
         let all = (0..WAITING).flat_map(|index| entry_of(index, SMALL));
         assert_eq!(write(&store, all.collect()), Ok(()));
