--- a/crates/scheduling/src/backends.rs
+++ b/crates/scheduling/src/backends.rs
@@ -34,7 +34,7 @@
 }
 
 impl BackendState {
-    /// Whether it may be granted new calls, apart from free slots.
+    /// Whether it is neither leaving nor ejected. It may have no free slot.
     pub fn accepts(&self) -> bool {
         !self.leaving && !matches!(self.ejection.health(), Health::Ejected(_))
     }
--- a/crates/scheduling/src/call_selection.rs
+++ b/crates/scheduling/src/call_selection.rs
@@ -6,10 +6,12 @@
 use crate::queue::{Lane, LaneQueue, OrderKey};
 use crate::settings::PlacementRule;
 
-/// Maximum number of calls considered for one free slot, for each affinity and in the whole lane.
+/// Maximum number of calls considered in each search for a call for a free slot. The calls with affinity
+/// to the slot's backend, those without affinity, and all calls of the lane are searched separately.
 const MAX_CANDIDATES: usize = 8;
-/// A call with affinity to the slot's backend, or without affinity, may overtake one whose position is
-/// up to this much earlier.
+/// A call with affinity to the slot's backend, or without affinity, gets the slot before the lane's
+/// first call if its queue position is at most this much later. If it is later than that, it gets the
+/// slot only if the first call should not run at the backend.
 const LOCALITY_SLACK_MICROS: i64 = 2_000_000;
 
 impl Dispatcher {
@@ -98,7 +100,8 @@
         view.is_cheaper_than_waiting(&waiting.call, index, affinity, ahead)
     }
 
-    /// Engine from which the call's context should be moved; `None` if prefilling it is faster.
+    /// Engine from which the call's context should be moved; `None` if no move is faster than
+    /// prefilling, moves are disabled, or the call is not waiting.
     pub(crate) fn move_source(&self, ticket: Ticket, index: BackendIndex) -> Option<BackendIndex> {
         self.settings.context_move.as_ref()?;
         let waiting = self.queue.get(ticket)?;
--- a/crates/scheduling/src/dispatcher.rs
+++ b/crates/scheduling/src/dispatcher.rs
@@ -1,4 +1,4 @@
-//! The queue in front of the backends of one service.
+//! Dispatcher: the state machine that queues the calls of one service and grants them backend slots.
 
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::SeedableRng;
--- a/crates/scheduling/src/grants.rs
+++ b/crates/scheduling/src/grants.rs
@@ -16,7 +16,8 @@
     Moving,
     /// The grant was sent to the owner, which has not confirmed it.
     Offered,
-    /// The owner confirmed the start of the attempt at this time.
+    /// The attempt is running. At this time its owner confirmed the start, or reported to this dispatcher
+    /// an attempt that an earlier one had granted.
     Running(MonotonicTime),
 }
 
--- a/crates/scheduling/src/placement.rs
+++ b/crates/scheduling/src/placement.rs
@@ -1,8 +1,9 @@
 //! Cost model for choosing the backend of a call.
 //!
 //! Expected cost = wait for a slot + slowdown by the calls already running there + time to prefill
-//! the tokens not cached there. Prefill is weighted higher at a full cache, where it evicts other
-//! contexts.
+//! the tokens not cached there. Prefill is weighted higher the fuller the cache is, since it evicts
+//! other contexts, and the more slots are taken, since it delays the calls in them. A higher latency
+//! weight raises the weight of the wait and the slowdown, and lowers that of prefill.
 
 use crate::backends::{BackendIndex, BackendState, BackendTable};
 use crate::event::QueuedCall;
@@ -153,16 +154,17 @@
         Choice::Now { backend, move_from }
     }
 
-    /// Whether the backend has memory for the call: most of its context is cached there, or it fits
-    /// beside the contexts in use.
+    /// Whether the call need not wait for memory at the backend: it is urgent or has a deadline, more
+    /// than half of its prompt is cached there, or its context fits according to [`WorkingSet::fits`].
+    /// False for an unknown backend.
     pub fn has_memory_for(&self, call: &QueuedCall, index: BackendIndex) -> bool {
         let locations = PrefixLocations::of(call, self.prefixes);
         let state = self.backends.get(index);
         state.is_some_and(|state| self.has_room(call, &locations, index, state))
     }
 
-    /// Calls that are urgent or have a deadline do not wait for memory: the delay would cost more than
-    /// the contexts that they evict.
+    /// Whether the call need not wait for memory at the backend. Always true for calls that are urgent
+    /// or have a deadline: the delay would cost more than the contexts that they evict.
     fn has_room(
         &self,
         call: &QueuedCall,
@@ -199,8 +201,8 @@
             < self.cost(call, &locations, affinity, there) + wait
     }
 
-    /// Engine from which the call's context should be moved before it runs at `backend`; `None` if
-    /// prefilling is faster or moves are disabled.
+    /// Engine from which the call's context should be moved before it runs at `backend`; `None` if no
+    /// move is faster than prefilling or moves are disabled.
     pub fn move_source(&self, call: &QueuedCall, backend: BackendIndex) -> Option<BackendIndex> {
         let locations = PrefixLocations::of(call, self.prefixes);
         locations
--- a/crates/scheduling/src/prefix_map.rs
+++ b/crates/scheduling/src/prefix_map.rs
@@ -1,8 +1,8 @@
 //! Map of the engines that cache the contexts of runs.
 //!
-//! Entries are hints. They are updated when an attempt ends and, with a delay, by the engines' cache
-//! events. A gap in the event numbers triggers a request for a listing, which replaces all entries of
-//! the engine.
+//! Entries are hints. They are updated when an attempt completes, when a context has been moved or is
+//! released, when a run ends, when a backend is gone and, with a delay, by the engines' cache events. A
+//! gap in the event numbers triggers a request for a listing, which replaces all entries of the engine.
 
 use std::collections::{BTreeMap, HashMap};
 
--- a/crates/scheduling/src/settings.rs
+++ b/crates/scheduling/src/settings.rs
@@ -52,7 +52,8 @@
     pub order: QueueOrder,
     /// Rule for choosing a backend.
     pub placement: PlacementRule,
-    /// Whether urgent calls go first.
+    /// Whether urgent calls go first and have reserved slots, and whether ranks affect the queue order.
+    /// Ranks never affect [`QueueOrder::ShortestCall`].
     pub urgent_first: bool,
     /// Whether running routine calls are cancelled to make room for urgent ones.
     pub preemption: bool,
@@ -60,7 +61,9 @@
     pub shares: bool,
     /// Whether contexts are retained through pauses and released at the end of the run.
     pub retention: bool,
-    /// Whether calls with deadlines go before others of their partner, earliest deadline first.
+    /// Whether a call with a deadline is ordered no later than if it had arrived
+    /// [`DispatcherSettings::deadline_lead`] before the deadline. No effect on
+    /// [`QueueOrder::ShortestCall`].
     pub deadline_order: bool,
     /// Whether calls that cannot meet their deadline are refused.
     pub deadline_refusal: bool,
@@ -145,8 +148,9 @@
     /// Shares and weights of the partners. A partner that is not listed has no share and gets the
     /// slots that the others leave free.
     pub partners: Vec<PartnerSettings>,
-    /// Maximum number of waiting routine calls of one partner. The queue of urgent calls, which all
-    /// partners share, has the same limit.
+    /// Maximum number of waiting routine calls of one partner; of all partners together if
+    /// [`Policy::shares`] is off. The queue of urgent calls, which all partners share, has the same
+    /// limit.
     pub max_queued_per_partner: usize,
     /// Slots reserved for urgent calls at each backend that has at least
     /// [`DispatcherSettings::MIN_SLOTS_FOR_RESERVE`] slots.
@@ -155,7 +159,8 @@
     pub tick: Duration,
     /// Time after which the slot of an unconfirmed grant is freed.
     pub grant_timeout: Duration,
-    /// Time after which the slot of an attempt whose end is not reported is freed.
+    /// Time after the start of an attempt at which its slot is freed if its end has not been reported.
+    /// For an attempt that an earlier dispatcher granted, the time counts from the report that it runs.
     pub attempt_timeout: Duration,
     /// Penalty for attained service: a call's queue position is later by this much for each token that
     /// its run has used, in microseconds. Calls that wait longer overcome it (ageing).
@@ -163,7 +168,8 @@
     /// Upper bound of the delay that attained service adds to a call's position.
     pub max_ageing_penalty: Duration,
     /// A call is ordered no later than if it had arrived this long before its deadline, whatever its
-    /// run has used. Calls with deadlines therefore precede most others, earliest deadline first.
+    /// run has used. Calls whose deadline is nearer than this therefore precede most calls that arrive
+    /// at the same time, earliest deadline first.
     pub deadline_lead: Duration,
     /// Consecutive failures after which a backend is ejected.
     pub ejection_failures: u32,
--- a/crates/scheduling/src/slot_grants.rs
+++ b/crates/scheduling/src/slot_grants.rs
@@ -13,7 +13,7 @@
 
 /// Usable fraction of a cache, in thousandths; the rest is lost to partly filled blocks.
 const USABLE_PERMILLE: u64 = 980;
-/// Waiting calls of each lane that are placed again on each tick.
+/// Maximum number of waiting calls of each routine lane that are placed again on each tick.
 const HEADS_PER_TICK: usize = 4;
 
 impl Dispatcher {
--- a/crates/scheduling/src/working_set.rs
+++ b/crates/scheduling/src/working_set.rs
@@ -2,7 +2,8 @@
 //!
 //! If the contexts of all active runs exceed the cache capacity, each call evicts a context that
 //! another one is about to need, and the engines thrash: they spend their time prefilling evicted
-//! contexts. A call whose context is not cached therefore waits until the context fits.
+//! contexts. A call with at most half of its prompt cached at the engine therefore waits until its
+//! context fits, unless it is urgent or has a deadline, or the engine is idle.
 
 use ridgeworks_domain::RunId;
 
