--- a/crates/node/src/configuration/platform_client.rs
+++ b/crates/node/src/configuration/platform_client.rs
@@ -1,4 +1,5 @@
-//! HTTP client of the platform's object service. Each operation runs on its own thread.
+//! HTTP client of the platform's objects and list of machines. Each operation runs on its own
+//! thread; a watch uses two.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -36,7 +37,7 @@
     Answer {
         /// Id that was passed to [`PlatformClient::perform`].
         request: RequestId,
-        /// Result; `Lost` if the operation may have taken effect.
+        /// Result; `Lost` if it is unknown whether the operation took or will take effect.
         answer: PlatformAnswer,
     },
     /// An event of the current watch.
@@ -86,7 +87,8 @@
     pub(super) machines: Vec<Machine>,
 }
 
-/// Cheap to clone; all clones share the watch generation.
+/// Client of the platform's HTTP API. Cheap to clone. The clones have one current watch in common:
+/// a watch started on any of them replaces it.
 #[derive(Clone)]
 pub struct PlatformClient {
     agent: Agent,
@@ -110,8 +112,9 @@
         }
     }
 
-    /// Runs an operation on a new thread and posts its result to the mailbox. A watch posts events
-    /// instead, and replaces the previous watch.
+    /// Runs an operation on a new thread and posts its result to the mailbox. A watch replaces the
+    /// previous watch and posts events instead of a result. If the thread cannot be started, posts
+    /// the answer `Unavailable`, also for a watch.
     pub fn perform(&self, request: RequestId, operation: PlatformOperation) {
         let client = self.clone();
         let started = spawn_detached("platform-call", THREAD_STACK_BYTES, move || {
@@ -226,8 +229,9 @@
         parse_machines(&self.read_machines()?)
     }
 
-    /// Returns the list of machines, or `None` if the request fails or the version equals `known`.
-    /// Parses the version first, which is cheaper than parsing an unchanged list.
+    /// Returns the list of machines, or `None` if the request fails, the response cannot be parsed
+    /// or its version equals `known`. Parses the version first, which is cheaper than parsing an
+    /// unchanged list.
     pub(super) fn list_machines_unless(&self, known: Option<u64>) -> Option<MachineListing> {
         let body = self.read_machines()?;
         let found: VersionAnswer = serde_json::from_slice(&body).ok()?;
@@ -266,8 +270,7 @@
     }
 }
 
-// Returns `None` if the name is not a valid back-end name: the platform also lists machines that
-// are not back ends.
+/// Converts a listed machine. Returns `None` if its name is not a valid back-end name.
 fn machine(listed: ListedMachine) -> Option<Machine> {
     let backend = Backend {
         name: BackendName::new(listed.name.clone()).ok()?,
--- a/crates/node/src/configuration/platform_watch.rs
+++ b/crates/node/src/configuration/platform_watch.rs
@@ -45,9 +45,11 @@
     Compacted {},
 }
 
-/// Runs until the object listing or stream fails, the stream ends, or a line arrives after a later
-/// watch has replaced this one. Returns at once if the thread for the list of machines cannot be
-/// started. Posts `Closed` unless this watch has been replaced.
+/// Watches the document and the list of machines. Returns when the object listing or stream fails,
+/// the stream ends, or a line arrives after a later watch has replaced this one; at once if the
+/// thread for the list of machines cannot be started. Before it returns, posts `Closed` unless this
+/// watch has been replaced. The thread for the list of machines continues until a later watch
+/// starts.
 pub(super) fn run(client: &PlatformClient, generation: u64) {
     let machines_client = client.clone();
     let started = spawn_detached("platform-machines", THREAD_STACK_BYTES, move || {
--- a/crates/node/src/configuration/role.rs
+++ b/crates/node/src/configuration/role.rs
@@ -164,7 +164,7 @@
                 self.outputs.outgoing.fwd(Outgoing { to, message });
             }
             Effect::Platform { request, operation } => {
-                // Without a platform, operations stay unanswered, as during a platform outage.
+                // Without a platform, the operation is dropped and never answered.
                 if let Some(platform) = &self.platform {
                     platform.perform(request, operation);
                 }
--- a/crates/node/src/directory/mod.rs
+++ b/crates/node/src/directory/mod.rs
@@ -34,6 +34,7 @@
     configuration: Rc<RefCell<ConfigurationRole>>,
     membership: Rc<RefCell<Membership>>,
     bootstrap_partners: Rc<Vec<BootstrapPartner>>,
+    /// Identity of each node's store, where known.
     identities: Rc<RefCell<HashMap<NodeId, ReplicaId>>>,
     absent_since: Rc<RefCell<HashMap<NodeId, MonotonicTime>>>,
     region: RegionName,
@@ -182,7 +183,8 @@
         machine.is_some_and(|machine| machine.state == MachineState::Gone)
     }
 
-    /// Whether the platform lists a back end as leaving or gone.
+    /// Whether the platform lists a back end as leaving or gone. Always false if
+    /// [`Safeguard::Leaving`] is disabled.
     pub fn is_leaving_or_gone(&self, backend: &BackendName) -> bool {
         let role = self.configuration.borrow();
         let machine = role.machines().get(backend.as_str());
--- a/crates/node/src/directory/partners.rs
+++ b/crates/node/src/directory/partners.rs
@@ -45,7 +45,8 @@
         self.authenticate_in(&self.last_known(), token_sha256)
     }
 
-    /// Refuses a program that does not exist or belongs to another partner.
+    /// Refuses a program that does not exist or belongs to another partner, and every program while
+    /// this node cannot prove that its configuration is the newest.
     pub fn check_program(
         &self,
         partner: &PartnerName,
--- a/crates/node/src/dispatcher/backend_list.rs
+++ b/crates/node/src/dispatcher/backend_list.rs
@@ -11,7 +11,7 @@
 /// A back end and its drain state.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ListedBackend {
-    /// Name, service, address, zone and slots.
+    /// The platform's entry if it lists the back end, otherwise the configuration's.
     pub backend: Backend,
     /// A leaving back end takes no new calls.
     pub leaving: bool,
@@ -50,7 +50,8 @@
     listed
 }
 
-/// Events that tell the scheduler the differences between two sets of back ends.
+/// Events that tell the scheduler which back ends are gone, new, changed or newly leaving. That a
+/// back end is no longer leaving causes no event.
 pub fn backend_events(
     before: &BTreeMap<BackendName, ListedBackend>,
     after: &BTreeMap<BackendName, ListedBackend>,
--- a/crates/node/src/dispatcher/context_sweep.rs
+++ b/crates/node/src/dispatcher/context_sweep.rs
@@ -12,7 +12,8 @@
 
 /// Minimum time between a query about a run, or a call of that run, and the next query about it.
 pub const QUERY_INTERVAL: Duration = Duration::from_secs(2);
-/// A run unknown to its replicas may still be opening for this long after it was first listed.
+/// Time after a run is first listed during which it does not count as ended if its replicas do not
+/// know it: it may still be opening.
 pub const OPENING_TIMEOUT: Duration = Duration::from_secs(60);
 /// Maximum number of runs in one query; 16 bytes each.
 pub const MAX_RUNS_PER_QUERY: usize = 512;
@@ -21,7 +22,8 @@
 /// Maximum number of runs whose contexts are released in one sweep step.
 pub const MAX_RELEASES_PER_STEP: usize = 256;
 
-/// Number of replicas that must not know a run before its contexts are released.
+/// Number of replicas to which a run must be unknown to count as ended, if none has reported its
+/// committed end.
 const UNKNOWN_QUORUM: usize = MAJORITY_OF_REPLICAS;
 
 /// A query to one replica: which of these runs have ended or are unknown to it.
@@ -52,7 +54,7 @@
     ended: bool,
 }
 
-/// Contexts held by the engines of one service.
+/// Tracks the runs whose contexts the engines of one service hold, and which of them have ended.
 #[derive(Debug, Default)]
 pub struct ContextSweep {
     listed: BTreeMap<BackendName, BTreeSet<RunId>>,
@@ -129,8 +131,9 @@
     }
 
     /// Records a replica's answer: runs whose end is committed there, and runs unknown to it. One
-    /// replica suffices for a committed end; otherwise a run counts as ended only if it is unknown
-    /// to a majority of its replicas after [`OPENING_TIMEOUT`].
+    /// replica suffices for a committed end. Otherwise a run counts as ended when an answer that it
+    /// is unknown arrives at least [`OPENING_TIMEOUT`] after the run was first listed, and a
+    /// majority of its replicas have given such an answer at any time since the first listing.
     pub fn record_answer(
         &mut self,
         now: MonotonicTime,
--- a/crates/node/src/dispatcher/effects.rs
+++ b/crates/node/src/dispatcher/effects.rs
@@ -62,7 +62,8 @@
                     self.polls.list_cache(backend);
                 }
             }
-            // Context moves are disabled in the dispatcher's settings.
+            // Never requested: the group uses the default `DispatcherSettings`, which disable
+            // context moves.
             Effect::MoveContext { .. } => {}
         }
     }
--- a/crates/node/src/dispatcher/engine_poll.rs
+++ b/crates/node/src/dispatcher/engine_poll.rs
@@ -59,7 +59,7 @@
 pub struct EngineReport {
     /// Service of the polled back end.
     pub service: ServiceName,
-    /// Result of the poll.
+    /// One of the results of a poll.
     pub update: EngineUpdate,
 }
 
@@ -152,7 +152,7 @@
     /// Lists an engine's cache once, on a separate thread.
     pub fn list_cache(&self, backend: &Backend) {
         let poll = self.poll(backend, ServiceKind::Model, Arc::default());
-        // A failed listing is requested again at the next gap in the events.
+        // A failure is ignored: the poll thread lists the cache every `POLLS_PER_LISTING` polls.
         let _ = spawn_detached("engine-list", THREAD_STACK_BYTES, move || poll.list_cache());
     }
 
--- a/crates/node/src/dispatcher/group.rs
+++ b/crates/node/src/dispatcher/group.rs
@@ -36,7 +36,8 @@
     Ended(MonotonicTime),
 }
 
-/// The dispatcher of one service on this node.
+/// Queues and grants the calls of one service. Exists for a while after another node has become the
+/// dispatcher; see [`UNUSED_GROUP_TIMEOUT`].
 pub struct DispatcherGroup {
     service: ServiceName,
     scheduler: Dispatcher,
@@ -47,13 +48,14 @@
     probed: ProbedBackends,
     /// The probed back ends, as last reported to the scheduler.
     known_backends: BTreeMap<BackendName, ListedBackend>,
-    /// Calls that arrived before the initial probes completed, with their arrival times.
+    /// Calls that arrived before the initial probes completed or timed out, with their arrival
+    /// times.
     held_calls: Vec<(QueuedCall, MonotonicTime)>,
     reports: LastReports,
     /// Running attempts at back ends that the scheduler does not know yet.
     deferred_attempts: Vec<(QueuedCall, BackendName)>,
-    /// Time since which another node has been the dispatcher and this group has received no request
-    /// and had none held or queued; `None` otherwise.
+    /// Time since which this node has not been the dispatcher and this group has received no
+    /// request and had none held or queued; `None` otherwise.
     unused_since: Option<MonotonicTime>,
 }
 
@@ -173,8 +175,9 @@
         true
     }
 
-    /// Updates whether this node is the service's dispatcher. Returns true once the group has been
-    /// unused for [`UNUSED_GROUP_TIMEOUT`] and should be dropped.
+    /// Updates since when the group has been unused: this node is not the dispatcher, and no call
+    /// is held or queued. [`Self::record_request`] restarts this time. Returns true once it has
+    /// reached [`UNUSED_GROUP_TIMEOUT`]; the caller then drops the group.
     pub fn update_ownership(&mut self, now: MonotonicTime, is_dispatcher: bool) -> bool {
         let has_queued_calls = !self.held_calls.is_empty() || self.scheduler.queued() > 0;
         if is_dispatcher || has_queued_calls {
@@ -213,8 +216,8 @@
             .set(count(self.scheduler.in_flight()));
     }
 
-    /// Passes an event to the scheduler. Calls are held until the initial probes complete, and
-    /// running attempts until their back end is known.
+    /// Passes an event to the scheduler. Calls are held until the initial probes have completed or
+    /// timed out, and running attempts until the scheduler knows their back end.
     pub fn handle(&mut self, now: MonotonicTime, event: Event) -> Vec<Effect> {
         self.reports.record(now, &event);
         match event {
@@ -271,7 +274,7 @@
         effects
     }
 
-    /// Enqueues the held calls once the initial probes have completed.
+    /// Enqueues the held calls once the initial probes have completed or timed out.
     fn release_held_calls(&mut self, now: MonotonicTime) -> Vec<Effect> {
         if self.held_calls.is_empty() || !self.probed.is_complete(now, &self.listed) {
             return Vec::new();
@@ -282,8 +285,8 @@
             .collect()
     }
 
-    /// Reports changes of the probed back ends to the scheduler, and the attempts that were
-    /// deferred for them.
+    /// Reports changes of the probed back ends to the scheduler, then the deferred attempts at back
+    /// ends that it now knows.
     fn sync_backends(&mut self, now: MonotonicTime) -> Vec<Effect> {
         let known_backends = self.probed.probed_among(&self.listed);
         let mut events = backend_events(&self.known_backends, &known_backends);
--- a/crates/node/src/dispatcher/partner_shares.rs
+++ b/crates/node/src/dispatcher/partner_shares.rs
@@ -4,7 +4,7 @@
 use ridgeworks_scheduling::PartnerSettings;
 
 /// One entry for each partner. A partner that the pool split does not name gets an equal share,
-/// 1000 permille divided by the number of partners.
+/// 1000 permille divided by the number of partners, rounded down.
 pub fn partner_settings(configuration: &ConfigurationSet) -> Vec<PartnerSettings> {
     let split = configuration.pool_split();
     let partners = configuration.partners();
--- a/crates/node/src/dispatcher/probed_backends.rs
+++ b/crates/node/src/dispatcher/probed_backends.rs
@@ -31,7 +31,7 @@
         self.probed.remove(name);
     }
 
-    /// The listed back ends that have been probed, and may therefore get calls.
+    /// The listed back ends that have been probed; only these are reported to the scheduler.
     pub fn probed_among(
         &self,
         listed: &BTreeMap<BackendName, ListedBackend>,
--- a/crates/node/src/dispatcher/role.rs
+++ b/crates/node/src/dispatcher/role.rs
@@ -276,7 +276,8 @@
             return;
         };
         let update = group.update(now, &configuration, &self.machines);
-        // For a service that is no longer configured, only health is polled, as for tools.
+        // A back end first listed after its service has left the configuration gets health polls
+        // only, as a tool does. Polls that are already running keep their kind.
         let kind = kind.unwrap_or(ServiceKind::Tool);
         for listed in group.listed() {
             self.polls.start(&listed.backend, kind);
--- a/crates/node/src/dispatcher/status.rs
+++ b/crates/node/src/dispatcher/status.rs
@@ -13,7 +13,7 @@
 /// Status of one service.
 #[derive(Debug, Clone)]
 pub struct ServiceStatus {
-    /// Service that this node dispatches.
+    /// Service that has a group on this node; its dispatcher may be another node by now.
     pub service: ServiceName,
     /// All listed back ends.
     pub backends: Vec<BackendStatus>,
--- a/crates/node/src/dispatcher/sweep.rs
+++ b/crates/node/src/dispatcher/sweep.rs
@@ -62,8 +62,9 @@
         }
     }
 
-    /// Starts polling back ends as soon as this node becomes the dispatcher of a model service,
-    /// before the first call: engines may hold contexts of runs that ended earlier.
+    /// Starts polling back ends within one sweep interval of this node becoming the dispatcher of a
+    /// model service, without waiting for a call: engines may hold contexts of runs that ended
+    /// earlier.
     fn start_owned_services(&mut self) {
         let configuration = self.directory.last_known();
         for service in configuration.services() {
@@ -95,7 +96,8 @@
             return;
         };
         for context in group.contexts().take_ended() {
-            // The scheduler also drops the run, and releases contexts of it that are stored later.
+            // `RunEnded` makes the scheduler forget the run, and release contexts of it that are
+            // stored later. The loop below releases those that engines have listed.
             self.handle(service, Event::RunEnded(context.run));
             for backend in &context.backends {
                 self.release_context(service, context.run, backend);
