--- a/crates/configuration/src/acceptance/mod.rs
+++ b/crates/configuration/src/acceptance/mod.rs
@@ -288,7 +288,9 @@
         self.stage = Stage::Swapping(self.call_platform(operation, now, outbox));
     }
 
-    /// The store holds the attempt's document; replicates it to the voters.
+    /// Called once the store holds the attempt's document. Queues the answers to its changes that are
+    /// not answered yet and, if any answer is pending, replicates the document to the voters. Returns
+    /// the document's configuration.
     fn on_swapped(
         &mut self,
         now: MonotonicTime,
--- a/crates/configuration/src/change.rs
+++ b/crates/configuration/src/change.rs
@@ -27,26 +27,27 @@
     Put {
         /// The new content of the object.
         object: ConfigurationObject,
-        /// The current version of the object.
+        /// The version that the operator expects the object to have.
         expected: ObjectVersion,
     },
     /// Deletes an object.
     Delete {
         /// Key of the object.
         key: ObjectKey,
-        /// The current version of the object.
+        /// The version that the operator expects the object to have.
         expected: ObjectVersion,
     },
     /// Opens a proposal for the pool split; replaces an open one.
     Propose {
         /// The proposed shares.
         shares: Vec<Share>,
-        /// Version of the pool split, [`ObjectVersion::ABSENT`] while there is none.
+        /// The version that the operator expects the pool split to have, [`ObjectVersion::ABSENT`] if
+        /// there is none.
         expected: ObjectVersion,
     },
     /// Consents to the proposal in this version of the pool split.
     Consent {
-        /// Version of the pool split.
+        /// The version that the operator expects the pool split to have.
         expected: ObjectVersion,
     },
 }
--- a/crates/configuration/src/counters.rs
+++ b/crates/configuration/src/counters.rs
@@ -13,7 +13,7 @@
     pub leases_granted: u64,
     /// Number of times that the lease expired.
     pub leases_expired: u64,
-    /// Revisions put in force; one step may cover several changes.
+    /// Number of times that a newer revision was put in force, which may include several changes.
     pub revisions_in_force: u64,
     /// Pushes sent to clients.
     pub pushes_sent: u64,
--- a/crates/configuration/src/effect.rs
+++ b/crates/configuration/src/effect.rs
@@ -190,7 +190,7 @@
     UnreadableDocument,
 }
 
-/// The answer to an operator.
+/// The outcome of an operator's change or read.
 #[derive(Debug, Clone, PartialEq)]
 pub enum OperatorAnswer {
     /// The change is permanently accepted.
--- a/crates/configuration/src/machines.rs
+++ b/crates/configuration/src/machines.rs
@@ -18,7 +18,7 @@
 pub enum MachineState {
     /// It accepts work.
     Live,
-    /// It is leaving and accepts no new work; final for its incarnation.
+    /// It is leaving and accepts no new work; it never becomes `Live` again in the same incarnation.
     Leaving,
     /// The platform no longer lists it.
     Gone,
--- a/crates/configuration/src/message.rs
+++ b/crates/configuration/src/message.rs
@@ -51,11 +51,12 @@
         update: Box<Update>,
     },
     /// From a voter: its newest durable revision. Sent in answer to `Replicate`, and to the other
-    /// voters after every change and periodically.
+    /// voters after every change and periodically. It is also sent to a voter that reported a newer
+    /// revision.
     Stored {
         /// Identifier of the `Replicate` that is answered; `None` if unsolicited.
         request: Option<RequestId>,
-        /// What the voter durably holds.
+        /// The newest durable revision, and the version of the list of machines, which is not durable.
         known: KnownVersions,
     },
     /// To a voter: requests everything newer than `known`.
@@ -87,7 +88,8 @@
     Renewed {
         /// Identifier of the request.
         request: RequestId,
-        /// Answers of eligible voters: one from a voter, those of a majority from a relay.
+        /// Answers of eligible voters: one from a voter, or none while it is not eligible; those of a
+        /// majority from a relay.
         answers: Vec<VoterAnswer>,
         /// What the requester lacks.
         news: StateDelta,
@@ -97,7 +99,8 @@
         /// Identifier of the request.
         request: RequestId,
     },
-    /// From a voter or a relay to its clients: an unsolicited update.
+    /// An unsolicited update: from a voter or a relay to its clients, or from a voter to another voter
+    /// that reported an older list of machines.
     Push {
         /// What the receiver is expected to lack.
         news: StateDelta,
--- a/crates/configuration/src/replication.rs
+++ b/crates/configuration/src/replication.rs
@@ -26,7 +26,7 @@
     target: Arc<ConfigurationSet>,
     requests: BTreeMap<RequestId, (NodeId, MonotonicTime)>,
     acknowledged: BTreeMap<NodeId, Acknowledgement>,
-    /// Last reported revision of each voter, the base of the deltas sent to it.
+    /// Revision that each voter last reported or is assumed to hold, the base of the deltas sent to it.
     reported: BTreeMap<NodeId, Revision>,
     last_sent: Option<MonotonicTime>,
 }
--- a/crates/configuration/src/role.rs
+++ b/crates/configuration/src/role.rs
@@ -24,7 +24,7 @@
 use crate::voter_state::StoredVoter;
 use crate::watcher::{Observation, Watcher};
 
-/// A read that is answered by the first grant whose renewal was sent after its arrival.
+/// A read that is answered by the first grant whose renewal was sent at or after its arrival.
 #[derive(Debug)]
 struct PendingRead {
     ticket: Ticket,
@@ -48,9 +48,11 @@
     /// Whether clients must be sent a newer configuration or list of machines.
     push_pending: bool,
     last_push: Option<MonotonicTime>,
-    /// Last values reported to the host.
+    /// Revision of the configuration in force that was last reported to the host.
     reported_revision: Revision,
+    /// Version of the list of machines that was last reported to the host.
     reported_machines: u64,
+    /// Whether the last report to the host said that the lease is valid.
     reported_ready: bool,
     counters: ConfigurationCounters,
 }
--- a/crates/configuration/src/role/renewal.rs
+++ b/crates/configuration/src/role/renewal.rs
@@ -15,7 +15,8 @@
 
 impl ConfigurationRole {
     /// Answers a client's renewal if this node is a voter; otherwise queues it until this node's own
-    /// renewal is granted.
+    /// renewal is granted. A relay that has [`MAX_RELAY_CLIENTS`] clients refuses a new one with
+    /// `RelayFull`.
     pub(super) fn on_renew(
         &mut self,
         now: MonotonicTime,
@@ -61,8 +62,8 @@
         self.outbox.send(to, message);
     }
 
-    /// Answers the clients whose renewals arrived before this node's renewal was sent. The voters'
-    /// answers are valid for them too.
+    /// Answers the clients whose renewals arrived at or before the time at which this node's renewal
+    /// was sent. The voters' answers are valid for them too.
     pub(super) fn answer_clients(&mut self, grant: &LeaseGrant) {
         for (client, request) in self.clients.drain_waiting(grant.sent_at) {
             self.send_renewed(client, request, grant.answers.clone());
--- a/crates/configuration/src/set.rs
+++ b/crates/configuration/src/set.rs
@@ -122,7 +122,8 @@
             })
     }
 
-    /// The split of the shared pool; `None` before the first one is proposed.
+    /// The split of the shared pool; `None` if none was created or proposed yet. It may have no shares
+    /// while its first proposal is open.
     pub fn pool_split(&self) -> Option<&PoolSplit> {
         match self.object(&ObjectKey::pool_split()) {
             Some(ConfigurationObject::PoolSplit(split)) => Some(split),
--- a/crates/configuration/src/voter.rs
+++ b/crates/configuration/src/voter.rs
@@ -256,7 +256,8 @@
         }
     }
 
-    /// Makes the voter eligible once it holds the newest revision that a recovery quorum reported.
+    /// Lets the next write make the voter eligible, once a recovery quorum has answered and the voter
+    /// has received the newest revision among the answers.
     fn try_recover(&mut self) {
         let Some(recovery) = &self.recovery else {
             return;
--- a/crates/configuration/src/watcher.rs
+++ b/crates/configuration/src/watcher.rs
@@ -28,7 +28,8 @@
     Machines(u64, Vec<Machine>),
 }
 
-/// A read that is repeated every [`RELIST_INTERVAL`].
+/// A read that is repeated [`RELIST_INTERVAL`] after its answer, or [`RETRY_INTERVAL`] after a
+/// failure. Without an answer it is repeated [`PLATFORM_TIMEOUT`] after it was sent.
 #[derive(Debug, Default)]
 struct PeriodicRead {
     in_flight: Option<(RequestId, MonotonicTime)>,
@@ -66,7 +67,8 @@
     }
 }
 
-/// The watcher of one node.
+/// Reads and watches the platform's store on one node. It is idle unless the node is one of the
+/// watchers or a voter in recovery.
 #[derive(Debug)]
 pub(crate) struct Watcher {
     /// Whether this node is one of the watchers.
--- a/crates/configuration/tests/simulator/history.rs
+++ b/crates/configuration/tests/simulator/history.rs
@@ -1,5 +1,5 @@
-//! Checks that the operators' history is that of linearizable registers: the versions of the objects
-//! and the revision of the configuration.
+//! Checks that the operators' history is linearizable, with the versions of the objects and the
+//! revision of the configuration as registers, and that the answers agree with the platform's log.
 
 use std::collections::BTreeMap;
 
--- a/crates/configuration/tests/simulator/operators.rs
+++ b/crates/configuration/tests/simulator/operators.rs
@@ -79,7 +79,8 @@
         }
     }
 
-    /// The next request of an operator: a retry of an unknown operation, or a new one.
+    /// The next request of an operator: a retry of a change whose outcome is unknown, or a new
+    /// operation if `may_start`; otherwise `None`.
     pub fn next(
         &mut self,
         operator: usize,
--- a/crates/membership/examples/compare/keep_alive.rs
+++ b/crates/membership/examples/compare/keep_alive.rs
@@ -61,7 +61,7 @@
 }
 
 impl Neighbours {
-    /// Each of `nodes` probes `degree` others, the nearest on the ring and random ones.
+    /// Each of `nodes` nodes probes `degree` others, chosen at random.
     pub fn new(nodes: usize, degree: usize, seed: u64) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let mut of = Vec::new();
--- a/crates/membership/examples/compare/main.rs
+++ b/crates/membership/examples/compare/main.rs
@@ -114,7 +114,7 @@
     (simulator, BackPointers(neighbours))
 }
 
-/// Measures messages, bytes and processor time without failures.
+/// Measures messages, bytes and the wall clock time spent in the state machines, without failures.
 fn measure_cost<P: Participant>(simulator: &mut Simulator<P>, figures: &mut Figures) {
     let seconds = 10;
     simulator.run_for(Duration::from_secs(5));
--- a/crates/membership/src/counters.rs
+++ b/crates/membership/src/counters.rs
@@ -15,6 +15,6 @@
     pub refutations: u64,
     /// Pauses of this process that it detected.
     pub own_pauses: u64,
-    /// Dead claims received in table comparisons that were verified by a probe.
+    /// Dead claims from table comparisons and join answers that this node started to verify by a probe.
     pub dead_claims_verified: u64,
 }
--- a/crates/membership/src/detector.rs
+++ b/crates/membership/src/detector.rs
@@ -1,9 +1,9 @@
 //! Failure detector: which members this node probes, and when it suspects them or declares them Dead.
 //!
-//! A member is probed if no message from it arrived for an interval. The first unanswered probe starts
-//! two timeouts: after the probe timeout the member is suspected and others are asked to probe it;
-//! after the confirmation timeout it is declared Dead, unless one of them received an answer. Any
-//! message from the member cancels both.
+//! A member is probed if no message from it arrived for an interval. The first unanswered probe, or
+//! other evidence of a failure, starts two timeouts: after the probe timeout the member is suspected
+//! and others are asked to probe it; after the confirmation timeout it is declared Dead, unless one of
+//! them received an answer. Any message from the member cancels both.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -26,7 +26,8 @@
 /// Evidence that a member has failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Evidence {
-    /// A probe was not answered, or another node claims that the member is Dead.
+    /// Any evidence but a closed link: a ping that is not answered yet, another node's claim that the
+    /// member is Dead, or relays of its zone that are suspected or unresponsive.
     Unresponsive,
     /// The link to it was closed.
     LinkClosed,
@@ -39,7 +40,8 @@
     Ping(NodeId),
     /// Ask others to ping the member.
     RequestIndirectPings(NodeId, ProbeRole),
-    /// Mark the member as suspected: it did not answer within the probe timeout.
+    /// Mark the member as suspected: it did not answer within the probe timeout, or its link was
+    /// closed.
     Suspect(NodeId),
     /// Declare the member Dead: it did not answer within the confirmation timeout.
     Dead(NodeId),
@@ -103,8 +105,9 @@
         self.probes.remove(&node);
     }
 
-    /// Records evidence against the member and probes it at once. A closed link shortens the
-    /// confirmation timeout.
+    /// Records evidence against the member; the next poll pings it. After a closed link it is
+    /// suspected without waiting for the probe timeout, and the confirmation timeout is shorter unless
+    /// the member is probed only temporarily.
     pub fn add_evidence(&mut self, node: NodeId, evidence: Evidence, now: MonotonicTime) {
         let probe = self.probes.entry(node).or_insert(Probe {
             role: ProbeRole::Temporary,
--- a/crates/membership/src/receiving.rs
+++ b/crates/membership/src/receiving.rs
@@ -126,6 +126,7 @@
 
     fn merge_claim(&mut self, claimed: NodeClaim, now: MonotonicTime) -> Merge {
         let is_known = self.table.get(claimed.node).is_some();
+        // A claim that an unknown node departed is ignored.
         if !is_known && !claimed.claim.state.is_present() {
             return Merge::Same;
         }
--- a/crates/membership/tests/support/cluster.rs
+++ b/crates/membership/tests/support/cluster.rs
@@ -208,7 +208,8 @@
             .collect()
     }
 
-    /// Runs until all running nodes see the subject in this state; returns the elapsed time.
+    /// Runs until all other running nodes see the subject in this state. Returns the elapsed time, or
+    /// `None` if `limit` passed first.
     pub fn time_until_all_see(
         &mut self,
         subject: usize,
