--- a/crates/api/src/caller.rs
+++ b/crates/api/src/caller.rs
@@ -272,9 +272,10 @@
     pub outcome: CallOutcome,
     /// Cost of the call; zero until it has ended.
     pub cost: Cost,
-    /// Digest of the request body, in lower-case hexadecimal.
+    /// 64-bit XXH3 digest of the request body, as 16 lower-case hexadecimal digits.
     pub request_digest: String,
-    /// Digest of the answer, in lower-case hexadecimal.
+    /// 64-bit XXH3 digest of the answer, as 16 lower-case hexadecimal digits; `None` if no answer is
+    /// recorded.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub answer_digest: Option<String>,
     /// Request body, if included in the history.
--- a/crates/api/src/caller_error.rs
+++ b/crates/api/src/caller_error.rs
@@ -195,7 +195,7 @@
     pub code: ErrorCode,
     /// Human-readable message; programs should use the code.
     pub message: String,
-    /// Field or header that is missing or invalid.
+    /// Field, header or path parameter that is missing or invalid.
     pub param: Option<String>,
     /// Whether the call may have run.
     pub outcome: Outcome,
--- a/crates/api/src/client.rs
+++ b/crates/api/src/client.rs
@@ -1,7 +1,9 @@
 //! Client of the operators' interface, with failover between several servers.
 //!
-//! A request is sent to the servers in turn until one responds. Every method can be retried: reads
-//! change nothing, and changes carry an operation identifier, which makes them idempotent.
+//! A request is sent to the servers in turn, for a limited number of rounds, until one sends a usable
+//! response without the error code `unavailable`. Every method can be retried: reads change nothing,
+//! changes of the configuration carry an operation identifier, which makes them idempotent, and a repeated
+//! `Drain` has no effect on a node that is already stopping.
 
 use std::thread;
 use std::time::Duration;
@@ -35,7 +37,8 @@
     pub token: String,
     /// Maximum time to establish a connection.
     pub connect_timeout: Duration,
-    /// Maximum time to wait for a response; the waiting time of a long poll is added to it.
+    /// Maximum time of one attempt, from connecting to the end of the response; the waiting time of a long
+    /// poll is added to it.
     pub response_timeout: Duration,
     /// Maximum number of rounds; each round tries all servers in order.
     pub rounds: u32,
--- a/crates/api/src/client_error.rs
+++ b/crates/api/src/client_error.rs
@@ -12,7 +12,7 @@
     InvalidRequest,
     /// No connection was established; the request was not sent.
     NotConnected,
-    /// The timeout expired after the connection was established.
+    /// The timeout of the attempt expired; the request may have been sent.
     TimedOut,
     /// The connection was lost, or the response is not valid HTTP.
     Broken,
--- a/crates/api/src/connect.rs
+++ b/crates/api/src/connect.rs
@@ -21,7 +21,7 @@
 pub const PROTOCOL_VERSION: &str = "1";
 /// Header with the time that the client waits for the response, in milliseconds.
 pub const TIMEOUT_HEADER: &str = "connect-timeout-ms";
-/// Maximum size of a request's body, in bytes, both before and after decompression.
+/// Maximum size of a request's body after decompression, in bytes.
 pub const MAX_REQUEST_BYTES: u64 = 1 << 20;
 
 const JSON_MEDIA_TYPE: &str = "application/json";
--- a/crates/api/src/connect_error.rs
+++ b/crates/api/src/connect_error.rs
@@ -70,7 +70,7 @@
         /// Retry delay, in milliseconds.
         retry_after_ms: u64,
     },
-    /// A refusal that the callers' interface uses too.
+    /// A refusal with a reason shared with the callers' interface.
     Refused(Refusal),
     /// The response could not be encoded.
     UnencodableResponse,
--- a/crates/api/src/field_error.rs
+++ b/crates/api/src/field_error.rs
@@ -8,7 +8,7 @@
 /// A field of a message that is missing or has an invalid value.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FieldError {
-    /// Path of the field, starting at the request's message.
+    /// Path of the field in the request's message, such as `object.metadata.name`.
     pub field: &'static str,
     /// Kind of the error.
     pub problem: FieldProblem,
--- a/crates/domain/src/ballot.rs
+++ b/crates/domain/src/ballot.rs
@@ -6,8 +6,8 @@
 
 use crate::identifiers::NodeId;
 
-/// Ballot number of one node; a higher ballot supersedes a lower one. Equal rounds are ordered by node,
-/// so two nodes never use the same ballot.
+/// Ballot number of one node; a higher ballot supersedes a lower one. A ballot contains its node, so two
+/// nodes never use the same one; ballots of equal rounds are ordered by node.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Archive, Serialize, Deserialize,
 )]
--- a/crates/domain/src/identifiers.rs
+++ b/crates/domain/src/identifiers.rs
@@ -17,7 +17,7 @@
     TooLong(usize),
     /// The text contains this character, which is not in `[A-Za-z0-9._:-]`.
     InvalidCharacter(char),
-    /// The text is not a hexadecimal number.
+    /// The text is not a hexadecimal number of at most 128 bits.
     NotHexadecimal,
 }
 
--- a/crates/domain/src/objects.rs
+++ b/crates/domain/src/objects.rs
@@ -25,7 +25,7 @@
     pub name: PartnerName,
     /// SHA-256 of the token, in lower-case hexadecimal.
     pub token_sha256: String,
-    /// Weight of latency relative to wasted cache when calls are placed and contexts retained, from 0 (prefer
+    /// Weight of latency relative to cache reuse when calls are placed and contexts retained, from 0 (prefer
     /// cache reuse) to 100 (prefer short waits); 50 is neutral.
     pub latency_weight: u8,
 }
@@ -160,7 +160,7 @@
     serde::Deserialize,
 )]
 pub struct Backend {
-    /// Name, which differs for each start of the machine.
+    /// Name. An entry of the platform's machine list overrides a configured back end of the same name.
     pub name: BackendName,
     /// Service whose calls it handles.
     pub service: ServiceName,
--- a/crates/domain/src/refusal.rs
+++ b/crates/domain/src/refusal.rs
@@ -20,7 +20,7 @@
         /// Maximum size of the body, in bytes.
         limit_bytes: u64,
     },
-    /// The connection closed or timed out before the whole body arrived.
+    /// The whole body was not received: the connection ended, or reading timed out or failed.
     BodyIncomplete,
     /// The body is not valid JSON of the expected structure.
     Malformed,
@@ -29,9 +29,9 @@
         /// Name of the field or header.
         field: String,
     },
-    /// A field or header has an invalid value.
+    /// A field, header or path parameter has an invalid value.
     InvalidField {
-        /// Name of the field or header.
+        /// Name of the field, header or path parameter.
         field: String,
     },
     /// No such path or method.
--- a/crates/domain/src/run_id.rs
+++ b/crates/domain/src/run_id.rs
@@ -1,8 +1,8 @@
 //! Run identifiers, which encode the replicas that a run was opened on.
 //!
-//! Any node can locate a run's replicas from the identifier alone, even after membership changes. A
-//! later change of the replica set is recorded in the run's log, and the initial replicas redirect
-//! requests to the current ones.
+//! Any node can locate a run's initial replicas by matching the identifier's hints against the nodes that
+//! it knows, even after membership changes. A later change of the replica set is recorded in the run's
+//! log, and the initial replicas redirect requests to the current ones.
 
 use std::fmt;
 use std::str::FromStr;
@@ -13,7 +13,7 @@
 
 /// Number of replicas of each run.
 pub const REPLICAS_PER_RUN: usize = 3;
-/// Quorum size among a run's initial replicas.
+/// Number of a run's initial replicas that form a majority.
 pub const MAJORITY_OF_REPLICAS: usize = REPLICAS_PER_RUN / 2 + 1;
 
 const HINT_BITS: u32 = 24;
--- a/crates/domain/src/safeguard.rs
+++ b/crates/domain/src/safeguard.rs
@@ -25,7 +25,7 @@
     Fence,
     /// A non-repeatable call gets a single attempt.
     SingleAttempt,
-    /// Back ends that are leaving are distinguished from live ones.
+    /// A back end that is leaving takes no new calls; when disabled, it is treated as live.
     Leaving,
     /// A planned stop waits for in-flight requests.
     Drain,
--- a/crates/domain/src/units.rs
+++ b/crates/domain/src/units.rs
@@ -4,7 +4,8 @@
 
 use rkyv::{Archive, Deserialize, Serialize};
 
-/// Amount in budget units. One generated or prompt token costs one unit; a tool call costs its price.
+/// Amount in budget units. One generated or prompt token costs one unit; a call to a tool or notice service
+/// costs the service's price.
 #[derive(
     Debug,
     Clone,
--- a/crates/http-edge/src/acceptor.rs
+++ b/crates/http-edge/src/acceptor.rs
@@ -29,11 +29,12 @@
 const WAKE_INTERVAL: Duration = Duration::from_millis(25);
 /// Wake-up connections per interval while requests arrive.
 const WAKES_WHEN_BUSY: usize = 4;
-/// Number of intervals for which the edge counts as busy after a request. When a wake-up lets a thread take
-/// a queued connection, its request arrives within this time, so wake-ups stay frequent until no connection
-/// of a burst is queued.
+/// Number of intervals after a request during which the edge counts as busy. A queued connection that a
+/// wake-up releases sends its request within this time, which keeps the edge busy until no connection of a
+/// burst is queued.
 const BUSY_INTERVALS: u32 = 8;
-/// Intervals between wake-up connections while idle; each keeps an idle thread of `tiny_http` alive.
+/// Number of intervals from one wake-up connection to the next while idle. These connections prevent
+/// `accept` from timing out and keep an idle thread of `tiny_http` alive.
 const INTERVALS_PER_IDLE_WAKE: u32 = 8;
 const PROBES_PER_READ_TIMEOUT: u32 = 4;
 const PROBE_TIMEOUT: Duration = Duration::from_secs(5);
--- a/crates/http-edge/src/counters.rs
+++ b/crates/http-edge/src/counters.rs
@@ -42,11 +42,11 @@
     refused_malformed,
     /// Requests whose body did not arrive in time.
     timed_out,
-    /// Requests whose connection ended before the body was complete.
+    /// Requests whose body could not be read completely for a reason other than a timeout.
     broken_requests,
     /// Responses that could not be written because the client disconnected or stopped reading.
     client_disconnects,
-    /// Requests answered with 500 because the handler sent no response or no thread could be started.
+    /// Requests to which the handler sent no valid response, or for which no thread could be started.
     unanswered,
     /// Handler calls that panicked.
     handler_panics,
--- a/crates/http-edge/src/error.rs
+++ b/crates/http-edge/src/error.rs
@@ -45,7 +45,8 @@
     MalformedLength,
     /// The body did not arrive before its deadline or the read timeout.
     BodyTimedOut,
-    /// The connection ended before the body was complete.
+    /// The body could not be read completely: the connection ended, or reading failed for a reason other
+    /// than a timeout, such as a malformed chunk.
     BodyCutOff,
     /// The handler ended without a response; whether the request took effect is unknown.
     Unanswered,
@@ -56,7 +57,7 @@
 pub struct FaultResponse {
     /// HTTP status.
     pub status: u16,
-    /// Headers other than `Content-Length` and `Content-Type`, which is JSON.
+    /// Headers except `Content-Length` and `Content-Type`; the content type is always JSON.
     pub headers: Vec<Header>,
     /// The JSON body.
     pub body: Vec<u8>,
@@ -64,7 +65,7 @@
 
 impl FaultResponse {
     /// Creates the default response, with a code of the Connect protocol. A temporary fault gets a
-    /// `Retry-After` header in seconds, rounded up.
+    /// `Retry-After` header in seconds, rounded up and at least 1.
     pub fn plain(fault: RequestFault, retry_after: Duration) -> Self {
         let mut headers = Vec::new();
         if fault.is_temporary() {
@@ -138,7 +139,8 @@
 /// Why a response was not written.
 #[derive(Debug)]
 pub enum ResponseError {
-    /// A header contains a character that HTTP does not allow there.
+    /// A header's name is empty or not an HTTP token, or its value contains a character other than printable
+    /// ASCII, space and tab.
     InvalidHeader,
     /// The client disconnected or stopped reading; contains the kind of the failed write.
     ClientDisconnected(io::ErrorKind),
--- a/crates/http-edge/src/fault_response.rs
+++ b/crates/http-edge/src/fault_response.rs
@@ -8,7 +8,8 @@
 
 const JSON: &str = "application/json";
 
-/// Value of the `Upgrade` header of responses that need direct access to the socket.
+/// Placeholder protocol for `Request::upgrade`, which is called only to get direct access to the socket;
+/// sent as the value of the `Upgrade` header.
 const NO_PROTOCOL: &str = "none";
 
 /// Responds to a request. `tiny_http` then reads and discards the rest of the body.
--- a/crates/http-edge/src/head.rs
+++ b/crates/http-edge/src/head.rs
@@ -34,7 +34,8 @@
     }
 }
 
-/// Whether the connection stays open after the response.
+/// Whether the client may reuse the connection after the response. `Close` only adds the header
+/// `Connection: close`; the edge does not close the connection itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum ConnectionUse {
     Keep,
--- a/crates/http-edge/src/responder.rs
+++ b/crates/http-edge/src/responder.rs
@@ -19,7 +19,8 @@
 pub struct ResponseStatus(Arc<AtomicU16>);
 
 impl ResponseStatus {
-    /// Returns the HTTP status of the response, or `None` if none was sent yet.
+    /// Returns the HTTP status of the response, or `None` before the edge began to send one. The write may
+    /// have failed.
     pub fn get(&self) -> Option<u16> {
         match self.0.load(Ordering::Relaxed) {
             0 => None,
@@ -78,7 +79,7 @@
         self.write_complete(status, content_type, headers, body)
     }
 
-    /// Sends the head of a streamed response. The connection is closed after the response.
+    /// Sends the head of a streamed response, which tells the client not to reuse the connection.
     pub fn start_stream(
         mut self,
         status: u16,
--- a/crates/http-edge/src/serving.rs
+++ b/crates/http-edge/src/serving.rs
@@ -30,8 +30,9 @@
     pub servers: Mutex<Vec<Arc<Server>>>,
 }
 
-/// Runs the handler on a thread of the pool, or refuses the request on another thread. The calling thread
-/// does no socket I/O, because a slow client would block all others.
+/// Runs the handler on a thread of the pool, or refuses the request on another thread. Unless a thread
+/// cannot be started, the calling thread does no socket I/O, because a slow client would block all others.
+/// If the request must be refused, it waits while the limit of concurrent refusals is reached.
 pub(crate) fn admit(shared: &Arc<Shared>, request: Request) {
     increment(&shared.counters.received);
     let request = GuardedRequest::new(request, Arc::clone(&shared.counters));
@@ -46,7 +47,8 @@
     let permit = RequestPermit(Arc::clone(shared));
     let started = shared.handlers.run(move || serve(permit, request));
     if started.is_err() {
-        // The closure dropped the request, which makes `tiny_http` respond with status 500.
+        // The closure dropped the request, which makes `tiny_http` respond with status 500, unless
+        // `GuardedRequest` leaked the request because of its declared length.
         increment(&shared.counters.unanswered);
     }
 }
--- a/crates/http-edge/src/settings.rs
+++ b/crates/http-edge/src/settings.rs
@@ -20,7 +20,8 @@
     pub listen: SocketAddr,
     /// Maximum number of in-flight requests, each with its own thread; further ones are refused with 503.
     pub max_concurrent_requests: usize,
-    /// Maximum number of refusals written concurrently; the edge receives no new request beyond it.
+    /// Maximum number of refusals written concurrently; 0 counts as 1. Further refusals wait. While a
+    /// refusal due to overload or shutdown waits, the edge receives no request.
     pub max_concurrent_refusals: usize,
     /// Maximum size of a request body, in bytes; a larger one is refused with 413.
     pub max_body_bytes: usize,
@@ -30,7 +31,8 @@
     pub read_timeout: Duration,
     /// Maximum time that one write may block because the client does not read.
     pub write_timeout: Duration,
-    /// Maximum time from the end of a request's head to the end of its body.
+    /// Maximum time for reading a body. It is checked only when data arrives, so a stalled body is refused
+    /// after `read_timeout`.
     pub body_deadline: Duration,
     /// Retry delay stated in a temporary refusal; sent in seconds, rounded up.
     pub retry_after: Duration,
--- a/crates/link/src/counters.rs
+++ b/crates/link/src/counters.rs
@@ -15,7 +15,7 @@
     pub received_bytes: AtomicU64,
     /// Messages dropped because the queue was full or a reconnection was not due yet.
     pub dropped_messages: AtomicU64,
-    /// Outbound connection attempts.
+    /// Outbound connection attempts, except those that failed immediately.
     pub dialled: AtomicU64,
     /// Outbound connections that failed or could not be established.
     pub broken: AtomicU64,
--- a/crates/link/src/links.rs
+++ b/crates/link/src/links.rs
@@ -129,7 +129,7 @@
         }
     }
 
-    /// Closes the connection to a node that was removed permanently.
+    /// Closes the outbound connection to a node that was removed permanently; connections from it stay open.
     pub fn forget(&mut self, _cx: CX![], node: NodeId) {
         self.outbound.remove(&node);
     }
--- a/crates/link/src/settings.rs
+++ b/crates/link/src/settings.rs
@@ -43,7 +43,7 @@
 pub enum LinkError {
     /// The listening address could not be bound.
     Bind {
-        /// Address from the settings.
+        /// Listening address that could not be bound.
         address: SocketAddr,
         /// Error of the operating system.
         source: std::io::Error,
--- a/crates/worker-pool/src/lib.rs
+++ b/crates/worker-pool/src/lib.rs
@@ -1,7 +1,7 @@
 //! Thread pool for blocking work: reuses idle threads, and starts another one when all are busy.
 //!
-//! Reuse reduces latency: on a loaded machine, a new thread waits several milliseconds until it is
-//! scheduled, a woken one less than one millisecond (`docs/design/stream-threads.md`).
+//! Reuse reduces latency: on a loaded machine, a new thread is scheduled milliseconds later than a woken
+//! one (`docs/design/stream-threads.md`).
 
 use std::io;
 use std::thread;
